--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -7,6 +7,7 @@
 #include <set>
 
 #include "region/model/seams.hpp"
+#include "sim/traffic_digest.hpp"
 
 namespace kestrelhoist::sim {
 
@@ -48,6 +49,9 @@
 class Network : public region::Wire {
  public:
   Network(Clockwork& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
+  ~Network() override {
+    if (digest_) digest_->report();
+  }
 
   void listen(const std::string& address, Server server) override {
     servers_[address] = std::move(server);
@@ -108,7 +112,7 @@
     travel(from, to, laterMs + latency(), [this, from, address, request](bool reset) {
       auto server = servers_.find(address);
       if (reset || server == servers_.end()) return;
-      server->second(from, request, [](const Response&) {});
+      serve(server->second, from, address, request, [](const Response&) {});
     });
   }
 
@@ -125,6 +129,7 @@
       if (mute->second.refused) clock_.in(latency(), [finish] { finish(std::nullopt); });
       return;
     }
+    if (digest_) digest_->onRequest("sent", clock_.now(), from, address, request);
     std::string to = address.substr(0, address.find(':'));
     auto second = request.path.find('/', 1);
     auto& sum = traffic[request.path.substr(0, request.path.find_first_of("/?", second + 1))];
@@ -137,7 +142,7 @@
       auto later = std::uniform_int_distribution<std::int64_t>(copies.from, copies.to)(random_);
       travel(from, to, delay + later, [this, from, address, request](bool) {
         if (auto server = servers_.find(address); server != servers_.end()) {
-          server->second(from, request, [](const Response&) {});
+          serve(server->second, from, address, request, [](const Response&) {});
         }
       });
     }
@@ -158,16 +163,16 @@
              auto server = servers_.find(address);
              if (server == servers_.end()) return finish(std::nullopt);
              bool lost = chance(lossOfAnswers) || late;
-             server->second(from, request,
-                            [this, from, to, request, finish, lost, back, &sum](const Response& r) {
-                              if (onAnswered) onAnswered(request, r);
-                              if (lost) return;
-                              sum.bytes += r.body.size();
-                              travel(to, from, back + latency(), [finish, r](bool reset) {
-                                if (reset) return finish(std::nullopt);
-                                finish(r);
-                              });
-                            });
+             serve(server->second, from, address, request,
+                   [this, from, to, request, finish, lost, back, &sum](const Response& r) {
+                     if (onAnswered) onAnswered(request, r);
+                     if (lost) return;
+                     sum.bytes += r.body.size();
+                     travel(to, from, back + latency(), [finish, r](bool reset) {
+                       if (reset) return finish(std::nullopt);
+                       finish(r);
+                     });
+                   });
            });
   }
 
@@ -180,6 +185,16 @@
     std::int64_t until;
     CutWay way;
   };
+  // Copied, as a server may close its address while it serves.
+  void serve(Server server, const std::string& from, const std::string& address,
+             const Request& request, const Respond& respond) {
+    if (!digest_) return server(from, request, respond);
+    digest_->onRequest("arrived", clock_.now(), from, address, request);
+    server(from, request, [this, from, address, respond](const Response& r) {
+      digest_->onResponse(clock_.now(), address, from, r);
+      respond(r);
+    });
+  }
   std::int64_t latency() { return std::uniform_int_distribution<std::int64_t>(1, 4)(random_); }
   std::int64_t heldFor() {
     return std::uniform_int_distribution<std::int64_t>(held.from, held.to)(random_);
@@ -223,6 +238,7 @@
     bool refused{};
   };
   std::map<std::string, Mute> mutes_;
+  std::unique_ptr<TrafficDigest> digest_ = TrafficDigest::fromEnvironment();
 };
 
 // One life of one process: its timers and answers end with it. The clock may run fast.
