--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -130,7 +130,7 @@
   Election election_;
   std::unique_ptr<Leader> leader_;
   bool beginningLeadership_ = false;
-  Token lastToken_;  // of the newest leader known of
+  FencingToken lastToken_;  // of the newest leader known of
   Instant lastWorker_{};
   Instant lastForeign_{};  // a worker of another zone
   Instant lastPeer_{};     // any other controller was heard
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -64,7 +64,7 @@
     store_.commit(t, kStoreTimeout, [this, t](CommitResult r) {
       election_.onClaimed(runtime_.now(), r);
       if (r.outcome == Outcome::applied) {
-        replica_.apply({t.writes[0].key, t.writes[0].value, r.epoch});
+        replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
         beginLeadership();
       }
     });
--- a/src/app/controller_peers.cpp
+++ b/src/app/controller_peers.cpp
@@ -67,7 +67,8 @@
 PeerStatus Controller::status() const {
   PeerStatus s;
   s.member = platform_.member;
-  s.token = std::max(election_.leads() ? election_.token() : Token{}, replica_.leaderToken());
+  s.token =
+      std::max(election_.leads() ? election_.token() : FencingToken{}, replica_.leaderToken());
   s.leading = leader_ != nullptr;
   // By its own links: what peers reach for it is not for others to build on.
   auto ageOf = [now = runtime_.now()](const Link& link) {
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -152,12 +152,12 @@
         switch (r.outcome) {
           case Outcome::applied:
             for (const auto& w : commit->transaction.writes) {
-              leadership_.replica.apply({w.key, w.value, r.epoch});
+              leadership_.replica.apply({w.key, w.value, r.revision});
             }
-            leadership_.highest = std::max(leadership_.highest, r.epoch);
+            leadership_.highest = std::max(leadership_.highest, r.revision);
             busy_ = false;
             changed(false);
-            logDebug("committed", "revision", r.epoch, "what", commit->what);
+            logDebug("committed", "revision", r.revision, "what", commit->what);
             if (commit->applied) commit->applied();
             kick();
             return;
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -23,7 +23,7 @@
   void onRecordsChanged();
   // Why a job's tasks wait, who leads and since when, in seconds: for operators.
   Json why(const JobId& job);
-  Token token() const { return leadership_.token; }
+  FencingToken token() const { return leadership_.token; }
   Fleet& fleet() { return fleet_; }
 
  private:
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -38,11 +38,13 @@
 using RentalId = Name<struct RentalIdTag>;
 
 using Revision = Number<struct RevisionTag>;  // the state service's counter; a key's version
-using Token = Number<struct TokenTag>;        // stamp of the leader key: who may command workers
+using FencingToken =
+    Number<struct FencingTokenTag>;  // stamp of the leader key: who may command workers
 using LeaseId = Number<struct LeaseIdTag>;
 using Attempt = Number<struct AttemptTag>;
-using Tenure = Number<struct TenureTag>;  // a worker's session
-using Tick = Number<struct TickTag>;      // counts a worker's messages within a session
+using WorkerEpoch = Number<struct WorkerEpochTag>;  // a worker's session
+using ReportSequence =
+    Number<struct ReportSequenceTag>;  // counts a worker's messages within a session
 
 using Duration = std::chrono::milliseconds;
 
@@ -76,29 +78,31 @@
 };
 
 // What a task takes or a machine has.
-struct Room {
+struct Resources {
   double cpus{}, gpus{}, ramGb{};
-  Room& operator+=(const Room& o) {
+  Resources& operator+=(const Resources& o) {
     cpus += o.cpus;
     gpus += o.gpus;
     ramGb += o.ramGb;
     return *this;
   }
-  Room& operator-=(const Room& o) {
+  Resources& operator-=(const Resources& o) {
     cpus -= o.cpus;
     gpus -= o.gpus;
     ramGb -= o.ramGb;
     return *this;
   }
-  friend Room operator+(Room a, const Room& b) { return a += b; }
-  friend Room operator-(Room a, const Room& b) { return a -= b; }
-  friend Room operator*(Room a, double k) { return {a.cpus * k, a.gpus * k, a.ramGb * k}; }
-  bool fitsIn(const Room& o) const {
+  friend Resources operator+(Resources a, const Resources& b) { return a += b; }
+  friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
+  friend Resources operator*(Resources a, double k) {
+    return {a.cpus * k, a.gpus * k, a.ramGb * k};
+  }
+  bool fitsIn(const Resources& o) const {
     constexpr double kSlack = 1e-6;
     return cpus <= o.cpus + kSlack && gpus <= o.gpus + kSlack && ramGb <= o.ramGb + kSlack;
   }
   // The largest share this takes of any dimension of `whole`.
-  double shareOf(const Room& whole) const {
+  double shareOf(const Resources& whole) const {
     double s = 0;
     if (whole.cpus > 0) s = std::max(s, cpus / whole.cpus);
     if (whole.gpus > 0) s = std::max(s, gpus / whole.gpus);
--- a/src/cloud/catalogue.cpp
+++ b/src/cloud/catalogue.cpp
@@ -25,7 +25,7 @@
       return std::nullopt;
     }
     t.id = TypeId{*name};
-    t.room = {*cpus, *gpus, *ram};
+    t.capacity = {*cpus, *gpus, *ram};
     t.cacheGb = numberField(v, "local_gb").value_or(0);
     t.fetchGbPerS = numberField(v, "pull_gb_per_s").value_or(0);
     t.price = numberField(v, "rate").value_or(0);
@@ -46,9 +46,9 @@
     Json zones = Json::array();
     for (const auto& z : t.zones) zones.push_back(z.value);
     list.push_back({{"name", t.id.value},
-                    {"cpus", t.room.cpus},
-                    {"gpus", t.room.gpus},
-                    {"ram_gb", t.room.ramGb},
+                    {"cpus", t.capacity.cpus},
+                    {"gpus", t.capacity.gpus},
+                    {"ram_gb", t.capacity.ramGb},
                     {"local_gb", t.cacheGb},
                     {"pull_gb_per_s", t.fetchGbPerS},
                     {"rate", t.price},
--- a/src/cloud/catalogue.hpp
+++ b/src/cloud/catalogue.hpp
@@ -11,7 +11,7 @@
 
 struct MachineType {
   TypeId id;
-  Room room;
+  Resources capacity;
   double cacheGb{};
   double fetchGbPerS{};
   double price{};
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -6,12 +6,13 @@
 namespace {
 
 // The cheapest allowed type that holds a task.
-const MachineType* cheapest(const Catalogue& catalogue, const Room& perTask, const JobSpec* spec) {
+const MachineType* cheapest(const Catalogue& catalogue, const Resources& perTask,
+                            const JobSpec* spec) {
   const MachineType* best = nullptr;
   for (const auto& type : catalogue.types) {
-    if ((spec && !spec->allowsType(type.id)) || !perTask.fitsIn(type.room)) continue;
-    if (!best ||
-        type.price * perTask.shareOf(type.room) < best->price * perTask.shareOf(best->room)) {
+    if ((spec && !spec->allowsType(type.id)) || !perTask.fitsIn(type.capacity)) continue;
+    if (!best || type.price * perTask.shareOf(type.capacity) <
+                     best->price * perTask.shareOf(best->capacity)) {
       best = &type;
     }
   }
@@ -19,8 +20,8 @@
 }
 
 // A task that is a bit more than a half of a machine takes a whole one.
-double machinesFor(const MachineType& type, const Room& perTask, std::uint32_t tasks) {
-  double perMachine = std::floor(1.0 / std::max(1e-6, perTask.shareOf(type.room)) + 1e-6);
+double machinesFor(const MachineType& type, const Resources& perTask, std::uint32_t tasks) {
+  double perMachine = std::floor(1.0 / std::max(1e-6, perTask.shareOf(type.capacity)) + 1e-6);
   return tasks / std::max(1.0, perMachine);
 }
 
@@ -72,7 +73,7 @@
     for (const auto& t : record.tasks) {
       if (!t.job->record.spec || (m && m->memory.gone.contains(t.id))) continue;
       const JobSpec& spec = *t.job->record.spec;
-      double share = spec.perTask.shareOf(type->room);
+      double share = spec.perTask.shareOf(type->capacity);
       if (!spec.spotAllowed) {
         d.firmBooked += share;
       } else if (record.spot) {
--- a/src/cloud/demand.hpp
+++ b/src/cloud/demand.hpp
@@ -15,7 +15,7 @@
 
 // Tasks that will ask for room, or leave it, without being on any machine's record yet.
 struct RoomAhead {
-  Room perTask;
+  Resources perTask;
   std::uint32_t tasks{};
   bool spot{};
 };
--- a/src/cloud/emptying.cpp
+++ b/src/cloud/emptying.cpp
@@ -22,7 +22,7 @@
     const Machine* m = fleet_.find(id);
     if (record.type != type || record.spot || !m || !fleet_.usable(*m, now)) continue;
     if (leadership_.inForce && leadership_.inForce->holds(id)) continue;
-    EmptyCandidate c{id, type, zones[record.zone], known->room, known->room, {}, {}};
+    EmptyCandidate c{id, type, zones[record.zone], known->capacity, known->capacity, {}, {}};
     for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.held});
     for (const auto& t : record.tasks) {
       const auto& spec = t.job->record.spec;
--- a/src/config/platform.hpp
+++ b/src/config/platform.hpp
@@ -17,8 +17,8 @@
 
 // What a team is guaranteed and may use; 0 means none.
 struct Team {
-  Room guaranteed;
-  Room limit;
+  Resources guaranteed;
+  Resources limit;
 };
 
 // An aim on a class of jobs: "wait" (start within) or "finished" (done within).
--- a/src/fleet/dispatch.cpp
+++ b/src/fleet/dispatch.cpp
@@ -80,13 +80,14 @@
 void Dispatch::ask(Machine& m) {
   if (!asking_.insert(m.id).second) return;
   m.askedAt = leadership_.runtime.now();
-  Tenure tenure{1};
+  WorkerEpoch workerEpoch{1};
   if (m.heard()) {
-    tenure = m.memory.last->tenure;
+    workerEpoch = m.memory.last->workerEpoch;
   } else if (const auto* record = leadership_.replica.machine(m.id)) {
-    for (const auto& t : record->tasks) tenure = std::max(tenure, t.tenure);
+    for (const auto& t : record->tasks) workerEpoch = std::max(workerEpoch, t.workerEpoch);
   }
-  Request request{"POST", "/commands", encodeBody(commandsToJson(leadership_.token, tenure, {}))};
+  Request request{"POST", "/commands",
+                  encodeBody(commandsToJson(leadership_.token, workerEpoch, {}))};
   leadership_.http.send(
       m.address, std::move(request), kAskTimeout,
       leadership_.guard([this, id = m.id](const std::optional<Response>& r) {
@@ -128,16 +129,16 @@
   for (const auto& o : orders) {
     if (o.kind == Order::Kind::launch) m->memory.inDoubt.insert(o.id);
   }
-  Tenure tenure = m->memory.last->tenure;
+  WorkerEpoch workerEpoch = m->memory.last->workerEpoch;
   Request request{"POST", "/commands",
-                  encodeBody(commandsToJson(leadership_.token, tenure, orders))};
+                  encodeBody(commandsToJson(leadership_.token, workerEpoch, orders))};
   leadership_.http.send(
       m->memory.last->address, std::move(request), kDirectTimeout,
-      leadership_.guard([this, id, orders, tenure](std::optional<Response> r) {
+      leadership_.guard([this, id, orders, workerEpoch](std::optional<Response> r) {
         Machine* machine = fleet_.find(id);
         if (!machine || !r) return;  // no answer: launches may still arrive
         if (r->status != 200 && r->status != 409 && r->status != 400) return;
-        if (machine->memory.last && machine->memory.last->tenure == tenure) {
+        if (machine->memory.last && machine->memory.last->workerEpoch == workerEpoch) {
           auto& inDoubt = machine->memory.inDoubt;
           for (const auto& o : orders) {
             if (o.kind != Order::Kind::launch) continue;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -14,7 +14,7 @@
 constexpr double kBootPatience = 2.5;  // times the type's boot time
 }  // namespace
 
-Fleet::Fleet(const Platform& platform, const Replica& replica, Token token, Instant now)
+Fleet::Fleet(const Platform& platform, const Replica& replica, FencingToken token, Instant now)
     : platform_(platform),
       renewal_(platform),
       replica_(replica),
@@ -35,13 +35,13 @@
     m.firstSeen = m.rentedAt = now;
   }
   bool first = !m.heard();
-  bool leaseEnded = !first && report.tenure > m.memory.last->tenure;
+  bool leaseEnded = !first && report.workerEpoch > m.memory.last->workerEpoch;
   if (!takeReport(m.memory, report, now, beat)) return false;
   if (beat) {
     m.muteSince.reset();
   } else if (leaseEnded && !m.muteSince) {
     m.muteSince = now;
-    logInfo("machine answers but does not report", "machine", m.id, "tenure", report.tenure);
+    logInfo("machine answers but does not report", "machine", m.id, "tenure", report.workerEpoch);
   }
   m.type = report.type;
   m.zone = report.zone;
@@ -52,7 +52,7 @@
   if (first) {
     ++heardCount_;
     logInfo("machine heard", "machine", m.id, "zone", m.zone, "spot", m.spot, "tenure",
-            report.tenure, "tasks", report.tasks.size());
+            report.workerEpoch, "tasks", report.tasks.size());
   }
   if (report.notice) {
     if (!m.noticeEnds) {
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -52,7 +52,7 @@
 
 class Fleet {
  public:
-  Fleet(const Platform& platform, const Replica& replica, Token token, Instant now);
+  Fleet(const Platform& platform, const Replica& replica, FencingToken token, Instant now);
 
   // Takes a worker's report; returns the orders. `mayLaunch`: the leader is sure of its leadership.
   std::vector<Order> onReport(const Report& report, Instant now, bool mayLaunch);
@@ -132,7 +132,7 @@
   const Platform& platform_;
   const LeaseRenewal renewal_;
   const Replica& replica_;
-  Token token_;
+  FencingToken token_;
   Instant since_;
   Instant lastHeardAny_{};
   std::map<MachineId, Machine> machines_;
--- a/src/fleet/fleet_test.cpp
+++ b/src/fleet/fleet_test.cpp
@@ -24,7 +24,7 @@
     rental.answered = true;
     for (int i = 0; i < kMachines; ++i) rental.machines.push_back({name(i), false});
     replica.apply({keys::rental(rental.id), toJson(rental), Revision{1}});
-    fleet = std::make_unique<Fleet>(platform, replica, Token{5}, Instant{0});
+    fleet = std::make_unique<Fleet>(platform, replica, FencingToken{5}, Instant{0});
     fleet->adoptRecords(Instant{0}, 0);
     hear(kMachines, 1000);
   }
@@ -35,9 +35,9 @@
       r.machine = name(i);
       r.type = TypeId{"box"};
       r.zone = ZoneId{i % 2 ? "a" : "b"};
-      r.tenure = Tenure{1};
-      r.tick = Tick{static_cast<std::uint64_t>(atMs)};
-      r.token = Token{5};
+      r.workerEpoch = WorkerEpoch{1};
+      r.sequence = ReportSequence{static_cast<std::uint64_t>(atMs)};
+      r.token = FencingToken{5};
       fleet->take(r, Instant{atMs}, true);
     }
   }
--- a/src/fleet/reconcile.cpp
+++ b/src/fleet/reconcile.cpp
@@ -30,25 +30,26 @@
 }  // namespace
 
 bool takeReport(MachineMemory& m, const Report& report, Instant now, bool beat) {
-  if (m.last && beat && report.tenure == m.last->tenure) {
-    m.lastBeat = std::max(m.lastBeat, report.tick);
+  if (m.last && beat && report.workerEpoch == m.last->workerEpoch) {
+    m.lastBeat = std::max(m.lastBeat, report.sequence);
   }
-  if (m.last && std::pair(report.tenure, report.tick) <= std::pair(m.last->tenure, m.last->tick)) {
+  if (m.last && std::pair(report.workerEpoch, report.sequence) <=
+                    std::pair(m.last->workerEpoch, m.last->sequence)) {
     return false;
   }
-  if (m.last && report.tenure > m.last->tenure) {
+  if (m.last && report.workerEpoch > m.last->workerEpoch) {
     // A new session: direct commands of the old one are refused from now on.
     m.inDoubt.clear();
     m.launched.clear();
     m.lastBeat = {};
   }
-  if (beat) m.lastBeat = report.tick;
+  if (beat) m.lastBeat = report.sequence;
   m.last = report;
   m.lastHeard = now;
   return true;
 }
 
-std::vector<Order> reconcile(MachineMemory& m, const MachineState* record, Token token,
+std::vector<Order> reconcile(MachineMemory& m, const MachineState* record, FencingToken token,
                              bool mayLaunch, const std::function<Wish(const AttemptId&)>& wish) {
   std::vector<Order> orders;
   if (!m.last) return orders;
@@ -63,8 +64,8 @@
     const AttemptId& id = on.id;
     // A report of an earlier session than the placement's says nothing about it; in a later one
     // the task is gone.
-    if (report.tenure < on.tenure) continue;
-    if (report.tenure > on.tenure) {
+    if (report.workerEpoch < on.workerEpoch) continue;
+    if (report.workerEpoch > on.workerEpoch) {
       m.gone.emplace(id, Gone::lost);
       continue;
     }
@@ -75,7 +76,7 @@
       if (!w.stop) {
         if (mayLaunch) {
           add(Order::Kind::launch, id);
-          m.launched[id] = report.tick;
+          m.launched[id] = report.sequence;
         }
         continue;
       }
@@ -84,7 +85,7 @@
       if (report.token != token) continue;
       if (m.inDoubt.contains(id)) {
         addSettled(orders, id);
-        m.launched[id] = report.tick;
+        m.launched[id] = report.sequence;
         continue;
       }
       auto launched = m.launched.find(id);
@@ -135,7 +136,8 @@
   // Then nobody was told of the end before these records were read, and the bound of the lease is
   // enough.
   for (const auto& on : record ? record->tasks : std::vector<TaskOn>{}) {
-    if (on.tenure == report.tenure && !report.find(on.id) && end(on.id.task.job) == JobEnd::known) {
+    if (on.workerEpoch == report.workerEpoch && !report.find(on.id) &&
+        end(on.id.task.job) == JobEnd::known) {
       addSettled(orders, on.id);
     }
   }
--- a/src/fleet/reconcile.hpp
+++ b/src/fleet/reconcile.hpp
@@ -21,10 +21,10 @@
   // The newest that the worker sent of its own accord. It sends one only after it has carried out
   // or given up the answer to the one before; an answer to a direct command may overtake that
   // answer.
-  Tick lastBeat{};
+  ReportSequence lastBeat{};
   // Attempts that may have been told to launch, with the newest report known by then: only a
   // later report can prove them absent.
-  std::map<AttemptId, Tick> launched;
+  std::map<AttemptId, ReportSequence> launched;
   // Attempts with a direct launch that got no answer: it may still arrive. The worker must know
   // the attempt for good, so these are proven gone only as `ended`, and never cleared.
   // Once for each such command: an answer to another one with the same launch, which may have gone
@@ -45,7 +45,7 @@
 bool takeReport(MachineMemory& memory, const Report& report, Instant now, bool beat = true);
 
 // Updates memory.gone and returns the orders. `record` is null for a machine that has none.
-std::vector<Order> reconcile(MachineMemory& memory, const MachineState* record, Token token,
+std::vector<Order> reconcile(MachineMemory& memory, const MachineState* record, FencingToken token,
                              bool mayLaunch, const std::function<Wish(const AttemptId&)>& wish);
 
 // Whether a job is over by a controller's records, and whether these are complete up to its end:
--- a/src/fleet/reconcile_test.cpp
+++ b/src/fleet/reconcile_test.cpp
@@ -15,18 +15,18 @@
   MachineState record;
   bool stop = false;
 
-  Fixture() { record.tasks = {{kTask, Tenure{2}, nullptr}}; }
-  Report report(std::uint64_t tenure, std::uint64_t tick, std::uint64_t token) {
+  Fixture() { record.tasks = {{kTask, WorkerEpoch{2}, nullptr}}; }
+  Report report(std::uint64_t workerEpoch, std::uint64_t sequence, std::uint64_t token) {
     Report r;
     r.machine = MachineId{"host-000001"};
-    r.tenure = Tenure{tenure};
-    r.tick = Tick{tick};
-    r.token = Token{token};
+    r.workerEpoch = WorkerEpoch{workerEpoch};
+    r.sequence = ReportSequence{sequence};
+    r.token = FencingToken{token};
     return r;
   }
   std::vector<Order> hear(const Report& r, bool mayLaunch = true) {
     takeReport(memory, r, Instant{0});
-    return reconcile(memory, &record, Token{5}, mayLaunch, [&](const AttemptId&) {
+    return reconcile(memory, &record, FencingToken{5}, mayLaunch, [&](const AttemptId&) {
       return Wish{stop, Duration{0}};
     });
   }
@@ -64,7 +64,7 @@
   stop = true;
   auto direct = [&](const Report& r) {
     takeReport(memory, r, Instant{0}, false);
-    reconcile(memory, &record, Token{5}, false, [&](const AttemptId&) {
+    reconcile(memory, &record, FencingToken{5}, false, [&](const AttemptId&) {
       return Wish{stop, Duration{0}};
     });
   };
@@ -105,7 +105,7 @@
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::stopped});
   hear(ended);
   record.tasks.clear();
-  ended.tick = Tick{2};
+  ended.sequence = ReportSequence{2};
   EXPECT_TRUE(hear(ended).empty()) << "cleared: the late copy would start it once more";
 }
 
@@ -115,7 +115,7 @@
   EXPECT_TRUE(hear(ended).empty());
   EXPECT_EQ(memory.gone.at(kTask), Gone::done);
   record.tasks.clear();
-  ended.tick = Tick{2};
+  ended.sequence = ReportSequence{2};
   auto orders = hear(ended);
   ASSERT_EQ(orders.size(), 1U);
   EXPECT_EQ(orders[0].kind, Order::Kind::clear);
@@ -168,12 +168,12 @@
 TEST_F(Fixture, ALaunchThatMakesAnAttemptKnownNeverGoesWithoutItsStop) {
   record.tasks.clear();
   for (std::uint32_t i = 0; i < 299; ++i) {
-    record.tasks.push_back({{{JobId{"j-000002"}, i}, Attempt{7}}, Tenure{2}, nullptr});
+    record.tasks.push_back({{{JobId{"j-000002"}, i}, Attempt{7}}, WorkerEpoch{2}, nullptr});
   }
-  record.tasks.push_back({kTask, Tenure{2}, nullptr});
+  record.tasks.push_back({kTask, WorkerEpoch{2}, nullptr});
   memory.inDoubt.insert(kTask);
   takeReport(memory, report(2, 1, 5), Instant{0});
-  auto orders = reconcile(memory, &record, Token{5}, true, [&](const AttemptId& id) {
+  auto orders = reconcile(memory, &record, FencingToken{5}, true, [&](const AttemptId& id) {
     return Wish{id == kTask, Duration{0}};
   });
   auto mine = [](const Order& o) { return o.id == kTask; };
--- a/src/fleet/report.cpp
+++ b/src/fleet/report.cpp
@@ -48,12 +48,12 @@
   auto type = textField(v, "rig");
   auto zone = textField(v, "site");
   auto spot = boolField(v, "loaners");
-  auto tenure = countField(v, "tenure");
-  auto tick = countField(v, "tick");
+  auto workerEpoch = countField(v, "tenure");
+  auto sequence = countField(v, "tick");
   auto token = countField(v, "baton");
   if (!machine || machine->empty() || machine->size() > 150 ||
       machine->find_first_of(" /?&#%") != std::string::npos || !address || !type || !zone ||
-      !tenure || !tick) {
+      !workerEpoch || !sequence) {
     return std::nullopt;
   }
   Report r;
@@ -62,9 +62,9 @@
   r.type = TypeId{*type};
   r.zone = ZoneId{*zone};
   r.spot = spot.value_or(false);
-  r.tenure = Tenure{*tenure};
-  r.tick = Tick{*tick};
-  r.token = Token{token.value_or(0)};
+  r.workerEpoch = WorkerEpoch{*workerEpoch};
+  r.sequence = ReportSequence{*sequence};
+  r.token = FencingToken{token.value_or(0)};
   if (auto notice = numberField(v, "warning_s")) r.notice = fromSeconds(std::max(0.0, *notice));
   if (const Json* tasks = field(v, "shards")) {
     if (!tasks->is_array()) return std::nullopt;
@@ -114,12 +114,12 @@
 }
 }  // namespace
 
-Json ordersToJson(Token token, const std::vector<Order>& orders) {
+Json ordersToJson(FencingToken token, const std::vector<Order>& orders) {
   return {{"baton", token.value}, {"orders", orderList(orders)}};
 }
 
-Json commandsToJson(Token token, Tenure tenure, const std::vector<Order>& orders) {
-  return {{"baton", token.value}, {"tenure", tenure.value}, {"orders", orderList(orders)}};
+Json commandsToJson(FencingToken token, WorkerEpoch workerEpoch, const std::vector<Order>& orders) {
+  return {{"baton", token.value}, {"tenure", workerEpoch.value}, {"orders", orderList(orders)}};
 }
 
 }  // namespace kestrelhoist
--- a/src/fleet/report.hpp
+++ b/src/fleet/report.hpp
@@ -26,9 +26,9 @@
   TypeId type;
   ZoneId zone;
   bool spot{};
-  Tenure tenure;
-  Tick tick;
-  Token token;  // highest the worker has seen
+  WorkerEpoch workerEpoch;
+  ReportSequence sequence;
+  FencingToken token;  // highest the worker has seen
   std::optional<Duration> notice;
   std::vector<ReportedTask> tasks;
 
@@ -42,7 +42,7 @@
 };
 
 std::optional<Report> reportFrom(const Json& body);
-Json ordersToJson(Token token, const std::vector<Order>& orders);
-Json commandsToJson(Token token, Tenure tenure, const std::vector<Order>& orders);
+Json ordersToJson(FencingToken token, const std::vector<Order>& orders);
+Json commandsToJson(FencingToken token, WorkerEpoch workerEpoch, const std::vector<Order>& orders);
 
 }  // namespace kestrelhoist
--- a/src/flows/admission.cpp
+++ b/src/flows/admission.cpp
@@ -29,9 +29,11 @@
 }
 
 // Whether a task of the rule is larger than any machine or than the team's limit.
-std::optional<Response> FlowAdmission::ruleRefusal(const FlowRule& rule, const Room& limit) const {
-  bool fits = std::any_of(types->types.begin(), types->types.end(),
-                          [&](const MachineType& type) { return rule.perTask.fitsIn(type.room); });
+std::optional<Response> FlowAdmission::ruleRefusal(const FlowRule& rule,
+                                                   const Resources& limit) const {
+  bool fits = std::any_of(types->types.begin(), types->types.end(), [&](const MachineType& type) {
+    return rule.perTask.fitsIn(type.capacity);
+  });
   if (!fits) return refused("rule " + rule.name + ": no machine type can hold a task");
   if ((limit.cpus > 0 && rule.perTask.cpus > limit.cpus + kRoomTolerance) ||
       (limit.gpus > 0 && rule.perTask.gpus > limit.gpus + kRoomTolerance)) {
--- a/src/flows/admission.hpp
+++ b/src/flows/admission.hpp
@@ -25,7 +25,7 @@
  private:
   using Outputs = std::unordered_set<std::uint64_t>;
 
-  std::optional<Response> ruleRefusal(const FlowRule& rule, const Room& limit) const;
+  std::optional<Response> ruleRefusal(const FlowRule& rule, const Resources& limit) const;
   std::optional<Response> outputRefusal(const FlowId& id, const FlowHead& head,
                                         const Outputs& outputs) const;
   std::optional<Response> sharedOutput(const FlowId& id, const FlowHead& head,
--- a/src/flows/graph.hpp
+++ b/src/flows/graph.hpp
@@ -26,7 +26,7 @@
 // What the instances of one rule have in common.
 struct FlowRule {
   std::string name;
-  Room perTask;
+  Resources perTask;
   std::string image;
   double imageGb{};
   std::uint32_t retries{};  // after the first failure
--- a/src/flows/records.hpp
+++ b/src/flows/records.hpp
@@ -73,7 +73,7 @@
 // What one rule's tasks used. Accounts outlast the graph, so they carry the rule's name and room.
 struct AccountEntry {
   std::string rule;
-  Room perTask;
+  Resources perTask;
   Use use;
 };
 
--- a/src/flows/service.cpp
+++ b/src/flows/service.cpp
@@ -98,7 +98,7 @@
   store_.commit(t, kCommitTimeout, [this, t, done = std::move(done)](CommitResult r) {
     --waiting_;
     if (r.outcome == Outcome::applied) {
-      for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.epoch});
+      for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
     }
     done(r);
   });
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -105,7 +105,7 @@
 
 std::vector<AccountEntry> FlowService::entriesOf(const FlowState& flow) const {
   std::vector<AccountEntry> entries;
-  auto add = [&](const std::string& rule, const Room& room, const Use& use) {
+  auto add = [&](const std::string& rule, const Resources& room, const Use& use) {
     for (auto& e : entries) {
       if (e.rule == rule && e.perTask.cpus == room.cpus && e.perTask.gpus == room.gpus &&
           e.perTask.ramGb == room.ramGb) {
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -122,13 +122,13 @@
   if (team == platform_.teams.end()) return Invalid{"unknown team"};
   bool fits = false;
   for (const auto& type : catalogue.types) {
-    if (!spec.allowsType(type.id) || !spec.perTask.fitsIn(type.room)) continue;
+    if (!spec.allowsType(type.id) || !spec.perTask.fitsIn(type.capacity)) continue;
     fits = fits || !spec.zone ||
            std::find(type.zones.begin(), type.zones.end(), *spec.zone) != type.zones.end();
   }
   if (!fits) return Invalid{"no allowed machine type can hold a task"};
   double tasks = spec.kind == JobKind::array ? 1 : spec.tasks;
-  const Room& limit = team->second.limit;
+  const Resources& limit = team->second.limit;
   if ((limit.cpus > 0 && spec.perTask.cpus * tasks > limit.cpus + 1e-6) ||
       (limit.gpus > 0 && spec.perTask.gpus * tasks > limit.gpus + 1e-6)) {
     return Invalid{"over the team's limit"};
@@ -289,7 +289,7 @@
                              [respond] { respond(retryLater(503)); });
     }
     if (r.outcome != Outcome::applied) return respond(retryLater(503));
-    for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.epoch});
+    for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
     createParts(submission, next, respond);
   });
 }
@@ -323,7 +323,7 @@
     --waiting_;
     switch (r.outcome) {
       case Outcome::applied: {
-        replica_.apply({t.writes[0].key, t.writes[0].value, r.epoch});
+        replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
         const JobRecord& record = submission->record;
         logInfo("job accepted", "job", id, "tasks", record.spec->tasks, "class",
                 record.spec->jobClass, "request", t.requestId);
@@ -374,7 +374,7 @@
     t.writes.push_back({keys::job(id), toJson(record), std::nullopt});
     store_.commit(t, kCommitTimeout, [this, id, t, triesLeft, request, respond](CommitResult r) {
       if (r.outcome == Outcome::applied) {
-        replica_.apply({t.writes[0].key, t.writes[0].value, r.epoch});
+        replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
         logInfo("job cancelled by its user", "job", id, "request", t.requestId);
         if (onCommitted) onCommitted();
         const auto* now = t.writes[0].value->contains("owner") ? known(id) : nullptr;
--- a/src/jobs/spec.hpp
+++ b/src/jobs/spec.hpp
@@ -24,7 +24,7 @@
   JobKind kind{};
   Priority priority{};
   std::uint32_t tasks{};
-  Room perTask;
+  Resources perTask;
   ImageId image;
   double imageGb{};
   std::optional<std::vector<TypeId>> types;  // empty optional: any
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -44,7 +44,7 @@
   if (now < notBefore_) return Step::none;
   // A key with our own name is from an earlier life of this member: taken over on its stamp.
   if (view.leader && view.leader->member != settings_.self) return Step::none;
-  claimStamp_ = view.leader ? view.stamp : Token{};
+  claimStamp_ = view.leader ? view.stamp : FencingToken{};
   role_ = Role::granting;
   return Step::grant;
 }
@@ -60,7 +60,7 @@
   if (role_ != Role::claiming) return;
   if (result.outcome == Outcome::applied) {
     role_ = Role::leader;
-    token_ = Token{result.epoch.value};
+    token_ = FencingToken{result.revision.value};
     renewing_ = false;
     lastRenew_ = now;
     return;
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -23,7 +23,7 @@
   struct View {
     bool fresh{};  // read a moment ago
     std::optional<LeaderRecord> leader;
-    Token stamp;
+    FencingToken stamp;
   };
   enum class Step { none, grant, claim, renew };
   enum class Role { follower, granting, claiming, leader };
@@ -43,17 +43,17 @@
 
   Role role() const { return role_; }
   bool leads() const { return role_ == Role::leader; }
-  Token token() const { return token_; }
+  FencingToken token() const { return token_; }
   std::optional<LeaseId> lease() const { return lease_; }
-  Token claimStamp() const { return claimStamp_; }
+  FencingToken claimStamp() const { return claimStamp_; }
   LeaderRecord record() const;
   bool isMine(const std::optional<LeaderRecord>& leader) const;
 
  private:
   Settings settings_;
   Role role_ = Role::follower;
-  Token token_;
-  Token claimStamp_;
+  FencingToken token_;
+  FencingToken claimStamp_;
   std::optional<LeaseId> lease_;
   bool renewing_ = false;
   Instant lastRenew_{};
--- a/src/leadership/leadership.hpp
+++ b/src/leadership/leadership.hpp
@@ -25,7 +25,7 @@
   const Platform& platform;
   const OperatorSettings& settings;
 
-  Token token;
+  FencingToken token;
   Instant since{};
   bool settled = false;                  // one report round has passed
   std::optional<Catalogue> catalogue{};  // machine types, once known
--- a/src/leadership/mesh.cpp
+++ b/src/leadership/mesh.cpp
@@ -39,7 +39,7 @@
   auto wall = static_cast<std::int64_t>(countField(v, "wall_ms").value_or(0));
   return PeerStatus{
       MemberId{*member},
-      Token{*token},
+      FencingToken{*token},
       *leading,
       Duration{static_cast<std::int64_t>(*store)},
       Duration{static_cast<std::int64_t>(*workers)},
--- a/src/leadership/mesh.hpp
+++ b/src/leadership/mesh.hpp
@@ -15,7 +15,7 @@
 
 struct PeerStatus {
   MemberId member;
-  Token token;  // highest known
+  FencingToken token;  // highest known
   bool leading{};
   Duration storeAge{};    // since it last reached the state service by its own link
   Duration workersAge{};  // since it last heard a worker
--- a/src/members/key_service.cpp
+++ b/src/members/key_service.cpp
@@ -81,7 +81,7 @@
   t.writes.push_back({keys::key(key), toJson(record), std::nullopt});
   store_.commit(t, kCommitTimeout, [this, key, record, t, respond](const CommitResult& r) {
     if (r.outcome == Outcome::applied) {
-      replica_.apply({t.writes[0].key, t.writes[0].value, r.epoch});
+      replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
       logInfo("key made", "key", key, "team", record.owner.team, "request", t.requestId);
       return respond(jsonResponse(201, viewOf(key, record)));
     }
@@ -157,7 +157,7 @@
         t, kCommitTimeout,
         [this, caller, id, request, record, t, triesLeft, respond](const CommitResult& r) {
           if (r.outcome == Outcome::applied) {
-            replica_.apply({t.writes[0].key, t.writes[0].value, r.epoch});
+            replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
             logInfo("key ends", "key", id, "request", t.requestId);
             return respond(jsonResponse(200, viewOf(id, record)));
           }
--- a/src/placement/consolidate.cpp
+++ b/src/placement/consolidate.cpp
@@ -11,7 +11,7 @@
 
 double serviceShare(const EmptyCandidate& m) {
   double share = 0;
-  for (const auto& t : m.services) share += t.spec->perTask.shareOf(m.room);
+  for (const auto& t : m.services) share += t.spec->perTask.shareOf(m.capacity);
   return share;
 }
 
@@ -38,7 +38,7 @@
     if (out.moves.size() + source.services.size() > in.mostMoves) continue;
     // All of its replicas, or none.
     auto perZone = in.perZone;
-    std::vector<std::pair<std::size_t, Room>> booked;
+    std::vector<std::pair<std::size_t, Resources>> booked;
     bool all = true;
     for (const auto& t : source.services) {
       auto& zones = perZone[t.spec->id];
--- a/src/placement/consolidate.hpp
+++ b/src/placement/consolidate.hpp
@@ -22,7 +22,7 @@
   MachineId id;
   TypeId type;
   std::uint32_t zone{};
-  Room room, free;
+  Resources capacity, free;
   std::vector<PlanImage> images;
   std::vector<MovableTask> services;  // others run out by themselves
 };
--- a/src/placement/consolidate_test.cpp
+++ b/src/placement/consolidate_test.cpp
@@ -17,7 +17,7 @@
     EmptyCandidate m;
     m.id = MachineId{id};
     m.zone = zone;
-    m.room = m.free = {4, 4, 4};
+    m.capacity = m.free = {4, 4, 4};
     if (held) m.images = {{1, 8, true}};
     for (int i = 0; i < replicas; ++i) {
       JobSpec s;
--- a/src/placement/job_placement.cpp
+++ b/src/placement/job_placement.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-bool exceedsGuarantee(const Room& used, const Room& guaranteed) {
+bool exceedsGuarantee(const Resources& used, const Resources& guaranteed) {
   return used.cpus > guaranteed.cpus + kRoomTolerance ||
          used.gpus > guaranteed.gpus + kRoomTolerance;
 }
@@ -25,15 +25,15 @@
 
 bool JobPlacement::withinLimit() const {
   if (!input_.teamKnown[job_.team]) return false;
-  Room total = spec().perTask + state_.used[job_.team];
-  const Room& limit = input_.teams[job_.team].limit;
+  Resources total = spec().perTask + state_.used[job_.team];
+  const Resources& limit = input_.teams[job_.team].limit;
   return (limit.cpus <= 0 || total.cpus <= limit.cpus + kRoomTolerance) &&
          (limit.gpus <= 0 || total.gpus <= limit.gpus + kRoomTolerance);
 }
 
 bool JobPlacement::withinGuarantee() const {
   if (!input_.teamKnown[job_.team]) return false;
-  const Room& guaranteed = input_.teams[job_.team].guaranteed;
+  const Resources& guaranteed = input_.teams[job_.team].guaranteed;
   if (guaranteed.cpus <= 0 && guaranteed.gpus <= 0) return false;
   return !exceedsGuarantee(spec().perTask + state_.used[job_.team], guaranteed);
 }
@@ -105,7 +105,7 @@
   state_.used[job_.team] += spec().perTask;
   const PlanMachine& booked = input_.machines[machine];
   if (job_.protectedService) {
-    state_.protectedShare[machine] += spec().perTask.shareOf(booked.room);
+    state_.protectedShare[machine] += spec().perTask.shareOf(booked.capacity);
   }
   ++spread_.perZone[booked.zone];
   if (spec().kind == JobKind::service) ++spread_.siblings[machine];
--- a/src/placement/job_placement.hpp
+++ b/src/placement/job_placement.hpp
@@ -60,6 +60,6 @@
 };
 
 // Whether a team uses more than it is guaranteed.
-bool exceedsGuarantee(const Room& used, const Room& guaranteed);
+bool exceedsGuarantee(const Resources& used, const Resources& guaranteed);
 
 }  // namespace kestrelhoist
--- a/src/placement/machine_score.cpp
+++ b/src/placement/machine_score.cpp
@@ -54,7 +54,7 @@
 }
 
 double MachineScore::usedShare(std::size_t m) const {
-  const Room& whole = input_.machines[m].room;
+  const Resources& whole = input_.machines[m].capacity;
   return (whole - state_.free[m]).shareOf(whole);
 }
 
@@ -73,7 +73,7 @@
 double MachineScore::protectedSharePenalty(std::size_t m) const {
   if (!placement_.job().protectedService) return 0;
   double share =
-      state_.protectedShare[m] + placement_.spec().perTask.shareOf(input_.machines[m].room);
+      state_.protectedShare[m] + placement_.spec().perTask.shareOf(input_.machines[m].capacity);
   return share > 0.5 + kRoomTolerance ? kMoreThanHalf : 0;
 }
 
--- a/src/placement/plan_duty.cpp
+++ b/src/placement/plan_duty.cpp
@@ -126,10 +126,10 @@
     p.keeps = leadership_.inForce && leadership_.inForce->holds(id);
     p.usable = type && m && fleet_.usable(*m, now) && !fleet_.emptying().contains(id);
     if (type) {
-      p.room = type->room;
+      p.capacity = type->capacity;
       p.fetchGbPerS = type->fetchGbPerS;
     }
-    p.free = p.soon = p.room;
+    p.free = p.soon = p.capacity;
     if (p.usable) {
       p.images.reserve(m->images.size() + 1);
       for (const auto& image : m->images) p.images.push_back({image.id, image.gb, image.held});
@@ -156,7 +156,7 @@
       }
       // A protected service is stopped for nobody's sake, though its rank would allow it.
       bool kept = leadership_.inForce && leadership_.inForce->protects(*spec);
-      if (kept) p.kept += spec->perTask.shareOf(p.room);
+      if (kept) p.kept += spec->perTask.shareOf(p.capacity);
       if (!stopping && !kept && (guarantees || spec->priority < highest)) {
         auto seen = m->seenRunning.find(t.id);
         p.stoppable.push_back({t.id, spec, t.job->team,
@@ -191,11 +191,11 @@
 // outlast their coming, unless it saves.
 void PlanDuty::holdBack(PlanInput& in) const {
   double machines = 0;
-  Room whole;
+  Resources whole;
   for (const auto& m : in.machines) {
     if (!m.usable) continue;
     ++machines;
-    if (m.room.cpus > whole.cpus) whole = m.room;
+    if (m.capacity.cpus > whole.cpus) whole = m.capacity;
   }
   std::vector<std::size_t> yields;
   std::vector<Yielding> shares;
--- a/src/placement/plan_state.hpp
+++ b/src/placement/plan_state.hpp
@@ -14,11 +14,11 @@
   explicit PlanState(const PlanInput& input);
 
   Plan plan;
-  std::vector<Room> free;                      // by machine: now, less what this plan books
-  std::vector<Room> soon;                      // by machine: once everything stopping has gone
+  std::vector<Resources> free;                 // by machine: now, less what this plan books
+  std::vector<Resources> soon;                 // by machine: once everything stopping has gone
   std::vector<double> protectedShare;          // by machine: what protected services take of it
   std::vector<std::vector<PlanImage>> images;  // by machine
-  std::vector<Room> used;                      // by team
+  std::vector<Resources> used;                 // by team
   std::set<AttemptId> stopped;                 // tasks that this plan stops
 };
 
--- a/src/placement/plan_turns.cpp
+++ b/src/placement/plan_turns.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 // The largest room in each dimension that a usable machine has.
-Room largestRoom(const PlanInput& input) {
-  Room largest;
+Resources largestRoom(const PlanInput& input) {
+  Resources largest;
   for (const auto& machine : input.machines) {
     if (!machine.usable) continue;
-    largest.cpus = std::max(largest.cpus, machine.room.cpus);
-    largest.gpus = std::max(largest.gpus, machine.room.gpus);
-    largest.ramGb = std::max(largest.ramGb, machine.room.ramGb);
+    largest.cpus = std::max(largest.cpus, machine.capacity.cpus);
+    largest.gpus = std::max(largest.gpus, machine.capacity.gpus);
+    largest.ramGb = std::max(largest.ramGb, machine.capacity.ramGb);
   }
   return largest;
 }
@@ -69,7 +69,7 @@
   machinesFor.reserve(input.jobs.size());
   shares.reserve(input.jobs.size());
   MachineCounts counts(input);
-  Room largest = largestRoom(input);
+  Resources largest = largestRoom(input);
   for (const auto& job : input.jobs) {
     jobs.push_back(orderJobOf(job));
     machinesFor.push_back(counts.of(job));
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -35,7 +35,7 @@
 // Room that comes free as a task ends, by its owner's estimate.
 struct PlanEnd {
   double inS{};
-  Room room;
+  Resources capacity;
 };
 
 // A machine as the planner sees it.
@@ -47,9 +47,9 @@
   bool usable{};                    // may get new work now
   bool keeps{};                     // kept for the image that it holds
   double kept{};                    // share of it that protected services take
-  Room room;                        // of the whole machine
-  Room free;                        // now
-  Room soon;                        // once everything that is stopping has gone
+  Resources capacity;               // of the whole machine
+  Resources free;                   // now
+  Resources soon;                   // once everything that is stopping has gone
   std::vector<PlanImage> images;    // cached, being fetched or needed by what is placed there
   std::vector<PlanTask> stoppable;  // if something that waits may stop others
   std::vector<PlanEnd> ends;        // if room may have to be gathered
@@ -83,7 +83,7 @@
   std::vector<PlanJob> jobs;
   std::vector<Team> teams;  // guarantee and limit, by number; those of unknown teams are zero
   std::vector<bool> teamKnown;
-  std::vector<Room> used;  // by team
+  std::vector<Resources> used;  // by team
   std::size_t zones{};
   std::int64_t nowMs{};  // time of day
   OrderSettings order;
--- a/src/placement/planner_test.cpp
+++ b/src/placement/planner_test.cpp
@@ -25,7 +25,7 @@
   m.type = TypeId{"box"};
   m.zone = zone;
   m.usable = true;
-  m.room = m.free = m.soon = {2, 2, 2};
+  m.capacity = m.free = m.soon = {2, 2, 2};
   m.fetchGbPerS = 0.25;
   if (held) m.images = {{0, 10, true}};
   return m;
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -71,8 +71,8 @@
 std::optional<Preemption::Clearing> Preemption::clearingOf(std::size_t machine,
                                                            PreemptionTarget target) const {
   if (!considered(machine, target)) return std::nullopt;
-  const Room& needed = placement_.spec().perTask;
-  Room room = state_.soon[machine];
+  const Resources& needed = placement_.spec().perTask;
+  Resources room = state_.soon[machine];
   Clearing clearing;
   if (!placement_.holdsImage(machine)) {
     clearing.cost = kFetchOverhead + placement_.fetchSeconds(machine);
--- a/src/placement/reservations.cpp
+++ b/src/placement/reservations.cpp
@@ -48,8 +48,8 @@
   return byZone;
 }
 
-void Reservations::appendSlots(const PlanMachine& machine, std::size_t index, Room free,
-                               const Room& perTask, std::vector<Slot>& slots) {
+void Reservations::appendSlots(const PlanMachine& machine, std::size_t index, Resources free,
+                               const Resources& perTask, std::vector<Slot>& slots) {
   auto fill = [&](double freeInS) {
     while (perTask.fitsIn(free)) {
       slots.push_back({freeInS, index});
@@ -63,7 +63,7 @@
   fill(atS);
   for (const auto& end : ends) {
     atS = std::max(atS, end.inS);
-    free += end.room;
+    free += end.capacity;
     fill(atS);
   }
 }
--- a/src/placement/reservations.hpp
+++ b/src/placement/reservations.hpp
@@ -44,8 +44,8 @@
 
   SlotsByZone findSlots(const PlanInput& input, const PlanState& state,
                         const JobPlacement& placement) const;
-  static void appendSlots(const PlanMachine& machine, std::size_t index, Room free,
-                          const Room& perTask, std::vector<Slot>& slots);
+  static void appendSlots(const PlanMachine& machine, std::size_t index, Resources free,
+                          const Resources& perTask, std::vector<Slot>& slots);
   static std::vector<Slot> earliestSlots(SlotsByZone byZone, std::uint32_t tasks, bool gang);
 
   std::map<std::size_t, Reservation> byMachine_;
--- a/src/placement/task_duty.cpp
+++ b/src/placement/task_duty.cpp
@@ -45,7 +45,7 @@
       if (index >= job->tasks) continue;
       // Attempts are larger than any of this task before: each earlier placement and its end were
       // committed at revisions up to `leadership_.highest`.
-      Placed placed{m->id, m->memory.last->tenure, Attempt{leadership_.highest.value}};
+      Placed placed{m->id, m->memory.last->workerEpoch, Attempt{leadership_.highest.value}};
       if (!writes.place(id, *job, index, placed)) {
         leadership_.replan = true;
         continue;
--- a/src/policy/cover.cpp
+++ b/src/policy/cover.cpp
@@ -16,7 +16,7 @@
 
   explicit Matching(const std::vector<CoverMachine>& machines, const std::set<std::size_t>& lost)
       : machines_(machines), lost_(lost), on_(machines.size()) {
-    for (const auto& m : machines) room_.push_back(m.room);
+    for (const auto& m : machines) room_.push_back(m.spare);
   }
 
   // How many of `count` were placed.
--- a/src/policy/cover.hpp
+++ b/src/policy/cover.hpp
@@ -13,7 +13,7 @@
 
 struct CoverMachine {
   std::uint32_t zone{};
-  double room = 0;                 // of a machine: free, or used by what may be stopped
+  double spare = 0;                // of a machine: free, or used by what may be stopped
   std::set<std::uint32_t> images;  // held
 };
 
--- a/src/policy/duty.cpp
+++ b/src/policy/duty.cpp
@@ -131,7 +131,7 @@
     double share = 1;
     for (const auto& type : leadership_.catalogue->types) {
       if (job->record.spec->allowsType(type.id)) {
-        share = std::min(share, job->record.spec->perTask.shareOf(type.room));
+        share = std::min(share, job->record.spec->perTask.shareOf(type.capacity));
       }
     }
     sum += share * static_cast<double>(job->placed.size() + job->waiting());
@@ -160,12 +160,12 @@
     for (const auto& t : record.tasks) {
       const auto& spec = t.job->record.spec;
       if (!spec) continue;
-      double share = spec->perTask.shareOf(type->room);
+      double share = spec->perTask.shareOf(type->capacity);
       if (copy_.protects(*spec)) {
-        c.room -= share;
+        c.spare -= share;
         ++here[{t.job->image, share}];
       } else if (spec->kind == JobKind::service) {
-        c.room -= share;
+        c.spare -= share;
       }
     }
     for (const auto& [kind, n] : here) {
@@ -258,7 +258,7 @@
     for (const auto& task : state.tasks) {
       if (!task.job->record.spec) continue;
       const JobSpec& spec = *task.job->record.spec;
-      time.used[spec.team] += spec.perTask.shareOf(type->room);
+      time.used[spec.team] += spec.perTask.shareOf(type->capacity);
     }
     if (auto wanted = wantedBy.find(id); wanted != wantedBy.end()) time.pools = wanted->second;
     kestrelhoist::charge(record.account, time, through, now);
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -140,7 +140,7 @@
     store_.commit(t, kCommitTimeout, [this, t, next, request, respond](CommitResult r) {
       switch (r.outcome) {
         case Outcome::applied:
-          for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.epoch});
+          for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
           logInfo("policy set", "version", next.version);
           return respond(jsonResponse(200, {{"version", next.version}}));
         case Outcome::conflict:
--- a/src/reach/reach_test.cpp
+++ b/src/reach/reach_test.cpp
@@ -17,7 +17,7 @@
   v.now = Instant{100000};
   v.contactAge = Duration{1000};
   v.renewUntil = v.now + Duration{19000};
-  v.known = v.reported = Token{7};
+  v.known = v.reported = FencingToken{7};
   v.keyLife = Duration{3000};
   v.lease = Duration{12000};
   return v;
@@ -53,10 +53,10 @@
   v.renewUntil = v.now - Duration{1};  // a cancellation might be unknown for too long
   EXPECT_EQ(routeReport(v).way, Way::refuse);
   v = alone();
-  v.reported = Token{8};  // the worker would drop it, and stay while its lease runs out
+  v.reported = FencingToken{8};  // the worker would drop it, and stay while its lease runs out
   EXPECT_EQ(routeReport(v).way, Way::refuse);
   v = alone();
-  v.known = v.reported = Token{};
+  v.known = v.reported = FencingToken{};
   EXPECT_EQ(routeReport(v).way, Way::refuse);
   v = alone();
   v.renewUntil.reset();
--- a/src/reach/route.cpp
+++ b/src/reach/route.cpp
@@ -3,7 +3,8 @@
 namespace kestrelhoist {
 
 bool mayRenewAlone(const ReportView& v) {
-  return v.renewUntil && v.now <= *v.renewUntil && v.known != Token{} && v.reported <= v.known;
+  return v.renewUntil && v.now <= *v.renewUntil && v.known != FencingToken{} &&
+         v.reported <= v.known;
 }
 
 Route routeReport(const ReportView& v) {
--- a/src/reach/route.hpp
+++ b/src/reach/route.hpp
@@ -23,8 +23,8 @@
   // Until when leases may be renewed (LeaseRenewal); empty: the records have not been read.
   std::optional<Instant> renewUntil;
   Duration contactAge{};  // of the records
-  Token known;            // of the newest leader known of
-  Token reported;         // the worker's
+  FencingToken known;     // of the newest leader known of
+  FencingToken reported;  // the worker's
   bool foreignZone{};     // the worker is in another zone than this controller
   bool mayPoint = true;   // workers get through to the holder, as far as was tried (Scouts)
   bool zonesReach{};      // while isolated, workers of other zones have come
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -79,13 +79,14 @@
                };
                if (!r) return done({Outcome::unknown, {}});
                auto body = bodyOf(r);
-               auto epoch = body ? countField(*body, "epoch") : std::nullopt;
+               auto revision = body ? countField(*body, "epoch") : std::nullopt;
                if (r->status == 200) {
                  // A 200 that can't be read was still carried out, but at what revision?
-                 if (!epoch) return done({Outcome::unknown, {}});
-                 return done({Outcome::applied, Revision{*epoch}});
+                 if (!revision) return done({Outcome::unknown, {}});
+                 return done({Outcome::applied, Revision{*revision}});
                }
-               if (r->status == 409) return done({Outcome::conflict, Revision{epoch.value_or(0)}});
+               if (r->status == 409)
+                 return done({Outcome::conflict, Revision{revision.value_or(0)}});
                if (r->status == 429 || r->status == 503) return done({Outcome::refused, {}});
                if (r->status == 400) {
                  auto error = body ? textField(*body, "error") : std::nullopt;
@@ -111,9 +112,9 @@
                }
                auto body = r && r->status == 200 ? bodyOf(r) : std::nullopt;
                if (!body) return done(std::move(result));
-               auto epoch = countField(*body, "epoch");
+               auto revision = countField(*body, "epoch");
                auto events = body->find("events");
-               if (!epoch || events == body->end() || !events->is_array()) {
+               if (!revision || events == body->end() || !events->is_array()) {
                  return done(std::move(result));
                }
                for (auto& e : *events) {
@@ -128,7 +129,7 @@
                  }
                }
                result.kind = ChangesResult::Kind::ok;
-               result.epoch = Revision{*epoch};
+               result.revision = Revision{*revision};
                done(std::move(result));
              });
 }
@@ -143,9 +144,9 @@
                ListResult result;
                auto body = r && r->status == 200 ? bodyOf(r) : std::nullopt;
                if (!body) return done(std::move(result));
-               auto epoch = countField(*body, "epoch");
+               auto revision = countField(*body, "epoch");
                auto rows = body->find("rows");
-               if (!epoch || rows == body->end() || !rows->is_array()) {
+               if (!revision || rows == body->end() || !rows->is_array()) {
                  return done(std::move(result));
                }
                for (auto& row : *rows) {
@@ -155,7 +156,7 @@
                }
                result.ok = true;
                result.more = boolField(*body, "truncated").value_or(false);
-               result.epoch = Revision{*epoch};
+               result.revision = Revision{*revision};
                done(std::move(result));
              });
 }
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -42,7 +42,7 @@
 
 struct CommitResult {
   Outcome outcome{};
-  Revision epoch;
+  Revision revision;
 };
 
 struct Change {
@@ -53,14 +53,14 @@
 
 struct ChangesResult {
   enum class Kind { ok, tooOld, failed } kind = Kind::failed;
-  Revision epoch;
+  Revision revision;
   std::vector<Change> changes;
 };
 
 struct ListResult {
   bool ok = false;
   bool more = false;
-  Revision epoch;
+  Revision revision;
   std::vector<Change> rows;
 };
 
--- a/src/store/feed.cpp
+++ b/src/store/feed.cpp
@@ -23,7 +23,7 @@
     }
     failures_ = 0;
     if (first) {
-      loadEpoch_ = r.epoch;
+      loadRevision_ = r.revision;
       loadAsOf_ = sentAt;
     }
     for (const auto& row : r.rows) replica_.apply(row);
@@ -33,13 +33,13 @@
     }
     // Later pages may be newer than the first; changes since the first page's epoch are read
     // again, and the stamps of the keys sort out what is already here.
-    replica_.advance(loadEpoch_);
+    replica_.advance(loadRevision_);
     loaded_ = true;
     // Not when the last page was sent: pages are asked for again across refusals, and what was
     // cancelled since the first one may be in none of them (leases would be renewed without knowing
     // of it).
     recordsAsOf_ = loadAsOf_;
-    logInfo("records loaded", "revision", loadEpoch_, "jobs", replica_.jobs().size(), "machines",
+    logInfo("records loaded", "revision", loadRevision_, "jobs", replica_.jobs().size(), "machines",
             replica_.machines().size());
     schedule();
   });
@@ -86,7 +86,7 @@
     if (failures_ > 0) logInfo("state service answers again", "failures", failures_);
     failures_ = 0;
     for (const auto& c : r.changes) replica_.apply(c);
-    replica_.advance(r.epoch);
+    replica_.advance(r.revision);
     recordsAsOf_ = sentAt;
   } else if (r.kind == ChangesResult::Kind::tooOld) {
     logInfo("changes are gone, reading all records again", "since", replica_.cursor());
--- a/src/store/feed.hpp
+++ b/src/store/feed.hpp
@@ -58,7 +58,7 @@
   Instant failingSince_{};
   Instant recordsAsOf_{};
   Instant lastSent_{};
-  Revision loadEpoch_;  // of the first page, and when it was asked for
+  Revision loadRevision_;  // of the first page, and when it was asked for
   Instant loadAsOf_{};
   std::vector<std::function<void(bool)>> waiting_;  // for the next read
   std::vector<std::function<void(bool)>> served_;   // by the read in flight
--- a/src/store/feed_test.cpp
+++ b/src/store/feed_test.cpp
@@ -64,7 +64,7 @@
   job.spec = spec;
   job.stretch = 100;
   TasksRecord tasks;
-  tasks.placed[0] = {MachineId{"host-000001"}, Tenure{1}, Attempt{300}};
+  tasks.placed[0] = {MachineId{"host-000001"}, WorkerEpoch{1}, Attempt{300}};
   // Behind the first page, which was asked for, before the second.
   clock.in(5, [&] {
     write(keys::job(spec->id), toJson(job));
--- a/src/store/parts_test.cpp
+++ b/src/store/parts_test.cpp
@@ -29,7 +29,7 @@
 }
 
 Placed on(const std::string& machine, std::uint64_t attempt) {
-  return {MachineId{machine}, Tenure{1}, Attempt{attempt}};
+  return {MachineId{machine}, WorkerEpoch{1}, Attempt{attempt}};
 }
 
 // A part of tasks 137 to 163: the first is finished, the second placed anew, no other on a machine.
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -102,7 +102,7 @@
   std::map<Placed, std::size_t> at;
   for (const auto& [index, p] : r.placed) {
     auto [row, isNew] = at.try_emplace(p, rows.size());
-    if (isNew) rows.push_back({p.machine.value, p.tenure.value, p.attempt.value});
+    if (isNew) rows.push_back({p.machine.value, p.workerEpoch.value, p.attempt.value});
     Json& runs = rows[row->second];
     auto n = runs.size();
     if (n > 3 && runs[n - 2].get<std::uint32_t>() + runs[n - 1].get<std::uint32_t>() == index) {
@@ -186,7 +186,7 @@
     for (std::size_t i = 1; i < row.size(); ++i) {
       if (!row[i].is_number_unsigned()) return std::nullopt;
     }
-    Placed p{MachineId{row[0].get<std::string>()}, Tenure{row[1].get<std::uint64_t>()},
+    Placed p{MachineId{row[0].get<std::string>()}, WorkerEpoch{row[1].get<std::uint64_t>()},
              Attempt{row[2].get<std::uint64_t>()}};
     for (std::size_t i = 3; i + 1 < row.size(); i += 2) {
       auto first = row[i].get<std::uint64_t>();
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -77,7 +77,7 @@
 // Where a task may be.
 struct Placed {
   MachineId machine;
-  Tenure tenure;  // the worker's session that it was placed in
+  WorkerEpoch workerEpoch;  // the worker's session that it was placed in
   Attempt attempt;
   auto operator<=>(const Placed&) const = default;
 };
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -102,8 +102,8 @@
   slices_ = std::move(slices);
 }
 
-void Replica::advance(Revision epoch) {
-  if (epoch > cursor_) cursor_ = epoch;
+void Replica::advance(Revision revision) {
+  if (revision > cursor_) cursor_ = revision;
   std::erase_if(drops_, [&](const auto& d) { return d.second <= cursor_; });
 }
 
@@ -299,7 +299,7 @@
   auto [it, isNew] = machines_.try_emplace(placed.machine);
   // On no rental (yet): nobody can tell where it is, so it gets no work.
   if (isNew) it->second.leaving = true;
-  it->second.tasks.push_back({{{id, index}, placed.attempt}, placed.tenure, &job});
+  it->second.tasks.push_back({{{id, index}, placed.attempt}, placed.workerEpoch, &job});
 }
 
 void Replica::takeOff(const JobId& id, std::uint32_t index, const Placed& placed) {
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -89,7 +89,7 @@
 // A task that may be on a machine. The job stays where it is for as long as the copy does.
 struct TaskOn {
   AttemptId id;
-  Tenure tenure;
+  WorkerEpoch workerEpoch;
   const JobState* job{};
 };
 
@@ -111,7 +111,7 @@
   // Applies one change unless something as new is already here.
   void apply(const Change& change);
   // Everything up to `epoch` has been applied.
-  void advance(Revision epoch);
+  void advance(Revision revision);
   void clear();
 
   // Slices whose records the copy only passes on. They outlive it.
@@ -138,7 +138,7 @@
   // Parts of jobs that are on record no more: by key, with their stamps.
   const std::map<std::string, Revision>& orphanParts() const { return orphanParts_; }
   const std::optional<LeaderRecord>& leader() const { return leader_; }
-  Token leaderToken() const { return Token{stampOf(keys::kLeader).value}; }
+  FencingToken leaderToken() const { return FencingToken{stampOf(keys::kLeader).value}; }
   const std::optional<Json>& catalogue() const { return catalogue_; }
   const std::optional<Json>& forecast() const { return forecast_; }
   std::size_t teams() const { return teams_.size(); }
--- a/src/versions/versions.cpp
+++ b/src/versions/versions.cpp
@@ -52,7 +52,7 @@
   store_.commit(t, kTimeout, [this, t](const CommitResult& r) {
     if (r.outcome == Outcome::applied) {
       logInfo("format of records told", "format", kRecordFormat);
-      replica_.apply({t.writes[0].key, t.writes[0].value, r.epoch});
+      replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
     }
     // Also after an answer: until the feed shows it, or what else is there.
     runtime_.after(kRetry, [this] { asked_ = false; });
