--- a/hoist/commands.cpp
+++ b/hoist/commands.cpp
@@ -141,8 +141,7 @@
   return s;
 }
 
-Session::Session(const Options& options)
-    : leadership_(options), settings_(clientSettings(options)) {
+Session::Session(const Options& options) : options_(options), settings_(clientSettings(options)) {
   http_ = std::make_unique<EvHttpClient>(loop_, 8);
   if (settings_.tls) {
     http_->secure("", std::make_shared<TlsClient>(settings_.authority), settings_.serverName);
@@ -166,12 +165,12 @@
 
 FlowClient::Result Session::get(const std::string& path) {
   return wait([&](FlowClient::Done done) {
-    client_->get(path, fromSeconds(leadership_.timeoutS), std::move(done));
+    client_->get(path, fromSeconds(options_.timeoutS), std::move(done));
   });
 }
 
 void Session::print(const Json& value, const std::string& text) const {
-  if (leadership_.json) {
+  if (options_.json) {
     std::cout << value.dump(-1, ' ', false, Json::error_handler_t::replace) << std::endl;
   } else {
     std::cout << text << std::flush;
@@ -179,7 +178,7 @@
 }
 
 int Session::ended(const FlowClient::Result& r) const {
-  return r ? kOk : told(r.error(), leadership_.json);
+  return r ? kOk : told(r.error(), options_.json);
 }
 
 std::string Session::directoryOf(const FlowId& id) const {
@@ -198,12 +197,12 @@
   FlowOrder order;
   order.team = settings_.team;
   order.member = settings_.member;
-  order.rank = leadership_.rank;
-  order.keepGoing = leadership_.keepGoing;
+  order.rank = options_.rank;
+  order.keepGoing = options_.keepGoing;
   std::error_code error;
-  order.name = leadership_.name.empty()
+  order.name = options_.name.empty()
                    ? fs::weakly_canonical(file.directory, error).filename().string()
-                   : leadership_.name;
+                   : options_.name;
   std::string clean;
   for (char c : order.name)
     clean +=
@@ -239,9 +238,9 @@
                   {"image", options.file.image},
                   {"spot", options.file.spot},
                   {"set", options.set},
-                  {"name", leadership_.name},
-                  {"rank", leadership_.rank},
-                  {"keep_going", leadership_.keepGoing}};
+                  {"name", options_.name},
+                  {"rank", options_.rank},
+                  {"keep_going", options_.keepGoing}};
   fs::path part = to / ".hoist" / ("request-" + std::to_string(getpid()));
   std::ofstream(part) << request.dump() << "\n";
   fs::rename(part, to / ".hoist" / "request.json", error);
@@ -249,20 +248,20 @@
 }
 
 int Session::submit(bool thenFollow) {
-  PlannedFile file = planned(leadership_);
+  PlannedFile file = planned(options_);
   addReplans(file);
   if (file.plan.instances.empty()) {
     print({{"instances", 0}}, "nothing is to be made\n");
     return kOk;
   }
   FlowOrder flow = order(file);
-  flow.id = leadership_.flow.empty() ? client_->drawId() : FlowId{leadership_.flow};
+  flow.id = options_.flow.empty() ? client_->drawId() : FlowId{options_.flow};
   if (!validFlowId(flow.id.value))
     throw std::runtime_error("an id is w- and up to 18 digits, not " + flow.id.value);
-  stage(file, flow.id, leadership_);
+  stage(file, flow.id, options_);
   auto bundle = rules::bundle(file.plan);
   auto r = wait([&](FlowClient::Done done) {
-    client_->submit(flow, bundle, 0, fromSeconds(leadership_.timeoutS), std::move(done));
+    client_->submit(flow, bundle, 0, fromSeconds(options_.timeoutS), std::move(done));
   });
   if (int code = ended(r)) {
     std::fprintf(stderr, "hoist: the flow's id is %s\n", flow.id.value.c_str());
@@ -275,10 +274,10 @@
   return thenFollow ? follow(flow.id) : kOk;
 }
 
-int Session::follow() { return follow(FlowId{leadership_.flow}); }
+int Session::follow() { return follow(FlowId{options_.flow}); }
 
 int Session::follow(const FlowId& id) {
-  bool terminal = isatty(STDOUT_FILENO) != 0 && !leadership_.json;
+  bool terminal = isatty(STDOUT_FILENO) != 0 && !options_.json;
   std::string last;
   std::uint32_t doneAtStart = 0;
   bool first = true;
@@ -315,7 +314,7 @@
                  count(v, "running") + count(v, "queued") + count(v, "waiting") == 0;
     if (phase != "open" || stuck) {
       if (terminal) std::cout << "\n";
-      if (!leadership_.json)
+      if (!options_.json)
         std::cout << id.value << " "
                   << (stuck ? "waits for an amendment: hoist flow amend " + id.value + " FILE"
                             : phase)
@@ -331,7 +330,7 @@
 }
 
 int Session::status() {
-  FlowId id{leadership_.flow};
+  FlowId id{options_.flow};
   auto r = get("/v2/flows/" + id.value);
   if (int code = ended(r)) return code;
   Json v = r->body;
@@ -375,20 +374,20 @@
 }
 
 int Session::amend() {
-  PlannedFile file = planned(leadership_);
+  PlannedFile file = planned(options_);
   addReplans(file);
   FlowOrder flow = order(file);
-  flow.id = FlowId{leadership_.flow};
-  std::uint64_t base = leadership_.base;
+  flow.id = FlowId{options_.flow};
+  std::uint64_t base = options_.base;
   if (base == 0) {
-    auto r = get("/v2/flows/" + leadership_.flow);
+    auto r = get("/v2/flows/" + options_.flow);
     if (int code = ended(r)) return code;
     base = countField(r->body, "version").value_or(0);
   }
-  stage(file, flow.id, leadership_);
+  stage(file, flow.id, options_);
   auto bundle = rules::bundle(file.plan);
   auto r = wait([&](FlowClient::Done done) {
-    client_->submit(flow, bundle, base, fromSeconds(leadership_.timeoutS), std::move(done));
+    client_->submit(flow, bundle, base, fromSeconds(options_.timeoutS), std::move(done));
   });
   if (int code = ended(r)) return code;
   print(r->body, flow.id.value + ": version " + std::to_string(count(r->body, "version")) + ", " +
@@ -398,10 +397,10 @@
 
 int Session::cancel() {
   auto r = wait([&](FlowClient::Done done) {
-    client_->cancel(FlowId{leadership_.flow}, fromSeconds(leadership_.timeoutS), std::move(done));
+    client_->cancel(FlowId{options_.flow}, fromSeconds(options_.timeoutS), std::move(done));
   });
   if (int code = ended(r)) return code;
-  print(r->body, leadership_.flow + ": " + textField(r->body, "phase").value_or("") + "\n");
+  print(r->body, options_.flow + ": " + textField(r->body, "phase").value_or("") + "\n");
   return kOk;
 }
 
@@ -428,7 +427,7 @@
 }  // namespace
 
 int Session::report() {
-  auto r = get("/v2/flows/" + leadership_.flow + "/report");
+  auto r = get("/v2/flows/" + options_.flow + "/report");
   if (int code = ended(r)) return code;
   print(r->body, useTable(r->body, "rules", "rule"));
   return kOk;
@@ -497,28 +496,28 @@
   const char* flow = std::getenv("HOIST_FLOW");
   if (!request.is_object() || !flow)
     throw std::runtime_error("replan runs in a flow's directory, as one of its tasks");
-  leadership_.file.path = textField(request, "file").value_or("");
-  leadership_.file.directory = ".";
-  leadership_.file.targets = request.value("targets", std::vector<std::string>{});
-  leadership_.file.language = textField(request, "language").value_or("");
-  leadership_.file.image = textField(request, "image").value_or("default");
-  leadership_.file.spot = boolField(request, "spot").value_or(true);
-  leadership_.set = request.value("set", std::vector<std::string>{});
-  leadership_.name = textField(request, "name").value_or("");
-  leadership_.rank = textField(request, "rank").value_or("best_effort");
-  leadership_.keepGoing = boolField(request, "keep_going").value_or(false);
-  leadership_.flow = flow;
-  PlannedFile file = planned(leadership_);
+  options_.file.path = textField(request, "file").value_or("");
+  options_.file.directory = ".";
+  options_.file.targets = request.value("targets", std::vector<std::string>{});
+  options_.file.language = textField(request, "language").value_or("");
+  options_.file.image = textField(request, "image").value_or("default");
+  options_.file.spot = boolField(request, "spot").value_or(true);
+  options_.set = request.value("set", std::vector<std::string>{});
+  options_.name = textField(request, "name").value_or("");
+  options_.rank = textField(request, "rank").value_or("best_effort");
+  options_.keepGoing = boolField(request, "keep_going").value_or(false);
+  options_.flow = flow;
+  PlannedFile file = planned(options_);
   addReplans(file);
   auto bundle = rules::bundle(file.plan);
-  auto r = get("/v2/flows/" + leadership_.flow);
+  auto r = get("/v2/flows/" + options_.flow);
   if (int code = ended(r)) return code;
   if (textField(r->body, "graph") == bundle.version.value) return kOk;
   FlowOrder amended = order(file);
-  amended.id = FlowId{leadership_.flow};
+  amended.id = FlowId{options_.flow};
   auto result = wait([&](FlowClient::Done done) {
     client_->submit(amended, bundle, countField(r->body, "version").value_or(0),
-                    fromSeconds(leadership_.timeoutS), std::move(done));
+                    fromSeconds(options_.timeoutS), std::move(done));
   });
   // Tried again from the version that was first.
   return !result && result.error().kind == client::ErrorKind::conflict ? kConflict : ended(result);
--- a/hoist/commands.hpp
+++ b/hoist/commands.hpp
@@ -69,7 +69,7 @@
   std::string directoryOf(const FlowId& id) const;
   void print(const Json& value, const std::string& text) const;
 
-  Options leadership_;
+  Options options_;
   ClientSettings settings_;
   EventLoop loop_;
   std::unique_ptr<EvHttpClient> http_;
--- a/hoist/job_main.hpp
+++ b/hoist/job_main.hpp
@@ -14,7 +14,7 @@
   std::optional<int> run(const Options& common);
 
  private:
-  JobOptions leadership_;
+  JobOptions options_;
   CLI::App *submit_, *status_, *list_, *watch_, *cancel_, *logs_;
 };
 
--- a/hoist/policy_commands.cpp
+++ b/hoist/policy_commands.cpp
@@ -35,7 +35,7 @@
   Json body = {{"document", document}, {"check", check}, {"request", client_->drawId().value}};
   if (base) body["if"] = *base;
   auto r = wait([&](FlowClient::Done done) {
-    client_->call({"POST", "/mesh/policy", encodeBody(body)}, fromSeconds(leadership_.timeoutS),
+    client_->call({"POST", "/mesh/policy", encodeBody(body)}, fromSeconds(options_.timeoutS),
                   std::move(done));
   });
   if (!r && r.error().kind == client::ErrorKind::malformed) {
--- a/region/main.cpp
+++ b/region/main.cpp
@@ -98,7 +98,7 @@
 class Controllers {
  public:
   Controllers(kh::EventLoop& loop, const Options& o, Links& links)
-      : loop_(loop), leadership_(o), links_(links), pids_(static_cast<std::size_t>(o.controllers)) {
+      : loop_(loop), options_(o), links_(links), pids_(static_cast<std::size_t>(o.controllers)) {
     child_ = evsignal_new(
         loop_.base(), SIGCHLD,
         [](int, short, void* self) { static_cast<Controllers*>(self)->reap(); }, this);
@@ -119,9 +119,9 @@
   }
 
   void start(int i) {
-    std::string config = leadership_.directory + "/node" + std::to_string(i) + ".toml";
+    std::string config = options_.directory + "/node" + std::to_string(i) + ".toml";
     writeSettings(i, config);
-    std::string log = leadership_.directory + "/node" + std::to_string(i) + ".log";
+    std::string log = options_.directory + "/node" + std::to_string(i) + ".log";
     pid_t pid = fork();
     if (pid == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -131,12 +131,12 @@
       sigemptyset(&none);
       sigprocmask(SIG_SETMASK, &none, nullptr);
       if (!out) _exit(126);
-      if (leadership_.operatorFile.empty()) {
-        execlp(leadership_.program.c_str(), "kestrelhoist", "--config", config.c_str(),
+      if (options_.operatorFile.empty()) {
+        execlp(options_.program.c_str(), "kestrelhoist", "--config", config.c_str(),
                static_cast<char*>(nullptr));
       } else {
-        execlp(leadership_.program.c_str(), "kestrelhoist", "--operator",
-               leadership_.operatorFile.c_str(), "--config", config.c_str(),
+        execlp(options_.program.c_str(), "kestrelhoist", "--operator",
+               options_.operatorFile.c_str(), "--config", config.c_str(),
                static_cast<char*>(nullptr));
       }
       _exit(127);
@@ -160,7 +160,7 @@
       pids_[i] = 0;
       if (WIFEXITED(status))
         kh::logError("controller ended by itself", "node", i, "status", WEXITSTATUS(status));
-      loop_.after(kh::Duration{leadership_.backMs}, [this, i] {
+      loop_.after(kh::Duration{options_.backMs}, [this, i] {
         if (!ending_) start(static_cast<int>(i));
       });
     }
@@ -170,23 +170,23 @@
     std::ofstream out(path);
     const char* zones[] = {"a", "b", "c"};
     out << "member = \"node" << i << "\"\nsite = \"" << zones[i % 3] << "\"\napi_addr = \""
-        << address(leadership_, i, false) << "\"\nmesh_addr = \"" << address(leadership_, i, true)
+        << address(options_, i, false) << "\"\nmesh_addr = \"" << address(options_, i, true)
         << "\"\n";
-    for (int k = 0; k < leadership_.controllers; ++k) {
+    for (int k = 0; k < options_.controllers; ++k) {
       if (k == i) continue;
       out << "[[peers]]\nmember = \"node" << k << "\"\nsite = \"" << zones[k % 3] << "\"\naddr = \""
           << links_.through(std::to_string(i) + " to " + std::to_string(k),
-                            address(leadership_, k, true))
+                            address(options_, k, true))
           << "\"\n";
     }
     auto own = [&](const char* what, int port) {
       return links_.through(std::to_string(i) + " to " + what, "127.0.0.1:" + std::to_string(port));
     };
-    out << "[external]\ncloud = \"" << own("cloud", portOf(leadership_, 1)) << "\"\nstate = \""
-        << own("state", portOf(leadership_, 0)) << "\"\n"
-        << "[settings]\nsize = " << leadership_.controllers
+    out << "[external]\ncloud = \"" << own("cloud", portOf(options_, 1)) << "\"\nstate = \""
+        << own("state", portOf(options_, 0)) << "\"\n"
+        << "[settings]\nsize = " << options_.controllers
         << "\nzones = [\"a\", \"b\", \"c\"]\ntime_bound_ms = 1000.0\n";
-    for (const auto& team : leadership_.teams) {
+    for (const auto& team : options_.teams) {
       out << "[[settings.teams]]\nname = \"" << team
           << "\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n";
     }
@@ -198,7 +198,7 @@
   }
 
   kh::EventLoop& loop_;
-  const Options& leadership_;
+  const Options& options_;
   Links& links_;
   std::vector<pid_t> pids_;
   event* child_;
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Duration kTick{100};
-constexpr Duration kMeshEvery{500};
-constexpr Duration kSweepEvery{30000};
+constexpr Duration kStatusExchangeEvery{500};
+constexpr Duration kExpireEvery{30000};
 // Beyond this age, when a peer last reached a service is as good as unknown.
 constexpr Duration kUnknownAfter{10000};
 
@@ -27,30 +27,30 @@
 
 Controller::Controller(Runtime& runtime, HttpClient& http, PlanRunner& planner,
                        const Platform& platform, const OperatorSettings& settings,
-                       const std::string& boot)
+                       const std::string& incarnation)
     : runtime_(runtime),
       http_(http),
       planner_(planner),
       platform_(platform),
       settings_(settings),
       renewal_(platform),
-      witnesses_(platform.peers),
-      mesh_(runtime, http, platform),
-      stateWay_(runtime, http, mesh_,
+      cancellationBarrier_(platform.peers),
+      peerMembership_(runtime, http, platform),
+      stateWay_(runtime, http, peerMembership_,
                 {"state",
                  platform.stateAddress,
                  {"GET", std::string("/store/") + keys::kLeader, ""},
                  kStoreTimeout},
                 [](const PeerStatus& s) { return s.storeAge; }),
       cloudWay_(
-          runtime, http, mesh_,
+          runtime, http, peerMembership_,
           {"cloud", platform.cloudAddress, {"GET", "/machine_types", ""}, 3 * kStoreTimeout},
           // Only leaders ask the cloud: of a follower it is mostly not known, and worth a try.
           [](const PeerStatus& s) {
             return s.cloudAge < kUnknownAfter ? s.cloudAge : Duration{0};
           }),
-      workerLine_(runtime, http, mesh_),
-      relay_(runtime, mesh_, platform.member),
+      workerLine_(runtime, http, peerMembership_),
+      relay_(runtime, peerMembership_, platform.member),
       store_(runtime, stateWay_, platform.stateAddress,
              platform.stateRequestsPerS / static_cast<double>(platform.nodes())),
       cloud_(runtime, cloudWay_, platform.cloudAddress, platform.cloudRequestsPerS * 0.9),
@@ -61,21 +61,21 @@
       flows_(runtime, store_, feed_, replica_, platform, settings,
              [this] { return jobs_.catalogue(); }),
       policy_(runtime, store_, feed_, replica_, policyCopy_, platform),
-      election_({platform.member, boot, kLeaseLife, kLeaseRenew}),
+      election_({platform.member, incarnation, kLeaseLife, kLeaseRenew}),
       // A worker that hangs in a try waits 4 s and then 1 s before the next (PROTOCOL, "Workers").
       scouts_(Duration{5000} * static_cast<int>(platform.nodes() - 1) + Duration{1000},
               platform.workerLease, platform.reportEvery) {
   replica_.add(policyCopy_);
   replica_.add(versions_);
   policyCopy_.timeOfDay = [this] { return timeOfDay(); };
-  if (settings.members.enabled) enableMembers(boot);
+  if (settings.members.enabled) enableMembers(incarnation);
 }
 
-void Controller::enableMembers(const std::string& boot) {
+void Controller::enableMembers(const std::string& incarnation) {
   metrics_ = std::make_unique<Metrics>();
   members_ = std::make_unique<MemberService>(runtime_, store_, feed_, replica_, platform_,
                                              settings_.members, jobs_, flows_, metrics_.get(),
-                                             std::hash<std::string>{}(boot));
+                                             std::hash<std::string>{}(incarnation));
   store_.onCommitted = [this](Outcome o) { metrics_->committed(wordOf(o), leads()); };
   metrics_->gauges = [this] {
     MetricGauges g;
@@ -100,15 +100,15 @@
     if (leader_) {
       leader_->onRecordsChanged();
     } else if (replica_.leader()) {
-      mesh_.nudge(replica_.leader()->member);
+      peerMembership_.notifyLeader(replica_.leader()->member);
     }
   };
   feed_.start();
-  mesh_.onAnswer = [this](const PeerStatus& s, Instant asked) {
-    witnesses_.heard(s.member, asked, s.newestCancellation, replica_.cursor());
+  peerMembership_.onAnswer = [this](const PeerStatus& s, Instant asked) {
+    cancellationBarrier_.onPeerStatus(s.member, asked, s.newestCancellation, replica_.cursor());
   };
-  mesh_.start([this] { return status(); }, kMeshEvery);
-  tick();
+  peerMembership_.start([this] { return status(); }, kStatusExchangeEvery);
+  onTimer();
 }
 
 void Controller::onRecordsChanged() {
@@ -121,35 +121,36 @@
   runElection();
 }
 
-void Controller::tick() {
-  runtime_.after(kTick, [this] { tick(); });
+void Controller::onTimer() {
+  runtime_.after(kTick, [this] { onTimer(); });
   Instant now = runtime_.now();
-  if (members_ && ticked_ != Instant{}) members_->tick(kTick, now - ticked_);
-  ticked_ = now;
-  if (feed_.loaded()) versionWriter_.tick();
-  if (mesh_.anyHeard(kMeshHeard)) lastPeer_ = now;
-  noteHolder(now);
-  if (now - sweptAt_ > kSweepEvery) sweep(now);
+  if (members_ && lastTimer_ != Instant{}) members_->onTimer(kTick, now - lastTimer_);
+  lastTimer_ = now;
+  if (feed_.loaded()) versionWriter_.onTimer();
+  if (peerMembership_.anyReachable(kPeerPresence)) lastPeer_ = now;
+  trackUnreachableLeader(now);
+  if (now - expiredAt_ > kExpireEvery) expireWorkers(now);
   runElection();
   watchLeadership();
 }
 
 // For how long the holder of the leader key, if it is a peer, has not been heard.
-void Controller::noteHolder(Instant now) {
+void Controller::trackUnreachableLeader(Instant now) {
   const auto& holder = replica_.leader();
-  if (!holder || holder->member == platform_.member || mesh_.heard(holder->member, kMeshHeard)) {
-    holderUnheardSince_.reset();
-  } else if (!holderUnheardSince_) {
-    holderUnheardSince_ = now;
+  if (!holder || holder->member == platform_.member ||
+      peerMembership_.recentStatus(holder->member, kPeerPresence)) {
+    leaderUnreachableSince_.reset();
+  } else if (!leaderUnreachableSince_) {
+    leaderUnreachableSince_ = now;
   }
 }
 
 // Forgets workers that have not come for long.
-void Controller::sweep(Instant now) {
-  sweptAt_ = now;
+void Controller::expireWorkers(Instant now) {
+  expiredAt_ = now;
   answered_.sweep(now);
   workerLine_.sweep();
-  std::erase_if(sentAway_, [&](const auto& e) { return now - e.second > kSweepEvery; });
+  std::erase_if(redirectedAt_, [&](const auto& e) { return now - e.second > kExpireEvery; });
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -6,9 +6,9 @@
 #include "app/leader.hpp"
 #include "flows/service.hpp"
 #include "jobs/service.hpp"
+#include "leadership/cancellation_barrier.hpp"
 #include "leadership/election.hpp"
-#include "leadership/mesh.hpp"
-#include "leadership/witnesses.hpp"
+#include "leadership/peer_membership.hpp"
 #include "members/service.hpp"
 #include "policy/service.hpp"
 #include "reach/answered.hpp"
@@ -25,7 +25,7 @@
  public:
   // `boot` must differ between the lives of a process.
   Controller(Runtime& runtime, HttpClient& http, PlanRunner& planner, const Platform& platform,
-             const OperatorSettings& settings, const std::string& boot);
+             const OperatorSettings& settings, const std::string& incarnation);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
@@ -45,15 +45,15 @@
 
  private:
   // controller.cpp
-  void enableMembers(const std::string& boot);
-  void tick();
-  void noteHolder(Instant now);
-  void sweep(Instant now);
+  void enableMembers(const std::string& incarnation);
+  void onTimer();
+  void trackUnreachableLeader(Instant now);
+  void expireWorkers(Instant now);
   void onRecordsChanged();
 
   // controller_leadership.cpp
   void runElection();
-  bool leavesToOthers(const Election::View& view);
+  bool defersCandidacy(const Election::View& view);
   // How long it leaves the leadership to others that are nearer to the workers.
   Duration candidacyDelay() const;
   void claimLeadership();
@@ -61,7 +61,7 @@
   void beginLeadership();
   void startLeader();
   // What peers know of workers that this new leader has not heard.
-  void askPeersForAnswered();
+  void requestAckTimesFromPeers();
   void stepDown(const std::string& why, bool dropLease, Duration holdBack);
   void watchLeadership();
   void watchWorkers();
@@ -69,7 +69,7 @@
   std::optional<Instant> renewUntil() const;
   bool mayRenew() const;
   // How many machines this leadership has heard.
-  std::size_t heardMachines() const;
+  std::size_t reportingMachines() const;
 
   // controller_users.cpp
   void onUserRequest(const std::string& path, const Request& request, const Respond& respond,
@@ -83,16 +83,16 @@
   Response ready();
 
   // controller_reports.cpp
-  void onBeat(const Request& request, const Respond& respond);
-  Instant noteWorker(const Report& report);
-  ReportView reportView(const Report& report) const;
-  void addUnheardHolder(const Report& report, ReportView& v) const;
+  void onHeartbeat(const Request& request, const Respond& respond);
+  Instant noteHeartbeat(const Report& report);
+  ReportView heartbeatView(const Report& report) const;
+  void addUnreachableLeader(const Report& report, ReportView& v) const;
   // As the leader. `via`: the peer that passed the report on.
   Response serveReport(const Report& report, const std::optional<MemberId>& via);
-  Response answerUnrelayed(const Report& report);
-  Response answerAlone(const Report& report, const Route& route);
-  Response leaseOnlyAnswer(const Report& report) const;
-  Response sendAway(const Report& report, const std::optional<MemberId>& to);
+  Response answerUnforwarded(const Report& report);
+  Response answerLocally(const Report& report, const Route& route);
+  Response leaseOnlyResponse(const Report& report) const;
+  Response redirect(const Report& report, const std::optional<MemberId>& to);
 
   // controller_peers.cpp
   bool onMeshService(const Request& request, const Respond& respond);
@@ -106,8 +106,8 @@
   const Platform& platform_;
   const OperatorSettings& settings_;
   const LeaseRenewal renewal_;
-  Witnesses witnesses_;
-  Mesh mesh_;
+  CancellationBarrier cancellationBarrier_;
+  PeerMembership peerMembership_;
   Detour stateWay_;
   Detour cloudWay_;
   WorkerLine workerLine_;
@@ -125,18 +125,18 @@
   PolicyService policy_;
   std::unique_ptr<Metrics> metrics_;        // null: nobody asks
   std::unique_ptr<MemberService> members_;  // null: off
-  Instant ticked_{};
-  Instant sweptAt_{};
+  Instant lastTimer_{};
+  Instant expiredAt_{};
   Election election_;
   std::unique_ptr<Leader> leader_;
   bool beginningLeadership_ = false;
   FencingToken lastToken_;  // of the newest leader known of
   Instant lastWorker_{};
-  Instant lastForeign_{};  // a worker of another zone
-  Instant lastPeer_{};     // any other controller was heard
+  Instant lastForeignWorker_{};  // a worker of another zone
+  Instant lastPeer_{};           // any other controller was heard
   Scouts scouts_;
-  std::map<MachineId, Instant> sentAway_;  // workers told to go elsewhere, when
-  std::optional<Instant> holderUnheardSince_;
+  std::map<MachineId, Instant> redirectedAt_;  // workers told to go elsewhere, when
+  std::optional<Instant> leaderUnreachableSince_;
   Instant started_{};
   std::optional<Instant> leaderMissingSince_;
 };
--- a/src/app/controller_constants.hpp
+++ b/src/app/controller_constants.hpp
@@ -13,7 +13,7 @@
 // Of the leader's lease.
 inline constexpr Duration kLeaseLife{3000};
 inline constexpr Duration kLeaseRenew{700};
-inline constexpr Duration kMeshHeard{2000};       // a peer that spoke within it is present
+inline constexpr Duration kPeerPresence{2000};    // a peer that spoke within it is present
 inline constexpr Duration kForwardTimeout{1800};  // of what is passed on to a peer
 
 }  // namespace kestrelhoist
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -20,9 +20,9 @@
   if (!feed_.loaded()) return;
   Election::View view{feed_.contactAge() < Duration{1000}, replica_.leader(),
                       replica_.leaderToken()};
-  if (leavesToOthers(view)) return;
+  if (defersCandidacy(view)) return;
   bool led = election_.leads();
-  auto step = election_.tick(now, view);
+  auto step = election_.nextStep(now, view);
   if (led && !election_.leads()) {
     stepDown("another leads or the lease ended", false, Duration{0});
     return;
@@ -33,7 +33,7 @@
 }
 
 // Candidates that hear workers go first; the others follow a little later.
-bool Controller::leavesToOthers(const Election::View& view) {
+bool Controller::defersCandidacy(const Election::View& view) {
   if (election_.leads() || !view.fresh || view.leader) {
     leaderMissingSince_.reset();
     return false;
@@ -59,7 +59,7 @@
     election_.onGranted(lease);
     if (election_.role() != Election::Role::claiming) return;
     Transaction t;
-    t.conditions.push_back({keys::kLeader, Revision{election_.claimStamp().value}});
+    t.conditions.push_back({keys::kLeader, Revision{election_.expectedToken().value}});
     t.writes.push_back({keys::kLeader, toJson(election_.record()), lease});
     store_.commit(t, kStoreTimeout, [this, t](CommitResult r) {
       election_.onClaimed(runtime_.now(), r);
@@ -96,33 +96,36 @@
 void Controller::startLeader() {
   feed_.setInterval(kLeaderRead);
   workerLine_.forget();
-  Leadership leadership{runtime_,    store_,    feed_,     replica_,          cloud_,
+  LeaderContext context{runtime_,    store_,    feed_,     replica_,          cloud_,
                         workerLine_, platform_, settings_, election_.token(), runtime_.now()};
-  leadership.workersReached = [this](Instant sent) { return workerLine_.reachedSince(sent); };
-  leadership.inForce = &policyCopy_;
-  leadership.allRead = [this](unsigned format) { return versions_.allAtLeast(format); };
-  leadership.timeOfDay = [this] { return timeOfDay(); };
-  leader_ = std::make_unique<Leader>(leadership, planner_, policyCopy_, [this](const ZoneId& zone) {
-    return std::any_of(platform_.peers.begin(), platform_.peers.end(),
-                       [&](const Peer& p) { return p.zone == zone && mesh_.mayLive(p.member); });
+  context.workersReachedSince = [this](Instant sent) { return workerLine_.reachedSince(sent); };
+  context.effectivePolicy = &policyCopy_;
+  context.allMembersRead = [this](unsigned format) { return versions_.allAtLeast(format); };
+  context.timeOfDay = [this] { return timeOfDay(); };
+  leader_ = std::make_unique<Leader>(context, planner_, policyCopy_, [this](const ZoneId& zone) {
+    return std::any_of(platform_.peers.begin(), platform_.peers.end(), [&](const Peer& p) {
+      return p.zone == zone && peerMembership_.mayBeAlive(p.member);
+    });
   });
   for (const auto& [machine, at] : answered_.all()) leader_->fleet().answeredElsewhere(machine, at);
-  askPeersForAnswered();
+  requestAckTimesFromPeers();
 }
 
 // A worker that nobody answers any more is known by when it was answered last: else a new leader
 // counts its silence from its own first moment, and its tasks are long over before it is given up.
-void Controller::askPeersForAnswered() {
+void Controller::requestAckTimesFromPeers() {
   for (const auto& peer : platform_.peers) {
-    mesh_.send(peer.member, {"POST", "/mesh/answered", encodeBody(Json::object())}, Duration{2000},
-               [this, token = election_.token()](const std::optional<Response>& r) {
-                 if (!leader_ || leader_->token() != token || !r || r->status != 200) return;
-                 auto body = decodeBody(r->body);
-                 if (!body) return;
-                 for (const auto& [machine, at] : Answered::from(*body, runtime_.now())) {
-                   leader_->fleet().answeredElsewhere(machine, at);
-                 }
-               });
+    peerMembership_.send(peer.member, {"POST", "/mesh/answered", encodeBody(Json::object())},
+                         Duration{2000},
+                         [this, token = election_.token()](const std::optional<Response>& r) {
+                           if (!leader_ || leader_->token() != token || !r || r->status != 200)
+                             return;
+                           auto body = decodeBody(r->body);
+                           if (!body) return;
+                           for (const auto& [machine, at] : Answered::from(*body, runtime_.now())) {
+                             leader_->fleet().answeredElsewhere(machine, at);
+                           }
+                         });
   }
 }
 
@@ -142,7 +145,7 @@
 
 void Controller::watchLeadership() {
   if (!election_.leads()) return;
-  for (const auto& [member, seen] : mesh_.statuses()) {
+  for (const auto& [member, seen] : peerMembership_.statuses()) {
     if (seen.first.token > election_.token()) {
       return stepDown("member " + member.value + " knows a higher token", false, Duration{500});
     }
@@ -151,7 +154,7 @@
     return stepDown("no contact with the state service for too long", false, Duration{1000});
   }
   if (feed_.loaded() && feed_.contactAge() > kStoreSilent &&
-      mesh_.peerWithStore(feed_.failingSince())) {
+      peerMembership_.peerReachingStore(feed_.failingSince())) {
     return stepDown("the state service answers others but not this node", false, Duration{3000});
   }
   if (leader_) watchWorkers();
@@ -160,7 +163,7 @@
 // Gives up the lead if it hears no worker although there are some: cut off from them, or all are
 // gone.
 void Controller::watchWorkers() {
-  std::size_t heard = heardMachines();
+  std::size_t heard = reportingMachines();
   bool expects = heard > 0 || std::any_of(replica_.machines().begin(), replica_.machines().end(),
                                           [](const auto& m) { return !m.second.tasks.empty(); });
   Duration unheard = runtime_.now() - std::max(lastWorker_, leader_->fleet().lastHeardAny());
@@ -170,12 +173,12 @@
   // would cost all of them their leases.
   if (heard == 0) patience += Duration{6000};
   if (!expects || unheard < patience) return;
-  bool anyPeer = platform_.peers.empty() || mesh_.anyHeard(kMeshHeard);
+  bool anyPeer = platform_.peers.empty() || peerMembership_.anyReachable(kPeerPresence);
   bool peersHear = false;
   for (const auto& peer : platform_.peers) {
-    const auto* s = mesh_.heard(peer.member, kMeshHeard);
+    const auto* s = peerMembership_.recentStatus(peer.member, kPeerPresence);
     // Whoever hears workers passes their reports on to here: another leader would hear no more.
-    if (s && s->relays && unheard < patience + platform_.workerLease / 2) return;
+    if (s && s->supportsForwarding && unheard < patience + platform_.workerLease / 2) return;
     peersHear = peersHear || (s && s->workersAge < unheard);
   }
   if (peersHear || !anyPeer || heard >= kSeveralMachines) {
@@ -189,7 +192,7 @@
   // Running work need not end when nobody can have told of a cancellation that is not known here.
   // Own commits that were not read back yet may hide placements, and a flow's are not effective
   // yet.
-  if (auto told = witnesses_.recordsAsOf();
+  if (auto told = cancellationBarrier_.snapshotTime();
       told && *told > asOf && feed_.contactAge() > kStoreSilent &&
       replica_.newestCancellation() <= replica_.cursor() && !replica_.cancelsUnderWay()) {
     asOf = *told;
@@ -202,7 +205,7 @@
   return until && runtime_.now() <= *until;
 }
 
-std::size_t Controller::heardMachines() const {
+std::size_t Controller::reportingMachines() const {
   return leader_ ? leader_->fleet().heardCount() : 0;
 }
 
--- a/src/app/controller_peers.cpp
+++ b/src/app/controller_peers.cpp
@@ -8,7 +8,8 @@
 
 void Controller::onMesh(const Request& request, const Respond& respond) {
   std::string path = request.path.substr(0, request.path.find('?'));
-  if (path == "/mesh/hello" && request.method == "POST") return respond(mesh_.onHello(request));
+  if (path == "/mesh/hello" && request.method == "POST")
+    return respond(peerMembership_.onStatusRequest(request));
   if (path == "/mesh/nudge" && request.method == "POST") {
     feed_.fresh([](bool) {});
     return respond(jsonResponse(200, Json::object()));
@@ -77,13 +78,13 @@
   };
   s.storeAge = ageOf(stateWay_.link());
   s.cloudAge = ageOf(cloudWay_.link());
-  s.relays = true;
+  s.supportsForwarding = true;
   s.wallMs = runtime_.wallMillis();
   s.workersAge = std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastWorker_));
   if (feed_.loaded()) s.newestCancellation = replica_.newestCancellation();
   s.ready = feed_.loaded() && jobs_.catalogue() != nullptr;
-  s.deaf = leader_ && heardMachines() > 0 &&
-           s.workersAge > platform_.reportEvery * 3 / 2 + Duration{500};
+  s.hasLostWorkers = leader_ && reportingMachines() > 0 &&
+                     s.workersAge > platform_.reportEvery * 3 / 2 + Duration{500};
   return s;
 }
 
@@ -92,8 +93,9 @@
 std::int64_t Controller::timeOfDay() const {
   std::vector<std::int64_t> clocks{runtime_.wallMillis()};
   for (const auto& peer : platform_.peers) {
-    if (const auto* s = mesh_.heard(peer.member, kMeshHeard); s && s->wallLessSteady) {
-      clocks.push_back(runtime_.now().ms + *s->wallLessSteady);
+    if (const auto* s = peerMembership_.recentStatus(peer.member, kPeerPresence);
+        s && s->wallClockOffset) {
+      clocks.push_back(runtime_.now().ms + *s->wallClockOffset);
     }
   }
   std::sort(clocks.begin(), clocks.end());
--- a/src/app/controller_reports.cpp
+++ b/src/app/controller_reports.cpp
@@ -14,48 +14,48 @@
 
 }  // namespace
 
-void Controller::onBeat(const Request& request, const Respond& respond) {
+void Controller::onHeartbeat(const Request& request, const Respond& respond) {
   auto body = decodeBody(request.body);
   auto report = body ? reportFrom(*body) : std::nullopt;
   if (!report) return respond(jsonResponse(400, {{"error", "not a report"}}));
-  Instant came = noteWorker(*report);
+  Instant came = noteHeartbeat(*report);
   auto answer = [this, came, machine = report->machine, respond](Response r) {
     if (r.status == 200) answered_.note(machine, came);
     respond(std::move(r));
   };
-  Route route = routeReport(reportView(*report));
+  Route route = routeReport(heartbeatView(*report));
   if (route.way == Way::serve) return answer(serveReport(*report, std::nullopt));
-  if (route.way != Way::relay) return answer(answerAlone(*report, route));
+  if (route.way != Way::relay) return answer(answerLocally(*report, route));
   relay_.pass(*route.to, request.body,
               [this, answer, report = *report](const std::optional<Response>& r) {
-                answer(r ? *r : answerUnrelayed(report));
+                answer(r ? *r : answerUnforwarded(report));
               });
 }
 
 // A worker was heard; returns when.
-Instant Controller::noteWorker(const Report& report) {
+Instant Controller::noteHeartbeat(const Report& report) {
   lastWorker_ = runtime_.now();
-  if (report.zone != platform_.zone) lastForeign_ = lastWorker_;
+  if (report.zone != platform_.zone) lastForeignWorker_ = lastWorker_;
   scouts_.reported(report.machine, lastWorker_);
   workerLine_.heard(report.address, std::nullopt);
   return lastWorker_;
 }
 
 // The leader was asked in vain: as if it were not there.
-Response Controller::answerUnrelayed(const Report& report) {
-  ReportView v = reportView(report);
+Response Controller::answerUnforwarded(const Report& report) {
+  ReportView v = heartbeatView(report);
   if (v.leads) return serveReport(report, std::nullopt);
   v.leader.reset();
-  return answerAlone(report, routeReport(v));
+  return answerLocally(report, routeReport(v));
 }
 
 // Answers without the leader.
-Response Controller::answerAlone(const Report& report, const Route& route) {
-  if (route.way == Way::leaseOnly) return leaseOnlyAnswer(report);
-  return sendAway(report, route.to);
+Response Controller::answerLocally(const Report& report, const Route& route) {
+  if (route.way == Way::leaseOnly) return leaseOnlyResponse(report);
+  return redirect(report, route.to);
 }
 
-ReportView Controller::reportView(const Report& report) const {
+ReportView Controller::heartbeatView(const Report& report) const {
   ReportView v;
   v.now = runtime_.now();
   v.leads = leader_ && election_.leads();
@@ -66,31 +66,31 @@
   v.reported = report.token;
   v.foreignZone = report.zone != platform_.zone;
   v.lease = platform_.workerLease;
-  if (auto away = sentAway_.find(report.machine); away != sentAway_.end()) {
+  if (auto away = redirectedAt_.find(report.machine); away != redirectedAt_.end()) {
     v.sentAwayAgo = v.now - away->second;
   }
-  if (const PeerStatus* leader = mesh_.newestLeader(kMeshHeard)) {
+  if (const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence)) {
     v.leader = leader->member;
-    v.leaderRelays = leader->relays && relay_.failingFor(leader->member) < kRelayDoubt;
-    v.leaderHears = !leader->deaf;
+    v.leaderRelays = leader->supportsForwarding && relay_.failingFor(leader->member) < kRelayDoubt;
+    v.leaderHears = !leader->hasLostWorkers;
   }
-  v.isolated = !mesh_.anyHeard(kMeshHeard) && v.contactAge >= kAnswersAloneAfter;
+  v.isolated = !peerMembership_.anyReachable(kPeerPresence) && v.contactAge >= kAnswersAloneAfter;
   Instant cutOff = std::max(lastPeer_, v.now - v.contactAge);
-  v.zonesReach = lastForeign_ > cutOff + Duration{500} &&
-                 v.now - lastForeign_ < 2 * platform_.reportEvery + Duration{3000};
-  if (!v.leader) addUnheardHolder(report, v);
+  v.zonesReach = lastForeignWorker_ > cutOff + Duration{500} &&
+                 v.now - lastForeignWorker_ < 2 * platform_.reportEvery + Duration{3000};
+  if (!v.leader) addUnreachableLeader(report, v);
   return v;
 }
 
 // What the view has of a holder of the leader key that is not heard.
-void Controller::addUnheardHolder(const Report& report, ReportView& v) const {
+void Controller::addUnreachableLeader(const Report& report, ReportView& v) const {
   const auto& holder = replica_.leader();
   if (v.contactAge >= kAnswersAloneAfter || !holder || holder->member == platform_.member ||
-      !holderUnheardSince_) {
+      !leaderUnreachableSince_) {
     return;
   }
   v.holder = holder->member;
-  v.holderUnheard = v.now - *holderUnheardSince_;
+  v.holderUnheard = v.now - *leaderUnreachableSince_;
   // One that has just come from a tour has spent most of its lease: it is answered here first (16
   // of 24 replicas were left where it was sent on another tour at once).
   auto here = answered_.all().find(report.machine);
@@ -104,7 +104,7 @@
 // controller know. Nothing is launched or cleared, and nothing is proven by it. Tasks of jobs that
 // are known to be over are stopped, those included that it may still be told to launch: whoever
 // keeps leases up must not keep up what was cancelled.
-Response Controller::leaseOnlyAnswer(const Report& report) const {
+Response Controller::leaseOnlyResponse(const Report& report) const {
   auto end = [this](const JobId& id) {
     const auto* job = replica_.job(id);
     if (!job || job->active()) return JobEnd::none;
@@ -115,10 +115,10 @@
       ordersToJson(lastToken_, leaseOnlyOrders(report, replica_.machine(report.machine), end)));
 }
 
-Response Controller::sendAway(const Report& report, const std::optional<MemberId>& to) {
-  sentAway_[report.machine] = runtime_.now();
+Response Controller::redirect(const Report& report, const std::optional<MemberId>& to) {
+  redirectedAt_[report.machine] = runtime_.now();
   if (to && replica_.leader() && *to == replica_.leader()->member &&
-      !mesh_.heard(*to, kMeshHeard)) {
+      !peerMembership_.recentStatus(*to, kPeerPresence)) {
     scouts_.sent(*to, report.machine, runtime_.now());
   }
   Json body = Json::object();
--- a/src/app/controller_users.cpp
+++ b/src/app/controller_users.cpp
@@ -10,7 +10,7 @@
   std::string path = request.path.substr(0, request.path.find('?'));
   if (path == "/agent/beat") {
     if (request.method != "POST") return respond(jsonResponse(405, {{"error", "wrong method"}}));
-    return onBeat(request, respond);
+    return onHeartbeat(request, respond);
   }
   if (path == "/ready") {
     if (request.method != "GET") return respond(jsonResponse(405, {{"error", "wrong method"}}));
@@ -27,7 +27,7 @@
     return respond(jsonResponse(403, {{"error", "members come with TLS, see docs/members.md"}}));
   }
   if (ofUsers && !feed_.reachable()) {
-    if (auto peer = mesh_.peerWithStore(feed_.failingSince())) {
+    if (auto peer = peerMembership_.peerReachingStore(feed_.failingSince())) {
       return forwardToPeer(*peer, request, respond);
     }
   }
@@ -45,7 +45,7 @@
 
 void Controller::forwardToPeer(const MemberId& peer, const Request& request,
                                const Respond& respond) {
-  mesh_.forward(peer, request, kForwardTimeout, [respond](std::optional<Response> r) {
+  peerMembership_.forward(peer, request, kForwardTimeout, [respond](std::optional<Response> r) {
     respond(r ? Response{r->status, r->body, r->status >= 429 ? 1 : 0} : retryLater(503));
   });
 }
@@ -66,14 +66,14 @@
     };
     const Json nobody = {{"leader", nullptr}, {"waits", Json::array()}};
     if (leader_) return tell(leader_->why(JobId{*ref}));
-    const PeerStatus* leader = mesh_.newestLeader(kMeshHeard);
+    const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence);
     if (!leader) return tell(nobody);
-    mesh_.send(leader->member, {"GET", "/mesh/why/" + *ref, ""}, kForwardTimeout,
-               [tell, nobody](const std::optional<Response>& answer) mutable {
-                 auto why =
-                     answer && answer->status == 200 ? decodeBody(answer->body) : std::nullopt;
-                 tell(why ? *why : nobody);
-               });
+    peerMembership_.send(leader->member, {"GET", "/mesh/why/" + *ref, ""}, kForwardTimeout,
+                         [tell, nobody](const std::optional<Response>& answer) mutable {
+                           auto why = answer && answer->status == 200 ? decodeBody(answer->body)
+                                                                      : std::nullopt;
+                           tell(why ? *why : nobody);
+                         });
   };
 }
 
@@ -82,7 +82,7 @@
   // A common outage must not take all nodes out of the balancer; a node that alone lost the
   // state service passes requests on to its peers; one that hears nobody steps out.
   if (serves && !feed_.reachable() && feed_.contactAge() > kStoreSilent) {
-    serves = mesh_.anyHeard(kMeshHeard);
+    serves = peerMembership_.anyReachable(kPeerPresence);
   }
   return jsonResponse(serves ? 200 : 503, Json::object());
 }
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -12,9 +12,9 @@
 
 class Leader {
  public:
-  // `standIn`: whether a controller in that zone may be answering its workers unseen.
-  Leader(const Leadership& leadership, PlanRunner& planner, PolicyCopy& policy,
-         std::function<bool(const ZoneId&)> standIn);
+  // `mayHaveActingLeader`: whether a controller in that zone may be answering its workers unseen.
+  Leader(const LeaderContext& context, PlanRunner& planner, PolicyCopy& policy,
+         std::function<bool(const ZoneId&)> mayHaveActingLeader);
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
@@ -23,20 +23,20 @@
   void onRecordsChanged();
   // Why a job's tasks wait, who leads and since when, in seconds: for operators.
   Json why(const JobId& job);
-  FencingToken token() const { return leadership_.token; }
+  FencingToken token() const { return context_.token; }
   Fleet& fleet() { return fleet_; }
 
  private:
-  void tick();
-  void kick();
+  void onTimer();
+  void scheduleCycle();
   void cycle();
   bool deposed() const;
-  void changed(bool byOthers);
+  void notifyLoops(bool changedByOthers);
   void commit(Commit commit);
   void send(std::shared_ptr<Commit> commit);
 
-  Leadership leadership_;
-  std::function<bool(const ZoneId&)> standIn_;
+  LeaderContext context_;
+  std::function<bool(const ZoneId&)> mayHaveActingLeader_;
   Fleet fleet_;
   Dispatch dispatch_;
   TaskFacts facts_;
@@ -49,12 +49,12 @@
   WindowDuty windows_;
   FlowDuty flows_;
   PolicyDuty policy_;
-  std::vector<Duty*> turns_;  // in the order in which they take turns
+  std::vector<ControlLoop*> loops_;  // in the order in which they take turns
   RateBudget writes_;
-  bool busy_ = false;  // a commit or a held turn is under way
-  bool kicked_ = false;
-  std::size_t turn_ = 0;  // which duty comes first in the next cycle
-  std::int64_t ticks_ = 0;
+  bool stepUnderWay_ = false;  // a commit or a held turn is under way
+  bool cycleScheduled_ = false;
+  std::size_t nextLoop_ = 0;  // which duty comes first in the next cycle
+  std::int64_t timerCount_ = 0;
 };
 
 }  // namespace kestrelhoist
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -51,8 +51,8 @@
     kh::EvHttpClient http(loop, platform.maxConnections / 3);
     kh::ThreadPlanRunner planner([&loop](std::function<void()> f) { loop.post(std::move(f)); });
     std::random_device random;
-    std::string boot = std::to_string(loop.wallMillis()) + "-" + std::to_string(random());
-    kh::Controller controller(loop, http, planner, platform, settings, boot);
+    std::string incarnation = std::to_string(loop.wallMillis()) + "-" + std::to_string(random());
+    kh::Controller controller(loop, http, planner, platform, settings, incarnation);
     kh::Servers servers(loop, http, platform, settings.members, controller);
     kh::logInfo("kestrelhoist starts", "version", KESTRELHOIST_VERSION, "zone", platform.zone,
                 "api", platform.apiAddress, "mesh", platform.meshAddress);
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -28,14 +28,14 @@
 // Where machines would help a job's waiting tasks; empty: anywhere. Of a service that is spread, at
 // most half may be in one zone: three of six replicas waited for ever beside an idle machine in the
 // zone of the three others, which counted as room for them.
-std::set<ZoneId> zonesLeft(const Leadership& o, Fleet& fleet, const JobState& job,
+std::set<ZoneId> zonesLeft(const LeaderContext& context, Fleet& fleet, const JobState& job,
                            const MachineType& type) {
   const JobSpec& spec = *job.record.spec;
   if (spec.zone) return {*spec.zone};
   if (!spec.spread) return {};
   std::map<ZoneId, std::uint32_t> perZone;
   for (const auto& [index, placed] : job.placed) {
-    const auto* record = o.replica.machine(placed.machine);
+    const auto* record = context.replica.machine(placed.machine);
     const Machine* m = fleet.find(placed.machine);
     if (m && m->memory.gone.contains({{spec.id, index}, placed.attempt})) continue;
     if (record) ++perZone[record->zone];
@@ -61,12 +61,12 @@
   return out;
 }
 
-std::map<TypeId, TypeDemand> demandNow(const Leadership& o, Fleet& fleet,
+std::map<TypeId, TypeDemand> demandNow(const LeaderContext& context, Fleet& fleet,
                                        const std::map<JobId, std::uint32_t>& unplaced) {
   std::map<TypeId, TypeDemand> demand;
-  for (const auto& type : o.catalogue->types) demand[type.id];
-  for (const auto& [id, record] : o.replica.machines()) {
-    const MachineType* type = o.catalogue->find(record.type);
+  for (const auto& type : context.catalogue->types) demand[type.id];
+  for (const auto& [id, record] : context.replica.machines()) {
+    const MachineType* type = context.catalogue->find(record.type);
     if (!type) continue;
     auto& d = demand[type->id];
     const Machine* m = fleet.find(id);
@@ -84,15 +84,15 @@
     }
   }
   for (const auto& [id, count] : unplaced) {
-    const auto* job = o.replica.job(id);
+    const auto* job = context.replica.job(id);
     if (!job || !job->active() || !job->record.spec) continue;
     const JobSpec& spec = *job->record.spec;
-    const MachineType* best = cheapest(*o.catalogue, spec.perTask, &spec);
+    const MachineType* best = cheapest(*context.catalogue, spec.perTask, &spec);
     if (!best) continue;
     auto& d = demand[best->id];
     double share = machinesFor(*best, spec.perTask, count);
     (spec.spotAllowed ? d.flexibleWaiting : d.firmWaiting) += share;
-    if (auto zones = zonesLeft(o, fleet, *job, *best); !zones.empty()) {
+    if (auto zones = zonesLeft(context, fleet, *job, *best); !zones.empty()) {
       d.pinnedWaiting[zones] += share;
     }
   }
--- a/src/cloud/demand.hpp
+++ b/src/cloud/demand.hpp
@@ -3,14 +3,14 @@
 
 #include "cloud/renting.hpp"
 #include "fleet/fleet.hpp"
-#include "leadership/leadership.hpp"
+#include "leadership/leader_context.hpp"
 
 namespace kestrelhoist {
 
 inline constexpr Duration kScarceMemory{60000};  // for how long a refused offer is hard to get
 
 // `unplaced`: tasks that found no room, by job.
-std::map<TypeId, TypeDemand> demandNow(const Leadership& leadership, Fleet& fleet,
+std::map<TypeId, TypeDemand> demandNow(const LeaderContext& context, Fleet& fleet,
                                        const std::map<JobId, std::uint32_t>& unplaced);
 
 // Tasks that will ask for room, or leave it, without being on any machine's record yet.
--- a/src/cloud/emptying.cpp
+++ b/src/cloud/emptying.cpp
@@ -11,17 +11,17 @@
 void RentalDuty::emptyMachines(const TypeId& type, std::size_t surplus) {
   constexpr double kMoveShare = 0.02;  // of all replicas, at one turn
   constexpr std::size_t kMoveAtLeast = 4;
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   std::erase_if(fleet_.emptying(), [&](const MachineId& id) { return !fleet_.find(id); });
   EmptyInput in;
   std::map<ZoneId, std::uint32_t> zones;
-  for (const auto& z : leadership_.platform.zones) zones.try_emplace(z, zones.size());
-  const MachineType* known = leadership_.catalogue->find(type);
+  for (const auto& z : context_.platform.zones) zones.try_emplace(z, zones.size());
+  const MachineType* known = context_.catalogue->find(type);
   std::size_t replicas = 0;
-  for (const auto& [id, record] : leadership_.replica.machines()) {
+  for (const auto& [id, record] : context_.replica.machines()) {
     const Machine* m = fleet_.find(id);
     if (record.type != type || record.spot || !m || !fleet_.usable(*m, now)) continue;
-    if (leadership_.inForce && leadership_.inForce->holds(id)) continue;
+    if (context_.effectivePolicy && context_.effectivePolicy->holds(id)) continue;
     EmptyCandidate c{id, type, zones[record.zone], known->capacity, known->capacity, {}, {}};
     for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.held});
     for (const auto& t : record.tasks) {
@@ -31,7 +31,7 @@
       if (spec->kind != JobKind::service) continue;
       ++replicas;
       auto& perZone = in.perZone[spec->id];
-      perZone.resize(leadership_.platform.zones.size() + 1);
+      perZone.resize(context_.platform.zones.size() + 1);
       ++perZone[c.zone];
       auto seen = m->seenRunning.find(t.id);
       c.services.push_back(
--- a/src/cloud/listing_duty.hpp
+++ b/src/cloud/listing_duty.hpp
@@ -6,19 +6,19 @@
 
 namespace kestrelhoist {
 
-class ListingDuty : public Duty {
+class ListingDuty : public ControlLoop {
  public:
-  ListingDuty(Leadership& leadership, Fleet& fleet, Dispatch& dispatch)
-      : leadership_(leadership), fleet_(fleet), dispatch_(dispatch) {}
+  ListingDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch)
+      : context_(context), fleet_(fleet), dispatch_(dispatch) {}
 
-  Turn next() override { return Turn::pass(); }
-  void tick() override;
+  LoopStep next() override { return LoopStep::idle(); }
+  void onTimer() override;
 
  private:
   void readTypes();
   void readList();
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   Dispatch& dispatch_;
   bool asked_ = false;  // the types
--- a/src/cloud/release_duty.cpp
+++ b/src/cloud/release_duty.cpp
@@ -12,19 +12,18 @@
 
 // First the mark that a machine gets no more work; after the cloud's 200, and once its tasks are
 // off the record, the end of its entry. One write for all machines of a rental.
-Turn ReleaseDuty::next() {
+LoopStep ReleaseDuty::next() {
   std::map<RentalId, RentalRecord> drafts;
   std::vector<MachineId> ended;
   std::size_t marked = 0;
   auto draftOf = [&](const RentalId& id) -> RentalRecord* {
-    auto rental = leadership_.replica.rentals().find(id);
-    if (rental == leadership_.replica.rentals().end()) return nullptr;
-    if (!drafts.contains(id) && drafts.size() >= leadership_.platform.transactionOps)
-      return nullptr;
+    auto rental = context_.replica.rentals().find(id);
+    if (rental == context_.replica.rentals().end()) return nullptr;
+    if (!drafts.contains(id) && drafts.size() >= context_.platform.transactionOps) return nullptr;
     return &drafts.try_emplace(id, rental->second).first->second;
   };
   for (const auto& id : releaseConfirmed_) {
-    const auto* state = leadership_.replica.machine(id);
+    const auto* state = context_.replica.machine(id);
     if (!state) {
       ended.push_back(id);
     } else if (state->tasks.empty()) {
@@ -35,7 +34,7 @@
     }
   }
   for (const auto& id : fleet_.toRelease()) {
-    const auto* state = leadership_.replica.machine(id);
+    const auto* state = context_.replica.machine(id);
     if (!state || state->leaving || releaseConfirmed_.contains(id)) continue;
     if (auto* draft = draftOf(state->rental)) {
       for (auto& m : draft->machines) m.leaving = m.leaving || m.id == id;
@@ -47,16 +46,16 @@
   };
   if (drafts.empty()) {
     settle();
-    return Turn::pass();
+    return LoopStep::idle();
   }
-  Transaction t = leadership_.begin();
+  Transaction t = context_.begin();
   for (const auto& [id, draft] : drafts) {
     std::string key = keys::rental(id);
-    t.conditions.push_back({key, leadership_.replica.stampOf(key)});
+    t.conditions.push_back({key, context_.replica.stampOf(key)});
     t.writes.push_back(
         {key, draft.machines.empty() ? std::nullopt : std::optional(toJson(draft)), std::nullopt});
   }
-  return Turn::of(Commit{
+  return LoopStep::committing(Commit{
       std::move(t),
       [this, settle] {
         settle();
@@ -72,28 +71,28 @@
   constexpr std::size_t kMostNames = 100;
   std::vector<MachineId> batch;
   for (const auto& id : fleet_.toRelease()) {
-    const auto* state = leadership_.replica.machine(id);
+    const auto* state = context_.replica.machine(id);
     if (state && state->leaving && batch.size() < kMostNames) batch.push_back(id);
   }
-  if (batch.empty() || !leadership_.cloud.mayAsk()) return;
+  if (batch.empty() || !context_.cloud.mayAsk()) return;
   releasing_.insert(batch.begin(), batch.end());
-  leadership_.cloud.release(batch, leadership_.guard([this, batch](bool ok) {
+  context_.cloud.release(batch, context_.whileLeading([this, batch](bool ok) {
     if (!ok) {
       logInfo("release got no 200, asking again", "machines", batch.size());
-      leadership_.runtime.after(kRetry, leadership_.guard([this] { releasing_.clear(); }));
+      context_.runtime.after(kRetry, context_.whileLeading([this] { releasing_.clear(); }));
       return;
     }
     releasing_.clear();
     for (const auto& id : batch) {
       logInfo("machine released", "machine", id);
-      if (const auto* state = leadership_.replica.machine(id)) {
+      if (const auto* state = context_.replica.machine(id)) {
         for (const auto& t : state->tasks) facts_.noteFact(t, Gone::lost);
       }
       releaseConfirmed_.insert(id);
-      fleet_.onReleased(id, leadership_.runtime.now());
+      fleet_.onReleased(id, context_.runtime.now());
     }
     start();
-    leadership_.kick();
+    context_.scheduleCycle();
   }));
 }
 
--- a/src/cloud/release_duty.hpp
+++ b/src/cloud/release_duty.hpp
@@ -6,18 +6,18 @@
 
 namespace kestrelhoist {
 
-class ReleaseDuty : public Duty {
+class ReleaseDuty : public ControlLoop {
  public:
-  ReleaseDuty(Leadership& leadership, Fleet& fleet, TaskFacts& facts)
-      : leadership_(leadership), fleet_(fleet), facts_(facts) {}
+  ReleaseDuty(LeaderContext& context, Fleet& fleet, TaskFacts& facts)
+      : context_(context), fleet_(fleet), facts_(facts) {}
 
-  Turn next() override;
-  void tick() override { start(); }
+  LoopStep next() override;
+  void onTimer() override { start(); }
 
  private:
   void start();
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   TaskFacts& facts_;
   std::set<MachineId> releasing_;         // asked, no answer yet
--- a/src/cloud/rental_duty.cpp
+++ b/src/cloud/rental_duty.cpp
@@ -12,27 +12,27 @@
 }  // namespace
 
 // A rental is written down before it is asked for, and again with the machines that came of it.
-Turn RentalDuty::next() {
-  const std::size_t limit = leadership_.platform.transactionOps;
-  Transaction t = leadership_.begin();
+LoopStep RentalDuty::next() {
+  const std::size_t limit = context_.platform.transactionOps;
+  Transaction t = context_.begin();
   std::vector<RentalId> ended;
   std::size_t bytes = 1024;
   auto add = [&](const RentalId& id, std::optional<Json> value) {
     std::string key = keys::rental(id);
-    t.conditions.push_back({key, leadership_.replica.stampOf(key)});
+    t.conditions.push_back({key, context_.replica.stampOf(key)});
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
   auto full = [&] { return t.writes.size() >= limit || bytes > kMaxTransactionBytes; };
   for (const auto& [id, result] : results_) {
     if (full()) break;
     ended.push_back(id);
-    auto rental = leadership_.replica.rentals().find(id);
-    if (rental == leadership_.replica.rentals().end()) continue;
+    auto rental = context_.replica.rentals().find(id);
+    if (rental == context_.replica.rentals().end()) continue;
     RentalRecord record = rental->second;
     record.answered = true;
     for (const auto& machine : result.machines) {
       bytes += machine.value.size() + 4;
-      const auto* known = leadership_.replica.machine(machine);
+      const auto* known = context_.replica.machine(machine);
       if ((known && !known->rental.empty()) || fleet_.isReleased(machine)) continue;
       record.machines.push_back({machine, false});
     }
@@ -44,10 +44,10 @@
   constexpr std::size_t kMostAdopted = 50;  // of a kind at a time, for the size of the value
   auto adopt = [&](const MachineId& id, bool leaving) {
     const Machine* m = fleet_.find(id);
-    const auto* known = leadership_.replica.machine(id);
+    const auto* known = context_.replica.machine(id);
     if (!m || m->type.empty() || (known && !known->rental.empty())) return;
     Offer offer{m->type, m->zone, m->spot};
-    for (const auto& [rentalId, r] : leadership_.replica.rentals()) {
+    for (const auto& [rentalId, r] : context_.replica.rentals()) {
       if (!r.answered && Offer{r.type, r.zone, r.spot} == offer) return;
     }
     RentalRecord& record = adopted[offer];
@@ -59,12 +59,12 @@
   for (auto& [offer, record] : adopted) {
     if (full()) break;
     record.id =
-        RentalId{"a-" + std::to_string(leadership_.token.value) + "-" + std::to_string(++count_)};
+        RentalId{"a-" + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
     record.type = offer.type;
     record.zone = offer.zone;
     record.spot = offer.spot;
     record.count = static_cast<std::uint32_t>(record.machines.size());
-    record.atMs = leadership_.runtime.wallMillis();
+    record.atMs = context_.runtime.wallMillis();
     record.answered = true;
     logInfo("machines adopted", "count", record.count, "zone", offer.zone);
     add(record.id, toJson(record));
@@ -73,10 +73,10 @@
   // anew until then, so that few calls carry many machines each.
   constexpr std::uint32_t kMostAtOnce = 50;  // that the cloud rents in one call
   std::size_t underWay = 0, written = 0;
-  for (const auto& [id, r] : leadership_.replica.rentals()) {
+  for (const auto& [id, r] : context_.replica.rentals()) {
     underWay += !r.answered && !results_.contains(id) ? 1 : 0;
   }
-  auto most = static_cast<std::size_t>(std::max(1.0, leadership_.platform.cloudRequestsPerS));
+  auto most = static_cast<std::size_t>(std::max(1.0, context_.platform.cloudRequestsPerS));
   while (!wanted_.empty() && underWay + written < most && !full()) {
     // Work that needs ordinary machines can use no others; then the most that one call brings.
     auto next = std::max_element(wanted_.begin(), wanted_.end(), [](const auto& a, const auto& b) {
@@ -86,9 +86,9 @@
     std::uint32_t n = std::min(next->second, kMostAtOnce);
     const Offer& offer = next->first;
     // Unique for ever: tokens are, and the counter within one.
-    RentalId id{"r-" + std::to_string(leadership_.token.value) + "-" + std::to_string(++count_)};
-    RentalRecord record{
-        id, offer.type, offer.zone, offer.spot, n, leadership_.runtime.wallMillis(), false, {}};
+    RentalId id{"r-" + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
+    RentalRecord record{id,    offer.type, offer.zone, offer.spot, n, context_.runtime.wallMillis(),
+                        false, {}};
     add(id, toJson(record));
     ++written;
     next->second -= n;
@@ -96,38 +96,38 @@
   }
   if (t.writes.empty()) {
     for (const auto& id : ended) results_.erase(id);
-    return Turn::pass();
+    return LoopStep::idle();
   }
-  return Turn::of(Commit{
+  return LoopStep::committing(Commit{
       std::move(t),
       [this, ended] {
         for (const auto& id : ended) {
           results_.erase(id);
           asked_.erase(id);
         }
-        fleet_.adoptRecords(leadership_.runtime.now(), leadership_.runtime.wallMillis());
-        leadership_.replan = true;
+        fleet_.adoptRecords(context_.runtime.now(), context_.runtime.wallMillis());
+        context_.planInvalidated = true;
         startHires();
       },
       std::to_string(written) + " rentals wanted, " + std::to_string(ended.size()) + " ended"});
 }
 
 void RentalDuty::startHires() {
-  for (const auto& [id, rental] : leadership_.replica.rentals()) {
+  for (const auto& [id, rental] : context_.replica.rentals()) {
     if (rental.answered || results_.contains(id) || asked_.contains(id)) continue;
-    if (!leadership_.cloud.mayAsk()) return;
+    if (!context_.cloud.mayAsk()) return;
     asked_.insert(id);
-    leadership_.cloud.hire(rental,
-                           leadership_.guard([this, rental](HireResult r) { onHired(rental, r); }));
+    context_.cloud.hire(
+        rental, context_.whileLeading([this, rental](HireResult r) { onHired(rental, r); }));
   }
 }
 
 void RentalDuty::onHired(const RentalRecord& rental, const HireResult& result) {
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   Offer offer{rental.type, rental.zone, rental.spot};
   if (result.kind == HireResult::Kind::failed) {
     // Trouble or no answer: the same name again, which rents nothing twice.
-    leadership_.runtime.after(kRetry, leadership_.guard([this, id = rental.id] {
+    context_.runtime.after(kRetry, context_.whileLeading([this, id = rental.id] {
       asked_.erase(id);
       startHires();
     }));
@@ -142,18 +142,18 @@
           rental.count, "spot", rental.spot, "type", rental.type, "zone", rental.zone);
   results_[rental.id] = result;
   nextCheck_ = now;
-  leadership_.kick();
+  context_.scheduleCycle();
 }
 
 void RentalDuty::decide(bool turn) {
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   nextCheck_ = now + Duration{1000};
   std::erase_if(refused_, [&](const auto& r) { return now - r.second > kScarceMemory; });
-  auto demand = demandNow(leadership_, fleet_, plans_.unplaced());
+  auto demand = demandNow(context_, fleet_, plans_.unplaced());
   wanted_.clear();
   // Work that finds no room needs the machines that were to be emptied.
   if (!plans_.unplaced().empty()) fleet_.emptying().clear();
-  for (const auto& type : leadership_.catalogue->types) {
+  for (const auto& type : context_.catalogue->types) {
     RentInput in;
     in.type = &type;
     in.demand = demand[type.id];
@@ -165,8 +165,8 @@
     // room is free by then.
     if (upcoming && ending) {
       Duration horizon = type.boot + type.boot / 2;
-      auto more = inMachines(*leadership_.catalogue, upcoming(horizon))[type.id];
-      auto less = inMachines(*leadership_.catalogue, ending(horizon))[type.id];
+      auto more = inMachines(*context_.catalogue, upcoming(horizon))[type.id];
+      auto less = inMachines(*context_.catalogue, ending(horizon))[type.id];
       double firm = in.demand.firmBooked + in.demand.firmWaiting;
       double flexible =
           in.demand.flexibleOnSpot + in.demand.flexibleOnOrdinary + in.demand.flexibleWaiting;
@@ -178,14 +178,14 @@
             std::max(in.demand.flexible.mean, flexible + more.second - less.second);
       }
     }
-    in.spreadMultiple = leadership_.settings.spreadMultiple;
-    in.useSpot = leadership_.settings.useSpot;
+    in.spreadMultiple = context_.settings.spreadMultiple;
+    in.useSpot = context_.settings.useSpot;
     // In a storm nothing is given back or emptied: what competes with repair waits.
-    const bool storm = leadership_.inForce && leadership_.inForce->storm();
+    const bool storm = context_.effectivePolicy && context_.effectivePolicy->storm();
     in.giveBack = turn && !storm;
-    if (leadership_.inForce) {
-      double day = leadership_.inForce->machinesAhead(type.boot * 3 / 2) /
-                   static_cast<double>(leadership_.catalogue->types.size());
+    if (context_.effectivePolicy) {
+      double day = context_.effectivePolicy->machinesAhead(type.boot * 3 / 2) /
+                   static_cast<double>(context_.catalogue->types.size());
       in.demand.firm.mean = std::max(in.demand.firm.mean, in.demand.firmBooked + day);
     }
     for (const auto& [offer, at] : refused_) {
@@ -197,7 +197,7 @@
       in.refused.insert({type.id, zone, false});
       in.refused.insert({type.id, zone, true});
     }
-    for (const auto& [id, rental] : leadership_.replica.rentals()) {
+    for (const auto& [id, rental] : context_.replica.rentals()) {
       if (rental.answered) continue;
       auto result = results_.find(id);
       auto n = result == results_.end()
@@ -206,7 +206,7 @@
       in.ordered[{rental.type, rental.zone, rental.spot}] += n;
     }
     for (auto& [id, m] : fleet_.machines()) {
-      const auto* record = leadership_.replica.machine(id);
+      const auto* record = context_.replica.machine(id);
       if (m.type != type.id || m.releaseWanted || (record && record->leaving) || m.noticeEnds ||
           fleet_.faulty(m)) {
         continue;
@@ -221,7 +221,7 @@
       r.late = !r.up && m.listed == Listed::booting &&
                toSeconds(r.age) > kLateBoot * toSeconds(type.boot);
       r.idle = !record || record->tasks.empty();
-      r.keep = leadership_.inForce && leadership_.inForce->holds(id);
+      r.keep = context_.effectivePolicy && context_.effectivePolicy->holds(id);
       in.machines.push_back(std::move(r));
     }
     RentDecision out = decideRent(in);
@@ -248,9 +248,8 @@
     for (const auto& [offer, n] : in.ordered) have += n;
     for (const auto& rental : out.rentals) {
       std::uint32_t count = rental.count;
-      if (leadership_.settings.maxMachines > 0) {
-        auto left =
-            leadership_.settings.maxMachines > have ? leadership_.settings.maxMachines - have : 0;
+      if (context_.settings.maxMachines > 0) {
+        auto left = context_.settings.maxMachines > have ? context_.settings.maxMachines - have : 0;
         count = static_cast<std::uint32_t>(std::min<std::size_t>(count, left));
       }
       have += count;
@@ -260,7 +259,7 @@
       if (auto* m = fleet_.find(id)) fleet_.wantRelease(*m, "idle above the target");
     }
   }
-  if (!wanted_.empty()) leadership_.kick();
+  if (!wanted_.empty()) context_.scheduleCycle();
 }
 
 Waits RentalDuty::roomReason(const JobSpec& spec) const {
@@ -272,11 +271,11 @@
   for (const auto& [id, m] : fleet_.machines()) {
     coming = coming || (!m.heard() && !m.releaseWanted && mayUse(m.type, m.zone, m.spot));
   }
-  for (const auto& [id, r] : leadership_.replica.rentals()) {
+  for (const auto& [id, r] : context_.replica.rentals()) {
     coming = coming || (!r.answered && mayUse(r.type, r.zone, r.spot));
   }
   if (coming) return Waits::boot;
-  for (const auto& type : leadership_.catalogue->types) {
+  for (const auto& type : context_.catalogue->types) {
     for (const auto& zone : type.zones) {
       for (bool spot : {false, true}) {
         offered =
@@ -288,7 +287,7 @@
 }
 
 void RentalDuty::check() {
-  if (leadership_.runtime.now() >= nextCheck_) decide(false);
+  if (context_.runtime.now() >= nextCheck_) decide(false);
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/rental_duty.hpp
+++ b/src/cloud/rental_duty.hpp
@@ -9,18 +9,18 @@
 
 namespace kestrelhoist {
 
-class RentalDuty : public Duty {
+class RentalDuty : public ControlLoop {
  public:
-  RentalDuty(Leadership& leadership, Fleet& fleet, Dispatch& dispatch, PlanDuty& plans,
+  RentalDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch, PlanDuty& plans,
              DemandForecasts& forecasts)
-      : leadership_(leadership),
+      : context_(context),
         fleet_(fleet),
         dispatch_(dispatch),
         plans_(plans),
         forecasts_(forecasts) {}
 
-  Turn next() override;
-  void tick() override { startHires(); }
+  LoopStep next() override;
+  void onTimer() override { startHires(); }
   // Decides what to rent and, at a window's turn, what to give back.
   void decide(bool turn);
   // The same between turns, once a second.
@@ -37,7 +37,7 @@
   void onHired(const RentalRecord& rental, const HireResult& result);
   void emptyMachines(const TypeId& type, std::size_t surplus);
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   Dispatch& dispatch_;
   PlanDuty& plans_;
--- a/src/cloud/window_duty.cpp
+++ b/src/cloud/window_duty.cpp
@@ -7,38 +7,38 @@
 
 namespace kestrelhoist {
 
-void WindowDuty::tick() {
-  if (!leadership_.settled || !leadership_.catalogue) return;
-  if (leadership_.runtime.now() >= ends_) {
+void WindowDuty::onTimer() {
+  if (!context_.initialRoundOver || !context_.catalogue) return;
+  if (context_.runtime.now() >= ends_) {
     turn();
   } else {
     rentals_.check();
   }
 }
 
-Turn WindowDuty::next() {
-  Transaction t = leadership_.begin();
+LoopStep WindowDuty::next() {
+  Transaction t = context_.begin();
   auto set = [&](const std::string& key, Json value) {
-    t.conditions.push_back({key, leadership_.replica.stampOf(key)});
+    t.conditions.push_back({key, context_.replica.stampOf(key)});
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
-  if (leadership_.catalogue && !leadership_.replica.catalogue())
-    set(keys::kCatalogue, kestrelhoist::toJson(*leadership_.catalogue));
+  if (context_.catalogue && !context_.replica.catalogue())
+    set(keys::kCatalogue, kestrelhoist::toJson(*context_.catalogue));
   if (dirty_) {
-    set(keys::kForecast, fitting(leadership_.platform.valueBytes));
+    set(keys::kForecast, fitting(context_.platform.valueBytes));
     dirty_ = false;
   }
-  if (t.writes.empty()) return Turn::pass();
-  return Turn::of(Commit{std::move(t), nullptr, "types or forecast"});
+  if (t.writes.empty()) return LoopStep::idle();
+  return LoopStep::committing(Commit{std::move(t), nullptr, "types or forecast"});
 }
 
 void WindowDuty::turn() {
-  Instant now = leadership_.runtime.now();
-  auto demand = demandNow(leadership_, fleet_, plans_.unplaced());
-  for (const auto& type : leadership_.catalogue->types) {
+  Instant now = context_.runtime.now();
+  auto demand = demandNow(context_, fleet_, plans_.unplaced());
+  for (const auto& type : context_.catalogue->types) {
     const TypeDemand& d = demand[type.id];
     auto horizon = static_cast<std::size_t>(
-        std::max(1.0, std::ceil(toSeconds(type.boot) / toSeconds(leadership_.settings.window))));
+        std::max(1.0, std::ceil(toSeconds(type.boot) / toSeconds(context_.settings.window))));
     auto [it, isNew] =
         forecasts_.series.try_emplace(type.id, DemandSeries{Forecast(horizon), Forecast(horizon)});
     // DESIGN names it: refused rents leave tasks waiting and push the forecast toward room that
@@ -50,12 +50,12 @@
       });
     };
     bool noOrdinary = allRefused(false);
-    bool noSpot = !leadership_.settings.useSpot || allRefused(true);
+    bool noSpot = !context_.settings.useSpot || allRefused(true);
     it->second.firm.observe(d.firmBooked + (noOrdinary ? 0 : d.firmWaiting));
     it->second.flexible.observe(d.flexibleOnSpot + d.flexibleOnOrdinary +
                                 (noOrdinary && noSpot ? 0 : d.flexibleWaiting));
   }
-  while (ends_ <= now) ends_ = ends_ + leadership_.settings.window;
+  while (ends_ <= now) ends_ = ends_ + context_.settings.window;
   dirty_ = true;
   rentals_.decide(true);
 }
@@ -81,10 +81,10 @@
   // Since when a zone is silent: a leader that never heard its machines can't know how long their
   // tasks can run (day `zone`: cut, then the leader ended; 1,712 tasks were over for 25 s before
   // the next leader gave them up).
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   Json silent = Json::object();
   for (const auto& [zone, at] : fleet_.quietZones(now)) {
-    silent[zone.value] = leadership_.runtime.wallMillis() - (now - at).count();
+    silent[zone.value] = context_.runtime.wallMillis() - (now - at).count();
   }
   // Jobs that fail wherever they go: a new leader need not learn it again at their full width.
   constexpr std::size_t kMostSuspects = 32;
@@ -92,7 +92,7 @@
   for (const auto& [job, rounds] : fleet_.evidence().suspects(kMostSuspects)) {
     suspect[job.value] = rounds;
   }
-  return {{"at", leadership_.runtime.wallMillis()},
+  return {{"at", context_.runtime.wallMillis()},
           {"types", std::move(types)},
           {"silent", std::move(silent)},
           {"suspect", std::move(suspect)}};
@@ -100,17 +100,17 @@
 
 // The windows that an earlier leader left, with the gap since then closed at present demand.
 void WindowDuty::load() {
-  const auto& stored = leadership_.replica.forecast();
-  if (loaded_ || !stored || !leadership_.catalogue) return;
+  const auto& stored = context_.replica.forecast();
+  if (loaded_ || !stored || !context_.catalogue) return;
   loaded_ = true;
   auto at = countField(*stored, "at");
   const Json* types = field(*stored, "types");
   if (!at || !types || !types->is_object()) return;
   auto age = Duration{
-      std::max<std::int64_t>(0, leadership_.runtime.wallMillis() - static_cast<std::int64_t>(*at))};
-  auto missed = static_cast<std::size_t>(age / leadership_.settings.window);
-  auto demand = demandNow(leadership_, fleet_, plans_.unplaced());
-  for (const auto& type : leadership_.catalogue->types) {
+      std::max<std::int64_t>(0, context_.runtime.wallMillis() - static_cast<std::int64_t>(*at))};
+  auto missed = static_cast<std::size_t>(age / context_.settings.window);
+  auto demand = demandNow(context_, fleet_, plans_.unplaced());
+  for (const auto& type : context_.catalogue->types) {
     const Json* entry = field(*types, type.id.value.c_str());
     const Json* firm = entry ? field(*entry, "firm") : nullptr;
     const Json* flexible = entry ? field(*entry, "flexible") : nullptr;
--- a/src/cloud/window_duty.hpp
+++ b/src/cloud/window_duty.hpp
@@ -5,20 +5,16 @@
 
 namespace kestrelhoist {
 
-class WindowDuty : public Duty {
+class WindowDuty : public ControlLoop {
  public:
-  WindowDuty(Leadership& leadership, Fleet& fleet, PlanDuty& plans, RentalDuty& rentals,
+  WindowDuty(LeaderContext& context, Fleet& fleet, PlanDuty& plans, RentalDuty& rentals,
              DemandForecasts& forecasts)
-      : leadership_(leadership),
-        fleet_(fleet),
-        plans_(plans),
-        rentals_(rentals),
-        forecasts_(forecasts) {
-    ends_ = leadership_.since + leadership_.settings.window;
+      : context_(context), fleet_(fleet), plans_(plans), rentals_(rentals), forecasts_(forecasts) {
+    ends_ = context_.electedAt + context_.settings.window;
   }
 
-  Turn next() override;
-  void tick() override;
+  LoopStep next() override;
+  void onTimer() override;
   // Takes over the windows that an earlier leader left.
   void load();
 
@@ -27,7 +23,7 @@
   Json toJson() const;
   Json fitting(std::size_t bytes) const;
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   PlanDuty& plans_;
   RentalDuty& rentals_;
--- a/src/fleet/dispatch.cpp
+++ b/src/fleet/dispatch.cpp
@@ -15,15 +15,16 @@
 // come seldom it asks for them: the round is over when each machine has reported or was asked in
 // vain.
 bool Dispatch::roundOver() const {
-  Duration round = leadership_.platform.reportEvery * 5 / 4 + Duration{500};
-  if (leadership_.runtime.now() - leadership_.since >= round) return true;
+  Duration round = context_.platform.reportEvery * 5 / 4 + Duration{500};
+  if (context_.runtime.now() - context_.electedAt >= round) return true;
   return askedAll_ && toAsk_.empty() && asking_.empty();
 }
 
 // With the first list, which tells the addresses of machines that this leader has not heard.
 void Dispatch::askAll() {
   constexpr Duration kWorthAsking{3000};
-  if (askedAll_ || leadership_.settled || leadership_.platform.reportEvery < kWorthAsking) return;
+  if (askedAll_ || context_.initialRoundOver || context_.platform.reportEvery < kWorthAsking)
+    return;
   askedAll_ = true;
   for (const auto& [id, m] : fleet_.machines()) {
     if (!m.heard() && !m.address.empty() && m.listed == Listed::running) toAsk_.push_back(id);
@@ -39,7 +40,7 @@
         if (m && !m->heard()) self.ask(*m);
       }
       if (self.toAsk_.empty()) return;
-      self.leadership_.runtime.after(kPause, self.leadership_.guard([&self] { go(self); }));
+      self.context_.runtime.after(kPause, self.context_.whileLeading([&self] { go(self); }));
     }
   };
   Step::go(*this);
@@ -47,8 +48,8 @@
 
 // Machines that should have reported by now: dead, or on their way to another node.
 void Dispatch::askOverdue() {
-  Instant now = leadership_.runtime.now();
-  if (!leadership_.settled) return;
+  Instant now = context_.runtime.now();
+  if (!context_.initialRoundOver) return;
   std::vector<Machine*> due;
   for (auto& [id, m] : fleet_.machines()) {
     if (m.address.empty() || asking_.contains(id)) continue;
@@ -68,8 +69,8 @@
   }
   // Where nothing else shows that workers can be reached from here (their reports come through
   // peers), one that is on time is asked along with those that are not.
-  if (asking_.empty() || !leadership_.workersReached ||
-      leadership_.workersReached(now - kAskTimeout))
+  if (asking_.empty() || !context_.workersReachedSince ||
+      context_.workersReachedSince(now - kAskTimeout))
     return;
   for (auto& [id, m] : fleet_.machines()) {
     if (fleet_.onTime(m, now) && !m.address.empty() && !asking_.contains(id)) return ask(m);
@@ -79,50 +80,50 @@
 // A direct command without orders: shows the worker this leader's token and brings its report.
 void Dispatch::ask(Machine& m) {
   if (!asking_.insert(m.id).second) return;
-  m.askedAt = leadership_.runtime.now();
+  m.askedAt = context_.runtime.now();
   WorkerEpoch workerEpoch{1};
   if (m.heard()) {
     workerEpoch = m.memory.last->workerEpoch;
-  } else if (const auto* record = leadership_.replica.machine(m.id)) {
+  } else if (const auto* record = context_.replica.machine(m.id)) {
     for (const auto& t : record->tasks) workerEpoch = std::max(workerEpoch, t.workerEpoch);
   }
-  Request request{"POST", "/commands",
-                  encodeBody(commandsToJson(leadership_.token, workerEpoch, {}))};
-  leadership_.http.send(
-      m.address, std::move(request), kAskTimeout,
-      leadership_.guard([this, id = m.id](const std::optional<Response>& r) {
-        asking_.erase(id);
-        Machine* machine = fleet_.find(id);
-        if (!machine) return;
-        if (fleet_.inSilentZone(*machine)) {
-          bool reached = r && (r->status == 200 || r->status == 409);
-          silentAtOnce_ = reached ? std::min(2 * silentAtOnce_, kAtOnce) : kSilentAtLeast;
-        }
-        auto body =
-            r && (r->status == 200 || r->status == 409) ? decodeBody(r->body) : std::nullopt;
-        auto report = body ? reportFrom(*body) : std::nullopt;
-        if (!report || report->machine != id) {
-          // Silence says nothing of the machine unless the way to it is known to work:
-          // this controller, or the peer it asked through, may be the one that is cut off.
-          if (r && r->status == kNotReached) ++machine->askedInVain;
-          return;
-        }
-        if (!fleet_.take(*report, leadership_.runtime.now())) return;
-        // Only facts are taken from it; orders go with the next report.
-        fleet_.ordersFor(*machine, leadership_.runtime.now(), false);
-        onNews(*machine);
-        leadership_.replan = true;
-        leadership_.kick();
-      }));
+  Request request{"POST", "/commands", encodeBody(commandsToJson(context_.token, workerEpoch, {}))};
+  context_.http.send(m.address, std::move(request), kAskTimeout,
+                     context_.whileLeading([this, id = m.id](const std::optional<Response>& r) {
+                       asking_.erase(id);
+                       Machine* machine = fleet_.find(id);
+                       if (!machine) return;
+                       if (fleet_.inSilentZone(*machine)) {
+                         bool reached = r && (r->status == 200 || r->status == 409);
+                         silentAtOnce_ =
+                             reached ? std::min(2 * silentAtOnce_, kAtOnce) : kSilentAtLeast;
+                       }
+                       auto body = r && (r->status == 200 || r->status == 409) ? decodeBody(r->body)
+                                                                               : std::nullopt;
+                       auto report = body ? reportFrom(*body) : std::nullopt;
+                       if (!report || report->machine != id) {
+                         // Silence says nothing of the machine unless the way to it is known to
+                         // work: this controller, or the peer it asked through, may be the one that
+                         // is cut off.
+                         if (r && r->status == kNotReached) ++machine->askedInVain;
+                         return;
+                       }
+                       if (!fleet_.take(*report, context_.runtime.now())) return;
+                       // Only facts are taken from it; orders go with the next report.
+                       fleet_.ordersFor(*machine, context_.runtime.now(), false);
+                       onNews(*machine);
+                       context_.planInvalidated = true;
+                       context_.scheduleCycle();
+                     }));
 }
 
 // Sends a machine its orders now rather than with its next report.
 void Dispatch::push(const MachineId& id) {
   Machine* m = fleet_.find(id);
   if (!m || !m->heard() || fleet_.isReleased(id)) return;
-  Instant now = leadership_.runtime.now();
-  if (now - m->memory.lastHeard > leadership_.platform.workerLease) return;
-  auto orders = fleet_.ordersFor(*m, now, leadership_.feed.reachable());
+  Instant now = context_.runtime.now();
+  if (now - m->memory.lastHeard > context_.platform.workerLease) return;
+  auto orders = fleet_.ordersFor(*m, now, context_.feed.reachable());
   // A late `clear` could make the worker forget what a late launch then starts again.
   std::erase_if(orders, [](const Order& o) { return o.kind == Order::Kind::clear; });
   if (orders.empty()) return;
@@ -131,10 +132,10 @@
   }
   WorkerEpoch workerEpoch = m->memory.last->workerEpoch;
   Request request{"POST", "/commands",
-                  encodeBody(commandsToJson(leadership_.token, workerEpoch, orders))};
-  leadership_.http.send(
+                  encodeBody(commandsToJson(context_.token, workerEpoch, orders))};
+  context_.http.send(
       m->memory.last->address, std::move(request), kDirectTimeout,
-      leadership_.guard([this, id, orders, workerEpoch](std::optional<Response> r) {
+      context_.whileLeading([this, id, orders, workerEpoch](std::optional<Response> r) {
         Machine* machine = fleet_.find(id);
         if (!machine || !r) return;  // no answer: launches may still arrive
         if (r->status != 200 && r->status != 409 && r->status != 400) return;
@@ -148,11 +149,11 @@
         if (r->status == 400) return;
         auto body = decodeBody(r->body);
         auto report = body ? reportFrom(*body) : std::nullopt;
-        if (!report || report->machine != id || !fleet_.take(*report, leadership_.runtime.now())) {
+        if (!report || report->machine != id || !fleet_.take(*report, context_.runtime.now())) {
           return;
         }
         // Only facts are taken from it; further orders go with the next report.
-        fleet_.ordersFor(*machine, leadership_.runtime.now(), false);
+        fleet_.ordersFor(*machine, context_.runtime.now(), false);
         onNews(*machine);
       }));
 }
--- a/src/fleet/dispatch.hpp
+++ b/src/fleet/dispatch.hpp
@@ -7,13 +7,13 @@
 #include <set>
 
 #include "fleet/fleet.hpp"
-#include "leadership/leadership.hpp"
+#include "leadership/leader_context.hpp"
 
 namespace kestrelhoist {
 
 class Dispatch {
  public:
-  Dispatch(Leadership& leadership, Fleet& fleet) : leadership_(leadership), fleet_(fleet) {}
+  Dispatch(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
   // Sends a machine its orders now rather than with its next report.
   void push(const MachineId& id);
@@ -28,7 +28,7 @@
  private:
   void ask(Machine& m);
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   bool askedAll_ = false;  // in place of waiting for the round
   std::deque<MachineId> toAsk_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -280,7 +280,7 @@
 }
 
 void Fleet::judge(Instant now, const Catalogue* catalogue,
-                  const std::function<bool(const ZoneId&)>& standIn) {
+                  const std::function<bool(const ZoneId&)>& mayHaveActingLeader) {
   catalogue_ = catalogue;
   evidence_.sweep([&](const JobId& id) {
     const auto* job = replica_.job(id);
@@ -387,7 +387,7 @@
     }
     if (silentZones_.contains(m.zone) || reporting == 0 || blind) {
       Duration inside = platform_.workerLease + Duration{1000};
-      if (standIn(m.zone)) inside += renewal_.longest();
+      if (mayHaveActingLeader(m.zone)) inside += renewal_.longest();
       if (blind) inside = 2 * platform_.workerLease + renewal_.longest() + Duration{1000};
       patience = std::max(patience, inside);
     } else if (auto back = zoneSilentAt_.find(m.zone); back != zoneSilentAt_.end()) {
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -104,9 +104,10 @@
   // Whether new work may be placed on it.
   bool usable(const Machine& m, Instant now) const;
   // Machines to give up: dead, failed, never booted, taken, faulty.
-  // `standIn` tells whether a controller in that zone may be answering its workers unseen.
+  // `mayHaveActingLeader` tells whether a controller in that zone may be answering its workers
+  // unseen.
   void judge(Instant now, const Catalogue* catalogue,
-             const std::function<bool(const ZoneId&)>& standIn);
+             const std::function<bool(const ZoneId&)>& mayHaveActingLeader);
   // Whether this controller's own way to the workers is known to work. Where it is not, a silent
   // worker may be on a tour of several nodes that hang.
   void setReached(bool reached) { reached_ = reached; }
--- a/src/flows/draft.hpp
+++ b/src/flows/draft.hpp
@@ -8,9 +8,9 @@
 
 class FlowDuty::Draft {
  public:
-  Draft(const Leadership& leadership, const FlowId& id, const FlowState& flow,
+  Draft(const LeaderContext& context, const FlowId& id, const FlowState& flow,
         const FlowVersion& version, const Digest& graph)
-      : leadership_(&leadership), id_(id), flow_(&flow), version_(&version), graph_(graph) {}
+      : context_(&context), id_(id), flow_(&flow), version_(&version), graph_(graph) {}
 
   void set(const std::string& key, Json value, Revision stamp) {
     bytes_ += value.dump().size() + key.size() + 64;
@@ -47,7 +47,7 @@
              e.perTask.gpus == rule.perTask.gpus && e.perTask.ramGb == rule.perTask.ramGb;
     };
     auto add = [&](std::vector<AccountEntry>& entries) {
-      if (accountBytes(entries) > leadership_->oldValueBytes()) return false;
+      if (accountBytes(entries) > context_->legacyValueBytes()) return false;
       auto it = std::find_if(entries.begin(), entries.end(), same);
       if (it == entries.end()) return false;
       it->use += use;
@@ -59,7 +59,7 @@
     for (const auto& [block, entries] : flow_->accounts) {
       if (accounts_.contains(block) || std::none_of(entries.begin(), entries.end(), same)) continue;
       // One that was filled under a larger limit stays as it is: entries of a rule add up.
-      if (accountBytes(entries) > leadership_->oldValueBytes()) continue;
+      if (accountBytes(entries) > context_->legacyValueBytes()) continue;
       add(accounts_.emplace(block, entries).first->second);
       return;
     }
@@ -71,7 +71,7 @@
                          : known != flow_->accounts.end() ? accountBytes(known->second)
                                                           : 0;
     // Numbers grow: a value is filled to a half only.
-    if (filled + rule.name.size() + 128 > leadership_->platform.valueBytes / 2) {
+    if (filled + rule.name.size() + 128 > context_->platform.valueBytes / 2) {
       ++last;
     } else if (known != flow_->accounts.end()) {
       accounts_.try_emplace(last, known->second);
@@ -82,12 +82,12 @@
   // Over: the head says so, and the flow leaves its member's list, which frees its outputs' names.
   void endFlow(const FlowHead& head) {
     head_ = head;
-    std::vector<FlowId> open = leadership_->replica.flows().openOf(head.team, head.member);
+    std::vector<FlowId> open = context_->replica.flows().openOf(head.team, head.member);
     std::erase(open, id_);
     Json ids = Json::array();
     for (const auto& f : open) ids.push_back(f.value);
     std::string key = keys::openFlows(head.team, head.member);
-    Revision stamp = leadership_->replica.stampOf(key);
+    Revision stamp = context_->replica.stampOf(key);
     if (open.empty()) {
       drop(key, stamp);
     } else {
@@ -105,24 +105,24 @@
   bool fits() const {
     std::size_t bytes = bytes_ + 1024;
     for (const auto& [number, letters] : pages_) {
-      std::size_t size = packPage(letters, leadership_->newForms()).size();
-      if (size + 64 > leadership_->oldValueBytes()) return false;
+      std::size_t size = packPage(letters, context_->mayWriteFormat2()).size();
+      if (size + 64 > context_->legacyValueBytes()) return false;
       bytes += size + 128;
     }
     for (const auto& [block, entries] : accounts_) bytes += accountBytes(entries) + 128;
-    return changes() <= leadership_->platform.transactionOps && bytes <= kMaxTransactionBytes;
+    return changes() <= context_->platform.transactionOps && bytes <= kMaxTransactionBytes;
   }
 
   Transaction finish() {
     for (const auto& [number, letters] : pages_) {
       std::string key = keys::page(id_, graph_, number);
-      set(key, packPage(letters, leadership_->newForms()), leadership_->replica.stampOf(key));
+      set(key, packPage(letters, context_->mayWriteFormat2()), context_->replica.stampOf(key));
     }
     for (const auto& [block, entries] : accounts_) {
       Json list = Json::array();
       for (const auto& e : entries) list.push_back(toJson(e));
       std::string key = keys::account(id_, block);
-      set(key, std::move(list), leadership_->replica.stampOf(key));
+      set(key, std::move(list), context_->replica.stampOf(key));
     }
     std::string head = keys::flow(id_);
     if (head_) {
@@ -130,7 +130,7 @@
     } else {
       conditions_.push_back({head, flow_->stamp});
     }
-    Transaction t = leadership_->begin();
+    Transaction t = context_->begin();
     t.conditions.insert(t.conditions.end(), conditions_.begin(), conditions_.end());
     t.writes = std::move(writes_);
     return t;
@@ -143,7 +143,7 @@
     return n;
   }
 
-  const Leadership* leadership_;
+  const LeaderContext* context_;
   FlowId id_;
   const FlowState* flow_;
   const FlowVersion* version_;
--- a/src/flows/duty.cpp
+++ b/src/flows/duty.cpp
@@ -76,9 +76,9 @@
     }
     return true;
   });
-  if (open.pending.empty() && open.endedAt == Instant{}) open.endedAt = leadership_.runtime.now();
+  if (open.pending.empty() && open.endedAt == Instant{}) open.endedAt = context_.runtime.now();
   if (run.progress.ready() > 0 && run.readySince == Instant{})
-    run.readySince = leadership_.runtime.now();
+    run.readySince = context_.runtime.now();
 }
 
 // From the records alone.
@@ -91,7 +91,7 @@
   run.progress = Progress(g, flow.head->keepGoing);
   std::unordered_map<std::uint64_t, Instance> byPrint;
   bool others = std::any_of(flow.jobs.begin(), flow.jobs.end(), [&](const JobId& id) {
-    const auto* job = leadership_.replica.job(id);
+    const auto* job = context_.replica.job(id);
     return job && job->record.flow->graph != graph;
   });
   if (others) {
@@ -100,7 +100,7 @@
   }
   std::vector<bool> covered(g.size());
   for (const auto& id : flow.jobs) {
-    const auto* job = leadership_.replica.job(id);
+    const auto* job = context_.replica.job(id);
     if (!job) continue;
     bool same = job->record.flow->graph == graph;
     OpenJob open = adopt(flow, *job, *version, same ? nullptr : &byPrint);
@@ -119,7 +119,7 @@
                                             : Progress::State::waiting);
   }
   for (const auto& [id, open] : run.jobs) {
-    const auto* job = leadership_.replica.job(id);
+    const auto* job = context_.replica.job(id);
     const FlowVersion* own = flow.version(job->record.flow->graph);
     if (!own) continue;
     std::uint32_t task = 0;
@@ -131,17 +131,17 @@
     }
   }
   run.progress.settle();
-  for (auto& [id, open] : run.jobs) settle(flow, run, *leadership_.replica.job(id), open);
-  if (run.progress.ready() > 0) run.readySince = leadership_.runtime.now();
+  for (auto& [id, open] : run.jobs) settle(flow, run, *context_.replica.job(id), open);
+  if (run.progress.ready() > 0) run.readySince = context_.runtime.now();
   return run;
 }
 
 void FlowDuty::observe(const FlowId& id, const JobId& jobId) {
   auto it = runs_.find(id);
-  const FlowState* flow = leadership_.replica.flows().find(id);
+  const FlowState* flow = context_.replica.flows().find(id);
   if (it == runs_.end() || !flow || !flow->head) return;
   Run& run = it->second;
-  const auto* job = leadership_.replica.job(jobId);
+  const auto* job = context_.replica.job(jobId);
   if (!job) {
     run.jobs.erase(jobId);
     return;
@@ -155,13 +155,13 @@
     for (Instance i : open->second.instances) {
       if (i != kNone && run.progress.state(i) == Progress::State::waiting) run.progress.assign(i);
     }
-    run.readySince = run.progress.ready() > 0 ? leadership_.runtime.now() : Instant{};
+    run.readySince = run.progress.ready() > 0 ? context_.runtime.now() : Instant{};
   }
   settle(*flow, run, *job, open->second);
 }
 
-void FlowDuty::changed(bool) {
-  auto& copy = leadership_.replica.flows();
+void FlowDuty::onRecordsChanged(bool) {
+  auto& copy = context_.replica.flows();
   for (const auto& [flow, job] : copy.takeTouched()) observe(flow, job);
   std::erase_if(runs_, [&](const auto& r) {
     const FlowState* flow = copy.find(r.first);
@@ -171,27 +171,27 @@
   });
 }
 
-Turn FlowDuty::next() {
-  const auto& live = leadership_.replica.flows().live();
+LoopStep FlowDuty::next() {
+  const auto& live = context_.replica.flows().live();
   // Flows take turns.
   auto at = live.upper_bound(last_);
   for (std::size_t n = 0; n < live.size(); ++n) {
     if (at == live.end()) at = live.begin();
     const FlowId id = *at++;
-    if (auto commit = nextOf(id, *leadership_.replica.flows().find(id))) {
+    if (auto commit = nextOf(id, *context_.replica.flows().find(id))) {
       last_ = id;
-      return Turn::of(std::move(commit));
+      return LoopStep::committing(std::move(commit));
     }
   }
-  return Turn::of(dropOrphans());
+  return LoopStep::committing(dropOrphans());
 }
 
 // Parts of tasks' stretches go after their job, whose end would not fit one transaction with them.
 // Names of jobs are never given twice.
 std::optional<Commit> FlowDuty::dropOrphans() const {
-  Transaction t = leadership_.begin();
-  for (const auto& [key, stamp] : leadership_.replica.orphanParts()) {
-    if (t.writes.size() == leadership_.platform.transactionOps) break;
+  Transaction t = context_.begin();
+  for (const auto& [key, stamp] : context_.replica.orphanParts()) {
+    if (t.writes.size() == context_.platform.transactionOps) break;
     t.conditions.push_back({key, stamp});
     t.writes.push_back({key, std::nullopt, std::nullopt});
   }
@@ -229,7 +229,7 @@
   Use use = job.flow->use();
   for (const auto& [stretch, s] : job.flow->stretches) {
     std::string key = keys::tasks(id, stretch);
-    Revision stamp = leadership_.replica.stampOf(key);
+    Revision stamp = context_.replica.stampOf(key);
     if (stamp != Revision{}) draft.drop(key, stamp);
   }
   draft.drop(keys::job(id), job.stamp);
@@ -265,8 +265,7 @@
   }
   auto spec = std::make_shared<JobSpec>();
   // Never given twice: tokens are, and the counter within one. Users' ids begin otherwise.
-  spec->id =
-      JobId{"f-" + std::to_string(leadership_.token.value) + "-" + std::to_string(++jobCount_)};
+  spec->id = JobId{"f-" + std::to_string(context_.token.value) + "-" + std::to_string(++jobCount_)};
   spec->jobClass = flow.head->jobClass;
   spec->team = TeamId{flow.head->team};
   spec->kind = JobKind::array;
@@ -279,7 +278,7 @@
   spec->estimate = r.estimate;
   spec->checkpointEvery = r.checkpointEvery;
   spec->saveTime = r.saveTime;
-  JobRecord record{spec, JobPhase::active, leadership_.runtime.wallMillis(), stretchTasks(),
+  JobRecord record{spec, JobPhase::active, context_.runtime.wallMillis(), stretchTasks(),
                    std::make_shared<const FlowPart>(std::move(part))};
   draft.set(keys::job(spec->id), toJson(record), Revision{});
 }
@@ -287,12 +286,12 @@
 // The step that records ended instances and creates the jobs that become ready: one transaction
 // on the stamps of the head, the pages and the jobs, under the leader's token.
 std::optional<Commit> FlowDuty::advance(const FlowId& id, const FlowState& flow, Run& run) {
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   const FlowVersion& version = *flow.version(run.graph);
   std::size_t queued = 0, running = 0, ended = 0;
   Instant endedSince{};
   for (const auto& [jobId, open] : run.jobs) {
-    const auto* job = leadership_.replica.job(jobId);
+    const auto* job = context_.replica.job(jobId);
     queued += job->waiting();
     running += job->placed.size();
     if (!open.pending.empty() || !endable(*job)) continue;
@@ -310,12 +309,12 @@
   bool over = run.progress.over();
   if (!release && !over && (ended == 0 || now - endedSince < kEndedPatience)) return std::nullopt;
 
-  Draft draft(leadership_, id, flow, version, run.graph);
+  Draft draft(context_, id, flow, version, run.graph);
   // What is still to be written of a version whose record is taken from the head's stamp: an
   // amendment or a cancellation that was committed meanwhile makes this fail.
   std::size_t endedNow = 0, createdNow = 0, instances = 0;
   for (auto& [jobId, open] : run.jobs) {
-    const auto* job = leadership_.replica.job(jobId);
+    const auto* job = context_.replica.job(jobId);
     if (!open.pending.empty() || !endable(*job)) continue;
     Draft before = draft;
     endJob(draft, flow, jobId, *job, &open, &run);
@@ -391,12 +390,12 @@
 std::vector<RoomAhead> FlowDuty::upcoming(Duration horizon) const {
   std::vector<RoomAhead> out;
   for (const auto& [id, run] : runs_) {
-    const FlowState* flow = leadership_.replica.flows().find(id);
+    const FlowState* flow = context_.replica.flows().find(id);
     const FlowVersion* version = flow ? flow->version(run.graph) : nullptr;
     if (!version) continue;
     std::vector<Instance> soon;
     for (const auto& [jobId, open] : run.jobs) {
-      const auto* job = leadership_.replica.job(jobId);
+      const auto* job = context_.replica.job(jobId);
       if (!job || !job->record.spec || job->record.spec->estimate > horizon) continue;
       for (auto task : open.pending) {
         if (open.instances[task] != kNone && job->placed.contains(task) &&
@@ -418,7 +417,7 @@
   std::vector<RoomAhead> out;
   for (const auto& [id, run] : runs_) {
     for (const auto& [jobId, open] : run.jobs) {
-      const auto* job = leadership_.replica.job(jobId);
+      const auto* job = context_.replica.job(jobId);
       if (!job || !job->record.spec || job->record.spec->estimate > horizon) continue;
       out.push_back({job->record.spec->perTask, static_cast<std::uint32_t>(job->placed.size()),
                      job->record.spec->spotAllowed});
--- a/src/flows/duty.hpp
+++ b/src/flows/duty.hpp
@@ -5,18 +5,18 @@
 
 #include "cloud/demand.hpp"
 #include "flows/progress.hpp"
-#include "leadership/leadership.hpp"
+#include "leadership/leader_context.hpp"
 #include "placement/task_duty.hpp"
 
 namespace kestrelhoist {
 
-class FlowDuty : public Duty {
+class FlowDuty : public ControlLoop {
  public:
-  FlowDuty(Leadership& leadership, TaskFacts& facts, TaskDuty& tasks)
-      : leadership_(leadership), facts_(facts), tasks_(tasks) {}
+  FlowDuty(LeaderContext& context, TaskFacts& facts, TaskDuty& tasks)
+      : context_(context), facts_(facts), tasks_(tasks) {}
 
-  Turn next() override;
-  void changed(bool byOthers) override;
+  LoopStep next() override;
+  void onRecordsChanged(bool byOthers) override;
 
   // What becomes ready when tasks end that are expected to end within `horizon`, and how many
   // tasks that is. DESIGN: waiting downstream jobs of a running upstream job add their room.
@@ -60,11 +60,11 @@
   bool endable(const JobState& job) const;
   // Of one job: its record, its tasks' and an account change with them.
   std::size_t mostPages() const {
-    return leadership_.platform.transactionOps > 4 ? leadership_.platform.transactionOps - 4 : 1;
+    return context_.platform.transactionOps > 4 ? context_.platform.transactionOps - 4 : 1;
   }
-  std::uint32_t stretchTasks() const { return stretchFor(leadership_.platform.valueBytes); }
+  std::uint32_t stretchTasks() const { return stretchFor(context_.platform.valueBytes); }
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   TaskFacts& facts_;
   TaskDuty& tasks_;
   std::map<FlowId, Run> runs_;
--- a/src/flows/duty_versions.cpp
+++ b/src/flows/duty_versions.cpp
@@ -29,11 +29,11 @@
     if (auto it = byPrint.find(source.graph.print(i)); it != byPrint.end())
       letters[it->second] = 'd';
   }
-  Draft draft(leadership_, id, flow, *target, flow.head->graph);
+  Draft draft(context_, id, flow, *target, flow.head->graph);
   std::size_t dropped = 0, jobs = 0;
   bool full = false;
   for (const auto& [jobId, open] : old->jobs) {
-    const auto* job = leadership_.replica.job(jobId);
+    const auto* job = context_.replica.job(jobId);
     std::vector<std::uint32_t> unwanted;
     for (std::uint32_t task = 0; task < open.instances.size(); ++task) {
       Instance i = open.instances[task];
@@ -87,7 +87,7 @@
   }
   FlowHead head = *flow.head;
   head.from = Digest{};
-  Transaction t = leadership_.begin();
+  Transaction t = context_.begin();
   t.conditions.push_back({keys::flow(id), flow.stamp});
   t.writes.push_back({keys::flow(id), toJson(head), std::nullopt});
   logInfo("flow changed", "flow", id, "version", head.version);
@@ -97,10 +97,10 @@
 // A flow that was cancelled: its jobs are, then they leave the record.
 std::optional<Commit> FlowDuty::wind(const FlowId& id, const FlowState& flow) {
   const FlowVersion* version = flow.version(flow.head->graph);
-  Draft draft(leadership_, id, flow, version ? *version : kNoVersion, flow.head->graph);
+  Draft draft(context_, id, flow, version ? *version : kNoVersion, flow.head->graph);
   std::size_t cancelled = 0, ended = 0;
   for (const auto& jobId : flow.jobs) {
-    const auto* job = leadership_.replica.job(jobId);
+    const auto* job = context_.replica.job(jobId);
     if (!job) continue;
     Draft before = draft;
     if (job->active()) {
@@ -134,18 +134,18 @@
 // parts: its stamp moves, so that a late write of a part fails. It is also the last to go.
 std::optional<Commit> FlowDuty::remove(const FlowId& id, const FlowState& flow) {
   bool over = flow.head && flow.head->phase != FlowPhase::open;
-  std::int64_t wall = leadership_.runtime.wallMillis();
+  std::int64_t wall = context_.runtime.wallMillis();
   for (const auto& [digest, version] : flow.versions) {
     if (!version.upload) continue;  // a part that outran its upload's record in the feed
     if (flow.head && !over && (digest == flow.head->graph || digest == flow.head->from)) continue;
     bool used = std::any_of(flow.jobs.begin(), flow.jobs.end(), [&](const JobId& job) {
-      const auto* state = leadership_.replica.job(job);
+      const auto* state = context_.replica.job(job);
       return state && state->record.flow->graph == digest;
     });
     if (used) continue;
     if (!over && !version.upload->closing && wall - version.upload->atMs < kAbandonedMs) continue;
     std::string key = keys::upload(id, digest);
-    Transaction t = leadership_.begin();
+    Transaction t = context_.begin();
     t.conditions.push_back({key, version.stamp});
     if (!version.upload->closing) {
       FlowUpload closing = *version.upload;
@@ -157,7 +157,7 @@
     std::uint32_t pages = version.upload->instances / kPageSize + 1;
     std::uint32_t total = version.upload->texts + pages + version.upload->parts;
     std::uint32_t next = at;
-    for (; next < total && t.writes.size() < leadership_.platform.transactionOps; ++next) {
+    for (; next < total && t.writes.size() < context_.platform.transactionOps; ++next) {
       std::uint32_t n = next;
       std::string name;
       if (n < version.upload->texts) {
@@ -170,7 +170,7 @@
       }
       t.writes.push_back({std::move(name), std::nullopt, std::nullopt});
     }
-    bool last = next == total && t.writes.size() < leadership_.platform.transactionOps;
+    bool last = next == total && t.writes.size() < context_.platform.transactionOps;
     if (last) t.writes.push_back({key, std::nullopt, std::nullopt});
     return Commit{std::move(t),
                   [this, id, digest, next, last] {
--- a/src/leadership/witnesses.hpp
+++ b/src/leadership/cancellation_barrier.hpp
@@ -17,19 +17,20 @@
 // records are as of the earliest `a`, in the sense of LeaseRenewal ("told at t <= r is in the
 // records"), whatever the state service says meanwhile. A peer that ended, is cut off or has
 // something newer is no witness any more: `a` stays, and gets old.
-class Witnesses {
+class CancellationBarrier {
  public:
-  explicit Witnesses(const std::vector<Peer>& peers) : peers_(peers) {}
+  explicit CancellationBarrier(const std::vector<Peer>& peers) : peers_(peers) {}
 
   // `newest`: empty where the peer's records are not whole. `cursor`: up to which all is here.
-  void heard(const MemberId& peer, Instant asked, std::optional<Revision> newest, Revision cursor) {
+  void onPeerStatus(const MemberId& peer, Instant asked, std::optional<Revision> newest,
+                    Revision cursor) {
     if (!newest || *newest > cursor) return;
     auto& at = askedAt_.try_emplace(peer, asked).first->second;
     at = std::max(at, asked);
   }
 
   // Empty: not all peers have been heard yet.
-  std::optional<Instant> recordsAsOf() const {
+  std::optional<Instant> snapshotTime() const {
     std::optional<Instant> earliest;
     for (const auto& peer : peers_) {
       auto it = askedAt_.find(peer.member);
--- a/src/leadership/witnesses_test.cpp
+++ b/src/leadership/cancellation_barrier_test.cpp
@@ -1,4 +1,4 @@
-#include "leadership/witnesses.hpp"
+#include "leadership/cancellation_barrier.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,35 +9,35 @@
 
 struct Told : testing::Test {
   std::vector<Peer> peers{{MemberId{"b"}, ZoneId{"b"}, "b:1"}, {MemberId{"c"}, ZoneId{"c"}, "c:1"}};
-  Witnesses witnesses{peers};
+  CancellationBarrier witnesses{peers};
   void hear(const char* peer, std::int64_t asked, std::optional<Revision> newest) {
-    witnesses.heard(MemberId{peer}, Instant{asked}, newest, Revision{100});
+    witnesses.onPeerStatus(MemberId{peer}, Instant{asked}, newest, Revision{100});
   }
 };
 
 TEST_F(Told, IsTheEarliestQuestionOfAllPeers) {
   hear("b", 5000, Revision{100});
-  EXPECT_FALSE(witnesses.recordsAsOf());  // c may have told anything
+  EXPECT_FALSE(witnesses.snapshotTime());  // c may have told anything
   hear("c", 4000, Revision{7});
-  EXPECT_EQ(witnesses.recordsAsOf(), Instant{4000});
+  EXPECT_EQ(witnesses.snapshotTime(), Instant{4000});
   hear("c", 6000, Revision{7});
-  EXPECT_EQ(witnesses.recordsAsOf(), Instant{5000});
+  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
   hear("b", 3000, Revision{100});  // an answer that was long under way takes nothing back
-  EXPECT_EQ(witnesses.recordsAsOf(), Instant{5000});
+  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
 }
 
 TEST_F(Told, APeerWithSomethingNewerIsNoWitness) {
   hear("b", 9000, Revision{100});
   hear("c", 5000, Revision{100});
   hear("c", 9000, Revision{101});  // cancelled there, and not known here
-  EXPECT_EQ(witnesses.recordsAsOf(), Instant{5000});
+  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
 }
 
 TEST_F(Told, APeerThatHasNotReadAllIsNoWitness) {
   hear("b", 9000, Revision{100});
   hear("c", 5000, Revision{100});
   hear("c", 9000, std::nullopt);  // has just started: what its earlier life told is not known
-  EXPECT_EQ(witnesses.recordsAsOf(), Instant{5000});
+  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
 }
 
 TEST(ReplicaCancellations, NewestIsOfWhatIsCancelledOnly) {
--- a/src/leadership/duty.hpp
+++ b/src/leadership/control_loop.hpp
@@ -15,29 +15,29 @@
 // least one key that it conditions on.
 struct Commit {
   Transaction transaction;
-  std::function<void()> applied;  // after the copy has taken it in; may be null
-  std::string what;               // for the log
+  std::function<void()> onApplied;  // after the copy has taken it in; may be null
+  std::string what;                 // for the log
 };
 
 // What a duty does with its turn: nothing, a commit, or something that keeps the turn until
 // Leadership::done is called.
-struct Turn {
+struct LoopStep {
   std::optional<Commit> commit;
-  bool holds = false;
-  static Turn pass() { return {}; }
-  static Turn hold() { return {std::nullopt, true}; }
-  static Turn of(std::optional<Commit> c) { return {std::move(c), false}; }
+  bool isAsynchronous = false;
+  static LoopStep idle() { return {}; }
+  static LoopStep asynchronous() { return {std::nullopt, true}; }
+  static LoopStep committing(std::optional<Commit> c) { return {std::move(c), false}; }
 };
 
-class Duty {
+class ControlLoop {
  public:
-  virtual ~Duty() = default;
+  virtual ~ControlLoop() = default;
   // Asked in turn, never while a commit or a held turn is under way.
-  virtual Turn next() = 0;
+  virtual LoopStep next() = 0;
   // The records changed: by a commit of this leadership, or (`byOthers`) as read from the feed.
-  virtual void changed(bool byOthers) { (void)byOthers; }
+  virtual void onRecordsChanged(bool byOthers) { (void)byOthers; }
   // Four times a second.
-  virtual void tick() {}
+  virtual void onTimer() {}
 };
 
 }  // namespace kestrelhoist
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -5,21 +5,21 @@
 namespace kestrelhoist {
 
 LeaderRecord Election::record() const {
-  return {settings_.self, settings_.boot + "." + std::to_string(claims_)};
+  return {settings_.self, settings_.incarnation + "." + std::to_string(claims_)};
 }
 
 bool Election::isMine(const std::optional<LeaderRecord>& leader) const {
-  return leader && leader->member == settings_.self && leader->boot == record().boot;
+  return leader && leader->member == settings_.self && leader->incarnation == record().incarnation;
 }
 
-Election::Step Election::tick(Instant now, const View& view) {
+Election::Step Election::nextStep(Instant now, const View& view) {
   switch (role_) {
     case Role::granting:
     case Role::claiming:
       return Step::none;
     case Role::leader:
       // The key went (the lease ended) or another has it: every write of ours fails by now.
-      if (view.fresh && (!isMine(view.leader) || view.stamp != token_)) {
+      if (view.fresh && (!isMine(view.leader) || view.token != token_)) {
         stepDown(now);
         return Step::none;
       }
@@ -36,15 +36,15 @@
   if (claims_ > 0 && lease_ && isMine(view.leader)) {
     // A claim whose answer was lost has got through.
     role_ = Role::leader;
-    token_ = view.stamp;
+    token_ = view.token;
     renewing_ = false;
     lastRenew_ = Instant{};
     return Step::none;
   }
-  if (now < notBefore_) return Step::none;
+  if (now < candidateFrom_) return Step::none;
   // A key with our own name is from an earlier life of this member: taken over on its stamp.
   if (view.leader && view.leader->member != settings_.self) return Step::none;
-  claimStamp_ = view.leader ? view.stamp : FencingToken{};
+  expectedToken_ = view.leader ? view.token : FencingToken{};
   role_ = Role::granting;
   return Step::grant;
 }
@@ -66,9 +66,9 @@
     return;
   }
   role_ = Role::follower;
-  // Without an answer the claim may have got through: tick() recognizes it by record().
+  // Without an answer the claim may have got through: nextStep() recognizes it by record().
   if (result.outcome != Outcome::unknown) lease_.reset();
-  notBefore_ = std::max(notBefore_, now + Duration{200});
+  candidateFrom_ = std::max(candidateFrom_, now + Duration{200});
 }
 
 void Election::onRenewed(LeaseOutcome outcome) {
@@ -83,7 +83,7 @@
   role_ = Role::follower;
   lease_.reset();
   renewing_ = false;
-  holdBack(until);
+  backOff(until);
 }
 
 }  // namespace kestrelhoist
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -15,15 +15,15 @@
  public:
   struct Settings {
     MemberId self;
-    std::string boot;     // unique for each life of the process
-    Duration life{3000};  // of the lease
+    std::string incarnation;  // unique for each life of the process
+    Duration life{3000};      // of the lease
     Duration renewEvery{750};
   };
   // What the newest read says of the leader key.
   struct View {
     bool fresh{};  // read a moment ago
     std::optional<LeaderRecord> leader;
-    FencingToken stamp;
+    FencingToken token;
   };
   enum class Step { none, grant, claim, renew };
   enum class Role { follower, granting, claiming, leader };
@@ -31,21 +31,21 @@
   explicit Election(Settings settings) : settings_(std::move(settings)) {}
 
   // What to do now. For `claim`, write record() with claimLease() on the condition of
-  // claimStamp(); for `renew`, renew lease().
-  Step tick(Instant now, const View& view);
+  // expectedToken(); for `renew`, renew lease().
+  Step nextStep(Instant now, const View& view);
   void onGranted(std::optional<LeaseId> lease);
   void onClaimed(Instant now, const CommitResult& result);
   void onRenewed(LeaseOutcome outcome);
   // Gives up leading, and does not stand again before `until`.
   void stepDown(Instant until);
   // Not a candidate before `until`.
-  void holdBack(Instant until) { notBefore_ = std::max(notBefore_, until); }
+  void backOff(Instant until) { candidateFrom_ = std::max(candidateFrom_, until); }
 
   Role role() const { return role_; }
   bool leads() const { return role_ == Role::leader; }
   FencingToken token() const { return token_; }
   std::optional<LeaseId> lease() const { return lease_; }
-  FencingToken claimStamp() const { return claimStamp_; }
+  FencingToken expectedToken() const { return expectedToken_; }
   LeaderRecord record() const;
   bool isMine(const std::optional<LeaderRecord>& leader) const;
 
@@ -53,11 +53,11 @@
   Settings settings_;
   Role role_ = Role::follower;
   FencingToken token_;
-  FencingToken claimStamp_;
+  FencingToken expectedToken_;
   std::optional<LeaseId> lease_;
   bool renewing_ = false;
   Instant lastRenew_{};
-  Instant notBefore_{};
+  Instant candidateFrom_{};
   std::uint64_t claims_ = 0;
 };
 
--- a/src/leadership/leadership.hpp
+++ b/src/leadership/leader_context.hpp
@@ -8,14 +8,14 @@
 #include "config/operator.hpp"
 #include "config/platform.hpp"
 #include "jobs/in_force.hpp"
-#include "leadership/duty.hpp"
+#include "leadership/control_loop.hpp"
 #include "store/feed.hpp"
 
 namespace kestrelhoist {
 
 class CloudClient;
 
-struct Leadership {
+struct LeaderContext {
   Runtime& runtime;
   StoreClient& store;
   Feed& feed;
@@ -26,25 +26,26 @@
   const OperatorSettings& settings;
 
   FencingToken token;
-  Instant since{};
-  bool settled = false;                  // one report round has passed
-  std::optional<Catalogue> catalogue{};  // machine types, once known
-  Revision highest{};                    // newest revision known: of the feed or of own commits
-  bool replan = true;                    // what a plan would be made from has changed
-  std::function<void()> kick{};          // a duty may have something to do
+  Instant electedAt{};
+  bool initialRoundOver = false;          // one report round has passed
+  std::optional<Catalogue> catalogue{};   // machine types, once known
+  Revision latestRevision{};              // newest revision known: of the feed or of own commits
+  bool planInvalidated = true;            // what a plan would be made from has changed
+  std::function<void()> scheduleCycle{};  // a duty may have something to do
   // Whether workers were reached by something sent at this time or later. Null: always.
-  std::function<bool(Instant)> workersReached{};
+  std::function<bool(Instant)> workersReachedSince{};
   // What the policy says of work now; without one nothing.
-  const InForce* inForce = nullptr;
+  const InForce* effectivePolicy = nullptr;
   // Whether each controller reads this format of records. Null: not known.
-  std::function<bool(unsigned)> allRead{};
+  std::function<bool(unsigned)> allMembersRead{};
   // Milliseconds since 1970, as the controllers agree on it.
   std::function<std::int64_t()> timeOfDay{};
-  std::function<void(std::optional<Commit>)> done{};  // ends a held turn, with a commit or without
+  std::function<void(std::optional<Commit>)>
+      finishStep{};  // ends a held turn, with a commit or without
 
   // Ignores callbacks that outlive this leadership.
   template <class F>
-  auto guard(F f) const {
+  auto whileLeading(F f) const {
     return [weak = std::weak_ptr<int>(alive), f = std::move(f)](auto&&... args) mutable {
       if (!weak.expired()) f(std::forward<decltype(args)>(args)...);
     };
@@ -58,11 +59,12 @@
   }
 
   // The form of records for smaller limits may be written.
-  bool newForms() const { return allRead && allRead(2); }
+  bool mayWriteFormat2() const { return allMembersRead && allMembersRead(2); }
   // Of a value that an older version may have made larger than the smaller limit: until the new
   // form may be written, the old one is, which the present limit still takes.
-  std::size_t oldValueBytes() const {
-    return newForms() ? platform.valueBytes : std::max(platform.valueBytes, platform.valueBytesNow);
+  std::size_t legacyValueBytes() const {
+    return mayWriteFormat2() ? platform.valueBytes
+                             : std::max(platform.valueBytes, platform.valueBytesNow);
   }
 
   std::shared_ptr<int> alive = std::make_shared<int>(0);
--- a/src/leadership/mesh.cpp
+++ b/src/leadership/peer_membership.cpp
@@ -1,4 +1,4 @@
-#include "leadership/mesh.hpp"
+#include "leadership/peer_membership.hpp"
 
 #include <algorithm>
 
@@ -21,8 +21,8 @@
             {"cloud_age_ms", s.cloudAge.count()},
             {"workers_age_ms", s.workersAge.count()},
             {"ready", s.ready},
-            {"deaf", s.deaf},
-            {"relays", s.relays},
+            {"deaf", s.hasLostWorkers},
+            {"relays", s.supportsForwarding},
             {"wall_ms", s.wallMs}};
   if (s.newestCancellation) v["cancelled_at"] = s.newestCancellation->value;
   return v;
@@ -52,23 +52,23 @@
       cancelled ? std::optional(Revision{*cancelled}) : std::nullopt};
 }
 
-Mesh::Mesh(Runtime& runtime, HttpClient& http, const Platform& platform)
+PeerMembership::PeerMembership(Runtime& runtime, HttpClient& http, const Platform& platform)
     : runtime_(runtime), http_(http), peers_(platform.peers) {}
 
-void Mesh::start(std::function<PeerStatus()> own, Duration every) {
+void PeerMembership::start(std::function<PeerStatus()> own, Duration every) {
   own_ = std::move(own);
   every_ = every;
-  tell();
+  exchangeStatus();
 }
 
-void Mesh::tell() {
+void PeerMembership::exchangeStatus() {
   for (const auto& peer : peers_) {
-    if (asking_[peer.member]) continue;  // still waiting for its last answer
-    asking_[peer.member] = true;
+    if (exchangeUnderWay_[peer.member]) continue;  // still waiting for its last answer
+    exchangeUnderWay_[peer.member] = true;
     http_.send(
         peer.address, {"POST", "/mesh/hello", encodeBody(toJson(own_()))}, Duration{1000},
         [this, member = peer.member, asked = runtime_.now()](const std::optional<Response>& r) {
-          asking_[member] = false;
+          exchangeUnderWay_[member] = false;
           // A cut hangs; only a refusal fails at once.
           Instant now = runtime_.now();
           if (!r && now - asked < kAtOnce) {
@@ -76,20 +76,20 @@
           }
           if (!r || r->status != 200) return;
           auto body = decodeBody(r->body);
-          auto s = body ? note(*body) : std::nullopt;
+          auto s = body ? recordStatus(*body) : std::nullopt;
           if (s && s->member == member && onAnswer) onAnswer(*s, asked);
         });
   }
-  runtime_.after(every_, [this] { tell(); });
+  runtime_.after(every_, [this] { exchangeStatus(); });
 }
 
-std::optional<PeerStatus> Mesh::note(const Json& body) {
+std::optional<PeerStatus> PeerMembership::recordStatus(const Json& body) {
   auto s = peerStatusFrom(body);
   if (!s) return s;
   for (const auto& peer : peers_) {
     if (peer.member != s->member) continue;
     // Older versions tell no time of day.
-    if (s->wallMs > 0) s->wallLessSteady = s->wallMs - runtime_.now().ms;
+    if (s->wallMs > 0) s->wallClockOffset = s->wallMs - runtime_.now().ms;
     statuses_[s->member] = {*s, runtime_.now()};
     refusals_.erase(s->member);
     if (onNews) onNews();
@@ -97,14 +97,14 @@
   return s;
 }
 
-Response Mesh::onHello(const Request& request) {
+Response PeerMembership::onStatusRequest(const Request& request) {
   auto body = decodeBody(request.body);
   if (!body) return jsonResponse(400, {{"error", "not CBOR"}});
-  note(*body);
+  recordStatus(*body);
   return jsonResponse(200, toJson(own_()));
 }
 
-void Mesh::nudge(const MemberId& leader) {
+void PeerMembership::notifyLeader(const MemberId& leader) {
   for (const auto& peer : peers_) {
     if (peer.member != leader) continue;
     http_.send(peer.address, {"POST", "/mesh/nudge", encodeBody(Json::object())}, Duration{1000},
@@ -112,7 +112,7 @@
   }
 }
 
-void Mesh::send(const MemberId& member, Request request, Duration timeout, OnReply done) {
+void PeerMembership::send(const MemberId& member, Request request, Duration timeout, OnReply done) {
   for (const auto& peer : peers_) {
     if (peer.member != member) continue;
     http_.send(peer.address, std::move(request), timeout, std::move(done));
@@ -121,40 +121,42 @@
   done(std::nullopt);
 }
 
-void Mesh::forward(const MemberId& member, const Request& request, Duration timeout, OnReply done) {
+void PeerMembership::forward(const MemberId& member, const Request& request, Duration timeout,
+                             OnReply done) {
   Request passed = request;
   passed.path = "/mesh/user" + request.path;
   send(member, std::move(passed), timeout, std::move(done));
 }
 
-const PeerStatus* Mesh::heard(const MemberId& peer, Duration within) const {
+const PeerStatus* PeerMembership::recentStatus(const MemberId& peer, Duration within) const {
   auto it = statuses_.find(peer);
   if (it == statuses_.end() || runtime_.now() - it->second.second > within) return nullptr;
   return &it->second.first;
 }
 
-bool Mesh::anyHeard(Duration within) const {
-  return std::any_of(peers_.begin(), peers_.end(),
-                     [&](const Peer& peer) { return heard(peer.member, within) != nullptr; });
+bool PeerMembership::anyReachable(Duration within) const {
+  return std::any_of(peers_.begin(), peers_.end(), [&](const Peer& peer) {
+    return recentStatus(peer.member, within) != nullptr;
+  });
 }
 
-const PeerStatus* Mesh::newestLeader(Duration within) const {
+const PeerStatus* PeerMembership::newestLeader(Duration within) const {
   const PeerStatus* newest = nullptr;
   for (const auto& peer : peers_) {
-    const auto* status = heard(peer.member, within);
+    const auto* status = recentStatus(peer.member, within);
     if (!status || !status->leading) continue;
     if (!newest || status->token >= newest->token) newest = status;
   }
   return newest;
 }
 
-bool Mesh::mayLive(const MemberId& peer) const {
+bool PeerMembership::mayBeAlive(const MemberId& peer) const {
   auto refused = refusals_.find(peer);
   return refused == refusals_.end() ||
          refused->second.last - refused->second.first > kLongerThanARestart;
 }
 
-std::optional<MemberId> Mesh::peerWithStore(Instant failing) const {
+std::optional<MemberId> PeerMembership::peerReachingStore(Instant failing) const {
   for (const auto& peer : peers_) {
     auto it = statuses_.find(peer.member);
     if (it == statuses_.end()) continue;
--- a/src/leadership/mesh_test.cpp
+++ b/src/leadership/peer_membership_test.cpp
@@ -1,4 +1,4 @@
-#include "leadership/mesh.hpp"
+#include "leadership/peer_membership.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,32 +7,32 @@
 namespace kestrelhoist {
 namespace {
 
-TEST(Mesh, APeerThatReachedTheStoreBeforeTheOutageIsNoSignOfBeingRefusedAlone) {
+TEST(PeerMembership, APeerThatReachedTheStoreBeforeTheOutageIsNoSignOfBeingRefusedAlone) {
   std::mt19937_64 random(1);
   sim::Clockwork clock;
   sim::Network network(clock, random);
   sim::HostRuntime runtime(clock, network, "me", 1.0);
   Platform platform;
   platform.peers.push_back({MemberId{"peer"}, ZoneId{"a"}, "peer:1"});
-  Mesh mesh(runtime, runtime, platform);
-  mesh.start([] { return PeerStatus{MemberId{"me"}, {}, false, {}, {}, true}; }, Duration{500});
+  PeerMembership peers(runtime, runtime, platform);
+  peers.start([] { return PeerStatus{MemberId{"me"}, {}, false, {}, {}, true}; }, Duration{500});
   clock.runUntil(10000);
   auto hear = [&](int storeAgeMs) {
     PeerStatus s{MemberId{"peer"}, {}, false, Duration{storeAgeMs}, {}, true};
-    mesh.onHello({"POST", "/mesh/hello", encodeBody(toJson(s))});
+    peers.onStatusRequest({"POST", "/mesh/hello", encodeBody(toJson(s))});
   };
   // Reads fail here since 9.0 s.
   hear(1200);  // it last reached the service at 8.8 s
-  EXPECT_FALSE(mesh.peerWithStore(Instant{9000}));
+  EXPECT_FALSE(peers.peerReachingStore(Instant{9000}));
   hear(400);  // at 9.6 s: it is served while this node is not
-  EXPECT_EQ(mesh.peerWithStore(Instant{9000}), MemberId{"peer"});
+  EXPECT_EQ(peers.peerReachingStore(Instant{9000}), MemberId{"peer"});
   clock.runUntil(13000);  // nothing heard since
-  EXPECT_FALSE(mesh.peerWithStore(Instant{9000}));
+  EXPECT_FALSE(peers.peerReachingStore(Instant{9000}));
 }
 
 // Found on grown sites: a zone cut off whose controller had just ended was waited for in vain; one
 // behind a packet filter was taken for dead, and the running work of its zone was released.
-TEST(Mesh, AFreshRefusalIsAnEndedPeerALongOneAFilter) {
+TEST(PeerMembership, AFreshRefusalIsAnEndedPeerALongOneAFilter) {
   std::mt19937_64 random(1);
   sim::Clockwork clock;
   sim::Network network(clock, random);
@@ -40,18 +40,18 @@
   Platform platform;
   MemberId peer{"peer"};
   platform.peers.push_back({peer, ZoneId{"a"}, "peer:1"});  // nobody listens there
-  Mesh mesh(runtime, runtime, platform);
-  EXPECT_TRUE(mesh.mayLive(peer));
-  mesh.start([] { return PeerStatus{MemberId{"me"}, {}, false, {}, {}, true}; }, Duration{500});
+  PeerMembership peers(runtime, runtime, platform);
+  EXPECT_TRUE(peers.mayBeAlive(peer));
+  peers.start([] { return PeerStatus{MemberId{"me"}, {}, false, {}, {}, true}; }, Duration{500});
   clock.runUntil(3000);
-  EXPECT_FALSE(mesh.mayLive(peer));
+  EXPECT_FALSE(peers.mayBeAlive(peer));
   clock.runUntil(15000);
-  EXPECT_TRUE(mesh.mayLive(peer));
-  mesh.onHello(
+  EXPECT_TRUE(peers.mayBeAlive(peer));
+  peers.onStatusRequest(
       {"POST", "/mesh/hello", encodeBody(toJson(PeerStatus{peer, {}, false, {}, {}, true}))});
-  EXPECT_TRUE(mesh.mayLive(peer));
+  EXPECT_TRUE(peers.mayBeAlive(peer));
   clock.runUntil(17000);
-  EXPECT_FALSE(mesh.mayLive(peer));
+  EXPECT_FALSE(peers.mayBeAlive(peer));
 }
 
 }  // namespace
--- a/src/members/service.cpp
+++ b/src/members/service.cpp
@@ -236,7 +236,7 @@
   });
 }
 
-void MemberService::tick(Duration due, Duration took) {
+void MemberService::onTimer(Duration due, Duration took) {
   gauge_.note(due, took);
   turns_.pump();
   if (feed_.loaded() && replica_.cursorKey().empty()) makeCursorKey();
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -27,7 +27,7 @@
   // The records have changed: watches may have something to tell.
   void onRecordsChanged();
   // Ten times a second; `took` since the last one.
-  void tick(Duration due, Duration took);
+  void onTimer(Duration due, Duration took);
   void fill(MetricGauges& gauges) const;
 
  private:
--- a/src/placement/plan_duty.cpp
+++ b/src/placement/plan_duty.cpp
@@ -13,25 +13,26 @@
 
 Duration PlanDuty::bootTime() const {
   Duration boot{0};
-  for (const auto& type : leadership_.catalogue->types) boot = std::max(boot, type.boot * 3 / 2);
+  for (const auto& type : context_.catalogue->types) boot = std::max(boot, type.boot * 3 / 2);
   return boot;
 }
 
 bool PlanDuty::start() {
-  Instant now = leadership_.runtime.now();
-  if (!leadership_.replan || !mayPlace() || now < nextPlan_) return false;
-  leadership_.replan = false;
+  Instant now = context_.runtime.now();
+  if (!context_.planInvalidated || !mayPlace() || now < nextPlan_) return false;
+  context_.planInvalidated = false;
   PlanInput input = picture();
   if (input.jobs.empty()) {
     unplaced_.clear();
     waits_.end(now);
     return false;
   }
-  planner_.run(std::move(input), leadership_.guard([this, now](PlanInput in, Plan plan) {
+  planner_.run(std::move(input), context_.whileLeading([this, now](PlanInput in, Plan plan) {
     // Answers to workers and users come first: planning gets a share of the time.
-    Instant end = leadership_.runtime.now();
+    Instant end = context_.runtime.now();
     nextPlan_ = end + std::max(kPlanGap, kPlanShare * (end - now));
-    leadership_.runtime.after(nextPlan_ - end, leadership_.guard([this] { leadership_.kick(); }));
+    context_.runtime.after(nextPlan_ - end,
+                           context_.whileLeading([this] { context_.scheduleCycle(); }));
     onPlan(in, plan);
   }));
   return true;
@@ -40,19 +41,19 @@
 // What the planner needs to know: as on record, less what is proven to have ended since.
 PlanInput PlanDuty::picture() {
   waits_.begin();
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   PlanInput in;
-  in.maxJobs = leadership_.platform.transactionOps;
-  in.nowMs = leadership_.runtime.wallMillis();
+  in.maxJobs = context_.platform.transactionOps;
+  in.nowMs = context_.runtime.wallMillis();
   Priority highest = Priority::low;
   std::map<ZoneId, std::uint32_t> zones;
   auto zoneNumber = [&](const ZoneId& z) {
     return zones.try_emplace(z, static_cast<std::uint32_t>(zones.size())).first->second;
   };
-  for (const auto& z : leadership_.platform.zones) zoneNumber(z);
+  for (const auto& z : context_.platform.zones) zoneNumber(z);
   bool guarantees = false;
   std::vector<const JobState*> states;
-  for (const auto& [id, job] : leadership_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec) continue;
     // No part of its team's limit or guarantee, and no demand: what is about to be ready is.
     if (job->held()) {
@@ -79,9 +80,9 @@
     j.spec = job->orderedSpec();
     j.acceptedAtMs = job->readyAtMs();
     j.waiting = waiting;
-    if (leadership_.inForce) {
-      j.protectedService = leadership_.inForce->protects(*j.spec);
-      j.standing = leadership_.inForce->standing(*j.spec);
+    if (context_.effectivePolicy) {
+      j.protectedService = context_.effectivePolicy->protects(*j.spec);
+      j.standing = context_.effectivePolicy->standing(*j.spec);
     }
     j.held =
         job->placed.size() > again ? static_cast<std::uint32_t>(job->placed.size()) - again : 0;
@@ -103,27 +104,27 @@
     return j.spec->kind != JobKind::service &&
            in.nowMs - j.acceptedAtMs >= in.order.patience.count();
   });
-  in.teams.resize(leadership_.replica.teams());
+  in.teams.resize(context_.replica.teams());
   in.teamKnown.resize(in.teams.size());
   in.used.resize(in.teams.size());
-  for (const auto& [id, team] : leadership_.platform.teams) {
-    auto n = leadership_.replica.teamNumber(id);
+  for (const auto& [id, team] : context_.platform.teams) {
+    auto n = context_.replica.teamNumber(id);
     if (n >= in.teams.size()) continue;  // has no jobs
     in.teams[n] = team;
     in.teamKnown[n] = true;
     guarantees = guarantees || team.guaranteed.cpus > 0 || team.guaranteed.gpus > 0;
   }
   std::map<MachineId, std::size_t> index;
-  in.machines.reserve(leadership_.replica.machines().size());
-  for (const auto& [id, record] : leadership_.replica.machines()) {
+  in.machines.reserve(context_.replica.machines().size());
+  for (const auto& [id, record] : context_.replica.machines()) {
     const Machine* m = fleet_.find(id);
-    const MachineType* type = leadership_.catalogue->find(record.type);
+    const MachineType* type = context_.catalogue->find(record.type);
     PlanMachine p;
     p.id = id;
     p.type = record.type;
     p.zone = zoneNumber(record.zone);
     p.spot = record.spot;
-    p.keeps = leadership_.inForce && leadership_.inForce->holds(id);
+    p.keeps = context_.effectivePolicy && context_.effectivePolicy->holds(id);
     p.usable = type && m && fleet_.usable(*m, now) && !fleet_.emptying().contains(id);
     if (type) {
       p.capacity = type->capacity;
@@ -155,7 +156,7 @@
         p.images.push_back({t.job->image, spec->imageGb, false});
       }
       // A protected service is stopped for nobody's sake, though its rank would allow it.
-      bool kept = leadership_.inForce && leadership_.inForce->protects(*spec);
+      bool kept = context_.effectivePolicy && context_.effectivePolicy->protects(*spec);
       if (kept) p.kept += spec->perTask.shareOf(p.capacity);
       if (!stopping && !kept && (guarantees || spec->priority < highest)) {
         auto seen = m->seenRunning.find(t.id);
@@ -171,7 +172,7 @@
       if (auto at = index.find(id); at != index.end()) j.failedOn.insert(at->second);
     }
   }
-  if (leadership_.inForce) holdBack(in);
+  if (context_.effectivePolicy) holdBack(in);
   in.zones = zones.size();
   for (std::size_t j = 0; j < in.jobs.size(); ++j) {
     in.jobs[j].perZone.resize(in.zones);
@@ -205,7 +206,7 @@
     if (j.standing < 0) {
       yields.push_back(i);
       shares.push_back({share, j.waiting, j.held});
-    } else if (auto until = leadership_.inForce->untilYielding(*j.spec);
+    } else if (auto until = context_.effectivePolicy->untilYielding(*j.spec);
                until && !j.spec->checkpoints() && j.spec->estimate > *until) {
       j.most = std::max(j.held, 1U);  // begun, as every job
     }
@@ -213,15 +214,15 @@
   if (yields.empty()) return;
   // What yields and waits for nothing holds its part, too.
   double others = 0, first = 0;
-  for (const auto& [id, job] : leadership_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec) continue;
-    int standing = leadership_.inForce->standing(*job->record.spec);
+    int standing = context_.effectivePolicy->standing(*job->record.spec);
     double share = job->record.spec->perTask.shareOf(whole);
     auto placed = static_cast<double>(job->placed.size());
     if (standing > 0) first += share * (placed + (job->held() ? 0 : job->waiting()));
     if (standing < 0 && job->waiting() == 0) others += share * placed;
   }
-  auto may = leadership_.inForce->machinesForYielding(machines, first);
+  auto may = context_.effectivePolicy->machinesForYielding(machines, first);
   if (!may) return;
   auto most = shareAmong(shares, *may - others);
   for (std::size_t i = 0; i < yields.size(); ++i) in.jobs[yields[i]].most = most[i];
@@ -236,7 +237,7 @@
     // that of those who go first. What only waits for an opening to pass is none, but shortly
     // before a close.
     bool yields = input.jobs[j].standing < 0;
-    if (plan.heldBack[j] > 0 && (yields || leadership_.inForce->returnsWithin(bootTime()))) {
+    if (plan.heldBack[j] > 0 && (yields || context_.effectivePolicy->returnsWithin(bootTime()))) {
       wants += plan.heldBack[j];
     }
     if (wants > 0) unplaced_[spec.id] = wants;
@@ -251,7 +252,7 @@
                   plan.unplaced[j]);
     }
   }
-  waits_.end(leadership_.runtime.now());
+  waits_.end(context_.runtime.now());
   std::set<MachineId> told;
   for (const auto& stop : plan.stops) {
     logInfo("task to be stopped for more important work", "task", stop.id.str(), "machine",
@@ -260,8 +261,8 @@
     told.insert(stop.machine);
   }
   for (const auto& m : told) dispatch_.push(m);
-  if (plan.deferred) leadership_.replan = true;
-  leadership_.done(plan.placements.empty() ? std::nullopt : tasks_.commit(&input, &plan));
+  if (plan.deferred) context_.planInvalidated = true;
+  context_.finishStep(plan.placements.empty() ? std::nullopt : tasks_.commit(&input, &plan));
 }
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_duty.hpp
+++ b/src/placement/plan_duty.hpp
@@ -7,20 +7,20 @@
 
 namespace kestrelhoist {
 
-class PlanDuty : public Duty {
+class PlanDuty : public ControlLoop {
  public:
-  PlanDuty(Leadership& leadership, Fleet& fleet, Dispatch& dispatch, TaskFacts& facts,
+  PlanDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch, TaskFacts& facts,
            TaskDuty& tasks, PlanRunner& planner)
-      : leadership_(leadership),
+      : context_(context),
         fleet_(fleet),
         dispatch_(dispatch),
         facts_(facts),
         tasks_(tasks),
         planner_(planner) {}
 
-  Turn next() override { return start() ? Turn::hold() : Turn::pass(); }
-  void changed(bool) override { leadership_.replan = true; }
-  void tick() override { leadership_.replan = true; }  // pauses and patience end with time
+  LoopStep next() override { return start() ? LoopStep::asynchronous() : LoopStep::idle(); }
+  void onRecordsChanged(bool) override { context_.planInvalidated = true; }
+  void onTimer() override { context_.planInvalidated = true; }  // pauses and patience end with time
   // Tasks that found no room, by the last plan.
   const std::map<JobId, std::uint32_t>& unplaced() const { return unplaced_; }
 
@@ -30,14 +30,14 @@
   std::function<Waits(const JobSpec&)> roomReason;
 
  private:
-  bool mayPlace() const { return leadership_.settled && leadership_.catalogue.has_value(); }
+  bool mayPlace() const { return context_.initialRoundOver && context_.catalogue.has_value(); }
   bool start();
   PlanInput picture();
   void holdBack(PlanInput& in) const;
   Duration bootTime() const;
   void onPlan(const PlanInput& input, const Plan& plan);
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   Dispatch& dispatch_;
   TaskFacts& facts_;
--- a/src/placement/task_duty.cpp
+++ b/src/placement/task_duty.cpp
@@ -9,7 +9,7 @@
 
 void TaskDuty::tellStops() {
   std::set<MachineId> machines;
-  for (const auto& [id, job] : leadership_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.live()) {
     if (job->active() && !(job->record.flow && !job->record.flow->dropped.empty())) continue;
     for (const auto& [index, placed] : job->placed) {
       if (job->active() && !job->isDropped(index)) continue;
@@ -22,22 +22,22 @@
 // What has been proven of tasks and, with a plan, its placements that still hold. A launch
 // follows only after the commit.
 std::optional<Commit> TaskDuty::commit(const PlanInput* input, const Plan* plan) {
-  TaskWrites writes(leadership_, facts_);
-  Instant now = leadership_.runtime.now();
+  TaskWrites writes(context_, facts_);
+  Instant now = context_.runtime.now();
   std::set<MachineId> machines;
   std::size_t placements = 0;
   if (plan) {
-    leadership_.highest = std::max(leadership_.highest, leadership_.replica.cursor());
+    context_.latestRevision = std::max(context_.latestRevision, context_.replica.cursor());
     std::map<std::size_t, std::uint32_t> next;  // by job: from which task on to look
     for (const auto& p : plan->placements) {
       const PlanJob& wanted = input->jobs[p.job];
       const JobId& id = wanted.spec->id;
-      const auto* job = leadership_.replica.job(id);
+      const auto* job = context_.replica.job(id);
       Machine* m = fleet_.find(input->machines[p.machine].id);
       // The picture may be older than what has been read since.
       if (!m || !fleet_.usable(*m, now) || !job || !job->active() || job->held() ||
           job->stamp != wanted.stamp) {
-        leadership_.replan = true;
+        context_.planInvalidated = true;
         continue;
       }
       std::uint32_t& index = next[p.job];
@@ -45,9 +45,9 @@
       if (index >= job->tasks) continue;
       // Attempts are larger than any of this task before: each earlier placement and its end were
       // committed at revisions up to `leadership_.highest`.
-      Placed placed{m->id, m->memory.last->workerEpoch, Attempt{leadership_.highest.value}};
+      Placed placed{m->id, m->memory.last->workerEpoch, Attempt{context_.latestRevision.value}};
       if (!writes.place(id, *job, index, placed)) {
-        leadership_.replan = true;
+        context_.planInvalidated = true;
         continue;
       }
       logDebug("placing", "job", id, "task", index, "machine", m->id);
@@ -60,7 +60,7 @@
   std::vector<std::pair<Instant, TaskFacts::StretchKey>> urgent;
   std::vector<AttemptId> stale;
   for (const auto& [key, due] : facts_.due()) {
-    const auto* job = leadership_.replica.job(key.first);
+    const auto* job = context_.replica.job(key.first);
     if (!job) continue;  // a flow's, dropped by a later leader
     if (!facts_.factsUrgent(key, due)) continue;
     urgent.emplace_back(due.since, key);
@@ -72,19 +72,19 @@
       }
     }
   }
-  for (const auto& id : stale) facts_.forgetFact(id, *leadership_.replica.job(id.task.job));
+  for (const auto& id : stale) facts_.forgetFact(id, *context_.replica.job(id.task.job));
   std::sort(urgent.begin(), urgent.end());
   for (const auto& entry : urgent) {
     const TaskFacts::StretchKey& key = entry.second;
     if (!facts_.due().contains(key)) continue;
     const auto& facts = facts_.due().at(key).facts;
     bool all = std::all_of(facts.begin(), facts.end(), [&](const auto& fact) {
-      return writes.open(key.first, *leadership_.replica.job(key.first), fact.first);
+      return writes.open(key.first, *context_.replica.job(key.first), fact.first);
     });
     if (!all) break;
   }
   if (writes.empty()) return std::nullopt;
-  Transaction t = leadership_.begin();
+  Transaction t = context_.begin();
   writes.finish(t);
   auto settled = std::move(writes.settled());
   std::size_t count = settled.size();
@@ -94,7 +94,7 @@
         for (const auto& [attempt, gone] : settled) {
           logDebug("task off its machine", "task", attempt.str(), "how", static_cast<int>(gone));
           told_.erase(attempt);
-          if (const auto* job = leadership_.replica.job(attempt.task.job))
+          if (const auto* job = context_.replica.job(attempt.task.job))
             facts_.forgetFact(attempt, *job);
         }
         for (const auto& m : machines) dispatch_.push(m);
--- a/src/placement/task_duty.hpp
+++ b/src/placement/task_duty.hpp
@@ -7,13 +7,13 @@
 
 namespace kestrelhoist {
 
-class TaskDuty : public Duty {
+class TaskDuty : public ControlLoop {
  public:
-  TaskDuty(Leadership& leadership, Fleet& fleet, Dispatch& dispatch, TaskFacts& facts)
-      : leadership_(leadership), fleet_(fleet), dispatch_(dispatch), facts_(facts) {}
+  TaskDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch, TaskFacts& facts)
+      : context_(context), fleet_(fleet), dispatch_(dispatch), facts_(facts) {}
 
-  Turn next() override { return Turn::of(commit(nullptr, nullptr)); }
-  void changed(bool byOthers) override {
+  LoopStep next() override { return LoopStep::committing(commit(nullptr, nullptr)); }
+  void onRecordsChanged(bool byOthers) override {
     if (byOthers) tellStops();
   }
   // Tasks that are no longer wanted are told so at once, and again with every report.
@@ -22,7 +22,7 @@
   std::optional<Commit> commit(const PlanInput* input, const Plan* plan);
 
  private:
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   Dispatch& dispatch_;
   TaskFacts& facts_;
--- a/src/placement/task_facts.cpp
+++ b/src/placement/task_facts.cpp
@@ -17,7 +17,7 @@
   const JobId& job = task.id.task.job;
   if (!task.job || task.job->record.stretch == 0) return;
   Due& due = due_[{job, task.id.task.index / task.job->record.stretch}];
-  if (due.facts.empty()) due.since = leadership_.runtime.now();
+  if (due.facts.empty()) due.since = context_.runtime.now();
   const JobState& state = *task.job;
   // Only an array's task can be done; a service's that ended by itself is started again. A flow's
   // task may be given up, or no longer be wanted.
@@ -31,17 +31,17 @@
       due.facts.try_emplace(task.id.task.index, Fact{task.id.attempt, gone, settles, ran});
   if (!isNew) return;
   ++(settles ? dueDone_ : dueAgain_)[job];
-  leadership_.replan = true;
+  context_.planInvalidated = true;
   if (gone == Gone::done) pauses_.erase(job);
   // Errors of users' jobs are weighed against those of their machines (Evidence).
   if (gone != Gone::refused && (gone != Gone::failed || !state.record.flow)) return;
   Pause& pause = pauses_[job];
   // A flow's rule is tried a few times anyway: what fails in one round counts once.
-  if (state.record.flow && leadership_.runtime.now() < pause.until) return;
+  if (state.record.flow && context_.runtime.now() < pause.until) return;
   pause.failures = std::min(pause.failures + 1, 16);
   auto seconds = std::min<std::size_t>(kMaxPauseS, 1UL << std::min(pause.failures - 1, 6));
   Duration length{static_cast<std::int64_t>(gone == Gone::failed ? seconds : 1) * 1000};
-  pause.until = leadership_.runtime.now() + length;
+  pause.until = context_.runtime.now() + length;
   logInfo("task's job pauses", "task", task.id.str(), "cause",
           gone == Gone::failed ? "failed" : "refused", "ms", length);
 }
@@ -73,7 +73,7 @@
     const Machine* m = fleet_.find(placed.machine);
     if (!m) continue;
     auto seen = m->seenRunning.find({{job.record.spec->id, index}, placed.attempt});
-    if (seen == m->seenRunning.end() || leadership_.runtime.now() - seen->second < kWell) continue;
+    if (seen == m->seenRunning.end() || context_.runtime.now() - seen->second < kWell) continue;
     where = placed.machine;
     return true;
   }
@@ -88,13 +88,13 @@
   }
   bool before = evidence.suspect(id), faulty = evidence.faulty(machine);
   auto pause = evidence.pausedUntil(id);
-  evidence.failed(id, machine, leadership_.runtime.now(), job.record.flow != nullptr);
+  evidence.failed(id, machine, context_.runtime.now(), job.record.flow != nullptr);
   if (!before && evidence.suspect(id)) {
     logInfo("job is suspect: fails wherever it goes", "job", id);
   }
   if (!faulty && evidence.faulty(machine)) logInfo("machine is faulty", "machine", machine);
   if (auto until = evidence.pausedUntil(id); until && until != pause) {
-    logInfo("job pauses after errors", "job", id, "ms", *until - leadership_.runtime.now());
+    logInfo("job pauses after errors", "job", id, "ms", *until - context_.runtime.now());
   }
 }
 
@@ -126,7 +126,7 @@
 
 void TaskFacts::noteFacts(Machine& m) {
   if (m.memory.gone.empty()) return;
-  const auto* record = leadership_.replica.machine(m.id);
+  const auto* record = context_.replica.machine(m.id);
   if (!record) return;
   for (const auto& [attempt, gone] : m.memory.gone) {
     const auto* task = record->find(attempt);
@@ -137,17 +137,17 @@
     if (told && told->ran) {
       ran = *told->ran;
     } else if (seen != m.seenRunning.end()) {
-      ran = leadership_.runtime.now() - seen->second;
+      ran = context_.runtime.now() - seen->second;
     }
     noteFact(*task, gone, ran);
     if (gone == Gone::failed) noteError(attempt.task.job, *task->job, m.id);
     if (gone == Gone::done) fleet_.evidence().succeeded(attempt.task.job, m.id);
   }
-  leadership_.kick();
+  context_.scheduleCycle();
 }
 
 const TaskFacts::Fact* TaskFacts::factOf(const AttemptId& id) const {
-  const auto* job = leadership_.replica.job(id.task.job);
+  const auto* job = context_.replica.job(id.task.job);
   if (!job || job->record.stretch == 0) return nullptr;
   auto due = due_.find({id.task.job, id.task.index / job->record.stretch});
   if (due == due_.end()) return nullptr;
@@ -158,15 +158,15 @@
 
 // Somebody waits for these: a job that is complete, or a machine that can't go before its tasks.
 bool TaskFacts::factsUrgent(const StretchKey& key, const Due& due) const {
-  const auto* job = leadership_.replica.job(key.first);
+  const auto* job = context_.replica.job(key.first);
   if (!job || !job->active()) return true;
   auto done = dueDone_.find(key.first);
   if (job->record.flow) {
     // Its dependents wait, but many ends at once are few writes.
-    if (leadership_.runtime.now() - due.since >= kFlowFactsWait) return true;
+    if (context_.runtime.now() - due.since >= kFlowFactsWait) return true;
     return done != dueDone_.end() && done->second >= job->placed.size() && job->waiting() == 0;
   }
-  if (leadership_.runtime.now() - due.since >= kFactsWait) return true;
+  if (context_.runtime.now() - due.since >= kFactsWait) return true;
   return done != dueDone_.end() && job->finishedCount + done->second >= job->tasks;
 }
 
--- a/src/placement/task_facts.hpp
+++ b/src/placement/task_facts.hpp
@@ -5,7 +5,7 @@
 #include <map>
 
 #include "fleet/fleet.hpp"
-#include "leadership/leadership.hpp"
+#include "leadership/leader_context.hpp"
 
 namespace kestrelhoist {
 
@@ -28,7 +28,7 @@
     Instant until{};
   };
 
-  TaskFacts(Leadership& leadership, Fleet& fleet) : leadership_(leadership), fleet_(fleet) {}
+  TaskFacts(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
   // Takes in what a machine's reports have proven.
   void noteFacts(Machine& m);
@@ -54,7 +54,7 @@
   void noteError(const JobId& id, const JobState& job, const MachineId& machine);
   bool runsWell(const JobState& job, const MachineId& except, MachineId& where) const;
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   std::map<StretchKey, Due> due_;
   std::map<JobId, std::uint32_t> dueDone_;   // tasks found done, not committed yet
--- a/src/placement/task_writes.hpp
+++ b/src/placement/task_writes.hpp
@@ -13,12 +13,12 @@
 // the same write.
 class TaskWrites {
  public:
-  TaskWrites(Leadership& leadership, TaskFacts& facts)
-      : leadership_(leadership),
+  TaskWrites(LeaderContext& context, TaskFacts& facts)
+      : context_(context),
         facts_(facts),
-        limit_(leadership.platform.transactionOps),
-        fits_(stretchFor(leadership.platform.valueBytes)),
-        newForms_(leadership.newForms()) {}
+        limit_(context.platform.transactionOps),
+        fits_(stretchFor(context.platform.valueBytes)),
+        mayWriteFormat2_(context.mayWriteFormat2()) {}
 
   // The record of this task, with what is due for it. False: this transaction is full.
   bool open(const JobId& id, const JobState& job, std::uint32_t index) {
@@ -26,7 +26,7 @@
     if (drafts_.contains({id, piece.first})) return true;
     // Room for this record and for its job's end.
     if (full_ || drafts_.size() + ending_ + 2 > limit_) return false;
-    Draft draft{&job, piece, leadership_.replica.tasksOf(job, piece.first, piece.last, !piece.part),
+    Draft draft{&job, piece, context_.replica.tasksOf(job, piece.first, piece.last, !piece.part),
                 0,    0,     false};
     std::size_t size = draft.record.bytes() + (piece.last - piece.first) / 4 + 2;
     if (bytes_ + size + kBytesPerWrite > kMaxTransactionBytes && !drafts_.empty()) {
@@ -54,7 +54,7 @@
     Draft& draft = drafts_.at({id, pieceOf(job, index).first});
     std::size_t more = placed.machine.value.size() + 46;
     std::size_t limit =
-        draft.isWide(fits_) ? leadership_.oldValueBytes() : leadership_.platform.valueBytes;
+        draft.isWide(fits_) ? context_.legacyValueBytes() : context_.platform.valueBytes;
     if (draft.bytes + more > limit || bytes_ + more > kMaxTransactionBytes) return false;
     draft.bytes += more;
     bytes_ += more;
@@ -89,10 +89,10 @@
       const Piece& piece = draft.piece;
       std::string whole = keys::tasks(id, piece.first / job.record.stretch);
       std::string name = piece.part ? keys::part(id, piece.first, piece.last) : whole;
-      t.conditions.push_back({name, leadership_.replica.stampOf(name)});
+      t.conditions.push_back({name, context_.replica.stampOf(name)});
       // Its tasks were in the stretch's record until now, if this is its first write.
       if (piece.part && conditionedWhole.insert(whole).second) {
-        t.conditions.push_back({whole, leadership_.replica.stampOf(whole)});
+        t.conditions.push_back({whole, context_.replica.stampOf(whole)});
       }
       auto done = newlyDone_.find(id);
       bool ends = done != newlyDone_.end() && job.finishedCount + done->second >= job.tasks;
@@ -101,7 +101,7 @@
       // can't both win; and a late copy of the write that created the key can't bring it back.
       // A part stays: without it the stretch's record, which is out of date, would count.
       bool drop = ends && !piece.part && draft.record.placed.empty() &&
-                  leadership_.replica.stampOf(name) != Revision{};
+                  context_.replica.stampOf(name) != Revision{};
       t.writes.push_back(
           {name, drop ? std::nullopt : std::optional(toJson(draft.record)), std::nullopt});
       if ((ends || draft.places) && conditioned.insert(id).second) {
@@ -111,7 +111,7 @@
         JobRecord record = job.record;
         record.phase = JobPhase::done;
         // From then on count the times of the jobs that await it.
-        record.endedAtMs = leadership_.runtime.wallMillis();
+        record.endedAtMs = context_.runtime.wallMillis();
         t.writes.push_back({keys::job(id), toJson(record), std::nullopt});
         logInfo("job done", "job", id, "tasks", job.tasks);
       }
@@ -142,7 +142,8 @@
     const std::uint32_t stretch = job.record.stretch;
     const std::uint32_t begin = index / stretch * stretch;
     if (auto part = job.partOf(index)) return {part->first, part->second, true};
-    if (!job.parts && (stretch <= fits_ || !newForms_)) return {begin, begin + stretch, false};
+    if (!job.parts && (stretch <= fits_ || !mayWriteFormat2_))
+      return {begin, begin + stretch, false};
     std::uint32_t first = begin + (index - begin) / fits_ * fits_;
     std::uint32_t last = std::min(first + fits_, begin + stretch);
     if (job.parts) {
@@ -192,11 +193,11 @@
     settled_.push_back({{{id, index}, fact.attempt}, fact.gone});
   }
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   TaskFacts& facts_;
   std::size_t limit_;
   std::uint32_t fits_;  // tasks of a record under the smaller limit
-  bool newForms_;
+  bool mayWriteFormat2_;
   std::map<std::pair<JobId, std::uint32_t>, Draft> drafts_;  // by the record's first task
   std::map<JobId, std::uint32_t> newlyDone_;
   std::vector<std::pair<AttemptId, Gone>> settled_;
--- a/src/policy/duty.cpp
+++ b/src/policy/duty.cpp
@@ -36,37 +36,37 @@
 }
 }  // namespace
 
-void PolicyDuty::tick() {
+void PolicyDuty::onTimer() {
   // Without a policy, and none before it whose standing is left, there is nothing to decide.
   bool wanted = copy_.policy() || copy_.standing().policy != 0 || copy_.version() != 0;
-  if (!wanted || !leadership_.settled || !leadership_.catalogue) return;
-  Instant now = leadership_.runtime.now();
+  if (!wanted || !context_.initialRoundOver || !context_.catalogue) return;
+  Instant now = context_.runtime.now();
   if (windowEnds_ == Instant{}) {
-    windowEnds_ = now + leadership_.settings.window;
+    windowEnds_ = now + context_.settings.window;
     for (const auto& [image, held] : copy_.standing().pools) {
       for (const auto& m : held.machines)
-        fleet_.remember(m, leadership_.replica.imageNumber(image), held.gb);
+        fleet_.remember(m, context_.replica.imageNumber(image), held.gb);
     }
   }
   const Standing& s = copy_.standing();
-  std::int64_t time = leadership_.timeOfDay();
+  std::int64_t time = context_.timeOfDay();
   windowDue_ = now >= windowEnds_;
   bool boundary = !s.storm && (s.open.empty() ? copy_.opensBy(time) : time >= s.closesMs);
   due_ = windowDue_ || boundary || s.policy != copy_.version();
 }
 
-Turn PolicyDuty::next() {
-  if (!due_) return Turn::pass();
+LoopStep PolicyDuty::next() {
+  if (!due_) return LoopStep::idle();
   due_ = false;
   bool window = std::exchange(windowDue_, false);
   if (window) {
-    while (windowEnds_ <= leadership_.runtime.now())
-      windowEnds_ = windowEnds_ + leadership_.settings.window;
+    while (windowEnds_ <= context_.runtime.now())
+      windowEnds_ = windowEnds_ + context_.settings.window;
   }
   const Standing& before = copy_.standing();
   Seen what = seen(window);
   Standing s = decideStanding(copy_.policy().get(), copy_.version(), before, what,
-                              leadership_.settings.spreadMultiple, random_);
+                              context_.settings.spreadMultiple, random_);
   if (window) {
     coverServices(s);
     chooseHolders(s);
@@ -79,20 +79,21 @@
     logInfo(s.storm ? "storm" : "storm is over", "lost",
             s.storm ? s.storm->lost : before.storm->lost, "missing", what.missing);
   }
-  Transaction t = leadership_.begin();
-  t.conditions.push_back({keys::kStanding, leadership_.replica.stampOf(keys::kStanding)});
+  Transaction t = context_.begin();
+  t.conditions.push_back({keys::kStanding, context_.replica.stampOf(keys::kStanding)});
   t.writes.push_back({keys::kStanding, toJson(s), std::nullopt});
   if (window) charge(t, s, what.nowMs);
-  t.writes[0].value = fitting(s, leadership_.platform.valueBytes);
-  return Turn::of(Commit{std::move(t), [this] { leadership_.replan = true; }, "what is in force"});
+  t.writes[0].value = fitting(s, context_.platform.valueBytes);
+  return LoopStep::committing(
+      Commit{std::move(t), [this] { context_.planInvalidated = true; }, "what is in force"});
 }
 
 Seen PolicyDuty::seen(bool windowEnds) {
   Seen s;
-  s.nowMs = leadership_.timeOfDay();
+  s.nowMs = context_.timeOfDay();
   s.windowEnds = windowEnds;
   if (!windowEnds) return s;
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   s.firstMachines = firstMachines();
   s.lost = fleet_.lost() - std::exchange(lostBefore_, fleet_.lost());
   s.lateBoots = fleet_.neverBooted() - std::exchange(lateBefore_, fleet_.neverBooted());
@@ -103,7 +104,7 @@
     ++s.machines;
     if (m.noticeEnds && noticed_.insert(id).second) ++s.notices;
     for (const auto& [attempt, since] : m.seenRunning) {
-      const auto* job = leadership_.replica.job(attempt.task.job);
+      const auto* job = context_.replica.job(attempt.task.job);
       if (job && job->record.spec && since > startsSince_) ++starts[job->record.spec->image];
     }
   }
@@ -111,7 +112,7 @@
   // What ran when this leader came is no start.
   if (startsSince_ != Instant{}) s.starts = std::move(starts);
   startsSince_ = now;
-  for (const auto& [id, job] : leadership_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec || !copy_.protects(*job->record.spec)) continue;
     std::uint32_t up = 0;
     for (const auto& [index, at] : job->placed) {
@@ -126,10 +127,10 @@
 // Machines' worth of what those who go first take or wait for.
 double PolicyDuty::firstMachines() const {
   double sum = 0;
-  for (const auto& [id, job] : leadership_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec || copy_.standing(*job->record.spec) != 1) continue;
     double share = 1;
-    for (const auto& type : leadership_.catalogue->types) {
+    for (const auto& type : context_.catalogue->types) {
       if (job->record.spec->allowsType(type.id)) {
         share = std::min(share, job->record.spec->perTask.shareOf(type.capacity));
       }
@@ -146,10 +147,10 @@
   std::vector<CoverMachine> machines;
   std::vector<CoverReplicas> replicas;
   std::map<ZoneId, std::uint32_t> zones;
-  Instant now = leadership_.runtime.now();
-  for (const auto& [id, record] : leadership_.replica.machines()) {
+  Instant now = context_.runtime.now();
+  for (const auto& [id, record] : context_.replica.machines()) {
     const Machine* m = fleet_.find(id);
-    const MachineType* type = leadership_.catalogue->find(record.type);
+    const MachineType* type = context_.catalogue->find(record.type);
     if (!m || !type || !fleet_.usable(*m, now)) continue;
     auto zone = zones.try_emplace(record.zone, static_cast<std::uint32_t>(zones.size())).first;
     CoverMachine c{zone->second, record.spot ? 0.0 : 1.0, {}};
@@ -182,7 +183,7 @@
 // Machines that hold an image stay chosen as long as they hold it; new ones where the fewest are.
 void PolicyDuty::chooseHolders(Standing& s) const {
   if (!copy_.policy()) return;
-  Instant now = leadership_.runtime.now();
+  Instant now = context_.runtime.now();
   for (const auto& pool : copy_.policy()->pools) {
     double perHour = 0;  // of machines that only hold
     for (const auto& image : pool.images) {
@@ -191,8 +192,8 @@
       std::vector<const Machine*> fit;
       std::set<MachineId> kept;
       auto take = [&](const Machine& m) {
-        const auto* record = leadership_.replica.machine(m.id);
-        const MachineType* type = leadership_.catalogue->find(m.type);
+        const auto* record = context_.replica.machine(m.id);
+        const MachineType* type = context_.catalogue->find(m.type);
         bool idle = record && record->tasks.empty();
         double price = !type || !idle ? 0 : m.spot ? type->spotPrice : type->price;
         // A pool at its budget shrinks.
@@ -205,7 +206,7 @@
       for (const auto& [id, m] : fleet_.machines()) {
         if (!fleet_.usable(m, now)) continue;
         bool holds = std::any_of(m.images.begin(), m.images.end(), [&](const Machine::Image& i) {
-          bool it = i.held && leadership_.replica.imageNumber(image) == i.id;
+          bool it = i.held && context_.replica.imageNumber(image) == i.id;
           if (it) held.gb = i.gb;
           return it;
         });
@@ -247,8 +248,8 @@
       }
     }
   }
-  for (const auto& [id, state] : leadership_.replica.machines()) {
-    const MachineType* type = leadership_.catalogue->find(state.type);
+  for (const auto& [id, state] : context_.replica.machines()) {
+    const MachineType* type = context_.catalogue->find(state.type);
     if (!type || state.rental.empty()) continue;
     const Machine* m = fleet_.find(id);
     MachineTime time;
@@ -265,7 +266,7 @@
   }
   record.throughMs = now;
   auto put = [&](const std::string& key, std::optional<Json> value) {
-    t.conditions.push_back({key, leadership_.replica.stampOf(key)});
+    t.conditions.push_back({key, context_.replica.stampOf(key)});
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
   put(keys::numbered(keys::kPaidHour, hour), toJson(record));
@@ -280,7 +281,7 @@
     whole.throughMs = old.throughMs;
     put(keys::numbered(keys::kPaidDay, day), toJson(whole));
     put(keys::numbered(keys::kPaidHour, oldest), std::nullopt);
-    if (t.writes.size() < leadership_.platform.transactionOps && copy_.days().size() > kDaysKept &&
+    if (t.writes.size() < context_.platform.transactionOps && copy_.days().size() > kDaysKept &&
         copy_.days().begin()->first != day) {
       put(keys::numbered(keys::kPaidDay, copy_.days().begin()->first), std::nullopt);
     }
--- a/src/policy/duty.hpp
+++ b/src/policy/duty.hpp
@@ -3,19 +3,19 @@
 #pragma once
 
 #include "fleet/fleet.hpp"
-#include "leadership/leadership.hpp"
+#include "leadership/leader_context.hpp"
 #include "policy/copy.hpp"
 #include "policy/cover.hpp"
 
 namespace kestrelhoist {
 
-class PolicyDuty : public Duty {
+class PolicyDuty : public ControlLoop {
  public:
-  PolicyDuty(Leadership& leadership, Fleet& fleet, PolicyCopy& copy)
-      : leadership_(leadership), fleet_(fleet), copy_(copy), random_(leadership.token.value) {}
+  PolicyDuty(LeaderContext& context, Fleet& fleet, PolicyCopy& copy)
+      : context_(context), fleet_(fleet), copy_(copy), random_(context.token.value) {}
 
-  Turn next() override;
-  void tick() override;
+  LoopStep next() override;
+  void onTimer() override;
 
  private:
   Seen seen(bool windowEnds);
@@ -24,7 +24,7 @@
   void chooseHolders(Standing& s) const;
   void charge(Transaction& t, const Standing& s, std::int64_t now) const;
 
-  Leadership& leadership_;
+  LeaderContext& context_;
   Fleet& fleet_;
   PolicyCopy& copy_;
   std::mt19937_64 random_;
--- a/src/reach/detour.cpp
+++ b/src/reach/detour.cpp
@@ -15,18 +15,18 @@
   if (!view.failingSince) return std::nullopt;
   const DetourView::PeerView* best = nullptr;
   for (const auto& p : view.peers) {
-    if (!p.relays || !p.heardLately || p.blocked) continue;
+    if (!p.supportsForwarding || !p.heardLately || p.blocked) continue;
     if (p.reachedAt <= *view.failingSince + kUnderWay) continue;
     if (!best || p.reachedAt > best->reachedAt) best = &p;
   }
   return best ? std::optional(best->member) : std::nullopt;
 }
 
-Detour::Detour(Runtime& runtime, HttpClient& http, Mesh& mesh, Settings settings,
+Detour::Detour(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
                std::function<Duration(const PeerStatus&)> ageAt)
     : runtime_(runtime),
       http_(http),
-      mesh_(mesh),
+      peerMembership_(peers),
       settings_(std::move(settings)),
       ageAt_(std::move(ageAt)) {}
 
@@ -34,10 +34,11 @@
   DetourView v;
   v.failingSince = link_.failingSince();
   Instant now = runtime_.now();
-  for (const auto& [member, seen] : mesh_.statuses()) {
+  for (const auto& [member, seen] : peerMembership_.statuses()) {
     const auto& [status, heardAt] = seen;
     auto block = blockedUntil_.find(member);
-    v.peers.push_back({member, status.relays, heardAt - ageAt_(status), now - heardAt < kHeard,
+    v.peers.push_back({member, status.supportsForwarding, heardAt - ageAt_(status),
+                       now - heardAt < kHeard,
                        block != blockedUntil_.end() && now < block->second});
   }
   return v;
@@ -57,14 +58,14 @@
   probe();
   ++detours_;
   request.path = "/mesh/" + settings_.name + request.path;
-  mesh_.send(*peer, std::move(request), timeout,
-             [this, peer = *peer, done = std::move(done)](std::optional<Response> r) {
-               if (!r || r->status == kNotReached) {
-                 blockedUntil_[peer] = runtime_.now() + kBlock;
-                 return done(std::nullopt);
-               }
-               done(std::move(r));
-             });
+  peerMembership_.send(*peer, std::move(request), timeout,
+                       [this, peer = *peer, done = std::move(done)](std::optional<Response> r) {
+                         if (!r || r->status == kNotReached) {
+                           blockedUntil_[peer] = runtime_.now() + kBlock;
+                           return done(std::nullopt);
+                         }
+                         done(std::move(r));
+                       });
 }
 
 void Detour::direct(Request request, Duration timeout, OnReply done) {
--- a/src/reach/detour.hpp
+++ b/src/reach/detour.hpp
@@ -6,7 +6,7 @@
 
 #include <map>
 
-#include "leadership/mesh.hpp"
+#include "leadership/peer_membership.hpp"
 #include "reach/link.hpp"
 
 namespace kestrelhoist {
@@ -15,8 +15,8 @@
 struct DetourView {
   struct PeerView {
     MemberId member;
-    bool relays{};        // knows how to
-    Instant reachedAt{};  // when it last reached the service by its own link, as it says
+    bool supportsForwarding{};  // knows how to
+    Instant reachedAt{};        // when it last reached the service by its own link, as it says
     bool heardLately{};
     bool blocked{};  // a detour through it failed a moment ago
   };
@@ -37,7 +37,7 @@
     Duration probeEvery{1000};
   };
   // `ageAt`: how long ago a peer reached the service by its own link, by what it last told.
-  Detour(Runtime& runtime, HttpClient& http, Mesh& mesh, Settings settings,
+  Detour(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
          std::function<Duration(const PeerStatus&)> ageAt);
 
   void send(const std::string& address, Request request, Duration timeout, OnReply done) override;
@@ -54,7 +54,7 @@
 
   Runtime& runtime_;
   HttpClient& http_;
-  Mesh& mesh_;
+  PeerMembership& peerMembership_;
   Settings settings_;
   std::function<Duration(const PeerStatus&)> ageAt_;
   Link link_;
--- a/src/reach/reach_test.cpp
+++ b/src/reach/reach_test.cpp
@@ -114,9 +114,10 @@
   EXPECT_FALSE(detourPeer(v)) << "an answer that was under way when the outage began";
   v.peers[0].reachedAt = Instant{10400};
   EXPECT_EQ(detourPeer(v), kPeer);
-  v.peers[0].relays = false;  // the version before: its 404 would look like the service's
+  v.peers[0].supportsForwarding =
+      false;  // the version before: its 404 would look like the service's
   EXPECT_FALSE(detourPeer(v));
-  v.peers[0].relays = true;
+  v.peers[0].supportsForwarding = true;
   v.peers[0].heardLately = false;
   EXPECT_FALSE(detourPeer(v));
 }
@@ -139,12 +140,12 @@
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "me", 1.0};
   Platform platform;
-  std::unique_ptr<Mesh> mesh;
+  std::unique_ptr<PeerMembership> peers;
   int batches = 0;
 
   void SetUp() override {
     platform.peers.push_back({kPeer, ZoneId{"a"}, "peer:1"});
-    mesh = std::make_unique<Mesh>(runtime, runtime, platform);
+    peers = std::make_unique<PeerMembership>(runtime, runtime, platform);
     network.listen("peer:1", [this](const std::string&, const Request& q, const Respond& respond) {
       if (!q.path.starts_with("/mesh/reports/")) return respond(jsonResponse(404, Json::object()));
       ++batches;
@@ -156,7 +157,7 @@
 };
 
 TEST_F(TwoControllers, EachReportGetsTheAnswerToItself) {
-  Relay relay(runtime, *mesh, MemberId{"me"});
+  Relay relay(runtime, *peers, MemberId{"me"});
   std::map<int, int> answers;
   for (int n = 0; n < 200; ++n) {
     relay.pass(kPeer, encodeBody({{"n", n}}), [&, n](std::optional<Response> r) {
@@ -173,7 +174,7 @@
 // Found on tfc-bratislava-fleet's day `apart`: what had failed once counted as failing for ever,
 // since nothing was passed any more, and every worker was sent to the leader.
 TEST_F(TwoControllers, ALeaderThatDidNotAnswerIsTriedAgain) {
-  Relay relay(runtime, *mesh, MemberId{"me"});
+  Relay relay(runtime, *peers, MemberId{"me"});
   network.cut("me", {"peer"}, sim::CutMode::hold, 6000);
   int unanswered = 0;
   Instant began = runtime.now();
@@ -197,7 +198,7 @@
 // A machine is asked in vain only over a way that works: its silence must not count against it
 // while this controller is the one that is cut off from all of them.
 TEST_F(TwoControllers, SilenceCountsOnlyWhereOthersWereReached) {
-  WorkerLine line(runtime, runtime, *mesh);
+  WorkerLine line(runtime, runtime, *peers);
   network.listen("live:9", [](const std::string&, const Request&, const Respond& respond) {
     respond(jsonResponse(200, Json::object()));
   });
--- a/src/reach/relay.cpp
+++ b/src/reach/relay.cpp
@@ -70,24 +70,25 @@
   ++line.inFlight;
   ++batches_;
   passed_ += calls->size();
-  mesh_.send(leader, {"POST", "/mesh/reports/" + self_.value, arrayOf(reports)}, kPatience,
-             [this, leader, calls, sent = now](std::optional<Response> r) {
-               Line& line = lines_[leader];
-               --line.inFlight;
-               auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
-               bool ok = body && body->is_array() && body->size() == calls->size();
-               ok ? line.link.answered(sent) : line.link.failed(sent);
-               for (std::size_t i = 0; i < calls->size(); ++i) {
-                 const Json* answer = ok ? &(*body)[i] : nullptr;
-                 auto status = answer ? countField(*answer, "status") : std::nullopt;
-                 if (!status || !answer->contains("body")) {
-                   (*calls)[i](std::nullopt);
-                 } else {
-                   (*calls)[i](jsonResponse(static_cast<int>(*status), answer->at("body")));
-                 }
-               }
-               if (!line.waiting.empty()) schedule(leader, Duration{0});
-             });
+  peerMembership_.send(
+      leader, {"POST", "/mesh/reports/" + self_.value, arrayOf(reports)}, kPatience,
+      [this, leader, calls, sent = now](std::optional<Response> r) {
+        Line& line = lines_[leader];
+        --line.inFlight;
+        auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
+        bool ok = body && body->is_array() && body->size() == calls->size();
+        ok ? line.link.answered(sent) : line.link.failed(sent);
+        for (std::size_t i = 0; i < calls->size(); ++i) {
+          const Json* answer = ok ? &(*body)[i] : nullptr;
+          auto status = answer ? countField(*answer, "status") : std::nullopt;
+          if (!status || !answer->contains("body")) {
+            (*calls)[i](std::nullopt);
+          } else {
+            (*calls)[i](jsonResponse(static_cast<int>(*status), answer->at("body")));
+          }
+        }
+        if (!line.waiting.empty()) schedule(leader, Duration{0});
+      });
   if (!line.waiting.empty()) schedule(leader, Duration{0});
 }
 
@@ -140,9 +141,9 @@
   std::tuple<bool, bool, Duration> bestRank{};
   Instant now = runtime_.now();
   auto via = via_.find(address);
-  for (const auto& [member, seen] : mesh_.statuses()) {
+  for (const auto& [member, seen] : peerMembership_.statuses()) {
     const auto& [status, heardAt] = seen;
-    if (!status.relays || now - heardAt >= kPatience) continue;
+    if (!status.supportsForwarding || now - heardAt >= kPatience) continue;
     auto failed = failedThrough_.find(member);
     bool doubtful = failed != failedThrough_.end() && now - failed->second < kTryAgainAfter;
     std::tuple rank{doubtful, via == via_.end() || via->second.peer != member, status.workersAge};
@@ -181,7 +182,7 @@
                });
   }
   request.path = "/mesh/worker/" + address + request.path;
-  mesh_.send(
+  peerMembership_.send(
       *through, std::move(request), timeout,
       [this, now, address, through = *through, done = std::move(done)](std::optional<Response> r) {
         failedDirectly_.erase(address);
--- a/src/reach/relay.hpp
+++ b/src/reach/relay.hpp
@@ -5,15 +5,15 @@
 
 #include <deque>
 
-#include "leadership/mesh.hpp"
+#include "leadership/peer_membership.hpp"
 #include "reach/link.hpp"
 
 namespace kestrelhoist {
 
 class Relay {
  public:
-  Relay(Runtime& runtime, Mesh& mesh, MemberId self)
-      : runtime_(runtime), mesh_(mesh), self_(std::move(self)) {}
+  Relay(Runtime& runtime, PeerMembership& peers, MemberId self)
+      : runtime_(runtime), peerMembership_(peers), self_(std::move(self)) {}
 
   // `report`: its encoded body. Empty answer: none from the leader within a worker's patience.
   void pass(const MemberId& leader, std::string report, OnReply done);
@@ -38,7 +38,7 @@
   void flush(const MemberId& leader);
 
   Runtime& runtime_;
-  Mesh& mesh_;
+  PeerMembership& peerMembership_;
   MemberId self_;
   std::map<MemberId, Line> lines_;
   std::uint64_t passed_ = 0, batches_ = 0;
@@ -51,8 +51,8 @@
 // their last report. A command without an answer may still arrive, on either way.
 class WorkerLine : public HttpClient {
  public:
-  WorkerLine(Runtime& runtime, HttpClient& http, Mesh& mesh)
-      : runtime_(runtime), http_(http), mesh_(mesh) {}
+  WorkerLine(Runtime& runtime, HttpClient& http, PeerMembership& peers)
+      : runtime_(runtime), http_(http), peerMembership_(peers) {}
 
   // No answer: not known why. kNotReached: others were reached the same way by what was sent since.
   void send(const std::string& address, Request request, Duration timeout, OnReply done) override;
@@ -69,7 +69,7 @@
  private:
   Runtime& runtime_;
   HttpClient& http_;
-  Mesh& mesh_;
+  PeerMembership& peerMembership_;
   Link link_;
   std::optional<MemberId> peerFor(const std::string& address) const;
   Instant probedAt_{};
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -140,7 +140,7 @@
   return v;
 }
 
-Json toJson(const LeaderRecord& r) { return {{"member", r.member.value}, {"boot", r.boot}}; }
+Json toJson(const LeaderRecord& r) { return {{"member", r.member.value}, {"boot", r.incarnation}}; }
 
 std::optional<JobRecord> jobRecordFrom(const JobId& id, const Json& v) {
   const Json* spec = field(v, "spec");
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -123,7 +123,7 @@
 
 struct LeaderRecord {
   MemberId member;
-  std::string boot;  // tells apart the lives of a process
+  std::string incarnation;  // tells apart the lives of a process
 };
 
 Json toJson(const JobRecord& r);
--- a/src/versions/versions.cpp
+++ b/src/versions/versions.cpp
@@ -42,7 +42,7 @@
                              const MemberVersions& versions, const MemberId& member)
     : runtime_(runtime), store_(store), replica_(replica), versions_(versions), member_(member) {}
 
-void VersionWriter::tick() {
+void VersionWriter::onTimer() {
   if (asked_ || versions_.formatOf(member_) == kRecordFormat || !store_.mayAsk()) return;
   asked_ = true;
   std::string key = keys::version(member_);
--- a/src/versions/versions.hpp
+++ b/src/versions/versions.hpp
@@ -47,7 +47,7 @@
                 const MemberVersions& versions, const MemberId& member);
 
   // Of a controller whose copy is loaded.
-  void tick();
+  void onTimer();
 
  private:
   Runtime& runtime_;
