--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -13,8 +13,8 @@
 // Beyond this age, when a peer last reached a service is as good as unknown.
 constexpr Duration kUnknownAfter{10000};
 
-Feed::Settings feedSettings(const Platform& p, Duration staleAfter) {
-  Feed::Settings s;
+ChangeWatcher::Settings watcherSettings(const Platform& p, Duration staleAfter) {
+  ChangeWatcher::Settings s;
   // Reads of all nodes together take at most about half of the state service's rate.
   double gapS = static_cast<double>(p.nodes()) / (0.5 * p.stateRequestsPerS);
   s.minGap = std::max(Duration{10}, fromSeconds(gapS));
@@ -56,34 +56,34 @@
       cloud_(runtime, cloudWay_, platform.cloudAddress, platform.cloudRequestsPerS * 0.9),
       versions_(platform),
       versionWriter_(runtime, store_, replica_, versions_, platform.member),
-      feed_(runtime, store_, replica_, feedSettings(platform, kStoreSilent)),
-      jobs_(runtime, store_, feed_, replica_, platform, versions_),
-      flows_(runtime, store_, feed_, replica_, platform, settings,
+      watcher_(runtime, store_, replica_, watcherSettings(platform, kStoreSilent)),
+      jobs_(runtime, store_, watcher_, replica_, platform, versions_),
+      flows_(runtime, store_, watcher_, replica_, platform, settings,
              [this] { return jobs_.catalogue(); }),
-      policy_(runtime, store_, feed_, replica_, policyCopy_, platform),
+      policy_(runtime, store_, watcher_, replica_, policyReplica_, platform),
       election_({platform.member, incarnation, kLeaseLife, kLeaseRenew}),
       // A worker that hangs in a try waits 4 s and then 1 s before the next (PROTOCOL, "Workers").
       scouts_(Duration{5000} * static_cast<int>(platform.nodes() - 1) + Duration{1000},
               platform.workerLease, platform.reportEvery) {
-  replica_.add(policyCopy_);
+  replica_.add(policyReplica_);
   replica_.add(versions_);
-  policyCopy_.timeOfDay = [this] { return timeOfDay(); };
+  policyReplica_.timeOfDay = [this] { return timeOfDay(); };
   if (settings.members.enabled) enableMembers(incarnation);
 }
 
 void Controller::enableMembers(const std::string& incarnation) {
   metrics_ = std::make_unique<Metrics>();
-  members_ = std::make_unique<MemberService>(runtime_, store_, feed_, replica_, platform_,
+  members_ = std::make_unique<MemberService>(runtime_, store_, watcher_, replica_, platform_,
                                              settings_.members, jobs_, flows_, metrics_.get(),
                                              std::hash<std::string>{}(incarnation));
-  store_.onCommitted = [this](Outcome o) { metrics_->committed(wordOf(o), leads()); };
+  store_.onCommitted = [this](CommitOutcome o) { metrics_->committed(wordOf(o), leads()); };
   metrics_->gauges = [this] {
     MetricGauges g;
     members_->fill(g);
     g.liveJobs = static_cast<double>(replica_.live().size());
     g.machines = static_cast<double>(replica_.machines().size());
     g.leading = leads() ? 1 : 0;
-    g.storeAgeS = toSeconds(std::min(Duration{3600000}, feed_.contactAge()));
+    g.storeAgeS = toSeconds(std::min(Duration{3600000}, watcher_.contactAge()));
     return g;
   };
 }
@@ -91,9 +91,9 @@
 void Controller::start() {
   started_ = runtime_.now();
   lastWorker_ = started_ - Duration{3600000};
-  feed_.setInterval(kFollowerRead);
-  feed_.onChanged = [this] { onRecordsChanged(); };
-  feed_.onReload = [this] {
+  watcher_.setInterval(kFollowerRead);
+  watcher_.onChanged = [this] { onRecordsChanged(); };
+  watcher_.onReload = [this] {
     if (election_.leads()) stepDown("records must be read again", true, Duration{1000});
   };
   jobs_.onCommitted = flows_.onCommitted = [this] {
@@ -103,7 +103,7 @@
       peerMembership_.notifyLeader(replica_.leader()->member);
     }
   };
-  feed_.start();
+  watcher_.start();
   peerMembership_.onAnswer = [this](const PeerStatus& s, Instant asked) {
     cancellationBarrier_.onPeerStatus(s.member, asked, s.newestCancellation, replica_.cursor());
   };
@@ -126,7 +126,7 @@
   Instant now = runtime_.now();
   if (members_ && lastTimer_ != Instant{}) members_->onTimer(kTick, now - lastTimer_);
   lastTimer_ = now;
-  if (feed_.loaded()) versionWriter_.onTimer();
+  if (watcher_.loaded()) versionWriter_.onTimer();
   if (peerMembership_.anyReachable(kPeerPresence)) lastPeer_ = now;
   trackUnreachableLeader(now);
   if (now - expiredAt_ > kExpireEvery) expireWorkers(now);
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -40,7 +40,7 @@
 
   bool leads() const { return leader_ != nullptr; }
   const Replica& replica() const { return replica_; }
-  const PolicyCopy& policy() const { return policyCopy_; }
+  const PolicyReplica& policy() const { return policyReplica_; }
   const MemberVersions& versions() const { return versions_; }
 
  private:
@@ -116,10 +116,10 @@
   StoreClient store_;
   CloudClient cloud_;
   Replica replica_;
-  PolicyCopy policyCopy_;
+  PolicyReplica policyReplica_;
   MemberVersions versions_;
   VersionWriter versionWriter_;
-  Feed feed_;
+  ChangeWatcher watcher_;
   JobService jobs_;
   FlowService flows_;
   PolicyService policy_;
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -17,8 +17,8 @@
 
 void Controller::runElection() {
   Instant now = runtime_.now();
-  if (!feed_.loaded()) return;
-  Election::View view{feed_.contactAge() < Duration{1000}, replica_.leader(),
+  if (!watcher_.loaded()) return;
+  Election::View view{watcher_.contactAge() < Duration{1000}, replica_.leader(),
                       replica_.leaderToken()};
   if (defersCandidacy(view)) return;
   bool led = election_.leads();
@@ -59,11 +59,11 @@
     election_.onGranted(lease);
     if (election_.role() != Election::Role::claiming) return;
     Transaction t;
-    t.conditions.push_back({keys::kLeader, Revision{election_.expectedToken().value}});
+    t.compares.push_back({keys::kLeader, Revision{election_.expectedToken().value}});
     t.writes.push_back({keys::kLeader, toJson(election_.record()), lease});
     store_.commit(t, kStoreTimeout, [this, t](CommitResult r) {
       election_.onClaimed(runtime_.now(), r);
-      if (r.outcome == Outcome::applied) {
+      if (r.outcome == CommitOutcome::applied) {
         replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
         beginLeadership();
       }
@@ -85,7 +85,7 @@
 void Controller::beginLeadership() {
   if (beginningLeadership_ || leader_ || !election_.leads()) return;
   beginningLeadership_ = true;
-  feed_.fresh([this](bool ok) {
+  watcher_.linearizableRead([this](bool ok) {
     beginningLeadership_ = false;
     if (!ok || leader_ || !election_.leads()) return;
     if (!election_.isMine(replica_.leader()) || replica_.leaderToken() != election_.token()) return;
@@ -94,15 +94,15 @@
 }
 
 void Controller::startLeader() {
-  feed_.setInterval(kLeaderRead);
+  watcher_.setInterval(kLeaderRead);
   workerLine_.forget();
-  LeaderContext context{runtime_,    store_,    feed_,     replica_,          cloud_,
+  LeaderContext context{runtime_,    store_,    watcher_,  replica_,          cloud_,
                         workerLine_, platform_, settings_, election_.token(), runtime_.now()};
   context.workersReachedSince = [this](Instant sent) { return workerLine_.reachedSince(sent); };
-  context.effectivePolicy = &policyCopy_;
+  context.effectivePolicy = &policyReplica_;
   context.allMembersRead = [this](unsigned format) { return versions_.allAtLeast(format); };
   context.timeOfDay = [this] { return timeOfDay(); };
-  leader_ = std::make_unique<Leader>(context, planner_, policyCopy_, [this](const ZoneId& zone) {
+  leader_ = std::make_unique<Leader>(context, planner_, policyReplica_, [this](const ZoneId& zone) {
     return std::any_of(platform_.peers.begin(), platform_.peers.end(), [&](const Peer& p) {
       return p.zone == zone && peerMembership_.mayBeAlive(p.member);
     });
@@ -135,7 +135,7 @@
   auto lease = election_.lease();
   if (dropLease && lease) store_.dropLease(*lease);
   election_.stepDown(runtime_.now() + holdBack);
-  feed_.setInterval(kFollowerRead);
+  watcher_.setInterval(kFollowerRead);
   // Not from within one of its own calls.
   if (leader_) {
     std::shared_ptr<Leader> old(std::move(leader_));
@@ -150,11 +150,11 @@
       return stepDown("member " + member.value + " knows a higher token", false, Duration{500});
     }
   }
-  if (feed_.loaded() && !mayRenew()) {
+  if (watcher_.loaded() && !mayRenew()) {
     return stepDown("no contact with the state service for too long", false, Duration{1000});
   }
-  if (feed_.loaded() && feed_.contactAge() > kStoreSilent &&
-      peerMembership_.peerReachingStore(feed_.failingSince())) {
+  if (watcher_.loaded() && watcher_.contactAge() > kStoreSilent &&
+      peerMembership_.peerReachingStore(watcher_.failingSince())) {
     return stepDown("the state service answers others but not this node", false, Duration{3000});
   }
   if (leader_) watchWorkers();
@@ -187,14 +187,14 @@
 }
 
 std::optional<Instant> Controller::renewUntil() const {
-  if (!feed_.loaded()) return std::nullopt;
-  Instant asOf = feed_.recordsAsOf();
+  if (!watcher_.loaded()) return std::nullopt;
+  Instant asOf = watcher_.snapshotTime();
   // Running work need not end when nobody can have told of a cancellation that is not known here.
   // Own commits that were not read back yet may hide placements, and a flow's are not effective
   // yet.
   if (auto told = cancellationBarrier_.snapshotTime();
-      told && *told > asOf && feed_.contactAge() > kStoreSilent &&
-      replica_.newestCancellation() <= replica_.cursor() && !replica_.cancelsUnderWay()) {
+      told && *told > asOf && watcher_.contactAge() > kStoreSilent &&
+      replica_.newestCancellation() <= replica_.cursor() && !replica_.flowCancellationUnderWay()) {
     asOf = *told;
   }
   return renewal_.until(asOf);
--- a/src/app/controller_peers.cpp
+++ b/src/app/controller_peers.cpp
@@ -11,7 +11,7 @@
   if (path == "/mesh/hello" && request.method == "POST")
     return respond(peerMembership_.onStatusRequest(request));
   if (path == "/mesh/nudge" && request.method == "POST") {
-    feed_.fresh([](bool) {});
+    watcher_.linearizableRead([](bool) {});
     return respond(jsonResponse(200, Json::object()));
   }
   if (policy_.handle(request, respond) || onMeshService(request, respond)) return;
@@ -81,8 +81,8 @@
   s.supportsForwarding = true;
   s.wallMs = runtime_.wallMillis();
   s.workersAge = std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastWorker_));
-  if (feed_.loaded()) s.newestCancellation = replica_.newestCancellation();
-  s.ready = feed_.loaded() && jobs_.catalogue() != nullptr;
+  if (watcher_.loaded()) s.newestCancellation = replica_.newestCancellation();
+  s.ready = watcher_.loaded() && jobs_.catalogue() != nullptr;
   s.hasLostWorkers = leader_ && reportingMachines() > 0 &&
                      s.workersAge > platform_.reportEvery * 3 / 2 + Duration{500};
   return s;
--- a/src/app/controller_reports.cpp
+++ b/src/app/controller_reports.cpp
@@ -61,7 +61,7 @@
   v.leads = leader_ && election_.leads();
   v.keyLife = kLeaseLife;
   v.renewUntil = renewUntil();
-  v.contactAge = feed_.contactAge();
+  v.contactAge = watcher_.contactAge();
   v.known = lastToken_;
   v.reported = report.token;
   v.foreignZone = report.zone != platform_.zone;
@@ -108,7 +108,7 @@
   auto end = [this](const JobId& id) {
     const auto* job = replica_.job(id);
     if (!job || job->active()) return JobEnd::none;
-    return job->stamp <= replica_.cursor() ? JobEnd::known : JobEnd::notReadBack;
+    return job->modRevision <= replica_.cursor() ? JobEnd::known : JobEnd::notReadBack;
   };
   return jsonResponse(
       200,
@@ -139,7 +139,7 @@
     return away();
   }
   if (via) workerLine_.heard(report.address, via);
-  return leader_->onReport(report, feed_.contactAge() < kStoreSilent);
+  return leader_->onReport(report, watcher_.contactAge() < kStoreSilent);
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller_users.cpp
+++ b/src/app/controller_users.cpp
@@ -26,8 +26,8 @@
       !path.starts_with("/v2/flows/tasks/")) {
     return respond(jsonResponse(403, {{"error", "members come with TLS, see docs/members.md"}}));
   }
-  if (ofUsers && !feed_.reachable()) {
-    if (auto peer = peerMembership_.peerReachingStore(feed_.failingSince())) {
+  if (ofUsers && !watcher_.reachable()) {
+    if (auto peer = peerMembership_.peerReachingStore(watcher_.failingSince())) {
       return forwardToPeer(*peer, request, respond);
     }
   }
@@ -78,10 +78,10 @@
 }
 
 Response Controller::ready() {
-  bool serves = feed_.loaded() && jobs_.catalogue();
+  bool serves = watcher_.loaded() && jobs_.catalogue();
   // A common outage must not take all nodes out of the balancer; a node that alone lost the
   // state service passes requests on to its peers; one that hears nobody steps out.
-  if (serves && !feed_.reachable() && feed_.contactAge() > kStoreSilent) {
+  if (serves && !watcher_.reachable() && watcher_.contactAge() > kStoreSilent) {
     serves = peerMembership_.anyReachable(kPeerPresence);
   }
   return jsonResponse(serves ? 200 : 503, Json::object());
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kRetry{200};
 }  // namespace
 
-Leader::Leader(const LeaderContext& context, PlanRunner& planner, PolicyCopy& policy,
+Leader::Leader(const LeaderContext& context, PlanRunner& planner, PolicyReplica& policy,
                std::function<bool(const ZoneId&)> mayHaveActingLeader)
     : context_(context),
       mayHaveActingLeader_(std::move(mayHaveActingLeader)),
@@ -109,7 +109,7 @@
 
 // The duties take turns, so that none starves another however much there is of it.
 void Leader::cycle() {
-  if (stepUnderWay_ || deposed() || !context_.feed.reachable()) return;
+  if (stepUnderWay_ || deposed() || !context_.watcher.reachable()) return;
   for (std::size_t i = 0; i < loops_.size(); ++i) {
     std::size_t at = (nextLoop_ + i) % loops_.size();
     LoopStep step = loops_[at]->next();
@@ -150,7 +150,7 @@
   context_.store.commit(
       commit->transaction, kCommitTimeout, context_.whileLeading([this, commit](CommitResult r) {
         switch (r.outcome) {
-          case Outcome::applied:
+          case CommitOutcome::applied:
             for (const auto& w : commit->transaction.writes) {
               context_.replica.apply({w.key, w.value, r.revision});
             }
@@ -161,28 +161,28 @@
             if (commit->onApplied) commit->onApplied();
             scheduleCycle();
             return;
-          case Outcome::conflict:
+          case CommitOutcome::conflict:
             logInfo("commit in conflict, reading again", "what", commit->what);
-            context_.feed.fresh(context_.whileLeading([this](bool) {
+            context_.watcher.linearizableRead(context_.whileLeading([this](bool) {
               stepUnderWay_ = false;
               notifyLoops(false);
               scheduleCycle();
             }));
             return;
-          case Outcome::rejected:
-          case Outcome::noLease:
+          case CommitOutcome::rejected:
+          case CommitOutcome::noLease:
             logError("commit rejected", "what", commit->what);
             // Too large, since the limits fell? An earlier copy may have been taken before that.
             context_.runtime.after(Duration{1000}, context_.whileLeading([this] {
-              context_.feed.fresh(context_.whileLeading([this](bool) {
+              context_.watcher.linearizableRead(context_.whileLeading([this](bool) {
                 stepUnderWay_ = false;
                 notifyLoops(false);
                 scheduleCycle();
               }));
             }));
             return;
-          case Outcome::refused:
-          case Outcome::unknown:
+          case CommitOutcome::refused:
+          case CommitOutcome::unknown:
             context_.runtime.after(kRetry, context_.whileLeading([this, commit] { send(commit); }));
             return;
         }
@@ -231,12 +231,12 @@
     }
     if (!context_.initialRoundOver) {
       add("the new leader waits for the report round", job->waiting());
-    } else if (job->held()) {
-      for (const auto& awaited : context_.replica.dependencies().openAwaits(id)) {
+    } else if (job->blockedOnDependencies()) {
+      for (const auto& awaited : context_.replica.dependencies().unfinishedDependencies(id)) {
         awaits.push_back(awaited.value);
       }
       add(wordOf(Waits::dependencies), job->tasks);
-    } else if (!context_.feed.reachable()) {
+    } else if (!context_.watcher.reachable()) {
       add("the state service is out of reach", job->waiting());
     } else {
       for (const auto& g : plans_.waits().of(id)) add(wordOf(g.why), g.tasks);
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -13,7 +13,7 @@
 class Leader {
  public:
   // `mayHaveActingLeader`: whether a controller in that zone may be answering its workers unseen.
-  Leader(const LeaderContext& context, PlanRunner& planner, PolicyCopy& policy,
+  Leader(const LeaderContext& context, PlanRunner& planner, PolicyReplica& policy,
          std::function<bool(const ZoneId&)> mayHaveActingLeader);
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
--- a/src/cloud/release_duty.cpp
+++ b/src/cloud/release_duty.cpp
@@ -35,9 +35,9 @@
   }
   for (const auto& id : fleet_.toRelease()) {
     const auto* state = context_.replica.machine(id);
-    if (!state || state->leaving || releaseConfirmed_.contains(id)) continue;
+    if (!state || state->draining || releaseConfirmed_.contains(id)) continue;
     if (auto* draft = draftOf(state->rental)) {
-      for (auto& m : draft->machines) m.leaving = m.leaving || m.id == id;
+      for (auto& m : draft->machines) m.draining = m.draining || m.id == id;
       ++marked;
     }
   }
@@ -51,7 +51,7 @@
   Transaction t = context_.begin();
   for (const auto& [id, draft] : drafts) {
     std::string key = keys::rental(id);
-    t.conditions.push_back({key, context_.replica.stampOf(key)});
+    t.compares.push_back({key, context_.replica.modRevisionOf(key)});
     t.writes.push_back(
         {key, draft.machines.empty() ? std::nullopt : std::optional(toJson(draft)), std::nullopt});
   }
@@ -72,7 +72,7 @@
   std::vector<MachineId> batch;
   for (const auto& id : fleet_.toRelease()) {
     const auto* state = context_.replica.machine(id);
-    if (state && state->leaving && batch.size() < kMostNames) batch.push_back(id);
+    if (state && state->draining && batch.size() < kMostNames) batch.push_back(id);
   }
   if (batch.empty() || !context_.cloud.mayAsk()) return;
   releasing_.insert(batch.begin(), batch.end());
--- a/src/cloud/rental_duty.cpp
+++ b/src/cloud/rental_duty.cpp
@@ -19,7 +19,7 @@
   std::size_t bytes = 1024;
   auto add = [&](const RentalId& id, std::optional<Json> value) {
     std::string key = keys::rental(id);
-    t.conditions.push_back({key, context_.replica.stampOf(key)});
+    t.compares.push_back({key, context_.replica.modRevisionOf(key)});
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
   auto full = [&] { return t.writes.size() >= limit || bytes > kMaxTransactionBytes; };
@@ -42,7 +42,7 @@
   // kind has no answer on record yet, they are likely its own.
   std::map<Offer, RentalRecord> adopted;
   constexpr std::size_t kMostAdopted = 50;  // of a kind at a time, for the size of the value
-  auto adopt = [&](const MachineId& id, bool leaving) {
+  auto adopt = [&](const MachineId& id, bool draining) {
     const Machine* m = fleet_.find(id);
     const auto* known = context_.replica.machine(id);
     if (!m || m->type.empty() || (known && !known->rental.empty())) return;
@@ -52,7 +52,7 @@
     }
     RentalRecord& record = adopted[offer];
     if (record.machines.size() >= kMostAdopted) return;
-    record.machines.push_back({id, leaving});
+    record.machines.push_back({id, draining});
   };
   for (const auto& id : fleet_.unexpected()) adopt(id, false);
   for (const auto& id : fleet_.toRelease()) adopt(id, true);
@@ -207,7 +207,7 @@
     }
     for (auto& [id, m] : fleet_.machines()) {
       const auto* record = context_.replica.machine(id);
-      if (m.type != type.id || m.releaseWanted || (record && record->leaving) || m.noticeEnds ||
+      if (m.type != type.id || m.releaseWanted || (record && record->draining) || m.noticeEnds ||
           fleet_.faulty(m)) {
         continue;
       }
--- a/src/cloud/window_duty.cpp
+++ b/src/cloud/window_duty.cpp
@@ -19,7 +19,7 @@
 LoopStep WindowDuty::next() {
   Transaction t = context_.begin();
   auto set = [&](const std::string& key, Json value) {
-    t.conditions.push_back({key, context_.replica.stampOf(key)});
+    t.compares.push_back({key, context_.replica.modRevisionOf(key)});
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
   if (context_.catalogue && !context_.replica.catalogue())
--- a/src/dependencies/job_graph.cpp
+++ b/src/dependencies/job_graph.cpp
@@ -27,53 +27,54 @@
   return *it->second;
 }
 
-void JobGraph::update(const JobId& id, const JobFacts& facts, JobRecords& records) {
+void JobGraph::update(const JobId& id, const DependencyInput& input, JobRecords& records) {
   records_ = &records;
   Node* node = find(id);
-  if (facts.phase != JobPhase::active) {
-    if (node) finish(*node, facts.phase == JobPhase::cancelled, facts.endedAtMs);
+  if (input.phase != JobPhase::active) {
+    if (node) finish(*node, input.phase == JobPhase::cancelled, input.endedAtMs);
     return;
   }
-  if (!node && facts.awaits.empty()) return;
+  if (!node && input.dependsOn.empty()) return;
   if (!node) node = &nodeOf(id);
-  if (!node->learned) learn(*node, facts);
+  if (!node->dependenciesAdded) addDependencies(*node, input);
 }
 
-void JobGraph::learn(Node& node, const JobFacts& facts) {
+void JobGraph::addDependencies(Node& node, const DependencyInput& input) {
   node.known = true;
-  node.learned = true;
-  node.facts = facts;
+  node.dependenciesAdded = true;
+  node.input = input;
   bool cancelled = false;
-  for (const auto& awaited : facts.awaits) cancelled = await(node, awaited) || cancelled;
+  for (const auto& hasDependents : input.dependsOn)
+    cancelled = await(node, hasDependents) || cancelled;
   if (cancelled) {
     cancelAll({&node});
     return;
   }
-  tell(node);
-  inheritUpstream(node.awaits);
+  report(node);
+  inheritUpstream(node.dependsOn);
   dropIfPlain(node);
 }
 
 // True: the awaited job is cancelled.
-bool JobGraph::await(Node& node, const JobId& awaited) {
-  Node* upstream = find(awaited);
+bool JobGraph::await(Node& node, const JobId& hasDependents) {
+  Node* upstream = find(hasDependents);
   if (!upstream) {
-    auto facts = records_->factsOf(awaited);
-    if (facts && facts->phase == JobPhase::done) {
-      node.readyAtMs = std::max(node.readyAtMs, facts->endedAtMs);
+    auto input = records_->dependencyInputOf(hasDependents);
+    if (input && input->phase == JobPhase::done) {
+      node.readyAtMs = std::max(node.readyAtMs, input->endedAtMs);
       return false;
     }
-    if (facts && facts->phase == JobPhase::cancelled) return true;
-    upstream = &nodeOf(awaited);
-    if (facts) {
+    if (input && input->phase == JobPhase::cancelled) return true;
+    upstream = &nodeOf(hasDependents);
+    if (input) {
       upstream->known = true;
-      upstream->learned = true;  // it awaits nothing, or it would have a node
-      upstream->facts = *facts;
-      upstream->facts.awaits.clear();
+      upstream->dependenciesAdded = true;  // it awaits nothing, or it would have a node
+      upstream->input = *input;
+      upstream->input.dependsOn.clear();
     }
   }
   upstream->dependents.push_back(&node);
-  node.awaits.push_back(upstream);
+  node.dependsOn.push_back(upstream);
   return false;
 }
 
@@ -83,15 +84,15 @@
     return;
   }
   auto dependents = std::exchange(node.dependents, {});
-  auto upstream = std::exchange(node.awaits, {});
+  auto upstream = std::exchange(node.dependsOn, {});
   for (Node* other : upstream) removeFrom(other->dependents, &node);
   for (Node* dependent : dependents) {
-    removeFrom(dependent->awaits, &node);
+    removeFrom(dependent->dependsOn, &node);
     dependent->readyAtMs = std::max(dependent->readyAtMs, endedAtMs);
   }
   forget(node);
   for (Node* dependent : dependents) {
-    tell(*dependent);
+    report(*dependent);
     dropIfPlain(*dependent);
   }
   inheritUpstream(upstream);
@@ -110,7 +111,7 @@
   }
   std::vector<Node*> upstream;
   for (Node* node : cancelled) {
-    for (Node* other : node->awaits) {
+    for (Node* other : node->dependsOn) {
       if (other->cancelled) continue;
       removeFrom(other->dependents, node);
       upstream.push_back(other);
@@ -119,7 +120,7 @@
   for (Node* node : cancelled) {
     DependencyState state;
     state.cancelled = true;
-    state.priority = node->facts.priority;
+    state.priority = node->input.priority;
     bool known = node->known;
     JobId id = node->id;
     forget(*node);
@@ -134,7 +135,7 @@
   while (!next.empty()) {
     Node* node = next.back();
     next.pop_back();
-    if (tell(*node)) next.insert(next.end(), node->awaits.begin(), node->awaits.end());
+    if (report(*node)) next.insert(next.end(), node->dependsOn.begin(), node->dependsOn.end());
   }
   std::sort(from.begin(), from.end());
   from.erase(std::unique(from.begin(), from.end()), from.end());
@@ -143,28 +144,28 @@
 
 DependencyState JobGraph::stateOf(const Node& node) {
   DependencyState state;
-  state.held = !node.awaits.empty();
+  state.blocked = !node.dependsOn.empty();
   state.readyAtMs = node.readyAtMs;
-  state.priority = node.facts.priority;
-  state.latestEndMs = node.facts.dueMs;
-  state.awaited = !node.dependents.empty();
+  state.priority = node.input.priority;
+  state.latestEndMs = node.input.dueMs;
+  state.hasDependents = !node.dependents.empty();
   for (const Node* dependent : node.dependents) {
-    const DependencyState& needs = dependent->told;
+    const DependencyState& needs = dependent->reported;
     state.priority = std::max(state.priority, needs.priority);
     if (!needs.latestEndMs) continue;
-    std::int64_t latestEnd = *needs.latestEndMs - dependent->facts.estimate.count();
+    std::int64_t latestEnd = *needs.latestEndMs - dependent->input.estimate.count();
     state.latestEndMs = std::min(state.latestEndMs.value_or(latestEnd), latestEnd);
   }
   return state;
 }
 
 // True: its state has changed.
-bool JobGraph::tell(Node& node) {
+bool JobGraph::report(Node& node) {
   DependencyState state = stateOf(node);
-  const bool differs = state != node.told;
-  held_ += state.held ? 1 : 0;
-  held_ -= node.told.held ? 1 : 0;
-  node.told = state;
+  const bool differs = state != node.reported;
+  blocked_ += state.blocked ? 1 : 0;
+  blocked_ -= node.reported.blocked ? 1 : 0;
+  node.reported = state;
   const bool firstTime = node.known && !std::exchange(node.announced, node.known);
   if (node.known && (differs || firstTime)) records_->dependenciesChanged(node.id, state);
   return differs;
@@ -172,26 +173,26 @@
 
 // Nothing is left to know of a job that awaits none and is awaited by none.
 void JobGraph::dropIfPlain(Node& node) {
-  if (node.awaits.empty() && node.dependents.empty()) forget(node);
+  if (node.dependsOn.empty() && node.dependents.empty()) forget(node);
 }
 
 void JobGraph::forget(const Node& node) {
-  held_ -= node.told.held ? 1 : 0;
+  blocked_ -= node.reported.blocked ? 1 : 0;
   nodes_.erase(JobId{node.id});
 }
 
-std::vector<JobId> JobGraph::openAwaits(const JobId& id) const {
+std::vector<JobId> JobGraph::unfinishedDependencies(const JobId& id) const {
   std::vector<JobId> open;
   auto it = nodes_.find(id);
   if (it == nodes_.end()) return open;
-  for (const Node* awaited : it->second->awaits) open.push_back(awaited->id);
+  for (const Node* hasDependents : it->second->dependsOn) open.push_back(hasDependents->id);
   return open;
 }
 
-void JobGraph::eachHeld(
+void JobGraph::forEachBlocked(
     const std::function<void(const JobId&, const std::vector<JobId>&)>& visit) const {
   for (const auto& [id, node] : nodes_) {
-    if (!node->awaits.empty()) visit(id, openAwaits(id));
+    if (!node->dependsOn.empty()) visit(id, unfinishedDependencies(id));
   }
 }
 
--- a/src/dependencies/job_graph_test.cpp
+++ b/src/dependencies/job_graph_test.cpp
@@ -11,40 +11,40 @@
 
 // A graph over records of its own, as the copy keeps them.
 struct Jobs : JobRecords {
-  std::map<JobId, JobFacts> records;
+  std::map<JobId, DependencyInput> records;
   std::map<JobId, DependencyState> states;
-  std::size_t told = 0;
+  std::size_t reported = 0;
   JobGraph graph;
 
-  std::optional<JobFacts> factsOf(const JobId& id) const override {
+  std::optional<DependencyInput> dependencyInputOf(const JobId& id) const override {
     auto record = records.find(id);
     if (record == records.end()) return std::nullopt;
-    JobFacts facts = record->second;
+    DependencyInput input = record->second;
     auto state = states.find(id);
-    if (state != states.end() && state->second.cancelled) facts.phase = JobPhase::cancelled;
-    return facts;
+    if (state != states.end() && state->second.cancelled) input.phase = JobPhase::cancelled;
+    return input;
   }
   void dependenciesChanged(const JobId& id, const DependencyState& state) override {
     states[id] = state;
-    ++told;
+    ++reported;
   }
 
   static JobId id(int n) { return JobId{"j-" + std::to_string(n)}; }
-  void accept(int n, std::vector<int> awaits, Priority priority = Priority::low,
+  void accept(int n, std::vector<int> dependsOn, Priority priority = Priority::low,
               std::optional<std::int64_t> dueMs = std::nullopt) {
-    JobFacts facts;
-    for (int a : awaits) facts.awaits.push_back(id(a));
-    facts.priority = priority;
-    facts.estimate = Duration{10000};
-    facts.dueMs = dueMs;
-    records[id(n)] = facts;
-    graph.update(id(n), facts, *this);
+    DependencyInput input;
+    for (int a : dependsOn) input.dependsOn.push_back(id(a));
+    input.priority = priority;
+    input.estimate = Duration{10000};
+    input.dueMs = dueMs;
+    records[id(n)] = input;
+    graph.update(id(n), input, *this);
   }
   void end(int n, JobPhase phase, std::int64_t atMs = 0) {
-    JobFacts& facts = records[id(n)];
-    facts.phase = phase;
-    facts.endedAtMs = atMs;
-    graph.update(id(n), facts, *this);
+    DependencyInput& input = records[id(n)];
+    input.phase = phase;
+    input.endedAtMs = atMs;
+    graph.update(id(n), input, *this);
   }
   const DependencyState& of(int n) { return states[id(n)]; }
 };
@@ -54,13 +54,13 @@
   jobs.accept(1, {});
   jobs.accept(2, {});
   jobs.accept(3, {1, 2});
-  EXPECT_TRUE(jobs.of(3).held);
-  EXPECT_EQ(jobs.graph.heldCount(), 1U);
+  EXPECT_TRUE(jobs.of(3).blocked);
+  EXPECT_EQ(jobs.graph.blockedCount(), 1U);
   jobs.end(1, JobPhase::done, 5000);
-  EXPECT_TRUE(jobs.of(3).held);
-  EXPECT_EQ(jobs.graph.openAwaits(Jobs::id(3)), std::vector<JobId>{Jobs::id(2)});
+  EXPECT_TRUE(jobs.of(3).blocked);
+  EXPECT_EQ(jobs.graph.unfinishedDependencies(Jobs::id(3)), std::vector<JobId>{Jobs::id(2)});
   jobs.end(2, JobPhase::done, 4000);
-  EXPECT_FALSE(jobs.of(3).held);
+  EXPECT_FALSE(jobs.of(3).blocked);
   EXPECT_EQ(jobs.of(3).readyAtMs, 5000);
   EXPECT_EQ(jobs.graph.size(), 0U);
 }
@@ -70,7 +70,7 @@
   jobs.accept(1, {});
   jobs.end(1, JobPhase::done, 7000);
   jobs.accept(2, {1});
-  EXPECT_FALSE(jobs.of(2).held);
+  EXPECT_FALSE(jobs.of(2).blocked);
   EXPECT_EQ(jobs.of(2).readyAtMs, 7000);
   EXPECT_EQ(jobs.graph.size(), 0U);
 }
@@ -84,13 +84,13 @@
   jobs.accept(5, {4});
   jobs.accept(6, {});
   jobs.accept(7, {6, 3});
-  jobs.told = 0;
+  jobs.reported = 0;
   jobs.end(1, JobPhase::cancelled);
   for (int n : {2, 3, 4, 5, 7}) EXPECT_TRUE(jobs.of(n).cancelled) << n;
   EXPECT_FALSE(jobs.of(6).cancelled);
-  EXPECT_FALSE(jobs.of(6).awaited);
+  EXPECT_FALSE(jobs.of(6).hasDependents);
   EXPECT_EQ(jobs.graph.size(), 0U);
-  EXPECT_EQ(jobs.told, 7U);  // each of the cancelled, and 6, which nobody awaits any more
+  EXPECT_EQ(jobs.reported, 7U);  // each of the cancelled, and 6, which nobody awaits any more
 }
 
 TEST(JobGraph, AJobThatNamesACancelledOneIsCancelledAtOnce) {
@@ -127,13 +127,13 @@
   jobs.accept(2, {1, 9}, Priority::high);
   jobs.accept(9, {8});
   jobs.accept(8, {});
-  EXPECT_TRUE(jobs.of(2).held);
+  EXPECT_TRUE(jobs.of(2).blocked);
   EXPECT_EQ(jobs.of(8).priority, Priority::high);
   jobs.end(8, JobPhase::done, 1000);
   jobs.end(9, JobPhase::done, 2000);
-  EXPECT_TRUE(jobs.of(2).held);
+  EXPECT_TRUE(jobs.of(2).blocked);
   jobs.end(1, JobPhase::done, 1500);
-  EXPECT_FALSE(jobs.of(2).held);
+  EXPECT_FALSE(jobs.of(2).blocked);
   EXPECT_EQ(jobs.of(2).readyAtMs, 2000);
 }
 
@@ -146,14 +146,14 @@
     }
   }
   EXPECT_EQ(jobs.graph.size(), 0U);
-  EXPECT_EQ(jobs.graph.heldCount(), 0U);
+  EXPECT_EQ(jobs.graph.blockedCount(), 0U);
 }
 
 // Against a computation from scratch over all records.
 RC_GTEST_PROP(JobGraphProperty, TellsWhatFollowsFromAllRecords, ()) {
   Jobs jobs;
   int count = 0;
-  std::map<int, std::vector<int>> awaits;
+  std::map<int, std::vector<int>> dependsOn;
   std::map<int, JobPhase> own;
   auto steps = *rc::gen::inRange(5, 40);
   for (int step = 0; step < steps; ++step) {
@@ -163,13 +163,13 @@
       for (int k = *rc::gen::inRange(0, 4); k > 0 && count > 0; --k) {
         chosen.insert(*rc::gen::inRange(0, count));
       }
-      awaits[count].assign(chosen.begin(), chosen.end());
+      dependsOn[count].assign(chosen.begin(), chosen.end());
       own[count] = JobPhase::active;
-      jobs.accept(count, awaits[count], static_cast<Priority>(*rc::gen::inRange(0, 4)));
+      jobs.accept(count, dependsOn[count], static_cast<Priority>(*rc::gen::inRange(0, 4)));
       ++count;
     } else {
       int n = *rc::gen::inRange(0, count);
-      bool ready = own[n] == JobPhase::active && !jobs.of(n).cancelled && !jobs.of(n).held;
+      bool ready = own[n] == JobPhase::active && !jobs.of(n).cancelled && !jobs.of(n).blocked;
       bool cancel = *rc::gen::inRange(0, 3) == 0;
       if (own[n] == JobPhase::active && (cancel || ready)) {
         own[n] = cancel ? JobPhase::cancelled : JobPhase::done;
@@ -180,20 +180,20 @@
     std::map<int, Priority> priority;
     for (int n = 0; n < count; ++n) {
       cancelled[n] = own[n] == JobPhase::cancelled;
-      bool held = false;
-      for (int a : awaits[n]) {
+      bool blocked = false;
+      for (int a : dependsOn[n]) {
         cancelled[n] = cancelled[n] || cancelled[a];
-        held = held || own[a] != JobPhase::done;
+        blocked = blocked || own[a] != JobPhase::done;
       }
       if (own[n] != JobPhase::active) continue;
       RC_ASSERT(jobs.of(n).cancelled == cancelled[n]);
-      if (!cancelled[n]) RC_ASSERT(jobs.of(n).held == held);
+      if (!cancelled[n]) RC_ASSERT(jobs.of(n).blocked == blocked);
     }
     for (int n = count - 1; n >= 0; --n) {
       priority[n] = std::max(priority[n], jobs.records[Jobs::id(n)].priority);
       if (own[n] != JobPhase::active || cancelled[n]) continue;
-      for (int a : awaits[n]) priority[a] = std::max(priority[a], priority[n]);
-      if (jobs.of(n).awaited) RC_ASSERT(jobs.of(n).priority == priority[n]);
+      for (int a : dependsOn[n]) priority[a] = std::max(priority[a], priority[n]);
+      if (jobs.of(n).hasDependents) RC_ASSERT(jobs.of(n).priority == priority[n]);
     }
   }
 }
--- a/src/dependencies/room_ahead.cpp
+++ b/src/dependencies/room_ahead.cpp
@@ -16,7 +16,8 @@
     const auto* job = replica_.job(id);
     if (!job) return kUnknown;
     ends_[id] = kUnknown;  // of records that go round in a circle
-    Duration end = readyIn(replica_.dependencies().openAwaits(id)) + job->record.spec->estimate;
+    Duration end =
+        readyIn(replica_.dependencies().unfinishedDependencies(id)) + job->record.spec->estimate;
     ends_[id] = end;
     return end;
   }
@@ -41,7 +42,7 @@
 std::vector<RoomAhead> roomOfJobsReadyWithin(const Replica& replica, Duration horizon) {
   std::vector<RoomAhead> ahead;
   ExpectedEnds ends(replica);
-  replica.dependencies().eachHeld([&](const JobId& id, const std::vector<JobId>& awaited) {
+  replica.dependencies().forEachBlocked([&](const JobId& id, const std::vector<JobId>& awaited) {
     const auto* job = replica.job(id);
     if (!job || ends.readyIn(awaited) > horizon) return;
     ahead.push_back(roomOf(*job, job->tasks));
@@ -52,7 +53,7 @@
 std::vector<RoomAhead> roomOfAwaitedJobsEndingWithin(const Replica& replica, Duration horizon) {
   std::vector<RoomAhead> leaving;
   std::set<JobId> counted;
-  replica.dependencies().eachHeld([&](const JobId&, const std::vector<JobId>& awaited) {
+  replica.dependencies().forEachBlocked([&](const JobId&, const std::vector<JobId>& awaited) {
     for (const auto& id : awaited) {
       const auto* job = replica.job(id);
       if (!job || job->placed.empty() || job->record.spec->estimate > horizon) continue;
--- a/src/fleet/dispatch.cpp
+++ b/src/fleet/dispatch.cpp
@@ -123,7 +123,7 @@
   if (!m || !m->heard() || fleet_.isReleased(id)) return;
   Instant now = context_.runtime.now();
   if (now - m->memory.lastHeard > context_.platform.workerLease) return;
-  auto orders = fleet_.ordersFor(*m, now, context_.feed.reachable());
+  auto orders = fleet_.ordersFor(*m, now, context_.watcher.reachable());
   // A late `clear` could make the worker forget what a late launch then starts again.
   std::erase_if(orders, [](const Order& o) { return o.kind == Order::Kind::clear; });
   if (orders.empty()) return;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -83,7 +83,7 @@
   std::erase_if(m.memory.gone, settled);
   std::erase_if(m.memory.stops, settled);
   std::erase_if(m.memory.launched, settled);
-  bool launch = mayLaunch && !(record && record->leaving);
+  bool launch = mayLaunch && !(record && record->draining);
   return reconcile(m.memory, record, token_, launch,
                    [&](const AttemptId& id) { return wishFor(m, id, now); });
 }
@@ -92,7 +92,7 @@
   const auto* job = replica_.job(id.task.job);
   if (!job || !job->active() || job->isDropped(id.task.index)) return {true, Duration{0}};
   const auto* record = replica_.machine(m.id);
-  if (record && record->leaving && m.releaseWanted) return {true, Duration{0}};
+  if (record && record->draining && m.releaseWanted) return {true, Duration{0}};
   if (auto stop = m.memory.stops.find(id); stop != m.memory.stops.end()) {
     return {true, stop->second};
   }
@@ -178,7 +178,7 @@
   if (m.memory.last->token != token_) return false;
   if (now - m.memory.lastHeard > 2 * platform_.reportEvery + Duration{1000}) return false;
   const auto* record = replica_.machine(m.id);
-  return record && !record->leaving;
+  return record && !record->draining;
 }
 
 // Reports come every reportEvery, give or take a quarter.
@@ -331,7 +331,7 @@
     const auto* record = replica_.machine(id);
     if (m.heard() && (!record || record->rental.empty())) unexpected_.insert(id);
     bool hasTasks = record && !record->tasks.empty();
-    if (record && record->leaving) {
+    if (record && record->draining) {
       if (hasTasks && onTime(m, now) && ++finishing > mostFinishing) continue;
       wantRelease(m, "release was begun");
       continue;
--- a/src/fleet/lease_renewal.hpp
+++ b/src/fleet/lease_renewal.hpp
@@ -29,8 +29,8 @@
   explicit LeaseRenewal(const Platform& p)
       : longest_(std::max(Duration{0}, (p.cancelWithin - p.workerLease) * 999 / 1000 - kSlack)) {}
 
-  // The last instant at which a report may be answered with 200 from records as of `recordsAsOf`.
-  Instant until(Instant recordsAsOf) const { return recordsAsOf + longest_; }
+  // The last instant at which a report may be answered with 200 from records as of `snapshotTime`.
+  Instant until(Instant snapshotTime) const { return snapshotTime + longest_; }
   // The same as an age; how long a worker that nobody hears may go on beyond its lease.
   Duration longest() const { return longest_; }
 
--- a/src/fleet/reconcile.cpp
+++ b/src/fleet/reconcile.cpp
@@ -57,7 +57,7 @@
   auto add = [&](Order::Kind kind, const AttemptId& id, Duration grace = Duration{0}) {
     if (orders.size() < kMaxOrders) orders.push_back({kind, id, grace});
   };
-  static const std::vector<TaskOn> kNone;
+  static const std::vector<PlacedTask> kNone;
   const auto& onRecord = record ? record->tasks : kNone;
 
   for (const auto& on : onRecord) {
@@ -135,7 +135,7 @@
   // have been cleared here and its successor run elsewhere, and the launch would begin it anew.
   // Then nobody was told of the end before these records were read, and the bound of the lease is
   // enough.
-  for (const auto& on : record ? record->tasks : std::vector<TaskOn>{}) {
+  for (const auto& on : record ? record->tasks : std::vector<PlacedTask>{}) {
     if (on.workerEpoch == report.workerEpoch && !report.find(on.id) &&
         end(on.id.task.job) == JobEnd::known) {
       addSettled(orders, on.id);
--- a/src/flows/admission.hpp
+++ b/src/flows/admission.hpp
@@ -8,7 +8,7 @@
 #include "base/runtime.hpp"
 #include "cloud/catalogue.hpp"
 #include "config/platform.hpp"
-#include "store/feed.hpp"
+#include "store/change_watcher.hpp"
 
 namespace kestrelhoist {
 
--- a/src/flows/draft.hpp
+++ b/src/flows/draft.hpp
@@ -12,16 +12,16 @@
         const FlowVersion& version, const Digest& graph)
       : context_(&context), id_(id), flow_(&flow), version_(&version), graph_(graph) {}
 
-  void set(const std::string& key, Json value, Revision stamp) {
+  void set(const std::string& key, Json value, Revision modRevision) {
     bytes_ += value.dump().size() + key.size() + 64;
     writes_.push_back({key, std::move(value), std::nullopt});
-    conditions_.push_back({key, stamp});
+    compares_.push_back({key, modRevision});
   }
 
-  void drop(const std::string& key, Revision stamp) {
+  void drop(const std::string& key, Revision modRevision) {
     bytes_ += key.size() + 64;
     writes_.push_back({key, std::nullopt, std::nullopt});
-    conditions_.push_back({key, stamp});
+    compares_.push_back({key, modRevision});
     if (key.starts_with(keys::kJob)) dropped_.emplace_back(key.substr(keys::kJob.size()));
   }
 
@@ -87,11 +87,11 @@
     Json ids = Json::array();
     for (const auto& f : open) ids.push_back(f.value);
     std::string key = keys::openFlows(head.team, head.member);
-    Revision stamp = context_->replica.stampOf(key);
+    Revision modRevision = context_->replica.modRevisionOf(key);
     if (open.empty()) {
-      drop(key, stamp);
+      drop(key, modRevision);
     } else {
-      set(key, Json::object({{"open", ids}}), stamp);
+      set(key, Json::object({{"open", ids}}), modRevision);
     }
   }
 
@@ -116,22 +116,23 @@
   Transaction finish() {
     for (const auto& [number, letters] : pages_) {
       std::string key = keys::page(id_, graph_, number);
-      set(key, packPage(letters, context_->mayWriteFormat2()), context_->replica.stampOf(key));
+      set(key, packPage(letters, context_->mayWriteFormat2()),
+          context_->replica.modRevisionOf(key));
     }
     for (const auto& [block, entries] : accounts_) {
       Json list = Json::array();
       for (const auto& e : entries) list.push_back(toJson(e));
       std::string key = keys::account(id_, block);
-      set(key, std::move(list), context_->replica.stampOf(key));
+      set(key, std::move(list), context_->replica.modRevisionOf(key));
     }
     std::string head = keys::flow(id_);
     if (head_) {
-      set(head, toJson(*head_), flow_->stamp);
+      set(head, toJson(*head_), flow_->modRevision);
     } else {
-      conditions_.push_back({head, flow_->stamp});
+      compares_.push_back({head, flow_->modRevision});
     }
     Transaction t = context_->begin();
-    t.conditions.insert(t.conditions.end(), conditions_.begin(), conditions_.end());
+    t.compares.insert(t.compares.end(), compares_.begin(), compares_.end());
     t.writes = std::move(writes_);
     return t;
   }
@@ -148,7 +149,7 @@
   const FlowState* flow_;
   const FlowVersion* version_;
   Digest graph_;
-  std::vector<Condition> conditions_;
+  std::vector<Compare> compares_;
   std::vector<Write> writes_;
   std::map<std::uint32_t, std::string> pages_;
   std::map<std::uint32_t, std::vector<AccountEntry>> accounts_;
--- a/src/flows/duty.cpp
+++ b/src/flows/duty.cpp
@@ -190,9 +190,9 @@
 // Names of jobs are never given twice.
 std::optional<Commit> FlowDuty::dropOrphans() const {
   Transaction t = context_.begin();
-  for (const auto& [key, stamp] : context_.replica.orphanParts()) {
+  for (const auto& [key, modRevision] : context_.replica.orphanSubChunks()) {
     if (t.writes.size() == context_.platform.transactionOps) break;
-    t.conditions.push_back({key, stamp});
+    t.compares.push_back({key, modRevision});
     t.writes.push_back({key, std::nullopt, std::nullopt});
   }
   if (t.writes.empty()) return std::nullopt;
@@ -227,12 +227,12 @@
 void FlowDuty::endJob(Draft& draft, const FlowState& flow, const JobId& id, const JobState& job,
                       const OpenJob* open, Run* run) {
   Use use = job.flow->use();
-  for (const auto& [stretch, s] : job.flow->stretches) {
-    std::string key = keys::tasks(id, stretch);
-    Revision stamp = context_.replica.stampOf(key);
-    if (stamp != Revision{}) draft.drop(key, stamp);
+  for (const auto& [chunk, s] : job.flow->chunks) {
+    std::string key = keys::tasks(id, chunk);
+    Revision modRevision = context_.replica.modRevisionOf(key);
+    if (modRevision != Revision{}) draft.drop(key, modRevision);
   }
-  draft.drop(keys::job(id), job.stamp);
+  draft.drop(keys::job(id), job.modRevision);
   const FlowVersion* own = flow.version(job.record.flow->graph);
   if (own && job.record.flow->rule < own->graph.rules().size()) {
     draft.use(own->graph.rules()[job.record.flow->rule], use);
@@ -278,7 +278,7 @@
   spec->estimate = r.estimate;
   spec->checkpointEvery = r.checkpointEvery;
   spec->saveTime = r.saveTime;
-  JobRecord record{spec, JobPhase::active, context_.runtime.wallMillis(), stretchTasks(),
+  JobRecord record{spec, JobPhase::active, context_.runtime.wallMillis(), tasksPerChunk(),
                    std::make_shared<const FlowPart>(std::move(part))};
   draft.set(keys::job(spec->id), toJson(record), Revision{});
 }
@@ -299,7 +299,7 @@
   }
   ReleaseView view;
   view.ready = queued >= kMostQueued ? 0 : run.progress.ready();
-  view.batch = stretchTasks();
+  view.batch = tasksPerChunk();
   view.oldest = now - run.readySince;
   view.queued = queued;
   view.running = running;
@@ -340,7 +340,7 @@
         // Its end must fit in one transaction too: few pages, however scattered what is ready.
         std::vector<Instance> batch;
         std::size_t pages = 0;
-        for (; from < ready.size() && batch.size() < stretchTasks(); ++from) {
+        for (; from < ready.size() && batch.size() < tasksPerChunk(); ++from) {
           bool newPage = batch.empty() || batch.back() / kPageSize != ready[from] / kPageSize;
           if (newPage && pages == mostPages()) break;
           pages += newPage ? 1 : 0;
--- a/src/flows/duty.hpp
+++ b/src/flows/duty.hpp
@@ -62,7 +62,7 @@
   std::size_t mostPages() const {
     return context_.platform.transactionOps > 4 ? context_.platform.transactionOps - 4 : 1;
   }
-  std::uint32_t stretchTasks() const { return stretchFor(context_.platform.valueBytes); }
+  std::uint32_t tasksPerChunk() const { return chunkSizeFor(context_.platform.valueBytes); }
 
   LeaderContext& context_;
   TaskFacts& facts_;
--- a/src/flows/duty_versions.cpp
+++ b/src/flows/duty_versions.cpp
@@ -53,7 +53,7 @@
     std::sort(part.dropped.begin(), part.dropped.end());
     record.flow = std::make_shared<const FlowPart>(std::move(part));
     Draft before = draft;
-    draft.set(keys::job(jobId), toJson(record), job->stamp);
+    draft.set(keys::job(jobId), toJson(record), job->modRevision);
     if (!draft.fits()) {
       draft = std::move(before);
       full = true;
@@ -88,7 +88,7 @@
   FlowHead head = *flow.head;
   head.from = Digest{};
   Transaction t = context_.begin();
-  t.conditions.push_back({keys::flow(id), flow.stamp});
+  t.compares.push_back({keys::flow(id), flow.modRevision});
   t.writes.push_back({keys::flow(id), toJson(head), std::nullopt});
   logInfo("flow changed", "flow", id, "version", head.version);
   return Commit{std::move(t), nullptr, "flow " + id.value + ": changed"};
@@ -106,7 +106,7 @@
     if (job->active()) {
       JobRecord record = job->record;
       record.phase = JobPhase::cancelled;
-      draft.set(keys::job(jobId), toJson(record), job->stamp);
+      draft.set(keys::job(jobId), toJson(record), job->modRevision);
       ++cancelled;
     } else if (job->placed.empty()) {
       endJob(draft, flow, jobId, *job, nullptr, nullptr);
@@ -146,7 +146,7 @@
     if (!over && !version.upload->closing && wall - version.upload->atMs < kAbandonedMs) continue;
     std::string key = keys::upload(id, digest);
     Transaction t = context_.begin();
-    t.conditions.push_back({key, version.stamp});
+    t.compares.push_back({key, version.modRevision});
     if (!version.upload->closing) {
       FlowUpload closing = *version.upload;
       closing.closing = true;
--- a/src/flows/copy.cpp
+++ b/src/flows/flow_replica.cpp
@@ -1,4 +1,4 @@
-#include "flows/copy.hpp"
+#include "flows/flow_replica.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -46,23 +46,23 @@
   return it == versions.end() ? nullptr : &it->second;
 }
 
-const FlowState* FlowCopy::find(const FlowId& id) const {
+const FlowState* FlowReplica::find(const FlowId& id) const {
   auto it = flows_.find(id);
   return it == flows_.end() ? nullptr : &it->second;
 }
 
-std::vector<FlowId> FlowCopy::openOf(const std::string& team, const std::string& member) const {
+std::vector<FlowId> FlowReplica::openOf(const std::string& team, const std::string& member) const {
   auto it = open_.find(team + "/" + member);
   return it == open_.end() ? std::vector<FlowId>{} : it->second;
 }
 
-void FlowCopy::addJob(const FlowId& flow, const JobId& job) {
+void FlowReplica::addJob(const FlowId& flow, const JobId& job) {
   auto it = flows_.try_emplace(flow).first;
   it->second.jobs.insert(job);
   tidy(it);
 }
 
-void FlowCopy::dropJob(const FlowId& flow, const JobId& job) {
+void FlowReplica::dropJob(const FlowId& flow, const JobId& job) {
   auto it = flows_.find(flow);
   if (it == flows_.end()) return;
   it->second.jobs.erase(job);
@@ -70,7 +70,7 @@
   tidy(it);
 }
 
-void FlowCopy::tidy(std::map<FlowId, FlowState>::iterator it) {
+void FlowReplica::tidy(std::map<FlowId, FlowState>::iterator it) {
   const FlowState& f = it->second;
   if (f.versions.empty() && f.jobs.empty()) {
     live_.erase(it->first);
@@ -80,7 +80,7 @@
   if (!f.head && f.versions.empty() && f.accounts.empty() && f.jobs.empty()) flows_.erase(it);
 }
 
-void FlowCopy::setPart(FlowVersion& version, std::uint32_t part, const Json* value) {
+void FlowReplica::setPart(FlowVersion& version, std::uint32_t part, const Json* value) {
   if (!value || part < version.parts || !version.fault.empty()) return;
   version.early[part] = *value;
   auto before = version.graph.size();
@@ -96,7 +96,7 @@
   instances_ += version.graph.size() - before;
 }
 
-bool FlowCopy::apply(const std::string& key, const Json* value, Revision stamp) {
+bool FlowReplica::apply(const std::string& key, const Json* value, Revision modRevision) {
   if (!key.starts_with("kh/flow")) return false;
   auto rest = [&](const std::string& prefix) { return split(key.substr(prefix.size())); };
   if (key.starts_with(keys::kOpenFlows)) {
@@ -115,9 +115,9 @@
     FlowId id{key.substr(keys::kFlow.size())};
     FlowState& flow = flows_[id];
     flow.head = value ? flowHeadFrom(*value) : std::nullopt;
-    flow.stamp = stamp;
+    flow.modRevision = modRevision;
     if (flow.head && flow.head->phase == FlowPhase::cancelled) {
-      newestCancellation_ = std::max(newestCancellation_, stamp);
+      newestCancellation_ = std::max(newestCancellation_, modRevision);
     }
     if (value && !flow.head) logError("flow record can't be read", "flow", id);
     tidy(flows_.find(id));
@@ -152,7 +152,7 @@
   auto number = isUpload ? std::nullopt : numberOf(path[2]);
   if (isUpload) {
     version.upload = value ? flowUploadFrom(*value) : std::nullopt;
-    version.stamp = value ? stamp : Revision{};
+    version.modRevision = value ? modRevision : Revision{};
   } else if (number && isGraph) {
     setPart(version, *number, value);
   } else if (number) {
--- a/src/flows/copy.hpp
+++ b/src/flows/flow_replica.hpp
@@ -13,7 +13,7 @@
 // One uploaded graph of a flow.
 struct FlowVersion {
   std::optional<FlowUpload> upload;
-  Revision stamp;                       // of the upload's record
+  Revision modRevision;                 // of the upload's record
   FlowGraph graph;                      // of the parts that came so far, in order
   std::uint32_t parts{};                // how many of them
   std::map<std::uint32_t, Json> early;  // parts that came before an earlier one
@@ -29,7 +29,7 @@
 
 struct FlowState {
   std::optional<FlowHead> head;
-  Revision stamp;  // of the head
+  Revision modRevision;  // of the head
   std::map<Digest, FlowVersion> versions;
   std::map<std::uint32_t, std::vector<AccountEntry>> accounts;  // by block
   std::set<JobId> jobs;                                         // on record, in whatever phase
@@ -37,10 +37,10 @@
   const FlowVersion* version(const Digest& graph) const;
 };
 
-class FlowCopy {
+class FlowReplica {
  public:
   // False: not a key of a flow.
-  bool apply(const std::string& key, const Json* value, Revision stamp);
+  bool apply(const std::string& key, const Json* value, Revision modRevision);
   void addJob(const FlowId& flow, const JobId& job);
   void dropJob(const FlowId& flow, const JobId& job);
   // Tasks of this job ended or were dropped: whoever advances the flow looks at it.
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "flows/batching.hpp"
-#include "flows/copy.hpp"
+#include "flows/flow_replica.hpp"
 #include "flows/progress.hpp"
 
 namespace kestrelhoist {
@@ -251,13 +251,13 @@
 }
 
 // Parts may outrun one another in the feed, and a version goes with its upload's record.
-TEST(FlowCopy, PartsInAnyOrder) {
+TEST(FlowReplica, PartsInAnyOrder) {
   Drawn g;
   for (Instance i = 0; i < 6; ++i) {
     g.deps.push_back(i == 0 ? std::vector<Instance>{} : std::vector<Instance>{i - 1});
     g.rule.push_back(0);
   }
-  FlowCopy copy;
+  FlowReplica copy;
   FlowId id{"w-1"};
   Digest d{"0123456789abcdef"};
   auto put = [&](const std::string& key, const Json& v) {
--- a/src/flows/service.cpp
+++ b/src/flows/service.cpp
@@ -22,12 +22,13 @@
 
 }  // namespace
 
-FlowService::FlowService(Runtime& runtime, StoreClient& store, Feed& feed, Replica& replica,
-                         const Platform& platform, const OperatorSettings& settings,
+FlowService::FlowService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher,
+                         Replica& replica, const Platform& platform,
+                         const OperatorSettings& settings,
                          std::function<const Catalogue*()> catalogue)
     : runtime_(runtime),
       store_(store),
-      feed_(feed),
+      watcher_(watcher),
       replica_(replica),
       platform_(platform),
       settings_(settings),
@@ -97,7 +98,7 @@
   ++waiting_;
   store_.commit(t, kCommitTimeout, [this, t, done = std::move(done)](CommitResult r) {
     --waiting_;
-    if (r.outcome == Outcome::applied) {
+    if (r.outcome == CommitOutcome::applied) {
       for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
     }
     done(r);
--- a/src/flows/service.hpp
+++ b/src/flows/service.hpp
@@ -10,7 +10,7 @@
 #include "config/operator.hpp"
 #include "config/platform.hpp"
 #include "flows/routes.hpp"
-#include "store/feed.hpp"
+#include "store/change_watcher.hpp"
 
 namespace kestrelhoist {
 
@@ -18,7 +18,7 @@
 // and service_reads.cpp.
 class FlowService {
  public:
-  FlowService(Runtime& runtime, StoreClient& store, Feed& feed, Replica& replica,
+  FlowService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
               const Platform& platform, const OperatorSettings& settings,
               std::function<const Catalogue*()> catalogue);
 
@@ -71,7 +71,7 @@
 
   Runtime& runtime_;
   StoreClient& store_;
-  Feed& feed_;
+  ChangeWatcher& watcher_;
   Replica& replica_;
   const Platform& platform_;
   const OperatorSettings& settings_;
--- a/src/flows/service_commits.cpp
+++ b/src/flows/service_commits.cpp
@@ -81,7 +81,7 @@
         400, "field version, base, owner, member, name or rank is missing or invalid"));
   }
   wanted->graph = Digest{*digest};
-  feed_.fresh([this, id, wanted = *wanted, base = *base, respond](bool ok) {
+  watcher_.linearizableRead([this, id, wanted = *wanted, base = *base, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     if (auto answer = answerWithoutCommit(id, wanted, base)) return respond(*answer);
     const FlowVersion* version = replica_.flows().find(id)->version(wanted.graph);
@@ -138,16 +138,16 @@
   if (auto refusal = admission.refusal(id, *version, wanted)) return respond(*refusal);
   FlowHead next = head ? changedHead(*head, wanted) : firstHead(wanted, runtime_.wallMillis());
   Transaction t;
-  t.conditions.push_back({keys::flow(id), flow->stamp});
+  t.compares.push_back({keys::flow(id), flow->modRevision});
   t.writes.push_back({keys::flow(id), toJson(next), std::nullopt});
-  t.conditions.push_back({keys::upload(id, wanted.graph), version->stamp});
+  t.compares.push_back({keys::upload(id, wanted.graph), version->modRevision});
   auto open = replica_.flows().openOf(wanted.team, wanted.member);
   if (std::find(open.begin(), open.end(), id) == open.end()) open.push_back(id);
   writeOpenFlows(t, wanted, open);
   send(
       std::move(t),
       [this, id, next, respond](const CommitResult& r) {
-        if (r.outcome != Outcome::applied) return respond(retryLater(503));
+        if (r.outcome != CommitOutcome::applied) return respond(retryLater(503));
         logInfo("flow accepted", "flow", id, "version", next.version);
         if (onCommitted) onCommitted();
         respond(headResponse(id, next, next.version == 1 ? 201 : 200));
@@ -156,7 +156,7 @@
 }
 
 void FlowService::cancel(const FlowId& id, int triesLeft, const Respond& respond) {
-  feed_.fresh([this, id, triesLeft, respond](bool ok) {
+  watcher_.linearizableRead([this, id, triesLeft, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!headOf(flow)) return respond(errorResponse(404, "no such flow"));
@@ -165,7 +165,7 @@
     }
     FlowHead head = cancelledHead(*flow);
     Transaction t;
-    t.conditions.push_back({keys::flow(id), flow->stamp});
+    t.compares.push_back({keys::flow(id), flow->modRevision});
     t.writes.push_back({keys::flow(id), toJson(head), std::nullopt});
     auto open = replica_.flows().openOf(head.team, head.member);
     std::erase(open, id);
@@ -173,12 +173,12 @@
     send(
         std::move(t),
         [this, id, triesLeft, respond](const CommitResult& r) {
-          if (r.outcome == Outcome::applied) {
+          if (r.outcome == CommitOutcome::applied) {
             logInfo("flow cancelled", "flow", id);
             if (onCommitted) onCommitted();
             return respond(jsonResponse(200, {{"ref", id.value}, {"phase", "cancelled"}}));
           }
-          if (r.outcome == Outcome::conflict && triesLeft > 0) {
+          if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
             return cancel(id, triesLeft - 1, respond);
           }
           respond(retryLater(503));
@@ -204,7 +204,7 @@
   for (const auto& id : open) ids.push_back(id.value);
   std::optional<Json> value;
   if (!open.empty()) value = Json::object({{"open", ids}});
-  t.conditions.push_back({key, replica_.stampOf(key)});
+  t.compares.push_back({key, replica_.modRevisionOf(key)});
   t.writes.push_back({key, std::move(value), std::nullopt});
 }
 
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -82,7 +82,7 @@
 }
 
 void FlowService::status(const FlowId& id, const Respond& respond) {
-  feed_.fresh([this, id, respond](bool ok) {
+  watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!flow || !flow->head) return respond(noFlow());
@@ -154,7 +154,7 @@
 }  // namespace
 
 void FlowService::report(const FlowId& id, const Respond& respond) {
-  feed_.fresh([this, id, respond](bool ok) {
+  watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!flow || !flow->head) return respond(noFlow());
@@ -178,7 +178,7 @@
 void FlowService::account(const std::string& query, const Respond& respond) {
   std::string team = queryValue(query, "owner");
   if (team.empty()) return respond(jsonResponse(400, {{"error", "owner is missing"}}));
-  feed_.fresh([this, team, respond](bool ok) {
+  watcher_.linearizableRead([this, team, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     std::map<std::string, std::vector<AccountEntry>> members;
     std::vector<AccountEntry> all;
@@ -206,7 +206,7 @@
 
 // Instances that failed for good, with where their texts are.
 void FlowService::failures(const FlowId& id, const Respond& respond) {
-  feed_.fresh([this, id, respond](bool ok) {
+  watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!flow || !flow->head) return respond(noFlow());
@@ -250,7 +250,7 @@
   if (team.empty() || !validLabel(member)) {
     return respond(jsonResponse(400, {{"error", "owner or member is missing"}}));
   }
-  feed_.fresh([this, team, member, respond](bool ok) {
+  watcher_.linearizableRead([this, team, member, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     Json list = Json::array();
     for (const auto& id : replica_.flows().openOf(team, member)) {
@@ -335,7 +335,7 @@
   };
   // A job's description never changes.
   if (answer()) return;
-  feed_.fresh([answer, respond](bool ok) {
+  watcher_.linearizableRead([answer, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     if (!answer()) respond(jsonResponse(404, {{"error", "no such task"}}));
   });
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -55,7 +55,7 @@
   PartBatch(const Replica& replica, const Platform& platform, const FlowId& id,
             const FlowVersion& version, const Digest& digest)
       : replica_(replica), platform_(platform), id_(id), upload_(*version.upload), digest_(digest) {
-    transaction_.conditions.push_back({keys::upload(id, digest), version.stamp});
+    transaction_.compares.push_back({keys::upload(id, digest), version.modRevision});
   }
 
   // The refusal, if one of the parts is not valid.
@@ -85,7 +85,7 @@
           422, "a part is larger than " + std::to_string(platform_.valueBytes) + " bytes");
     }
     std::string key = keyOf(kind, static_cast<std::uint32_t>(*number));
-    bool written = kind == PartKind::graph && replica_.stampOf(key) != Revision{};
+    bool written = kind == PartKind::graph && replica_.modRevisionOf(key) != Revision{};
     full_ = full_ || (!written && !fits(size));
     if (full_) return std::nullopt;
     ++handled_;
@@ -132,7 +132,7 @@
     return respond(errorResponse(422, "more than " + std::to_string(settings_.flowInstances) +
                                           " instances, the most that one flow may have here"));
   }
-  feed_.fresh([this, id, announcement = *announcement, respond](bool ok) {
+  watcher_.linearizableRead([this, id, announcement = *announcement, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const Digest& digest = announcement.version;
     const Json answer = {{"ref", id.value}, {"version", digest.value}};
@@ -148,13 +148,14 @@
     }
     Transaction t;
     std::string key = keys::upload(id, digest);
-    t.conditions.push_back({key, Revision{}});
+    t.compares.push_back({key, Revision{}});
     t.writes.push_back(
         {key, toJson(uploadFrom(announcement, runtime_.wallMillis())), std::nullopt});
     send(
         std::move(t),
         [answer, respond](const CommitResult& r) {
-          respond(r.outcome == Outcome::applied ? jsonResponse(201, answer) : retryLater(503));
+          respond(r.outcome == CommitOutcome::applied ? jsonResponse(201, answer)
+                                                      : retryLater(503));
         },
         respond);
   });
@@ -165,7 +166,7 @@
   if (!digest || !validDigest(*digest)) {
     return respond(errorResponse(400, "field version is missing or invalid"));
   }
-  feed_.fresh([this, id, body, digest = Digest{*digest}, respond](bool ok) {
+  watcher_.linearizableRead([this, id, body, digest = Digest{*digest}, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     const FlowVersion* known = flow ? flow->version(digest) : nullptr;
@@ -181,7 +182,8 @@
     send(
         std::move(t),
         [answer, respond](const CommitResult& r) {
-          respond(r.outcome == Outcome::applied ? jsonResponse(200, answer) : retryLater(503));
+          respond(r.outcome == CommitOutcome::applied ? jsonResponse(200, answer)
+                                                      : retryLater(503));
         },
         respond);
   });
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -12,7 +12,7 @@
 
 // From this format of records on a job may await others; a controller that does not know it would
 // start them too early.
-constexpr unsigned kFormatWithAwaits = 2;
+constexpr unsigned kFormatWithDependencies = 2;
 
 const char* phaseWord(const JobState& job) {
   switch (job.phase()) {
@@ -35,11 +35,11 @@
 
 }  // namespace
 
-JobService::JobService(Runtime& runtime, StoreClient& store, Feed& feed, Replica& replica,
-                       const Platform& platform, const MemberVersions& versions)
+JobService::JobService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher,
+                       Replica& replica, const Platform& platform, const MemberVersions& versions)
     : runtime_(runtime),
       store_(store),
-      feed_(feed),
+      watcher_(watcher),
       replica_(replica),
       platform_(platform),
       versions_(versions),
@@ -80,9 +80,9 @@
 }
 
 const Catalogue* JobService::catalogue() const {
-  Revision stamp = replica_.stampOf(keys::kCatalogue);
-  if (stamp != catalogueStamp_) {
-    catalogueStamp_ = stamp;
+  Revision modRevision = replica_.modRevisionOf(keys::kCatalogue);
+  if (modRevision != catalogueRevision_) {
+    catalogueRevision_ = modRevision;
     catalogue_ =
         replica_.catalogue() ? catalogueFrom(*replica_.catalogue()) : std::optional<Catalogue>{};
   }
@@ -109,7 +109,7 @@
 void JobService::poll(const JobId& id, const Respond& respond) {
   // Done and cancelled are final, whatever is newer.
   if (const auto* job = known(id); job && !job->active()) return respond(stateOf(id, *job, 200));
-  feed_.fresh([this, id, respond](bool ok) {
+  watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const auto* job = known(id);
     respond(job ? stateOf(id, *job, 200) : jsonResponse(404, {{"error", "no such job"}}));
@@ -149,7 +149,7 @@
   if (!ref || !validJobId(*ref)) return respond(jsonResponse(400, {{"error", "bad ref"}}));
   JobId id = nameOf(*ref, who);
   if (const auto* job = known(id); job && !job->active()) return respond(stateOf(id, *job, 200));
-  if (!feed_.loaded()) return respond(retryLater(503));
+  if (!watcher_.loaded()) return respond(retryLater(503));
 
   auto parsed = parseSubmission(*body);
   const auto* types = catalogue();
@@ -167,8 +167,8 @@
   if (!refusal) {
     JobSpec spec = std::get<JobSpec>(std::move(parsed));
     spec.id = id;
-    for (auto& awaited : spec.awaits) awaited = nameOf(awaited.value, who);
-    refusal = judgeAwaits(spec);
+    for (auto& awaited : spec.dependsOn) awaited = nameOf(awaited.value, who);
+    refusal = judgeDependencies(spec);
     Whose whose = who ? std::make_shared<const JobOwner>(JobOwner{*who, *ref}) : nullptr;
     if (auto prepared = prepare(std::move(spec), std::move(whose), request.id)) {
       submission = std::make_shared<const Submission>(std::move(*prepared));
@@ -195,31 +195,31 @@
   s.requestId = requestId;
   s.record.spec = std::make_shared<const JobSpec>(spec);
   s.record.acceptedAtMs = runtime_.wallMillis();
-  s.record.stretch = stretchFor(platform_.valueBytes);
+  s.record.chunkSize = chunkSizeFor(platform_.valueBytes);
   s.record.owner = std::move(whose);
   if (fits(toJson(s.record))) return s;
-  if (spec.awaits.empty()) return std::nullopt;
+  if (spec.dependsOn.empty()) return std::nullopt;
   std::size_t bytes = 0;
-  for (const auto& awaited : spec.awaits) {
+  for (const auto& awaited : spec.dependsOn) {
     std::size_t more = awaited.value.size() + 3;  // quotes and a comma
-    if (s.awaitsParts.empty() || bytes + more + kBesides > platform_.valueBytes) {
-      s.awaitsParts.emplace_back();
+    if (s.dependencyParts.empty() || bytes + more + kBesides > platform_.valueBytes) {
+      s.dependencyParts.emplace_back();
       bytes = 0;
     }
     bytes += more;
-    s.awaitsParts.back().push_back(awaited);
+    s.dependencyParts.back().push_back(awaited);
   }
-  spec.awaits.clear();
+  spec.dependsOn.clear();
   s.record.spec = std::make_shared<const JobSpec>(std::move(spec));
-  s.record.awaitsParts = static_cast<std::uint32_t>(s.awaitsParts.size());
+  s.record.dependencyParts = static_cast<std::uint32_t>(s.dependencyParts.size());
   if (!fits(toJson(s.record))) return std::nullopt;
   return s;
 }
 
-std::optional<Response> JobService::judgeAwaits(const JobSpec& spec) const {
-  if (spec.awaits.empty()) return std::nullopt;
-  if (!versions_.allAtLeast(kFormatWithAwaits)) return retryLater(503);
-  for (const auto& awaited : spec.awaits) {
+std::optional<Response> JobService::judgeDependencies(const JobSpec& spec) const {
+  if (spec.dependsOn.empty()) return std::nullopt;
+  if (!versions_.allAtLeast(kFormatWithDependencies)) return retryLater(503);
+  for (const auto& awaited : spec.dependsOn) {
     const auto* job = known(awaited);
     if (job && job->record.spec->kind == JobKind::service) {
       return jsonResponse(422, {{"error", "awaits a service, which is never done"}});
@@ -234,7 +234,7 @@
 
 void JobService::answerAfterRead(const JobId& id, const Respond& respond,
                                  std::function<void()> otherwise) {
-  feed_.fresh([this, id, respond, otherwise = std::move(otherwise)](bool ok) {
+  watcher_.linearizableRead([this, id, respond, otherwise = std::move(otherwise)](bool ok) {
     if (!ok) return respond(retryLater(503));
     if (const auto* job = known(id)) return respond(stateOf(id, *job, 200));
     otherwise();
@@ -244,39 +244,40 @@
 // What it awaits was accepted, maybe by a node whose commit has not been read here yet: only a read
 // that was sent after the request shows that a job was never accepted.
 void JobService::accept(std::shared_ptr<const Submission> submission, const Respond& respond) {
-  auto awaits = submission->record.spec->awaits;
-  for (const auto& part : submission->awaitsParts) {
-    awaits.insert(awaits.end(), part.begin(), part.end());
+  auto dependsOn = submission->record.spec->dependsOn;
+  for (const auto& part : submission->dependencyParts) {
+    dependsOn.insert(dependsOn.end(), part.begin(), part.end());
   }
   auto begin = [this, submission, respond] {
     paced(respond, [this, submission, respond] { createParts(submission, 0, respond); });
   };
-  if (knowsAll(awaits)) return begin();
-  answerAfterRead(submission->record.spec->id, respond, [this, submission, awaits, begin, respond] {
-    if (!knowsAll(awaits)) {
-      return respond(jsonResponse(422, {{"error", "awaits a job that was never accepted"}}));
-    }
-    JobSpec spec = *submission->record.spec;
-    spec.awaits = awaits;
-    if (auto refusal = judgeAwaits(spec)) return respond(*refusal);
-    begin();
-  });
+  if (knowsAll(dependsOn)) return begin();
+  answerAfterRead(
+      submission->record.spec->id, respond, [this, submission, dependsOn, begin, respond] {
+        if (!knowsAll(dependsOn)) {
+          return respond(jsonResponse(422, {{"error", "awaits a job that was never accepted"}}));
+        }
+        JobSpec spec = *submission->record.spec;
+        spec.dependsOn = dependsOn;
+        if (auto refusal = judgeDependencies(spec)) return respond(*refusal);
+        begin();
+      });
 }
 
 // Before the job itself, and only as long as it is not on record: nobody changes them after that.
 void JobService::createParts(std::shared_ptr<const Submission> submission, std::uint32_t from,
                              const Respond& respond) {
   const JobId& id = submission->record.spec->id;
-  const auto count = static_cast<std::uint32_t>(submission->awaitsParts.size());
+  const auto count = static_cast<std::uint32_t>(submission->dependencyParts.size());
   if (from >= count) return create(submission, 3, respond);
   Transaction t;
   t.requestId = submission->requestId;
-  t.conditions.push_back({keys::job(id), Revision{}});
+  t.compares.push_back({keys::job(id), Revision{}});
   std::size_t bytes = 0;
   std::uint32_t next = from;
   while (next < count && t.writes.size() < platform_.transactionOps &&
          (t.writes.empty() || bytes + platform_.valueBytes <= kMaxTransactionBytes)) {
-    Json value = {{"jobs", jobIdsToJson(submission->awaitsParts[next])}};
+    Json value = {{"jobs", jobIdsToJson(submission->dependencyParts[next])}};
     bytes += platform_.valueBytes;
     t.writes.push_back({keys::awaits(id, next), std::move(value), std::nullopt});
     ++next;
@@ -284,11 +285,11 @@
   ++waiting_;
   store_.commit(t, kCommitTimeout, [this, submission, next, t, respond](CommitResult r) {
     --waiting_;
-    if (r.outcome == Outcome::conflict) {
+    if (r.outcome == CommitOutcome::conflict) {
       return answerAfterRead(submission->record.spec->id, respond,
                              [respond] { respond(retryLater(503)); });
     }
-    if (r.outcome != Outcome::applied) return respond(retryLater(503));
+    if (r.outcome != CommitOutcome::applied) return respond(retryLater(503));
     for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
     createParts(submission, next, respond);
   });
@@ -316,13 +317,13 @@
   const JobId id = submission->record.spec->id;
   Transaction t;
   t.requestId = submission->requestId;
-  t.conditions.push_back({keys::job(id), Revision{}});
+  t.compares.push_back({keys::job(id), Revision{}});
   t.writes.push_back({keys::job(id), toJson(submission->record), std::nullopt});
   ++waiting_;
   store_.commit(t, kCommitTimeout, [this, submission, id, t, triesLeft, respond](CommitResult r) {
     --waiting_;
     switch (r.outcome) {
-      case Outcome::applied: {
+      case CommitOutcome::applied: {
         replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
         const JobRecord& record = submission->record;
         logInfo("job accepted", "job", id, "tasks", record.spec->tasks, "class",
@@ -339,11 +340,11 @@
         if (onCommitted) onCommitted();
         return;
       }
-      case Outcome::conflict:  // known already: by a retry, or by our own lost answer
+      case CommitOutcome::conflict:  // known already: by a retry, or by our own lost answer
         return answerAfterRead(id, respond, [respond] { respond(retryLater(503)); });
-      case Outcome::refused:
+      case CommitOutcome::refused:
         // Rate limit or outage. One more try soon, unless reads fail as well.
-        if (triesLeft > 0 && feed_.reachable()) {
+        if (triesLeft > 0 && watcher_.reachable()) {
           runtime_.after(Duration{150}, [this, submission, triesLeft, respond] {
             create(submission, triesLeft - 1, respond);
           });
@@ -360,7 +361,7 @@
 void JobService::abort(const JobId& id, int triesLeft, const Request& request,
                        const Respond& respond) {
   if (const auto* job = known(id); job && !job->active()) return respond(stateOf(id, *job, 200));
-  feed_.fresh([this, id, triesLeft, request, respond](bool ok) {
+  watcher_.linearizableRead([this, id, triesLeft, request, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const auto* job = known(id);
     if (!job) return respond(jsonResponse(404, {{"error", "no such job"}}));
@@ -370,10 +371,10 @@
     Transaction t;
     t.requestId = request.id;
     // On the stamp that was read: a placement or an end committed meanwhile makes this fail.
-    t.conditions.push_back({keys::job(id), job->stamp});
+    t.compares.push_back({keys::job(id), job->modRevision});
     t.writes.push_back({keys::job(id), toJson(record), std::nullopt});
     store_.commit(t, kCommitTimeout, [this, id, t, triesLeft, request, respond](CommitResult r) {
-      if (r.outcome == Outcome::applied) {
+      if (r.outcome == CommitOutcome::applied) {
         replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
         logInfo("job cancelled by its user", "job", id, "request", t.requestId);
         if (onCommitted) onCommitted();
@@ -381,10 +382,10 @@
         return respond(now ? stateOf(id, *now, 200)
                            : jsonResponse(200, {{"ref", id.value}, {"phase", "withdrawn"}}));
       }
-      if (r.outcome == Outcome::conflict && triesLeft > 0) {
+      if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
         return abort(id, triesLeft - 1, request, respond);
       }
-      if (r.outcome == Outcome::refused && triesLeft > 0 && feed_.reachable()) {
+      if (r.outcome == CommitOutcome::refused && triesLeft > 0 && watcher_.reachable()) {
         runtime_.after(Duration{150}, [this, id, triesLeft, request, respond] {
           abort(id, triesLeft - 1, request, respond);
         });
--- a/src/jobs/service.hpp
+++ b/src/jobs/service.hpp
@@ -5,14 +5,14 @@
 
 #include "cloud/catalogue.hpp"
 #include "config/platform.hpp"
-#include "store/feed.hpp"
+#include "store/change_watcher.hpp"
 #include "versions/versions.hpp"
 
 namespace kestrelhoist {
 
 class JobService {
  public:
-  JobService(Runtime& runtime, StoreClient& store, Feed& feed, Replica& replica,
+  JobService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
              const Platform& platform, const MemberVersions& versions);
 
   // Answers /v2/runs and below; false if the path is not one of these. `who`: the member that asks,
@@ -36,13 +36,13 @@
   struct Submission {
     JobRecord record;
     // What it awaits where that does not fit into its own record: one record each.
-    std::vector<std::vector<JobId>> awaitsParts;
+    std::vector<std::vector<JobId>> dependencyParts;
     std::string requestId;
   };
   // Empty: it does not fit into the records.
   std::optional<Submission> prepare(JobSpec spec, Whose whose, const std::string& requestId) const;
   // Why it must not be accepted, of what it awaits, as far as the copy tells.
-  std::optional<Response> judgeAwaits(const JobSpec& spec) const;
+  std::optional<Response> judgeDependencies(const JobSpec& spec) const;
   bool knowsAll(const std::vector<JobId>& jobs) const;
   // Answers with the job's state if it is known after a read that begins now, else as `otherwise`.
   void answerAfterRead(const JobId& id, const Respond& respond, std::function<void()> otherwise);
@@ -55,14 +55,14 @@
 
   Runtime& runtime_;
   StoreClient& store_;
-  Feed& feed_;
+  ChangeWatcher& watcher_;
   Replica& replica_;
   const Platform& platform_;
   const MemberVersions& versions_;
   RateBudget writes_;
   std::size_t waiting_ = 0;
   mutable std::optional<Catalogue> catalogue_;
-  mutable Revision catalogueStamp_;
+  mutable Revision catalogueRevision_;
 };
 
 }  // namespace kestrelhoist
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -140,7 +140,7 @@
   s.checkpointEvery = fromSeconds(f.amount("snapshot_s"));
   s.saveTime = fromSeconds(f.amount("flush_s"));
   if (field(body, "due_s")) s.deadline = fromSeconds(f.amount("due_s"));
-  s.awaits = f.otherJobs("awaits", s.id);
+  s.dependsOn = f.otherJobs("awaits", s.id);
   if (!f.why().empty()) return Invalid{f.why()};
   return s;
 }
@@ -183,7 +183,7 @@
   }
   if (s.zone) v["zone"] = s.zone->value;
   if (s.deadline) v["deadline_ms"] = s.deadline->count();
-  if (!s.awaits.empty()) v["awaits"] = jobIdsToJson(s.awaits);
+  if (!s.dependsOn.empty()) v["awaits"] = jobIdsToJson(s.dependsOn);
   return v;
 }
 
@@ -227,11 +227,11 @@
   }
   if (auto z = textField(v, "zone")) s.zone = ZoneId{*z};
   if (field(v, "deadline_ms")) s.deadline = ms("deadline_ms");
-  if (const Json* awaits = field(v, "awaits")) {
-    auto jobs = jobIdsFrom(*awaits);
+  if (const Json* dependsOn = field(v, "awaits")) {
+    auto jobs = jobIdsFrom(*dependsOn);
     // A job that awaits something unknown must not start.
     if (!jobs) return std::nullopt;
-    s.awaits = std::move(*jobs);
+    s.dependsOn = std::move(*jobs);
   }
   return s;
 }
--- a/src/jobs/spec.hpp
+++ b/src/jobs/spec.hpp
@@ -36,7 +36,7 @@
   Duration checkpointEvery{};  // 0: never saves
   Duration saveTime{};
   std::optional<Duration> deadline;
-  std::vector<JobId> awaits;  // jobs that have to be done before any task starts; no repetitions
+  std::vector<JobId> dependsOn;  // jobs that have to be done before any task starts; no repetitions
 
   bool allowsType(const TypeId& type) const;
   bool checkpoints() const { return checkpointEvery.count() > 0; }
--- a/src/leadership/cancellation_barrier_test.cpp
+++ b/src/leadership/cancellation_barrier_test.cpp
@@ -47,7 +47,7 @@
   spec->id = JobId{"j-000001"};
   spec->tasks = 1;
   job.spec = spec;
-  job.stretch = 100;
+  job.chunkSize = 100;
   auto at = [&](JobPhase phase, std::uint64_t revision) {
     job.phase = phase;
     r.apply({keys::job(spec->id), toJson(job), Revision{revision}});
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -58,7 +58,7 @@
 
 void Election::onClaimed(Instant now, const CommitResult& result) {
   if (role_ != Role::claiming) return;
-  if (result.outcome == Outcome::applied) {
+  if (result.outcome == CommitOutcome::applied) {
     role_ = Role::leader;
     token_ = FencingToken{result.revision.value};
     renewing_ = false;
@@ -67,7 +67,7 @@
   }
   role_ = Role::follower;
   // Without an answer the claim may have got through: nextStep() recognizes it by record().
-  if (result.outcome != Outcome::unknown) lease_.reset();
+  if (result.outcome != CommitOutcome::unknown) lease_.reset();
   candidateFrom_ = std::max(candidateFrom_, now + Duration{200});
 }
 
--- a/src/leadership/leader_context.hpp
+++ b/src/leadership/leader_context.hpp
@@ -9,7 +9,7 @@
 #include "config/platform.hpp"
 #include "jobs/in_force.hpp"
 #include "leadership/control_loop.hpp"
-#include "store/feed.hpp"
+#include "store/change_watcher.hpp"
 
 namespace kestrelhoist {
 
@@ -18,7 +18,7 @@
 struct LeaderContext {
   Runtime& runtime;
   StoreClient& store;
-  Feed& feed;
+  ChangeWatcher& watcher;
   Replica& replica;
   CloudClient& cloud;
   HttpClient& http;
@@ -54,7 +54,7 @@
   // Every write conditions on the leader key's stamp: a deposed leader's late write fails.
   Transaction begin() const {
     Transaction t;
-    t.conditions.push_back({keys::kLeader, Revision{token.value}});
+    t.compares.push_back({keys::kLeader, Revision{token.value}});
     return t;
   }
 
--- a/src/members/job_lists.cpp
+++ b/src/members/job_lists.cpp
@@ -74,7 +74,7 @@
                       settings_.longestWatch)
            : Duration{0};
   // Never older than the question: what this member was told by another controller is in it.
-  feed_.fresh([this, caller, filter, since, held, plain, respond](bool ok) {
+  watcher_.linearizableRead([this, caller, filter, since, held, plain, respond](bool ok) {
     if (!ok || replica_.cursorKey().empty()) return respond(retryLater(503));
     if (sealedWith_ != replica_.cursorKey()) {
       sealedWith_ = replica_.cursorKey();
--- a/src/members/key_ring.hpp
+++ b/src/members/key_ring.hpp
@@ -17,12 +17,12 @@
  public:
   struct Entry {
     KeyRecord record;
-    Revision stamp;
+    Revision modRevision;
   };
-  void apply(const KeyId& id, const Json* value, Revision stamp) {
+  void apply(const KeyId& id, const Json* value, Revision modRevision) {
     auto record = value ? keyRecordFrom(*value) : std::nullopt;
     if (record) {
-      entries_[id] = {std::move(*record), stamp};
+      entries_[id] = {std::move(*record), modRevision};
     } else {
       entries_.erase(id);
     }
--- a/src/members/key_service.cpp
+++ b/src/members/key_service.cpp
@@ -77,17 +77,17 @@
   KeyRecord record{*hash, {TeamId{*team}, *member}, *rights, runtime_.wallMillis(), {}, note};
   Transaction t;
   t.requestId = request.id;
-  t.conditions.push_back({keys::key(key), Revision{}});
+  t.compares.push_back({keys::key(key), Revision{}});
   t.writes.push_back({keys::key(key), toJson(record), std::nullopt});
   store_.commit(t, kCommitTimeout, [this, key, record, t, respond](const CommitResult& r) {
-    if (r.outcome == Outcome::applied) {
+    if (r.outcome == CommitOutcome::applied) {
       replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
       logInfo("key made", "key", key, "team", record.owner.team, "request", t.requestId);
       return respond(jsonResponse(201, viewOf(key, record)));
     }
-    if (r.outcome != Outcome::conflict) return respond(retryLater(503));
+    if (r.outcome != CommitOutcome::conflict) return respond(retryLater(503));
     // There already: by a repeated request, or another key with this id.
-    feed_.fresh([this, key, record, respond](bool ok) {
+    watcher_.linearizableRead([this, key, record, respond](bool ok) {
       const auto* entry = ok ? replica_.keyRing().find(key) : nullptr;
       if (!entry) return respond(retryLater(503));
       const KeyRecord& known = entry->record;
@@ -109,7 +109,7 @@
     }
     team = caller.owner.team.value;
   }
-  feed_.fresh([this, team, member, from, respond](bool ok) {
+  watcher_.linearizableRead([this, team, member, from, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     std::vector<KeyId> ids;
     for (const auto& [id, entry] : replica_.keyRing().all()) {
@@ -136,7 +136,7 @@
   if (afterS < 0 || afterS > 366 * 86400.0) {
     return respond(jsonResponse(400, {{"error", "after_s is no good"}}));
   }
-  feed_.fresh([this, caller, id, request, afterS, triesLeft, respond](bool ok) {
+  watcher_.linearizableRead([this, caller, id, request, afterS, triesLeft, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const auto* entry = replica_.keyRing().find(id);
     // A key of another team is answered like none.
@@ -151,17 +151,17 @@
     record.endsAtMs = ends;
     Transaction t;
     t.requestId = request.id;
-    t.conditions.push_back({keys::key(id), entry->stamp});
+    t.compares.push_back({keys::key(id), entry->modRevision});
     t.writes.push_back({keys::key(id), toJson(record), std::nullopt});
     store_.commit(
         t, kCommitTimeout,
         [this, caller, id, request, record, t, triesLeft, respond](const CommitResult& r) {
-          if (r.outcome == Outcome::applied) {
+          if (r.outcome == CommitOutcome::applied) {
             replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
             logInfo("key ends", "key", id, "request", t.requestId);
             return respond(jsonResponse(200, viewOf(id, record)));
           }
-          if (r.outcome == Outcome::conflict && triesLeft > 0) {
+          if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
             return endKey(caller, id, request, triesLeft - 1, respond);
           }
           respond(retryLater(503));
@@ -174,7 +174,7 @@
   if (makingCursorKey_) return;
   makingCursorKey_ = true;
   Transaction t;
-  t.conditions.push_back({keys::kCursorKey, Revision{}});
+  t.compares.push_back({keys::kCursorKey, Revision{}});
   t.writes.push_back({keys::kCursorKey, Json{{"secret", drawCredential().secret}}, std::nullopt});
   store_.commit(t, kCommitTimeout, [this](const CommitResult&) {
     runtime_.after(Duration{1000}, [this] { makingCursorKey_ = false; });
--- a/src/members/service.cpp
+++ b/src/members/service.cpp
@@ -44,13 +44,13 @@
 
 }  // namespace
 
-MemberService::MemberService(Runtime& runtime, StoreClient& store, Feed& feed, Replica& replica,
-                             const Platform& platform, const MemberSettings& settings,
-                             JobService& jobs, FlowService& flows, Metrics* metrics,
-                             std::uint64_t seed)
+MemberService::MemberService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher,
+                             Replica& replica, const Platform& platform,
+                             const MemberSettings& settings, JobService& jobs, FlowService& flows,
+                             Metrics* metrics, std::uint64_t seed)
     : runtime_(runtime),
       store_(store),
-      feed_(feed),
+      watcher_(watcher),
       replica_(replica),
       platform_(platform),
       settings_(settings),
@@ -88,7 +88,7 @@
   // Made on another controller a moment ago: read first.
   if (!entry && !same && !sure) return std::nullopt;
   // A revocation that this copy has not heard of must not be outlived for longer than stated.
-  if (feed_.contactAge() > settings_.keyTrust) return retryLater(503);
+  if (watcher_.contactAge() > settings_.keyTrust) return retryLater(503);
   auto caller = callerOf(credential->id);
   if (!same || !caller) return noKey();
   return *caller;
@@ -117,7 +117,7 @@
   if (checked) {
     go(*checked);
   } else {
-    feed_.fresh([this, text = request.credential, respond, go](bool ok) {
+    watcher_.linearizableRead([this, text = request.credential, respond, go](bool ok) {
       if (!ok) return respond(retryLater(503));
       go(*check(text, true));
     });
@@ -225,7 +225,7 @@
   }
   std::string rest = path.substr(std::string("/v2/flows/").size());
   FlowId id{rest.substr(0, rest.find('/'))};
-  feed_.fresh([this, id, who, pass, respond](bool ok) {
+  watcher_.linearizableRead([this, id, who, pass, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (flow && flow->head &&
@@ -239,7 +239,7 @@
 void MemberService::onTimer(Duration due, Duration took) {
   gauge_.note(due, took);
   turns_.pump();
-  if (feed_.loaded() && replica_.cursorKey().empty()) makeCursorKey();
+  if (watcher_.loaded() && replica_.cursorKey().empty()) makeCursorKey();
 }
 
 void MemberService::fill(MetricGauges& g) const {
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -17,7 +17,7 @@
 class MemberService {
  public:
   // `metrics` may be null.
-  MemberService(Runtime& runtime, StoreClient& store, Feed& feed, Replica& replica,
+  MemberService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
                 const Platform& platform, const MemberSettings& settings, JobService& jobs,
                 FlowService& flows, Metrics* metrics, std::uint64_t seed);
 
@@ -75,7 +75,7 @@
 
   Runtime& runtime_;
   StoreClient& store_;
-  Feed& feed_;
+  ChangeWatcher& watcher_;
   Replica& replica_;
   const Platform& platform_;
   const MemberSettings& settings_;
--- a/src/placement/plan_duty.cpp
+++ b/src/placement/plan_duty.cpp
@@ -56,7 +56,7 @@
   for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec) continue;
     // No part of its team's limit or guarantee, and no demand: what is about to be ready is.
-    if (job->held()) {
+    if (job->blockedOnDependencies()) {
       waits_.note(id, Waits::dependencies, job->tasks);
       continue;
     }
@@ -90,7 +90,7 @@
     j.begun = job->finishedCount > 0;
     j.image = job->image;
     j.team = job->team;
-    j.stamp = job->stamp;
+    j.modRevision = job->modRevision;
     j.remainingS = toSeconds(j.spec->estimate) *
                    static_cast<double>(job->tasks - std::min(job->tasks, job->finishedCount));
     if (j.spec->zone) j.zone = zoneNumber(*j.spec->zone);
@@ -219,7 +219,8 @@
     int standing = context_.effectivePolicy->standing(*job->record.spec);
     double share = job->record.spec->perTask.shareOf(whole);
     auto placed = static_cast<double>(job->placed.size());
-    if (standing > 0) first += share * (placed + (job->held() ? 0 : job->waiting()));
+    if (standing > 0)
+      first += share * (placed + (job->blockedOnDependencies() ? 0 : job->waiting()));
     if (standing < 0 && job->waiting() == 0) others += share * placed;
   }
   auto may = context_.effectivePolicy->machinesForYielding(machines, first);
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -72,7 +72,7 @@
   std::optional<std::uint32_t> zone;              // the only allowed one
   std::vector<std::uint32_t> perZone;             // tasks that may be on machines
   std::map<std::size_t, std::uint32_t> siblings;  // of a service: tasks by machine
-  Revision stamp;
+  Revision modRevision;
   bool suspect{};                  // fails wherever it goes: nobody is stopped for it
   std::set<std::size_t> failedOn;  // machines: others tell more
 };
--- a/src/placement/task_duty.cpp
+++ b/src/placement/task_duty.cpp
@@ -35,8 +35,8 @@
       const auto* job = context_.replica.job(id);
       Machine* m = fleet_.find(input->machines[p.machine].id);
       // The picture may be older than what has been read since.
-      if (!m || !fleet_.usable(*m, now) || !job || !job->active() || job->held() ||
-          job->stamp != wanted.stamp) {
+      if (!m || !fleet_.usable(*m, now) || !job || !job->active() || job->blockedOnDependencies() ||
+          job->modRevision != wanted.modRevision) {
         context_.planInvalidated = true;
         continue;
       }
@@ -45,7 +45,8 @@
       if (index >= job->tasks) continue;
       // Attempts are larger than any of this task before: each earlier placement and its end were
       // committed at revisions up to `leadership_.highest`.
-      Placed placed{m->id, m->memory.last->workerEpoch, Attempt{context_.latestRevision.value}};
+      TaskPlacement placed{m->id, m->memory.last->workerEpoch,
+                           Attempt{context_.latestRevision.value}};
       if (!writes.place(id, *job, index, placed)) {
         context_.planInvalidated = true;
         continue;
@@ -57,7 +58,7 @@
     }
   }
   // Oldest first, so that none waits for ever behind others.
-  std::vector<std::pair<Instant, TaskFacts::StretchKey>> urgent;
+  std::vector<std::pair<Instant, TaskFacts::ChunkKey>> urgent;
   std::vector<AttemptId> stale;
   for (const auto& [key, due] : facts_.due()) {
     const auto* job = context_.replica.job(key.first);
@@ -75,7 +76,7 @@
   for (const auto& id : stale) facts_.forgetFact(id, *context_.replica.job(id.task.job));
   std::sort(urgent.begin(), urgent.end());
   for (const auto& entry : urgent) {
-    const TaskFacts::StretchKey& key = entry.second;
+    const TaskFacts::ChunkKey& key = entry.second;
     if (!facts_.due().contains(key)) continue;
     const auto& facts = facts_.due().at(key).facts;
     bool all = std::all_of(facts.begin(), facts.end(), [&](const auto& fact) {
--- a/src/placement/task_facts.cpp
+++ b/src/placement/task_facts.cpp
@@ -13,10 +13,10 @@
 constexpr Duration kFlowFactsWait{3000};
 }  // namespace
 
-void TaskFacts::noteFact(const TaskOn& task, Gone gone, Duration ran) {
+void TaskFacts::noteFact(const PlacedTask& task, Gone gone, Duration ran) {
   const JobId& job = task.id.task.job;
-  if (!task.job || task.job->record.stretch == 0) return;
-  Due& due = due_[{job, task.id.task.index / task.job->record.stretch}];
+  if (!task.job || task.job->record.chunkSize == 0) return;
+  Due& due = due_[{job, task.id.task.index / task.job->record.chunkSize}];
   if (due.facts.empty()) due.since = context_.runtime.now();
   const JobState& state = *task.job;
   // Only an array's task can be done; a service's that ended by itself is started again. A flow's
@@ -48,7 +48,7 @@
 
 // Off the record, or no longer what is on it.
 void TaskFacts::forgetFact(const AttemptId& id, const JobState& job) {
-  auto due = due_.find({id.task.job, id.task.index / job.record.stretch});
+  auto due = due_.find({id.task.job, id.task.index / job.record.chunkSize});
   if (due == due_.end()) return;
   auto fact = due->second.facts.find(id.task.index);
   if (fact == due->second.facts.end() || fact->second.attempt != id.attempt) return;
@@ -148,8 +148,8 @@
 
 const TaskFacts::Fact* TaskFacts::factOf(const AttemptId& id) const {
   const auto* job = context_.replica.job(id.task.job);
-  if (!job || job->record.stretch == 0) return nullptr;
-  auto due = due_.find({id.task.job, id.task.index / job->record.stretch});
+  if (!job || job->record.chunkSize == 0) return nullptr;
+  auto due = due_.find({id.task.job, id.task.index / job->record.chunkSize});
   if (due == due_.end()) return nullptr;
   auto fact = due->second.facts.find(id.task.index);
   return fact != due->second.facts.end() && fact->second.attempt == id.attempt ? &fact->second
@@ -157,7 +157,7 @@
 }
 
 // Somebody waits for these: a job that is complete, or a machine that can't go before its tasks.
-bool TaskFacts::factsUrgent(const StretchKey& key, const Due& due) const {
+bool TaskFacts::factsUrgent(const ChunkKey& key, const Due& due) const {
   const auto* job = context_.replica.job(key.first);
   if (!job || !job->active()) return true;
   auto done = dueDone_.find(key.first);
--- a/src/placement/task_facts.hpp
+++ b/src/placement/task_facts.hpp
@@ -22,7 +22,7 @@
     Instant since{};
     std::map<std::uint32_t, Fact> facts;  // by the task's number
   };
-  using StretchKey = std::pair<JobId, std::uint32_t>;
+  using ChunkKey = std::pair<JobId, std::uint32_t>;
   struct Pause {
     int failures{};
     Instant until{};
@@ -32,15 +32,15 @@
 
   // Takes in what a machine's reports have proven.
   void noteFacts(Machine& m);
-  void noteFact(const TaskOn& task, Gone gone, Duration ran = Duration{0});
+  void noteFact(const PlacedTask& task, Gone gone, Duration ran = Duration{0});
   // Off the record, or no longer what is on it.
   void forgetFact(const AttemptId& id, const JobState& job);
   // The job is on no record any more.
   void forgetJob(const JobId& job);
   const Fact* factOf(const AttemptId& id) const;
   // Somebody waits for these: a job that is complete, or a machine that can't go before its tasks.
-  bool factsUrgent(const StretchKey& key, const Due& due) const;
-  const std::map<StretchKey, Due>& due() const { return due_; }
+  bool factsUrgent(const ChunkKey& key, const Due& due) const;
+  const std::map<ChunkKey, Due>& due() const { return due_; }
   // Tasks found gone that must run again, by job.
   const std::map<JobId, std::uint32_t>& again() const { return dueAgain_; }
   // Until when nothing of this job is to be placed, if so.
@@ -56,7 +56,7 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  std::map<StretchKey, Due> due_;
+  std::map<ChunkKey, Due> due_;
   std::map<JobId, std::uint32_t> dueDone_;   // tasks found done, not committed yet
   std::map<JobId, std::uint32_t> dueAgain_;  // tasks found gone that must run again
   std::map<JobId, Pause> pauses_;            // flows' whose tasks failed, and refused starts
--- a/src/placement/task_writes.hpp
+++ b/src/placement/task_writes.hpp
@@ -17,7 +17,7 @@
       : context_(context),
         facts_(facts),
         limit_(context.platform.transactionOps),
-        fits_(stretchFor(context.platform.valueBytes)),
+        fits_(chunkSizeFor(context.platform.valueBytes)),
         mayWriteFormat2_(context.mayWriteFormat2()) {}
 
   // The record of this task, with what is due for it. False: this transaction is full.
@@ -35,7 +35,8 @@
     }
     bytes_ += size + kBytesPerWrite;
     draft.bytes = size;
-    if (auto due = facts_.due().find({id, index / job.record.stretch}); due != facts_.due().end()) {
+    if (auto due = facts_.due().find({id, index / job.record.chunkSize});
+        due != facts_.due().end()) {
       for (const auto& [task, fact] : due->second.facts) takeOff(id, draft, task, fact);
     }
     // A flow's job ends in its flow's own transaction.
@@ -49,7 +50,8 @@
   }
 
   // False: no more of this record in this transaction.
-  bool place(const JobId& id, const JobState& job, std::uint32_t index, const Placed& placed) {
+  bool place(const JobId& id, const JobState& job, std::uint32_t index,
+             const TaskPlacement& placed) {
     if (!open(id, job, index)) return false;
     Draft& draft = drafts_.at({id, pieceOf(job, index).first});
     std::size_t more = placed.machine.value.size() + 46;
@@ -81,18 +83,18 @@
   std::vector<std::pair<AttemptId, Gone>>& settled() { return settled_; }
 
   void finish(Transaction& t) {
-    std::set<JobId> conditioned, ended;
-    std::set<std::string> conditionedWhole;
+    std::set<JobId> compared, ended;
+    std::set<std::string> comparedWhole;
     for (auto& [key, draft] : drafts_) {
       const JobId& id = key.first;
       const JobState& job = *draft.job;
       const Piece& piece = draft.piece;
-      std::string whole = keys::tasks(id, piece.first / job.record.stretch);
-      std::string name = piece.part ? keys::part(id, piece.first, piece.last) : whole;
-      t.conditions.push_back({name, context_.replica.stampOf(name)});
+      std::string whole = keys::tasks(id, piece.first / job.record.chunkSize);
+      std::string name = piece.part ? keys::subChunk(id, piece.first, piece.last) : whole;
+      t.compares.push_back({name, context_.replica.modRevisionOf(name)});
       // Its tasks were in the stretch's record until now, if this is its first write.
-      if (piece.part && conditionedWhole.insert(whole).second) {
-        t.conditions.push_back({whole, context_.replica.stampOf(whole)});
+      if (piece.part && comparedWhole.insert(whole).second) {
+        t.compares.push_back({whole, context_.replica.modRevisionOf(whole)});
       }
       auto done = newlyDone_.find(id);
       bool ends = done != newlyDone_.end() && job.finishedCount + done->second >= job.tasks;
@@ -101,11 +103,11 @@
       // can't both win; and a late copy of the write that created the key can't bring it back.
       // A part stays: without it the stretch's record, which is out of date, would count.
       bool drop = ends && !piece.part && draft.record.placed.empty() &&
-                  context_.replica.stampOf(name) != Revision{};
+                  context_.replica.modRevisionOf(name) != Revision{};
       t.writes.push_back(
           {name, drop ? std::nullopt : std::optional(toJson(draft.record)), std::nullopt});
-      if ((ends || draft.places) && conditioned.insert(id).second) {
-        t.conditions.push_back({keys::job(id), job.stamp});
+      if ((ends || draft.places) && compared.insert(id).second) {
+        t.compares.push_back({keys::job(id), job.modRevision});
       }
       if (ends && ended.insert(id).second) {
         JobRecord record = job.record;
@@ -128,29 +130,29 @@
   struct Draft {
     const JobState* job;
     Piece piece;
-    TasksRecord record;
+    TaskChunkRecord record;
     std::size_t bytes;
     std::uint32_t done;
     bool places;
     // A stretch that was made for a larger limit.
-    bool isWide(std::uint32_t fits) const { return !piece.part && job->record.stretch > fits; }
+    bool isWide(std::uint32_t fits) const { return !piece.part && job->record.chunkSize > fits; }
   };
 
   // Parts that are on record stay as they are. Others are cut for the smaller limit, in stretches
   // that were made for a larger one.
   Piece pieceOf(const JobState& job, std::uint32_t index) const {
-    const std::uint32_t stretch = job.record.stretch;
-    const std::uint32_t begin = index / stretch * stretch;
-    if (auto part = job.partOf(index)) return {part->first, part->second, true};
-    if (!job.parts && (stretch <= fits_ || !mayWriteFormat2_))
-      return {begin, begin + stretch, false};
+    const std::uint32_t chunk = job.record.chunkSize;
+    const std::uint32_t begin = index / chunk * chunk;
+    if (auto part = job.subChunkOf(index)) return {part->first, part->second, true};
+    if (!job.subChunks && (chunk <= fits_ || !mayWriteFormat2_))
+      return {begin, begin + chunk, false};
     std::uint32_t first = begin + (index - begin) / fits_ * fits_;
-    std::uint32_t last = std::min(first + fits_, begin + stretch);
-    if (job.parts) {
+    std::uint32_t last = std::min(first + fits_, begin + chunk);
+    if (job.subChunks) {
       // Of another width, if the limits have fallen more than once.
-      auto after = job.parts->upper_bound(index);
-      if (after != job.parts->end()) last = std::min(last, after->first);
-      if (after != job.parts->begin()) first = std::max(first, std::prev(after)->second);
+      auto after = job.subChunks->upper_bound(index);
+      if (after != job.subChunks->end()) last = std::min(last, after->first);
+      if (after != job.subChunks->begin()) first = std::max(first, std::prev(after)->second);
     }
     return {first, last, true};
   }
@@ -163,7 +165,7 @@
   // What the attempt used goes with the write that takes it off the record: counted once, however
   // often leaders change.
   static void account(Draft& draft, std::uint32_t index, const TaskFacts::Fact& fact) {
-    TasksRecord& r = draft.record;
+    TaskChunkRecord& r = draft.record;
     const JobState& job = *draft.job;
     auto ran = static_cast<std::uint64_t>(std::max<std::int64_t>(0, fact.ran.count()));
     if (fact.gone != Gone::refused) ++r.use.attempts;
--- a/src/policy/duty.cpp
+++ b/src/policy/duty.cpp
@@ -38,21 +38,21 @@
 
 void PolicyDuty::onTimer() {
   // Without a policy, and none before it whose standing is left, there is nothing to decide.
-  bool wanted = copy_.policy() || copy_.standing().policy != 0 || copy_.version() != 0;
+  bool wanted = replica_.policy() || replica_.standing().policy != 0 || replica_.version() != 0;
   if (!wanted || !context_.initialRoundOver || !context_.catalogue) return;
   Instant now = context_.runtime.now();
   if (windowEnds_ == Instant{}) {
     windowEnds_ = now + context_.settings.window;
-    for (const auto& [image, held] : copy_.standing().pools) {
+    for (const auto& [image, held] : replica_.standing().pools) {
       for (const auto& m : held.machines)
         fleet_.remember(m, context_.replica.imageNumber(image), held.gb);
     }
   }
-  const Standing& s = copy_.standing();
+  const Standing& s = replica_.standing();
   std::int64_t time = context_.timeOfDay();
   windowDue_ = now >= windowEnds_;
-  bool boundary = !s.storm && (s.open.empty() ? copy_.opensBy(time) : time >= s.closesMs);
-  due_ = windowDue_ || boundary || s.policy != copy_.version();
+  bool boundary = !s.storm && (s.open.empty() ? replica_.opensBy(time) : time >= s.closesMs);
+  due_ = windowDue_ || boundary || s.policy != replica_.version();
 }
 
 LoopStep PolicyDuty::next() {
@@ -63,9 +63,9 @@
     while (windowEnds_ <= context_.runtime.now())
       windowEnds_ = windowEnds_ + context_.settings.window;
   }
-  const Standing& before = copy_.standing();
+  const Standing& before = replica_.standing();
   Seen what = seen(window);
-  Standing s = decideStanding(copy_.policy().get(), copy_.version(), before, what,
+  Standing s = decideStanding(replica_.policy().get(), replica_.version(), before, what,
                               context_.settings.spreadMultiple, random_);
   if (window) {
     coverServices(s);
@@ -80,7 +80,7 @@
             s.storm ? s.storm->lost : before.storm->lost, "missing", what.missing);
   }
   Transaction t = context_.begin();
-  t.conditions.push_back({keys::kStanding, context_.replica.stampOf(keys::kStanding)});
+  t.compares.push_back({keys::kStanding, context_.replica.modRevisionOf(keys::kStanding)});
   t.writes.push_back({keys::kStanding, toJson(s), std::nullopt});
   if (window) charge(t, s, what.nowMs);
   t.writes[0].value = fitting(s, context_.platform.valueBytes);
@@ -113,7 +113,7 @@
   if (startsSince_ != Instant{}) s.starts = std::move(starts);
   startsSince_ = now;
   for (const auto& [id, job] : context_.replica.live()) {
-    if (!job->active() || !job->record.spec || !copy_.protects(*job->record.spec)) continue;
+    if (!job->active() || !job->record.spec || !replica_.protects(*job->record.spec)) continue;
     std::uint32_t up = 0;
     for (const auto& [index, at] : job->placed) {
       const Machine* m = fleet_.find(at.machine);
@@ -128,7 +128,7 @@
 double PolicyDuty::firstMachines() const {
   double sum = 0;
   for (const auto& [id, job] : context_.replica.live()) {
-    if (!job->active() || !job->record.spec || copy_.standing(*job->record.spec) != 1) continue;
+    if (!job->active() || !job->record.spec || replica_.standing(*job->record.spec) != 1) continue;
     double share = 1;
     for (const auto& type : context_.catalogue->types) {
       if (job->record.spec->allowsType(type.id)) {
@@ -143,7 +143,7 @@
 void PolicyDuty::coverServices(Standing& s) const {
   s.covered = 1;
   s.uncovered = 0;
-  if (!copy_.policy() || copy_.policy()->continuity.services.empty()) return;
+  if (!replica_.policy() || replica_.policy()->continuity.services.empty()) return;
   std::vector<CoverMachine> machines;
   std::vector<CoverReplicas> replicas;
   std::map<ZoneId, std::uint32_t> zones;
@@ -162,7 +162,7 @@
       const auto& spec = t.job->record.spec;
       if (!spec) continue;
       double share = spec->perTask.shareOf(type->capacity);
-      if (copy_.protects(*spec)) {
+      if (replica_.protects(*spec)) {
         c.spare -= share;
         ++here[{t.job->image, share}];
       } else if (spec->kind == JobKind::service) {
@@ -174,17 +174,17 @@
     }
     machines.push_back(std::move(c));
   }
-  Cover worst =
-      worstCover(machines, replicas, static_cast<std::size_t>(copy_.policy()->continuity.machines));
+  Cover worst = worstCover(machines, replicas,
+                           static_cast<std::size_t>(replica_.policy()->continuity.machines));
   s.covered = worst.share();
   s.uncovered = worst.moving - worst.placed;
 }
 
 // Machines that hold an image stay chosen as long as they hold it; new ones where the fewest are.
 void PolicyDuty::chooseHolders(Standing& s) const {
-  if (!copy_.policy()) return;
+  if (!replica_.policy()) return;
   Instant now = context_.runtime.now();
-  for (const auto& pool : copy_.policy()->pools) {
+  for (const auto& pool : replica_.policy()->pools) {
     double perHour = 0;  // of machines that only hold
     for (const auto& image : pool.images) {
       Held& held = s.pools[image];
@@ -234,13 +234,14 @@
 void PolicyDuty::charge(Transaction& t, const Standing& s, std::int64_t now) const {
   std::int64_t hour = now / kHour;
   std::int64_t through = now;
-  if (!copy_.hours().empty()) through = copy_.hours().rbegin()->second.throughMs;
-  if (now <= through && !copy_.hours().empty()) return;
+  if (!replica_.hours().empty()) through = replica_.hours().rbegin()->second.throughMs;
+  if (now <= through && !replica_.hours().empty()) return;
   PaidRecord record;
-  if (auto same = copy_.hours().find(hour); same != copy_.hours().end()) record = same->second;
+  if (auto same = replica_.hours().find(hour); same != replica_.hours().end())
+    record = same->second;
   std::map<MachineId, std::vector<TeamId>> wantedBy;
-  if (copy_.policy()) {
-    for (const auto& pool : copy_.policy()->pools) {
+  if (replica_.policy()) {
+    for (const auto& pool : replica_.policy()->pools) {
       for (const auto& image : pool.images) {
         auto held = s.pools.find(image);
         if (held == s.pools.end()) continue;
@@ -266,24 +267,25 @@
   }
   record.throughMs = now;
   auto put = [&](const std::string& key, std::optional<Json> value) {
-    t.conditions.push_back({key, context_.replica.stampOf(key)});
+    t.compares.push_back({key, context_.replica.modRevisionOf(key)});
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
   put(keys::numbered(keys::kPaidHour, hour), toJson(record));
   // Windows fold into hours by being written there, the oldest hour into its day, the oldest day
   // goes.
-  if (copy_.hours().size() > kHoursKept && copy_.hours().begin()->first != hour) {
-    const auto& [oldest, old] = *copy_.hours().begin();
+  if (replica_.hours().size() > kHoursKept && replica_.hours().begin()->first != hour) {
+    const auto& [oldest, old] = *replica_.hours().begin();
     std::int64_t day = oldest * kHour / kDay;
     PaidRecord whole;
-    if (auto known = copy_.days().find(day); known != copy_.days().end()) whole = known->second;
+    if (auto known = replica_.days().find(day); known != replica_.days().end())
+      whole = known->second;
     whole.account.add(old.account);
     whole.throughMs = old.throughMs;
     put(keys::numbered(keys::kPaidDay, day), toJson(whole));
     put(keys::numbered(keys::kPaidHour, oldest), std::nullopt);
-    if (t.writes.size() < context_.platform.transactionOps && copy_.days().size() > kDaysKept &&
-        copy_.days().begin()->first != day) {
-      put(keys::numbered(keys::kPaidDay, copy_.days().begin()->first), std::nullopt);
+    if (t.writes.size() < context_.platform.transactionOps && replica_.days().size() > kDaysKept &&
+        replica_.days().begin()->first != day) {
+      put(keys::numbered(keys::kPaidDay, replica_.days().begin()->first), std::nullopt);
     }
   }
 }
--- a/src/policy/duty.hpp
+++ b/src/policy/duty.hpp
@@ -4,15 +4,15 @@
 
 #include "fleet/fleet.hpp"
 #include "leadership/leader_context.hpp"
-#include "policy/copy.hpp"
 #include "policy/cover.hpp"
+#include "policy/policy_replica.hpp"
 
 namespace kestrelhoist {
 
 class PolicyDuty : public ControlLoop {
  public:
-  PolicyDuty(LeaderContext& context, Fleet& fleet, PolicyCopy& copy)
-      : context_(context), fleet_(fleet), copy_(copy), random_(context.token.value) {}
+  PolicyDuty(LeaderContext& context, Fleet& fleet, PolicyReplica& replica)
+      : context_(context), fleet_(fleet), replica_(replica), random_(context.token.value) {}
 
   LoopStep next() override;
   void onTimer() override;
@@ -26,7 +26,7 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  PolicyCopy& copy_;
+  PolicyReplica& replica_;
   std::mt19937_64 random_;
   Instant windowEnds_{};
   bool due_ = false, windowDue_ = false;
--- a/src/policy/copy.cpp
+++ b/src/policy/policy_replica.cpp
@@ -1,4 +1,4 @@
-#include "policy/copy.hpp"
+#include "policy/policy_replica.hpp"
 
 #include <charconv>
 
@@ -20,11 +20,11 @@
                        document ? *document : Json()};
 }
 
-bool PolicyCopy::owns(const std::string& key) const {
+bool PolicyReplica::owns(const std::string& key) const {
   return key.starts_with("kh/policy/") || key.starts_with("kh/paid/");
 }
 
-void PolicyCopy::apply(const std::string& key, const Json* value, Revision) {
+void PolicyReplica::apply(const std::string& key, const Json* value, Revision) {
   auto numbered = [&](const std::string& prefix, std::map<std::int64_t, PaidRecord>& to) {
     std::int64_t n = 0;
     std::from_chars(key.data() + prefix.size(), key.data() + key.size(), n);
@@ -64,13 +64,13 @@
   }
 }
 
-void PolicyCopy::clear() {
+void PolicyReplica::clear() {
   auto time = std::move(timeOfDay);
-  *this = PolicyCopy{};
+  *this = PolicyReplica{};
   timeOfDay = std::move(time);
 }
 
-const Period* PolicyCopy::open() const {
+const Period* PolicyReplica::open() const {
   if (!policy_ || standing_.open.empty()) return nullptr;
   for (const auto& p : policy_->calendar.periods) {
     if (p.name == standing_.open) return &p;
@@ -78,7 +78,7 @@
   return nullptr;
 }
 
-const std::optional<Occurrence>& PolicyCopy::next() const {
+const std::optional<Occurrence>& PolicyReplica::next() const {
   if (nextOf_ != standing_.actedMs) {
     nextOf_ = standing_.actedMs;
     next_ = policy_ ? nextAfter(policy_->calendar, standing_.actedMs) : std::nullopt;
@@ -86,16 +86,16 @@
   return next_;
 }
 
-bool PolicyCopy::opensBy(std::int64_t atMs) const {
+bool PolicyReplica::opensBy(std::int64_t atMs) const {
   const auto& o = next();
   return o && o->opensMs <= atMs;
 }
 
-bool PolicyCopy::protects(const JobSpec& spec) const {
+bool PolicyReplica::protects(const JobSpec& spec) const {
   return policy_ && spec.kind == JobKind::service && anyMatches(policy_->continuity.services, spec);
 }
 
-int PolicyCopy::standing(const JobSpec& spec) const {
+int PolicyReplica::standing(const JobSpec& spec) const {
   const Period* p = open();
   if (!p) return 0;
   if (anyMatches(p->first, spec)) return 1;
@@ -105,7 +105,7 @@
 // Room for those who go first: mean + k * spread of what they take, at least what they took at most
 // in the period's last opening, never less than what they take now; in it work that yields would
 // have to be stopped again, or waited for.
-std::optional<double> PolicyCopy::machinesForYielding(double machines, double first) const {
+std::optional<double> PolicyReplica::machinesForYielding(double machines, double first) const {
   const Period* p = open();
   if (!p) return std::nullopt;
   double day = standing_.expected.mean + standing_.expected.spread;
@@ -115,18 +115,18 @@
   return std::max(p->floor * machines, machines - std::max(day, first));
 }
 
-std::optional<Duration> PolicyCopy::untilYielding(const JobSpec& spec) const {
+std::optional<Duration> PolicyReplica::untilYielding(const JobSpec& spec) const {
   const auto& o = next();
   if (!o || open() || !timeOfDay || spec.kind == JobKind::service) return std::nullopt;
   if (!anyMatches(policy_->calendar.periods[o->period].yields, spec)) return std::nullopt;
   return Duration{std::max<std::int64_t>(0, o->opensMs - timeOfDay())};
 }
 
-bool PolicyCopy::returnsWithin(Duration within) const {
+bool PolicyReplica::returnsWithin(Duration within) const {
   return open() && timeOfDay && standing_.closesMs - timeOfDay() <= within.count();
 }
 
-double PolicyCopy::machinesAhead(Duration within) const {
+double PolicyReplica::machinesAhead(Duration within) const {
   const auto& o = next();
   if (!o || !timeOfDay || o->opensMs - timeOfDay() > within.count()) return 0;
   auto last = standing_.last.find(policy_->calendar.periods[o->period].name);
--- a/src/policy/copy.hpp
+++ b/src/policy/policy_replica.hpp
@@ -4,7 +4,7 @@
 #include "jobs/in_force.hpp"
 #include "policy/ledger.hpp"
 #include "policy/standing.hpp"
-#include "store/slice.hpp"
+#include "store/record_handler.hpp"
 
 namespace kestrelhoist {
 
@@ -30,12 +30,12 @@
 Json toJson(const PolicyVersion& v);
 std::optional<PolicyVersion> policyVersionFrom(const Json& v);
 
-class PolicyCopy : public RecordSlice, public InForce {
+class PolicyReplica : public RecordHandler, public InForce {
  public:
   static constexpr std::uint64_t kVersionsKept = 8;
 
   bool owns(const std::string& key) const override;
-  void apply(const std::string& key, const Json* value, Revision stamp) override;
+  void apply(const std::string& key, const Json* value, Revision modRevision) override;
   void clear() override;
 
   const std::optional<PolicyVersion>& current() const { return current_; }
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -1,8 +1,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "policy/copy.hpp"
 #include "policy/cover.hpp"
+#include "policy/policy_replica.hpp"
 
 namespace kestrelhoist {
 namespace {
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -12,7 +12,7 @@
   std::string path = request.path.substr(0, request.path.find('?'));
   if (path != "/mesh/policy" && path != "/mesh/paid") return false;
   if (request.method == "GET") {
-    feed_.fresh([this, respond, path](bool ok) {
+    watcher_.linearizableRead([this, respond, path](bool ok) {
       if (!ok) return respond(retryLater(503));
       respond(jsonResponse(200, path == "/mesh/paid" ? paid() : view()));
     });
@@ -31,13 +31,13 @@
 }
 
 Json PolicyService::view() const {
-  Json v = {{"version", copy_.version()}, {"document", nullptr}, {"past", Json::array()}};
-  if (const auto& now = copy_.current()) {
+  Json v = {{"version", policyReplica_.version()}, {"document", nullptr}, {"past", Json::array()}};
+  if (const auto& now = policyReplica_.current()) {
     v = toJson(*now);
     v["past"] = Json::array();
   }
-  for (const auto& [n, p] : copy_.past()) v["past"].push_back(toJson(p));
-  Json s = toJson(copy_.standing());
+  for (const auto& [n, p] : policyReplica_.past()) v["past"].push_back(toJson(p));
+  Json s = toJson(policyReplica_.standing());
   for (const char* own : {"day", "acted"}) s.erase(own);
   for (auto& [image, held] : s["pools"].items()) held.erase("starts");
   v["standing"] = std::move(s);
@@ -54,7 +54,7 @@
     }
     return out;
   };
-  return {{"hours", list(copy_.hours())}, {"days", list(copy_.days())}};
+  return {{"hours", list(policyReplica_.hours())}, {"days", list(policyReplica_.days())}};
 }
 
 Json PolicyService::effectOf(const Policy& policy) const {
@@ -82,8 +82,9 @@
 }
 
 std::optional<std::uint64_t> PolicyService::versionOf(const std::string& request) const {
-  if (copy_.current() && copy_.current()->by == request) return copy_.current()->version;
-  for (const auto& [version, past] : copy_.past()) {
+  if (policyReplica_.current() && policyReplica_.current()->by == request)
+    return policyReplica_.current()->version;
+  for (const auto& [version, past] : policyReplica_.past()) {
     if (past.by == request) return version;
   }
   return std::nullopt;
@@ -106,46 +107,47 @@
                          " bytes of a value"}}));
     }
   }
-  feed_.fresh([this, body, policy, respond](bool ok) {
+  watcher_.linearizableRead([this, body, policy, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     auto request = *textField(body, "request");
     auto expected = countField(body, "if");
-    const auto& now = copy_.current();
-    Json done = {{"version", copy_.version()}};
+    const auto& now = policyReplica_.current();
+    Json done = {{"version", policyReplica_.version()}};
     // Also where another change has come since: a repetition must not take that one back.
     if (auto version = versionOf(request)) {
       return respond(jsonResponse(200, {{"version", *version}}));
     }
-    if (expected && *expected != copy_.version()) {
-      done["error"] = "version " + std::to_string(copy_.version()) + " was first";
+    if (expected && *expected != policyReplica_.version()) {
+      done["error"] = "version " + std::to_string(policyReplica_.version()) + " was first";
       return respond(jsonResponse(409, done));
     }
     if (boolField(body, "check").value_or(false)) {
       done["effect"] = effectOf(policy ? *policy : Policy{});
       return respond(jsonResponse(200, done));
     }
-    PolicyVersion next{copy_.version() + 1, runtime_.wallMillis(), request, body["document"]};
+    PolicyVersion next{policyReplica_.version() + 1, runtime_.wallMillis(), request,
+                       body["document"]};
     Transaction t;
     auto put = [&](const std::string& key, Json value) {
-      t.conditions.push_back({key, replica_.stampOf(key)});
+      t.compares.push_back({key, replica_.modRevisionOf(key)});
       t.writes.push_back({key, std::move(value), std::nullopt});
     };
     put(keys::kPolicy, toJson(next));
     // One that was set under a larger limit can't be kept among the past ones.
     Json past = now ? toJson(*now) : Json();
     if (now && past.dump().size() <= platform_.valueBytes) {
-      put(keys::kPolicyPast + std::to_string(now->version % PolicyCopy::kVersionsKept),
+      put(keys::kPolicyPast + std::to_string(now->version % PolicyReplica::kVersionsKept),
           std::move(past));
     }
     store_.commit(t, kCommitTimeout, [this, t, next, request, respond](CommitResult r) {
       switch (r.outcome) {
-        case Outcome::applied:
+        case CommitOutcome::applied:
           for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
           logInfo("policy set", "version", next.version);
           return respond(jsonResponse(200, {{"version", next.version}}));
-        case Outcome::conflict:
+        case CommitOutcome::conflict:
           // Possibly an earlier copy of this one, which nobody has heard of.
-          return feed_.fresh([this, request, respond](bool ok) {
+          return watcher_.linearizableRead([this, request, respond](bool ok) {
             if (!ok) return respond(retryLater(503));
             auto version = versionOf(request);
             respond(version ? jsonResponse(200, {{"version", *version}})
--- a/src/policy/service.hpp
+++ b/src/policy/service.hpp
@@ -3,20 +3,20 @@
 #pragma once
 
 #include "config/platform.hpp"
-#include "policy/copy.hpp"
-#include "store/feed.hpp"
+#include "policy/policy_replica.hpp"
+#include "store/change_watcher.hpp"
 
 namespace kestrelhoist {
 
 class PolicyService {
  public:
-  PolicyService(Runtime& runtime, StoreClient& store, Feed& feed, Replica& replica,
-                PolicyCopy& copy, const Platform& platform)
+  PolicyService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
+                PolicyReplica& policyReplica, const Platform& platform)
       : runtime_(runtime),
         store_(store),
-        feed_(feed),
+        watcher_(watcher),
         replica_(replica),
-        copy_(copy),
+        policyReplica_(policyReplica),
         platform_(platform) {}
 
   // GET or POST /mesh/policy; GET /mesh/paid. False: not its path.
@@ -33,9 +33,9 @@
 
   Runtime& runtime_;
   StoreClient& store_;
-  Feed& feed_;
+  ChangeWatcher& watcher_;
   Replica& replica_;
-  PolicyCopy& copy_;
+  PolicyReplica& policyReplica_;
   const Platform& platform_;
 };
 
--- a/src/store/feed.cpp
+++ b/src/store/change_watcher.cpp
@@ -1,19 +1,20 @@
-#include "store/feed.hpp"
+#include "store/change_watcher.hpp"
 
 #include "base/log.hpp"
 
 namespace kestrelhoist {
 
-Feed::Feed(Runtime& runtime, StoreClient& store, Replica& replica, Settings settings)
+ChangeWatcher::ChangeWatcher(Runtime& runtime, StoreClient& store, Replica& replica,
+                             Settings settings)
     : runtime_(runtime), store_(store), replica_(replica), settings_(settings) {}
 
-void Feed::start() {
-  recordsAsOf_ = runtime_.now() - Duration{1000000};
+void ChangeWatcher::start() {
+  snapshotTime_ = runtime_.now() - Duration{1000000};
   load("", true);
   poll();
 }
 
-void Feed::load(const std::string& since, bool first) {
+void ChangeWatcher::load(const std::string& since, bool first) {
   Instant sentAt = runtime_.now();
   store_.list(keys::kRoot, since, Duration{2000}, [this, since, first, sentAt](ListResult r) {
     if (!r.ok) {
@@ -24,7 +25,7 @@
     failures_ = 0;
     if (first) {
       loadRevision_ = r.revision;
-      loadAsOf_ = sentAt;
+      loadSentAt_ = sentAt;
     }
     for (const auto& row : r.rows) replica_.apply(row);
     if (r.more && !r.rows.empty()) {
@@ -38,25 +39,25 @@
     // Not when the last page was sent: pages are asked for again across refusals, and what was
     // cancelled since the first one may be in none of them (leases would be renewed without knowing
     // of it).
-    recordsAsOf_ = loadAsOf_;
+    snapshotTime_ = loadSentAt_;
     logInfo("records loaded", "revision", loadRevision_, "jobs", replica_.jobs().size(), "machines",
             replica_.machines().size());
     schedule();
   });
 }
 
-void Feed::poll() {
+void ChangeWatcher::poll() {
   runtime_.after(std::min(interval_, Duration{250}), [this] { poll(); });
   if (loaded_ && !reading_ && runtime_.now() - lastSent_ >= interval_ - Duration{10}) read();
 }
 
-void Feed::fresh(std::function<void(bool)> done) {
+void ChangeWatcher::linearizableRead(std::function<void(bool)> done) {
   if (!loaded_) return done(false);
   waiting_.push_back(std::move(done));
   schedule();
 }
 
-void Feed::schedule() {
+void ChangeWatcher::schedule() {
   if (reading_ || scheduled_) return;
   Duration wait = settings_.minGap - (runtime_.now() - lastSent_);
   if (wait.count() <= 0) {
@@ -70,7 +71,7 @@
   });
 }
 
-void Feed::read() {
+void ChangeWatcher::read() {
   if (!loaded_) return;
   reading_ = true;
   lastSent_ = runtime_.now();
@@ -79,7 +80,7 @@
                  [this, sentAt = lastSent_](ChangesResult r) { onRead(sentAt, std::move(r)); });
 }
 
-void Feed::onRead(Instant sentAt, ChangesResult r) {
+void ChangeWatcher::onRead(Instant sentAt, ChangesResult r) {
   reading_ = false;
   bool ok = r.kind == ChangesResult::Kind::ok;
   if (ok) {
@@ -87,7 +88,7 @@
     failures_ = 0;
     for (const auto& c : r.changes) replica_.apply(c);
     replica_.advance(r.revision);
-    recordsAsOf_ = sentAt;
+    snapshotTime_ = sentAt;
   } else if (r.kind == ChangesResult::Kind::tooOld) {
     logInfo("changes are gone, reading all records again", "since", replica_.cursor());
     loaded_ = false;
--- a/src/store/feed.hpp
+++ b/src/store/change_watcher.hpp
@@ -8,27 +8,27 @@
 
 namespace kestrelhoist {
 
-class Feed {
+class ChangeWatcher {
  public:
   struct Settings {
     Duration minGap{50};        // between the starts of two reads
     Duration timeout{1000};     // of one read
     Duration staleAfter{2000};  // without a successful read the store counts as out of reach
   };
-  Feed(Runtime& runtime, StoreClient& store, Replica& replica, Settings settings);
+  ChangeWatcher(Runtime& runtime, StoreClient& store, Replica& replica, Settings settings);
 
   void start();
   // Calls back true after a read that was sent after this call has been applied, false if that
   // read failed.
-  void fresh(std::function<void(bool)> done);
+  void linearizableRead(std::function<void(bool)> done);
   // Reads at least this often.
   void setInterval(Duration d) { interval_ = d; }
 
   bool loaded() const { return loaded_; }
   // Each change committed before this is in the copy: when the last successful read was sent, or
   // the first page of a load.
-  Instant recordsAsOf() const { return recordsAsOf_; }
-  Duration contactAge() const { return runtime_.now() - recordsAsOf_; }
+  Instant snapshotTime() const { return snapshotTime_; }
+  Duration contactAge() const { return runtime_.now() - snapshotTime_; }
   bool reachable() const {
     return loaded_ && failures_ == 0 && contactAge() < settings_.staleAfter;
   }
@@ -56,10 +56,10 @@
   bool scheduled_ = false;
   int failures_ = 0;
   Instant failingSince_{};
-  Instant recordsAsOf_{};
+  Instant snapshotTime_{};
   Instant lastSent_{};
   Revision loadRevision_;  // of the first page, and when it was asked for
-  Instant loadAsOf_{};
+  Instant loadSentAt_{};
   std::vector<std::function<void(bool)>> waiting_;  // for the next read
   std::vector<std::function<void(bool)>> served_;   // by the read in flight
 };
--- a/src/store/feed_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -1,5 +1,5 @@
 // Until when the copy is known to be whole.
-#include "store/feed.hpp"
+#include "store/change_watcher.hpp"
 
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
   sim::HostRuntime runtime{clock, network, "node0", 1.0};
   StoreClient store{runtime, runtime, "state:1", 1000};
   Replica replica;
-  Feed feed{runtime, store, replica, {}};
+  ChangeWatcher watcher{runtime, store, replica, {}};
 
   // As another controller.
   void write(const std::string& key, const Json& data = Json::object()) {
@@ -34,21 +34,21 @@
 TEST_F(Load, ThatStraddlesARefusalIsAsOldAsItsFirstPage) {
   for (int i = 0; i < 300; ++i) write("kh/job/j-" + std::to_string(100000 + i));
   clock.runUntil(2000);
-  feed.start();
+  watcher.start();
   Instant first = runtime.now();
   clock.in(5, [this] { state.refuse("node0", 20000); });  // after the first page
   clock.runUntil(2100);
-  EXPECT_FALSE(feed.loaded());
+  EXPECT_FALSE(watcher.loaded());
   write("kh/job/j-100000");
   // The rest comes in a moment between two refusals, and no read of changes after it.
-  while (!feed.loaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
-  ASSERT_TRUE(feed.loaded());
+  while (!watcher.loaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
+  ASSERT_TRUE(watcher.loaded());
   state.refuse("node0", 20000);
   clock.runUntil(clock.now() + 1000);
-  EXPECT_EQ(feed.recordsAsOf(), first);
-  EXPECT_GE(feed.contactAge(), Duration{20000});
+  EXPECT_EQ(watcher.snapshotTime(), first);
+  EXPECT_GE(watcher.contactAge(), Duration{20000});
   clock.runUntil(clock.now() + 21000);
-  EXPECT_LT(feed.contactAge(), Duration{2000});
+  EXPECT_LT(watcher.contactAge(), Duration{2000});
 }
 
 // All twelve replicas of a service that was accepted while a controller that had just come back
@@ -56,14 +56,14 @@
 TEST_F(Load, ShowsTasksOfAJobThatWasCreatedMeanwhile) {
   for (int i = 0; i < 300; ++i) write("kh/job/j-" + std::to_string(100000 + i));
   clock.runUntil(2000);
-  feed.start();
+  watcher.start();
   auto spec = std::make_shared<JobSpec>();
   spec->id = JobId{"j-000001"};
   spec->tasks = 1;
   JobRecord job;
   job.spec = spec;
-  job.stretch = 100;
-  TasksRecord tasks;
+  job.chunkSize = 100;
+  TaskChunkRecord tasks;
   tasks.placed[0] = {MachineId{"host-000001"}, WorkerEpoch{1}, Attempt{300}};
   // Behind the first page, which was asked for, before the second.
   clock.in(5, [&] {
@@ -72,7 +72,7 @@
     state.refuse("node0", 100);
   });
   clock.runUntil(5000);
-  ASSERT_TRUE(feed.loaded());
+  ASSERT_TRUE(watcher.loaded());
   ASSERT_TRUE(replica.job(spec->id));
   EXPECT_EQ(replica.job(spec->id)->placed.size(), 1U);
 }
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -7,7 +7,8 @@
 
 Json transactionBody(const Transaction& t) {
   Json when = Json::array();
-  for (const auto& c : t.conditions) when.push_back({{"path", c.key}, {"stamp", c.stamp.value}});
+  for (const auto& c : t.compares)
+    when.push_back({{"path", c.key}, {"stamp", c.modRevision.value}});
   Json writes = Json::array();
   for (const auto& w : t.writes) {
     if (!w.value) {
@@ -31,11 +32,11 @@
 
 std::optional<Change> changeFrom(Json& row, const char* keyName) {
   Change c;
-  auto stamp = countField(row, "stamp");
+  auto modRevision = countField(row, "stamp");
   auto key = textField(row, keyName);
-  if (!stamp || !key) return std::nullopt;
+  if (!modRevision || !key) return std::nullopt;
   c.key = *key;
-  c.stamp = Revision{*stamp};
+  c.modRevision = Revision{*modRevision};
   auto data = row.find("data");
   if (data == row.end()) return std::nullopt;
   c.value = std::move(*data);
@@ -44,17 +45,17 @@
 
 }  // namespace
 
-const char* wordOf(Outcome outcome) {
+const char* wordOf(CommitOutcome outcome) {
   switch (outcome) {
-    case Outcome::applied:
+    case CommitOutcome::applied:
       return "applied";
-    case Outcome::conflict:
+    case CommitOutcome::conflict:
       return "conflict";
-    case Outcome::refused:
+    case CommitOutcome::refused:
       return "refused";
-    case Outcome::noLease:
+    case CommitOutcome::noLease:
       return "no_lease";
-    case Outcome::rejected:
+    case CommitOutcome::rejected:
       return "rejected";
     default:
       return "unknown";
@@ -77,24 +78,24 @@
                  if (observe) observe(result.outcome);
                  answer(result);
                };
-               if (!r) return done({Outcome::unknown, {}});
+               if (!r) return done({CommitOutcome::unknown, {}});
                auto body = bodyOf(r);
                auto revision = body ? countField(*body, "epoch") : std::nullopt;
                if (r->status == 200) {
                  // A 200 that can't be read was still carried out, but at what revision?
-                 if (!revision) return done({Outcome::unknown, {}});
-                 return done({Outcome::applied, Revision{*revision}});
+                 if (!revision) return done({CommitOutcome::unknown, {}});
+                 return done({CommitOutcome::applied, Revision{*revision}});
                }
                if (r->status == 409)
-                 return done({Outcome::conflict, Revision{revision.value_or(0)}});
-               if (r->status == 429 || r->status == 503) return done({Outcome::refused, {}});
+                 return done({CommitOutcome::conflict, Revision{revision.value_or(0)}});
+               if (r->status == 429 || r->status == 503) return done({CommitOutcome::refused, {}});
                if (r->status == 400) {
                  auto error = body ? textField(*body, "error") : std::nullopt;
-                 if (error == "no such lease") return done({Outcome::noLease, {}});
+                 if (error == "no such lease") return done({CommitOutcome::noLease, {}});
                  logError("state service rejected a transaction", "why", error.value_or("?"));
-                 return done({Outcome::rejected, {}});
+                 return done({CommitOutcome::rejected, {}});
                }
-               done({Outcome::unknown, {}});
+               done({CommitOutcome::unknown, {}});
              });
 }
 
@@ -119,9 +120,9 @@
                }
                for (auto& e : *events) {
                  if (auto dropped = textField(e, "drop")) {
-                   auto stamp = countField(e, "stamp");
-                   if (!stamp) return done(ChangesResult{});
-                   result.changes.push_back({*dropped, std::nullopt, Revision{*stamp}});
+                   auto modRevision = countField(e, "stamp");
+                   if (!modRevision) return done(ChangesResult{});
+                   result.changes.push_back({*dropped, std::nullopt, Revision{*modRevision}});
                  } else if (auto c = changeFrom(e, "set")) {
                    result.changes.push_back(std::move(*c));
                  } else {
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -14,9 +14,9 @@
 // A transaction may be 64 KiB altogether, in text form.
 inline constexpr std::size_t kMaxTransactionBytes = 56 * 1024;
 
-struct Condition {
+struct Compare {
   std::string key;
-  Revision stamp;  // 0: the key must not exist
+  Revision modRevision;  // 0: the key must not exist
 };
 
 struct Write {
@@ -26,12 +26,12 @@
 };
 
 struct Transaction {
-  std::vector<Condition> conditions;
+  std::vector<Compare> compares;
   std::vector<Write> writes;
   std::string requestId{};  // of the user's request that it is for, if it is for one
 };
 
-enum class Outcome {
+enum class CommitOutcome {
   applied,   // 200
   conflict,  // 409: nothing was changed
   refused,   // 429, 503: not carried out
@@ -41,14 +41,14 @@
 };
 
 struct CommitResult {
-  Outcome outcome{};
+  CommitOutcome outcome{};
   Revision revision;
 };
 
 struct Change {
   std::string key;
   std::optional<Json> value;  // empty: dropped
-  Revision stamp;
+  Revision modRevision;
 };
 
 struct ChangesResult {
@@ -69,7 +69,7 @@
   std::optional<Json> value;  // empty: no such key
 };
 
-const char* wordOf(Outcome outcome);
+const char* wordOf(CommitOutcome outcome);
 
 enum class LeaseOutcome { ok, gone, failed };
 
@@ -88,7 +88,7 @@
   void renewLease(LeaseId id, Duration timeout, std::function<void(LeaseOutcome)> done);
   void dropLease(LeaseId id);
 
-  std::function<void(Outcome)> onCommitted;  // of each transaction; may be null
+  std::function<void(CommitOutcome)> onCommitted;  // of each transaction; may be null
 
   // Whether a request may be sent now within this node's share of the rate.
   bool mayAsk() { return budget_.take(runtime_.now(), 1); }
--- a/src/store/parts_test.cpp
+++ b/src/store/parts_test.cpp
@@ -22,26 +22,26 @@
 
 std::vector<Change> changesFrom(const Json& records) {
   std::vector<Change> changes;
-  std::uint64_t stamp = 10;
+  std::uint64_t modRevision = 10;
   for (const auto& [key, value] : records.items())
-    changes.push_back({key, value, Revision{++stamp}});
+    changes.push_back({key, value, Revision{++modRevision}});
   return changes;
 }
 
-Placed on(const std::string& machine, std::uint64_t attempt) {
+TaskPlacement on(const std::string& machine, std::uint64_t attempt) {
   return {MachineId{machine}, WorkerEpoch{1}, Attempt{attempt}};
 }
 
 // A part of tasks 137 to 163: the first is finished, the second placed anew, no other on a machine.
-Change partOfSecondStretch(std::uint64_t stamp) {
-  TasksRecord part;
+Change partOfSecondStretch(std::uint64_t modRevision) {
+  TaskChunkRecord part;
   part.finished.set(0);
   part.placed[kStretch + 1] = on("m-9", 5000);
-  return {keys::part(kJobId, kStretch, kStretch + 27), toJson(part), Revision{stamp}};
+  return {keys::subChunk(kJobId, kStretch, kStretch + 27), toJson(part), Revision{modRevision}};
 }
 
 struct View {
-  std::map<std::uint32_t, Placed> placed;
+  std::map<std::uint32_t, TaskPlacement> placed;
   std::vector<bool> finished;
   std::uint32_t finishedCount;
   bool operator==(const View&) const = default;
@@ -77,7 +77,7 @@
   Replica replica;
   for (const auto& c : changesFrom(oldRecords())) replica.apply(c);
   const JobState& job = *replica.job(kJobId);
-  EXPECT_EQ(job.record.stretch, kStretch);
+  EXPECT_EQ(job.record.chunkSize, kStretch);
   EXPECT_EQ(job.finishedCount, 60U);
   EXPECT_EQ(job.placed.size(), 206U);
   EXPECT_EQ(job.placed.at(299).machine.value, "m-100299");
@@ -95,7 +95,7 @@
   changes.push_back(partOfSecondStretch(100));
   std::erase_if(changes, [](const Change& c) {
     return !c.key.starts_with(keys::kJob) && !c.key.starts_with(keys::kTasks) &&
-           !c.key.starts_with(keys::kPart);
+           !c.key.starts_with(keys::kSubChunk);
   });
   std::optional<View> first;
   std::sort(changes.begin(), changes.end(),
@@ -107,7 +107,7 @@
       if (c.key.starts_with(keys::kJob)) replica.apply(c);
     }
     for (const auto& c : changes) {
-      if (c.key.starts_with(keys::kTasks) || c.key.starts_with(keys::kPart)) replica.apply(c);
+      if (c.key.starts_with(keys::kTasks) || c.key.starts_with(keys::kSubChunk)) replica.apply(c);
     }
     View view = viewOf(replica);
     expectSound(replica);
@@ -127,7 +127,7 @@
   replica.apply(partOfSecondStretch(100));
   View before = viewOf(replica);
   // A copy of a write that was under way: it puts everything of the stretch on another machine.
-  TasksRecord late;
+  TaskChunkRecord late;
   for (std::uint32_t i = 0; i < 27; ++i) late.placed[kStretch + i] = on("m-8", 4000);
   auto old = replica.tasksOf(*replica.job(kJobId), kStretch + 27, 2 * kStretch, false);
   late.placed.insert(old.placed.begin(), old.placed.end());
@@ -142,11 +142,11 @@
 TEST(Parts, of_a_job_that_is_not_known_yet_are_not_known_either) {
   Replica replica;
   replica.apply(partOfSecondStretch(100));
-  EXPECT_EQ(replica.stampOf(partOfSecondStretch(100).key), Revision{});
-  EXPECT_EQ(replica.orphanParts().size(), 1U);
+  EXPECT_EQ(replica.modRevisionOf(partOfSecondStretch(100).key), Revision{});
+  EXPECT_EQ(replica.orphanSubChunks().size(), 1U);
   for (const auto& c : changesFrom(oldRecords())) replica.apply(c);
   replica.apply(partOfSecondStretch(100));  // read again as a change
-  EXPECT_TRUE(replica.orphanParts().empty());
+  EXPECT_TRUE(replica.orphanSubChunks().empty());
   EXPECT_EQ(viewOf(replica).placed.at(kStretch + 1).machine.value, "m-9");
   expectSound(replica);
 }
--- a/src/store/slice.hpp
+++ b/src/store/record_handler.hpp
@@ -9,12 +9,12 @@
 
 namespace kestrelhoist {
 
-class RecordSlice {
+class RecordHandler {
  public:
-  virtual ~RecordSlice() = default;
+  virtual ~RecordHandler() = default;
   virtual bool owns(const std::string& key) const = 0;
   // `value` null: the key was dropped. What can't be read is kept out, and told in the log.
-  virtual void apply(const std::string& key, const Json* value, Revision stamp) = 0;
+  virtual void apply(const std::string& key, const Json* value, Revision modRevision) = 0;
   // The copy begins anew.
   virtual void clear() = 0;
 };
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -65,16 +65,16 @@
 }
 }  // namespace
 
-std::uint32_t stretchFor(std::size_t valueBytes) {
+std::uint32_t chunkSizeFor(std::size_t valueBytes) {
   constexpr std::size_t kPerTask = 56;  // in text form, alone on a machine
   constexpr std::size_t kBesides = 512;
   std::size_t fits = valueBytes > kBesides ? (valueBytes - kBesides) / kPerTask : 0;
   return static_cast<std::uint32_t>(std::clamp<std::size_t>(fits, 8, TaskBits::kMost));
 }
 
-std::size_t TasksRecord::bytes() const {
+std::size_t TaskChunkRecord::bytes() const {
   std::size_t n = 64 + finished.hexSize();
-  const Placed* row = nullptr;
+  const TaskPlacement* row = nullptr;
   for (const auto& [index, p] : placed) {
     n += 14;  // a run of its own at worst
     if (!row || *row != p) n += p.machine.value.size() + 32;
@@ -88,18 +88,18 @@
   Json v = {{"spec", jobSpecToJson(*r.spec)},
             {"phase", phaseWord(r.phase)},
             {"at", r.acceptedAtMs},
-            {"stretch", r.stretch}};
+            {"stretch", r.chunkSize}};
   if (r.flow) v["flow"] = toJson(*r.flow);
   if (r.owner) v["owner"] = {{"member", r.owner->owner.member}, {"ref", r.owner->ref}};
   if (r.endedAtMs > 0) v["ended"] = r.endedAtMs;
-  if (r.awaitsParts > 0) v["awaits_parts"] = r.awaitsParts;
+  if (r.dependencyParts > 0) v["awaits_parts"] = r.dependencyParts;
   return v;
 }
 
 // A row for each machine, session and attempt: then first and length of each run of tasks.
-Json toJson(const TasksRecord& r) {
+Json toJson(const TaskChunkRecord& r) {
   Json rows = Json::array();
-  std::map<Placed, std::size_t> at;
+  std::map<TaskPlacement, std::size_t> at;
   for (const auto& [index, p] : r.placed) {
     auto [row, isNew] = at.try_emplace(p, rows.size());
     if (isNew) rows.push_back({p.machine.value, p.workerEpoch.value, p.attempt.value});
@@ -132,10 +132,10 @@
             {"count", r.count},
             {"at", r.atMs}};
   if (r.answered) {
-    Json machines = Json::array(), leaving = Json::array();
-    for (const auto& m : r.machines) (m.leaving ? leaving : machines).push_back(m.id.value);
+    Json machines = Json::array(), draining = Json::array();
+    for (const auto& m : r.machines) (m.draining ? draining : machines).push_back(m.id.value);
     v["machines"] = std::move(machines);
-    v["leaving"] = std::move(leaving);
+    v["leaving"] = std::move(draining);
   }
   return v;
 }
@@ -155,10 +155,10 @@
                                     : JobPhase::active;
   r.acceptedAtMs = static_cast<std::int64_t>(countField(v, "at").value_or(0));
   r.endedAtMs = static_cast<std::int64_t>(countField(v, "ended").value_or(0));
-  r.awaitsParts = static_cast<std::uint32_t>(countField(v, "awaits_parts").value_or(0));
-  auto stretch = countField(v, "stretch");
-  if (!stretch || *stretch < 1 || *stretch > TaskBits::kMost) return std::nullopt;
-  r.stretch = static_cast<std::uint32_t>(*stretch);
+  r.dependencyParts = static_cast<std::uint32_t>(countField(v, "awaits_parts").value_or(0));
+  auto chunk = countField(v, "stretch");
+  if (!chunk || *chunk < 1 || *chunk > TaskBits::kMost) return std::nullopt;
+  r.chunkSize = static_cast<std::uint32_t>(*chunk);
   if (const Json* flow = field(v, "flow")) {
     auto part = flowPartFrom(*flow);
     if (!part) return std::nullopt;
@@ -172,12 +172,12 @@
   return r;
 }
 
-std::optional<TasksRecord> tasksRecordFrom(const Json& v) {
+std::optional<TaskChunkRecord> taskChunkRecordFrom(const Json& v) {
   auto done = textField(v, "done");
   auto bits = done ? TaskBits::fromHex(*done) : std::nullopt;
   const Json* rows = field(v, "on");
   if (!bits || !rows || !rows->is_array()) return std::nullopt;
-  TasksRecord r;
+  TaskChunkRecord r;
   r.finished = std::move(*bits);
   for (const auto& row : *rows) {
     if (!row.is_array() || row.size() < 3 || row.size() % 2 == 0 || !row[0].is_string()) {
@@ -186,8 +186,8 @@
     for (std::size_t i = 1; i < row.size(); ++i) {
       if (!row[i].is_number_unsigned()) return std::nullopt;
     }
-    Placed p{MachineId{row[0].get<std::string>()}, WorkerEpoch{row[1].get<std::uint64_t>()},
-             Attempt{row[2].get<std::uint64_t>()}};
+    TaskPlacement p{MachineId{row[0].get<std::string>()}, WorkerEpoch{row[1].get<std::uint64_t>()},
+                    Attempt{row[2].get<std::uint64_t>()}};
     for (std::size_t i = 3; i + 1 < row.size(); i += 2) {
       auto first = row[i].get<std::uint64_t>();
       auto count = row[i + 1].get<std::uint64_t>();
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -22,20 +22,20 @@
 inline const std::string kForecast = "kh/forecast";
 inline const std::string kJob = "kh/job/";
 inline const std::string kTasks = "kh/tasks/";
-inline const std::string kPart = "kh/part/";
+inline const std::string kSubChunk = "kh/part/";
 inline const std::string kRental = "kh/rental/";
 inline const std::string kAwaits = "kh/awaits/";
 inline std::string job(const JobId& id) { return kJob + id.value; }
-inline std::string tasks(const JobId& id, std::uint32_t stretch) {
-  return kTasks + id.value + "/" + std::to_string(stretch);
+inline std::string tasks(const JobId& id, std::uint32_t chunk) {
+  return kTasks + id.value + "/" + std::to_string(chunk);
 }
 // One part of a list of awaited jobs that does not fit into the job's own record.
 inline std::string awaits(const JobId& id, std::uint32_t part) {
   return kAwaits + id.value + "/" + std::to_string(part);
 }
 // One part of a stretch: the tasks from `first` to before `last`.
-inline std::string part(const JobId& id, std::uint32_t first, std::uint32_t last) {
-  return kPart + id.value + "/" + std::to_string(first) + "-" + std::to_string(last);
+inline std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last) {
+  return kSubChunk + id.value + "/" + std::to_string(first) + "-" + std::to_string(last);
 }
 inline std::string rental(const RentalId& id) { return kRental + id.value; }
 }  // namespace keys
@@ -66,20 +66,20 @@
   std::shared_ptr<const JobSpec> spec;
   JobPhase phase = JobPhase::active;
   std::int64_t acceptedAtMs{};              // time of day, to order and to judge deadlines only
-  std::uint32_t stretch{};                  // how many of its tasks share one TasksRecord
+  std::uint32_t chunkSize{};                // how many of its tasks share one TaskChunkRecord
   std::shared_ptr<const FlowPart> flow{};   // if its tasks are instances of a flow
   std::shared_ptr<const JobOwner> owner{};  // if a member submitted it with a key
   std::int64_t endedAtMs{};                 // time of day of its end; 0: not known
   // The jobs that it awaits are in so many records of their own; 0: in its description.
-  std::uint32_t awaitsParts{};
+  std::uint32_t dependencyParts{};
 };
 
 // Where a task may be.
-struct Placed {
+struct TaskPlacement {
   MachineId machine;
   WorkerEpoch workerEpoch;  // the worker's session that it was placed in
   Attempt attempt;
-  auto operator<=>(const Placed&) const = default;
+  auto operator<=>(const TaskPlacement&) const = default;
 };
 
 // One stretch of a job's tasks: which are finished, and which may be on machines. A change of
@@ -89,9 +89,9 @@
 // written again: parts of it are, each a record of this form under a key that names its first task
 // and the one past its last. A part says all there is to know of its tasks; what the stretch's own
 // record says of them is out of date.
-struct TasksRecord {
+struct TaskChunkRecord {
   TaskBits finished;
-  std::map<std::uint32_t, Placed> placed;  // by the task's number
+  std::map<std::uint32_t, TaskPlacement> placed;  // by the task's number
   // Of flows' jobs only.
   std::map<std::uint32_t, std::uint32_t> failures;  // of tasks that are not finished
   Use use;                                          // of attempts that have ended
@@ -102,14 +102,14 @@
 };
 
 // How many tasks a stretch may have, so that each of them on a machine of its own still fits.
-std::uint32_t stretchFor(std::size_t valueBytes);
+std::uint32_t chunkSizeFor(std::size_t valueBytes);
 
 // A rental: written before it is asked for, then the machines that it brought, until the last of
 // them is gone. Machines that nobody expected are adopted as a rental of their own.
 struct RentalRecord {
   struct Member {
     MachineId id;
-    bool leaving{};  // its release was or will be asked for: never gets work again
+    bool draining{};  // its release was or will be asked for: never gets work again
   };
   RentalId id;
   TypeId type;
@@ -127,11 +127,11 @@
 };
 
 Json toJson(const JobRecord& r);
-Json toJson(const TasksRecord& r);
+Json toJson(const TaskChunkRecord& r);
 Json toJson(const RentalRecord& r);
 Json toJson(const LeaderRecord& r);
 std::optional<JobRecord> jobRecordFrom(const JobId& id, const Json& v);
-std::optional<TasksRecord> tasksRecordFrom(const Json& v);
+std::optional<TaskChunkRecord> taskChunkRecordFrom(const Json& v);
 std::optional<RentalRecord> rentalRecordFrom(const RentalId& id, const Json& v);
 std::optional<LeaderRecord> leaderRecordFrom(const Json& v);
 
--- a/src/versions/versions.cpp
+++ b/src/versions/versions.cpp
@@ -47,10 +47,10 @@
   asked_ = true;
   std::string key = keys::version(member_);
   Transaction t;
-  t.conditions.push_back({key, replica_.stampOf(key)});
+  t.compares.push_back({key, replica_.modRevisionOf(key)});
   t.writes.push_back({key, Json{{"format", kRecordFormat}}, std::nullopt});
   store_.commit(t, kTimeout, [this, t](const CommitResult& r) {
-    if (r.outcome == Outcome::applied) {
+    if (r.outcome == CommitOutcome::applied) {
       logInfo("format of records told", "format", kRecordFormat);
       replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
     }
--- a/src/versions/versions.hpp
+++ b/src/versions/versions.hpp
@@ -7,8 +7,8 @@
 
 #include "config/platform.hpp"
 #include "store/client.hpp"
+#include "store/record_handler.hpp"
 #include "store/replica.hpp"
-#include "store/slice.hpp"
 
 namespace kestrelhoist {
 
@@ -21,12 +21,12 @@
 inline constexpr unsigned kRecordFormat = 2;
 
 // A controller's copy of what is on record of all members of the settings.
-class MemberVersions : public RecordSlice {
+class MemberVersions : public RecordHandler {
  public:
   explicit MemberVersions(const Platform& platform);
 
   bool owns(const std::string& key) const override;
-  void apply(const std::string& key, const Json* value, Revision stamp) override;
+  void apply(const std::string& key, const Json* value, Revision modRevision) override;
   void clear() override { formats_.clear(); }
 
   // Whether each member, this one included, has told that it knows this format. What it once told
--- a/src/versions/versions_test.cpp
+++ b/src/versions/versions_test.cpp
@@ -13,8 +13,8 @@
 }
 
 void tell(Replica& replica, const std::string& member, std::optional<Json> record,
-          std::uint64_t stamp) {
-  replica.apply({keys::version(MemberId{member}), std::move(record), Revision{stamp}});
+          std::uint64_t modRevision) {
+  replica.apply({keys::version(MemberId{member}), std::move(record), Revision{modRevision}});
 }
 
 TEST(Versions, all_members_of_the_settings_have_to_tell) {
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 namespace fs = std::filesystem;
 
-struct Outcome {
+struct CommitOutcome {
   std::map<std::string, std::string> files;  // name and content
   std::map<std::string, std::pair<double, std::string>>
       rules;  // completed tasks, and what one takes
@@ -70,7 +70,7 @@
     loop_.run();
   }
 
-  Outcome asFlow(const std::string& team, const std::string& file, const std::string& id) {
+  CommitOutcome asFlow(const std::string& team, const std::string& file, const std::string& id) {
     setenv("HOIST_TEAM", team.c_str(), 1);
     setenv("HOIST_MEMBER", "ana", 1);
     setenv("HOIST_FILES", region_.files.c_str(), 1);
@@ -90,7 +90,7 @@
       pause();
     }
     EXPECT_EQ(phase, "done");
-    Outcome out;
+    CommitOutcome out;
     out.files = filesIn(region_.files + "/" + team + "/ana/" + id);
     auto report = call({"GET", "/v2/flows/" + id + "/report", ""});
     for (const auto& r : report.value("rules", Json::array())) {
@@ -107,7 +107,8 @@
 
   // The same work by hand: each instance a job of one task, once what it needs is done; the file
   // is read again after a checkpoint.
-  Outcome jobByJob(const std::string& team, const std::string& file, const std::string& name) {
+  CommitOutcome jobByJob(const std::string& team, const std::string& file,
+                         const std::string& name) {
     std::string relative = team + "/ana/" + name, directory = region_.files + "/" + relative;
     fs::create_directories(directory);
     for (const auto& entry : fs::directory_iterator(fs::path(file).parent_path())) {
@@ -116,7 +117,7 @@
     RuleFile rule;
     rule.path = directory + "/" + fs::path(file).filename().string();
     std::set<std::uint64_t> done;
-    Outcome out;
+    CommitOutcome out;
     bool again = true;
     while (again) {
       again = false;
@@ -213,7 +214,7 @@
   char name[] = "/tmp/kestrelhoist-loopback-XXXXXX";
   ASSERT_NE(mkdtemp(name), nullptr);
   std::string directory = name;
-  Outcome flow, jobs;
+  CommitOutcome flow, jobs;
   {
     RegionProcess region(directory, std::string(SOURCE_PATH) + "/deploy/flows.json",
                          {"--kill-controllers", "2", "--kill-machines", "2", "--seed", "3"});
--- a/tests/meetings_writes.hpp
+++ b/tests/meetings_writes.hpp
@@ -153,7 +153,7 @@
       auto slash = task.find('/');
       auto index = static_cast<std::uint32_t>(std::stoul(task.substr(slash + 1)));
       for (const auto& key : w.state.keysBelow(keys::kTasks + task.substr(0, slash + 1))) {
-        auto record = tasksRecordFrom(*w.state.valueOf(key));
+        auto record = taskChunkRecordFrom(*w.state.valueOf(key));
         auto placed = record->placed.find(index);
         if (placed == record->placed.end()) continue;
         auto worker = w.workers.find(placed->second.machine.value);
@@ -272,7 +272,7 @@
       if (!record) return key + " can't be read";
       if (!record->answered) return key + " is not answered";
       for (const auto& m : record->machines) {
-        if (m.leaving) return key + ": " + m.id.value + " is still leaving";
+        if (m.draining) return key + ": " + m.id.value + " is still leaving";
         ++onRecord[m.id.value];
       }
     }
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -191,8 +191,8 @@
                });
 }
 
-const PolicyCopy* World::policy() const {
-  const PolicyCopy* best = nullptr;
+const PolicyReplica* World::policy() const {
+  const PolicyReplica* best = nullptr;
   for (const auto& n : nodes_) {
     if (!n.controller) continue;
     const auto* p = &n.controller->policy();
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -115,7 +115,7 @@
   // An operator sets the policy, asking again until told.
   void setPolicy(const Json& document, const std::string& request);
   // As the newest controller's copy has it; any that lives.
-  const PolicyCopy* policy() const;
+  const PolicyReplica* policy() const;
   // Whether each controller that lives knows that all tell this format of records, or none does.
   bool allKnowFormat(unsigned format) const;
   bool noneKnowsFormat(unsigned format) const;
