--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -107,7 +107,7 @@
       return p.zone == zone && peerMembership_.mayBeAlive(p.member);
     });
   });
-  for (const auto& [machine, at] : answered_.all()) leader_->fleet().answeredElsewhere(machine, at);
+  for (const auto& [machine, at] : answered_.all()) leader_->fleet().noteAckByPeer(machine, at);
   requestAckTimesFromPeers();
 }
 
@@ -123,7 +123,7 @@
                            auto body = decodeBody(r->body);
                            if (!body) return;
                            for (const auto& [machine, at] : Answered::from(*body, runtime_.now())) {
-                             leader_->fleet().answeredElsewhere(machine, at);
+                             leader_->fleet().noteAckByPeer(machine, at);
                            }
                          });
   }
@@ -166,7 +166,7 @@
   std::size_t heard = reportingMachines();
   bool expects = heard > 0 || std::any_of(replica_.machines().begin(), replica_.machines().end(),
                                           [](const auto& m) { return !m.second.tasks.empty(); });
-  Duration unheard = runtime_.now() - std::max(lastWorker_, leader_->fleet().lastHeardAny());
+  Duration unheard = runtime_.now() - std::max(lastWorker_, leader_->fleet().lastReportOfAny());
   Duration patience = platform_.reportEvery * 3 / 2 + Duration{2000};
   // After a failover workers first give up on the old leader (4 s) and try nodes in turn (1 s
   // each). A new leader that resigned meanwhile, because they were heard elsewhere in passing,
@@ -206,7 +206,7 @@
 }
 
 std::size_t Controller::reportingMachines() const {
-  return leader_ ? leader_->fleet().heardCount() : 0;
+  return leader_ ? leader_->fleet().reportingCount() : 0;
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller_reports.cpp
+++ b/src/app/controller_reports.cpp
@@ -111,8 +111,8 @@
     return job->modRevision <= replica_.cursor() ? JobEnd::known : JobEnd::notReadBack;
   };
   return jsonResponse(
-      200,
-      ordersToJson(lastToken_, leaseOnlyOrders(report, replica_.machine(report.machine), end)));
+      200, reportResponseToJson(lastToken_,
+                                leaseOnlyCommands(report, replica_.machine(report.machine), end)));
 }
 
 Response Controller::redirect(const Report& report, const std::optional<MemberId>& to) {
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -6,7 +6,7 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kTick{250};
-constexpr std::int64_t kTicksPerJudgement = 2;
+constexpr std::int64_t kTimersPerFailureDetection = 2;
 constexpr double kLeaderWriteShare = 0.7;  // the rest is for users' requests
 constexpr Duration kCommitTimeout{1500};
 constexpr Duration kRetry{200};
@@ -17,14 +17,14 @@
     : context_(context),
       mayHaveActingLeader_(std::move(mayHaveActingLeader)),
       fleet_(context_.platform, context_.replica, context_.token, context_.electedAt),
-      dispatch_(context_, fleet_),
+      dispatcher_(context_, fleet_),
       facts_(context_, fleet_),
       forecasts_{{}, std::mt19937_64(context_.token.value)},
-      listing_(context_, fleet_, dispatch_),
-      tasks_(context_, fleet_, dispatch_, facts_),
-      plans_(context_, fleet_, dispatch_, facts_, tasks_, planner),
+      listing_(context_, fleet_, dispatcher_),
+      tasks_(context_, fleet_, dispatcher_, facts_),
+      plans_(context_, fleet_, dispatcher_, facts_, tasks_, planner),
       releases_(context_, fleet_, facts_),
-      rentals_(context_, fleet_, dispatch_, plans_, forecasts_),
+      rentals_(context_, fleet_, dispatcher_, plans_, forecasts_),
       windows_(context_, fleet_, plans_, rentals_, forecasts_),
       flows_(context_, facts_, tasks_),
       policy_(context_, fleet_, policy),
@@ -52,7 +52,7 @@
     return room;
   };
   plans_.roomReason = [this](const JobSpec& spec) { return rentals_.roomReason(spec); };
-  dispatch_.onNews = [this](Machine& m) { facts_.noteFacts(m); };
+  dispatcher_.onReport = [this](Machine& m) { facts_.noteFacts(m); };
   if (context_.replica.catalogue())
     context_.catalogue = catalogueFrom(*context_.replica.catalogue());
   const auto& windows = context_.replica.forecast();
@@ -62,36 +62,38 @@
       // The time of day is only about right: this decides when to ask for releases.
       Duration ago{
           std::max<std::int64_t>(0, context_.runtime.wallMillis() - at.get<std::int64_t>())};
-      fleet_.zoneSilentSince(ZoneId{zone}, context_.electedAt - ago);
+      fleet_.restoreSuspectedZone(ZoneId{zone}, context_.electedAt - ago);
     }
   }
   if (const Json* suspect = windows ? field(*windows, "suspect") : nullptr; suspect) {
     for (const auto& [job, rounds] : suspect->items()) {
       const auto* known = context_.replica.job(JobId{job});
       if (!known || !known->active() || !rounds.is_number_integer()) continue;
-      fleet_.evidence().adopt(JobId{job}, rounds.get<int>(), context_.electedAt);
+      fleet_.failureAttribution().adopt(JobId{job}, rounds.get<int>(), context_.electedAt);
     }
   }
   fleet_.adoptRecords(context_.electedAt, context_.runtime.wallMillis());
-  fleet_.judge(context_.electedAt, context_.catalogue ? &*context_.catalogue : nullptr,
-               mayHaveActingLeader_);
+  fleet_.detectFailures(context_.electedAt, context_.catalogue ? &*context_.catalogue : nullptr,
+                        mayHaveActingLeader_);
   onTimer();
 }
 
 void Leader::onTimer() {
   context_.runtime.after(kTick, context_.whileLeading([this] { onTimer(); }));
   Instant now = context_.runtime.now();
-  if (!context_.initialRoundOver && dispatch_.roundOver()) {
+  if (!context_.initialRoundOver && dispatcher_.initialRoundOver()) {
     context_.initialRoundOver = true;
     windows_.load();
     logInfo("report round over", "machines", fleet_.machines().size());
   }
-  if (++timerCount_ % kTicksPerJudgement == 0) {
+  if (++timerCount_ % kTimersPerFailureDetection == 0) {
     fleet_.adoptRecords(now, context_.runtime.wallMillis());
     constexpr Duration kLately{3000};
-    fleet_.setReached(!context_.workersReachedSince || context_.workersReachedSince(now - kLately));
-    fleet_.judge(now, context_.catalogue ? &*context_.catalogue : nullptr, mayHaveActingLeader_);
-    dispatch_.askOverdue();
+    fleet_.setWorkersReachable(!context_.workersReachedSince ||
+                               context_.workersReachedSince(now - kLately));
+    fleet_.detectFailures(now, context_.catalogue ? &*context_.catalogue : nullptr,
+                          mayHaveActingLeader_);
+    dispatcher_.probeOverdue();
   }
   listing_.onTimer();
   for (ControlLoop* loop : loops_) loop->onTimer();
@@ -197,14 +199,14 @@
   Instant now = context_.runtime.now();
   const Machine* before = fleet_.find(report.machine);
   bool wasUsable = before && fleet_.usable(*before, now);
-  auto orders = fleet_.onReport(report, now, sure);
+  auto commands = fleet_.onReport(report, now, sure);
   Machine& m = *fleet_.find(report.machine);
   if (!wasUsable && fleet_.usable(m, now)) {
     context_.planInvalidated = true;
     scheduleCycle();
   }
   facts_.noteFacts(m);
-  return jsonResponse(200, ordersToJson(context_.token, orders));
+  return jsonResponse(200, reportResponseToJson(context_.token, commands));
 }
 
 Json Leader::why(const JobId& id) {
@@ -219,9 +221,10 @@
     std::map<Waits, std::uint32_t> placed;
     for (const auto& [index, at] : job->placed) {
       const Machine* m = fleet_.find(at.machine);
-      const ReportedTask* told =
-          m && m->memory.last ? m->memory.last->find({{id, index}, at.attempt}) : nullptr;
-      if (!m || !m->heard() || fleet_.overdue(*m, now)) {
+      const ReportedTask* told = m && m->session.lastReport
+                                     ? m->session.lastReport->find({{id, index}, at.attempt})
+                                     : nullptr;
+      if (!m || !m->hasReported() || fleet_.isOverdue(*m, now)) {
         ++placed[Waits::silent];
       } else if (!told) {
         ++placed[Waits::start];
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -38,7 +38,7 @@
   LeaderContext context_;
   std::function<bool(const ZoneId&)> mayHaveActingLeader_;
   Fleet fleet_;
-  Dispatch dispatch_;
+  CommandDispatcher dispatcher_;
   TaskFacts facts_;
   DemandForecasts forecasts_;
   ListingDuty listing_;
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -37,7 +37,7 @@
   for (const auto& [index, placed] : job.placed) {
     const auto* record = context.replica.machine(placed.machine);
     const Machine* m = fleet.find(placed.machine);
-    if (m && m->memory.gone.contains({{spec.id, index}, placed.attempt})) continue;
+    if (m && m->session.outcomes.contains({{spec.id, index}, placed.attempt})) continue;
     if (record) ++perZone[record->zone];
   }
   std::set<ZoneId> left;
@@ -71,7 +71,7 @@
     auto& d = demand[type->id];
     const Machine* m = fleet.find(id);
     for (const auto& t : record.tasks) {
-      if (!t.job->record.spec || (m && m->memory.gone.contains(t.id))) continue;
+      if (!t.job->record.spec || (m && m->session.outcomes.contains(t.id))) continue;
       const JobSpec& spec = *t.job->record.spec;
       double share = spec.perTask.shareOf(type->capacity);
       if (!spec.spotAllowed) {
--- a/src/cloud/emptying.cpp
+++ b/src/cloud/emptying.cpp
@@ -12,7 +12,7 @@
   constexpr double kMoveShare = 0.02;  // of all replicas, at one turn
   constexpr std::size_t kMoveAtLeast = 4;
   Instant now = context_.runtime.now();
-  std::erase_if(fleet_.emptying(), [&](const MachineId& id) { return !fleet_.find(id); });
+  std::erase_if(fleet_.cordoned(), [&](const MachineId& id) { return !fleet_.find(id); });
   EmptyInput in;
   std::map<ZoneId, std::uint32_t> zones;
   for (const auto& z : context_.platform.zones) zones.try_emplace(z, zones.size());
@@ -23,31 +23,32 @@
     if (record.type != type || record.spot || !m || !fleet_.usable(*m, now)) continue;
     if (context_.effectivePolicy && context_.effectivePolicy->holds(id)) continue;
     EmptyCandidate c{id, type, zones[record.zone], known->capacity, known->capacity, {}, {}};
-    for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.held});
+    for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.cached});
     for (const auto& t : record.tasks) {
       const auto& spec = t.job->record.spec;
-      if (!spec || m->memory.gone.contains(t.id)) continue;
+      if (!spec || m->session.outcomes.contains(t.id)) continue;
       c.free -= spec->perTask;
       if (spec->kind != JobKind::service) continue;
       ++replicas;
       auto& perZone = in.perZone[spec->id];
       perZone.resize(context_.platform.zones.size() + 1);
       ++perZone[c.zone];
-      auto seen = m->seenRunning.find(t.id);
-      c.services.push_back(
-          {t.id, spec, t.job->image,
-           seen == m->seenRunning.end() || !t.job->active() ? Duration{0} : now - seen->second});
+      auto seen = m->firstSeenRunning.find(t.id);
+      c.services.push_back({t.id, spec, t.job->image,
+                            seen == m->firstSeenRunning.end() || !t.job->active()
+                                ? Duration{0}
+                                : now - seen->second});
     }
-    if (!fleet_.emptying().contains(id)) in.machines.push_back(std::move(c));
+    if (!fleet_.cordoned().contains(id)) in.machines.push_back(std::move(c));
   }
   in.surplus = surplus;
   in.mostMoves =
       std::max(kMoveAtLeast, static_cast<std::size_t>(kMoveShare * static_cast<double>(replicas)));
   auto decision = chooseToEmpty(std::move(in));
-  for (const auto& id : decision.machines) fleet_.emptying().insert(id);
+  for (const auto& id : decision.machines) fleet_.cordoned().insert(id);
   for (const auto& [machine, task] : decision.moves) {
     fleet_.requestStop(task, machine, Duration{0});
-    dispatch_.push(machine);
+    dispatcher_.sendCommands(machine);
   }
   if (!decision.machines.empty()) {
     logInfo("machines to be emptied", "machines", decision.machines.size(), "replicas_move",
--- a/src/cloud/listing_duty.cpp
+++ b/src/cloud/listing_duty.cpp
@@ -54,7 +54,7 @@
       machines.emplace_back(l.id, std::move(m));
     }
     fleet_.onList(machines, now, context_.platform.listLag);
-    dispatch_.askAll();
+    dispatcher_.probeAll();
   }));
 }
 
--- a/src/cloud/listing_duty.hpp
+++ b/src/cloud/listing_duty.hpp
@@ -2,14 +2,14 @@
 #pragma once
 
 #include "cloud/client.hpp"
-#include "fleet/dispatch.hpp"
+#include "fleet/command_dispatcher.hpp"
 
 namespace kestrelhoist {
 
 class ListingDuty : public ControlLoop {
  public:
-  ListingDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch)
-      : context_(context), fleet_(fleet), dispatch_(dispatch) {}
+  ListingDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher)
+      : context_(context), fleet_(fleet), dispatcher_(dispatcher) {}
 
   LoopStep next() override { return LoopStep::idle(); }
   void onTimer() override;
@@ -20,7 +20,7 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  Dispatch& dispatch_;
+  CommandDispatcher& dispatcher_;
   bool asked_ = false;  // the types
   Instant nextList_{};
   bool listing_ = false;
--- a/src/cloud/release_duty.cpp
+++ b/src/cloud/release_duty.cpp
@@ -33,7 +33,7 @@
       }
     }
   }
-  for (const auto& id : fleet_.toRelease()) {
+  for (const auto& id : fleet_.terminating()) {
     const auto* state = context_.replica.machine(id);
     if (!state || state->draining || releaseConfirmed_.contains(id)) continue;
     if (auto* draft = draftOf(state->rental)) {
@@ -70,7 +70,7 @@
   if (!releasing_.empty()) return;
   constexpr std::size_t kMostNames = 100;
   std::vector<MachineId> batch;
-  for (const auto& id : fleet_.toRelease()) {
+  for (const auto& id : fleet_.terminating()) {
     const auto* state = context_.replica.machine(id);
     if (state && state->draining && batch.size() < kMostNames) batch.push_back(id);
   }
@@ -86,7 +86,7 @@
     for (const auto& id : batch) {
       logInfo("machine released", "machine", id);
       if (const auto* state = context_.replica.machine(id)) {
-        for (const auto& t : state->tasks) facts_.noteFact(t, Gone::lost);
+        for (const auto& t : state->tasks) facts_.noteFact(t, AttemptOutcome::lost);
       }
       releaseConfirmed_.insert(id);
       fleet_.onReleased(id, context_.runtime.now());
--- a/src/cloud/rental_duty.cpp
+++ b/src/cloud/rental_duty.cpp
@@ -54,8 +54,8 @@
     if (record.machines.size() >= kMostAdopted) return;
     record.machines.push_back({id, draining});
   };
-  for (const auto& id : fleet_.unexpected()) adopt(id, false);
-  for (const auto& id : fleet_.toRelease()) adopt(id, true);
+  for (const auto& id : fleet_.unrecorded()) adopt(id, false);
+  for (const auto& id : fleet_.terminating()) adopt(id, true);
   for (auto& [offer, record] : adopted) {
     if (full()) break;
     record.id =
@@ -152,7 +152,7 @@
   auto demand = demandNow(context_, fleet_, plans_.unplaced());
   wanted_.clear();
   // Work that finds no room needs the machines that were to be emptied.
-  if (!plans_.unplaced().empty()) fleet_.emptying().clear();
+  if (!plans_.unplaced().empty()) fleet_.cordoned().clear();
   for (const auto& type : context_.catalogue->types) {
     RentInput in;
     in.type = &type;
@@ -193,7 +193,7 @@
       if (now - at < kRefusedPause) in.refused.insert(offer);
     }
     // What is rented into a zone that is cut off can't be reached either.
-    for (const auto& zone : fleet_.silentZones()) {
+    for (const auto& zone : fleet_.unreachableZones()) {
       in.refused.insert({type.id, zone, false});
       in.refused.insert({type.id, zone, true});
     }
@@ -207,14 +207,14 @@
     }
     for (auto& [id, m] : fleet_.machines()) {
       const auto* record = context_.replica.machine(id);
-      if (m.type != type.id || m.releaseWanted || (record && record->draining) || m.noticeEnds ||
-          fleet_.faulty(m)) {
+      if (m.type != type.id || m.terminationRequested || (record && record->draining) ||
+          m.terminationNoticeEnds || fleet_.faulty(m)) {
         continue;
       }
       RentMachine r;
       r.id = id;
       r.offer = {m.type, m.zone, m.spot};
-      r.up = m.heard();
+      r.up = m.hasReported();
       r.age = now - m.rentedAt;
       // Only what the cloud lists as booting: a new leader has not heard the machines that are up,
       // and would rent them all a second time.
@@ -237,7 +237,7 @@
     if (turn && !storm && plans_.unplaced().empty()) {
       int ordinary = static_cast<int>(
           std::count_if(in.machines.begin(), in.machines.end(), [&](const RentMachine& m) {
-            return !m.offer.spot && !fleet_.emptying().contains(m.id);
+            return !m.offer.spot && !fleet_.cordoned().contains(m.id);
           }));
       int needed = out.ordinaryNeeded + 1;
       if (ordinary > needed) {
@@ -256,7 +256,7 @@
       if (count > 0) wanted_[rental.offer] += count;
     }
     for (const auto& id : out.giveBack) {
-      if (auto* m = fleet_.find(id)) fleet_.wantRelease(*m, "idle above the target");
+      if (auto* m = fleet_.find(id)) fleet_.requestTermination(*m, "idle above the target");
     }
   }
   if (!wanted_.empty()) context_.scheduleCycle();
@@ -269,7 +269,8 @@
            (!spot || spec.spotAllowed);
   };
   for (const auto& [id, m] : fleet_.machines()) {
-    coming = coming || (!m.heard() && !m.releaseWanted && mayUse(m.type, m.zone, m.spot));
+    coming =
+        coming || (!m.hasReported() && !m.terminationRequested && mayUse(m.type, m.zone, m.spot));
   }
   for (const auto& [id, r] : context_.replica.rentals()) {
     coming = coming || (!r.answered && mayUse(r.type, r.zone, r.spot));
--- a/src/cloud/rental_duty.hpp
+++ b/src/cloud/rental_duty.hpp
@@ -11,11 +11,11 @@
 
 class RentalDuty : public ControlLoop {
  public:
-  RentalDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch, PlanDuty& plans,
+  RentalDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher, PlanDuty& plans,
              DemandForecasts& forecasts)
       : context_(context),
         fleet_(fleet),
-        dispatch_(dispatch),
+        dispatcher_(dispatcher),
         plans_(plans),
         forecasts_(forecasts) {}
 
@@ -39,7 +39,7 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  Dispatch& dispatch_;
+  CommandDispatcher& dispatcher_;
   PlanDuty& plans_;
   DemandForecasts& forecasts_;
   std::map<Offer, std::uint32_t> wanted_;  // machines to be rented, by the last decision
--- a/src/cloud/window_duty.cpp
+++ b/src/cloud/window_duty.cpp
@@ -83,13 +83,13 @@
   // the next leader gave them up).
   Instant now = context_.runtime.now();
   Json silent = Json::object();
-  for (const auto& [zone, at] : fleet_.quietZones(now)) {
+  for (const auto& [zone, at] : fleet_.suspectedZones(now)) {
     silent[zone.value] = context_.runtime.wallMillis() - (now - at).count();
   }
   // Jobs that fail wherever they go: a new leader need not learn it again at their full width.
   constexpr std::size_t kMostSuspects = 32;
   Json suspect = Json::object();
-  for (const auto& [job, rounds] : fleet_.evidence().suspects(kMostSuspects)) {
+  for (const auto& [job, rounds] : fleet_.failureAttribution().suspects(kMostSuspects)) {
     suspect[job.value] = rounds;
   }
   return {{"at", context_.runtime.wallMillis()},
--- a/src/evidence/evidence.cpp
+++ b/src/failures/failure_attribution.cpp
@@ -1,4 +1,4 @@
-#include "evidence/evidence.hpp"
+#include "failures/failure_attribution.hpp"
 
 #include <algorithm>
 
@@ -12,13 +12,13 @@
 }
 }  // namespace
 
-void Evidence::charge(const MachineId& machine, double weight) {
+void FailureAttribution::charge(const MachineId& machine, double weight) {
   double& sum = against_[machine];
   sum = std::max(0.0, sum + weight);
   if (sum <= 0) against_.erase(machine);
 }
 
-void Evidence::succeeded(const JobId& job, const MachineId& machine) {
+void FailureAttribution::succeeded(const JobId& job, const MachineId& machine) {
   if (against_.contains(machine)) charge(machine, kSucceeded);
   bool known = !sound_.insert(job).second;
   auto it = trials_.find(job);
@@ -34,7 +34,8 @@
   trials_.erase(it);
 }
 
-void Evidence::failed(const JobId& job, const MachineId& machine, Instant now, bool ownWork) {
+void FailureAttribution::failed(const JobId& job, const MachineId& machine, Instant now,
+                                bool ownWork) {
   if (ownWork) return charge(machine, kUnknownFailed);
   Trial& trial = trials_[job];
   trial.sound = sound_.contains(job);
@@ -64,32 +65,32 @@
   }
 }
 
-void Evidence::forgetMachine(const MachineId& machine) {
+void FailureAttribution::forgetMachine(const MachineId& machine) {
   against_.erase(machine);
   for (auto& [job, trial] : trials_) trial.failedOn.erase(machine);
 }
 
-bool Evidence::faulty(const MachineId& machine) const {
+bool FailureAttribution::faulty(const MachineId& machine) const {
   auto it = against_.find(machine);
   return it != against_.end() && it->second >= kFaulty;
 }
 
-bool Evidence::suspect(const JobId& job) const {
+bool FailureAttribution::suspect(const JobId& job) const {
   auto it = trials_.find(job);
   return it != trials_.end() && it->second.suspect;
 }
 
-std::optional<std::uint32_t> Evidence::mostAtOnce(const JobId& job) const {
+std::optional<std::uint32_t> FailureAttribution::mostAtOnce(const JobId& job) const {
   return suspect(job) ? std::optional(kTrials) : std::nullopt;
 }
 
-std::optional<Instant> Evidence::pausedUntil(const JobId& job) const {
+std::optional<Instant> FailureAttribution::pausedUntil(const JobId& job) const {
   auto it = trials_.find(job);
   return it == trials_.end() || it->second.until == Instant{} ? std::nullopt
                                                               : std::optional(it->second.until);
 }
 
-std::vector<MachineId> Evidence::avoids(const JobId& job) const {
+std::vector<MachineId> FailureAttribution::avoids(const JobId& job) const {
   std::vector<MachineId> out;
   if (auto it = trials_.find(job); it != trials_.end()) {
     for (const auto& [machine, charged] : it->second.failedOn) out.push_back(machine);
@@ -97,7 +98,7 @@
   return out;
 }
 
-std::map<JobId, int> Evidence::suspects(std::size_t most) const {
+std::map<JobId, int> FailureAttribution::suspects(std::size_t most) const {
   std::vector<std::pair<int, JobId>> all;
   for (const auto& [job, trial] : trials_) {
     if (trial.suspect) all.emplace_back(-trial.rounds, job);
@@ -109,7 +110,7 @@
   return out;
 }
 
-void Evidence::adopt(const JobId& job, int rounds, Instant now) {
+void FailureAttribution::adopt(const JobId& job, int rounds, Instant now) {
   if (trials_.contains(job) || sound_.contains(job)) return;
   Trial& trial = trials_[job];
   trial.suspect = true;
--- a/src/evidence/evidence.hpp
+++ b/src/failures/failure_attribution.hpp
@@ -13,7 +13,7 @@
 
 namespace kestrelhoist {
 
-class Evidence {
+class FailureAttribution {
  public:
   // A task of this job has ended on this machine. `ownWork`: its tasks do different things (a
   // flow's instances), so the end of one says nothing of the others.
--- a/src/evidence/evidence_test.cpp
+++ b/src/failures/failure_attribution_test.cpp
@@ -1,4 +1,4 @@
-#include "evidence/evidence.hpp"
+#include "failures/failure_attribution.hpp"
 
 #include <gtest/gtest.h>
 
@@ -11,8 +11,8 @@
 MachineId machine(int n) { return MachineId{"host-" + std::to_string(n)}; }
 Instant at(double s) { return Instant{static_cast<std::int64_t>(s * 1000)}; }
 
-TEST(Evidence, AMistakenArrayIsSuspectAndCondemnsNoMachine) {
-  Evidence e;
+TEST(FailureAttribution, AMistakenArrayIsSuspectAndCondemnsNoMachine) {
+  FailureAttribution e;
   for (int m = 0; m < 12; ++m) {
     e.failed(job(1), machine(m), at(10 + 0.01 * m), false);
     e.failed(job(1), machine(m), at(10.2), false);
@@ -25,16 +25,16 @@
 
 // Found on the operators' days: two mistaken jobs on one machine, with no success between, gave it
 // up.
-TEST(Evidence, ManyMistakenJobsCondemnNoMachine) {
-  Evidence e;
+TEST(FailureAttribution, ManyMistakenJobsCondemnNoMachine) {
+  FailureAttribution e;
   for (int j = 0; j < 40; ++j) {
     for (int m = 0; m < 3; ++m) e.failed(job(j), machine(m), at(j), false);
   }
   for (int m = 0; m < 3; ++m) EXPECT_FALSE(e.faulty(machine(m)));
 }
 
-TEST(Evidence, AMachineOnWhichSoundJobsFailIsFaulty) {
-  Evidence e;
+TEST(FailureAttribution, AMachineOnWhichSoundJobsFailIsFaulty) {
+  FailureAttribution e;
   for (int j = 1; j <= 2; ++j) e.succeeded(job(j), machine(1));
   e.failed(job(1), machine(7), at(5), false);
   EXPECT_FALSE(e.faulty(machine(7)));
@@ -43,8 +43,8 @@
   EXPECT_FALSE(e.suspect(job(1)));
 }
 
-TEST(Evidence, AJobThatSucceedsElsewhereTellsOnTheMachineWhereItFailed) {
-  Evidence e;
+TEST(FailureAttribution, AJobThatSucceedsElsewhereTellsOnTheMachineWhereItFailed) {
+  FailureAttribution e;
   e.failed(job(1), machine(7), at(5), false);
   e.failed(job(2), machine(7), at(5), false);
   EXPECT_FALSE(e.faulty(machine(7)));  // may be two mistaken jobs
@@ -53,14 +53,14 @@
   EXPECT_TRUE(e.faulty(machine(7)));
 }
 
-TEST(Evidence, AllJobsOnANewMachineFail) {
-  Evidence e;
+TEST(FailureAttribution, AllJobsOnANewMachineFail) {
+  FailureAttribution e;
   for (int j = 1; j <= 3; ++j) e.failed(job(j), machine(7), at(j), false);
   EXPECT_TRUE(e.faulty(machine(7)));
 }
 
-TEST(Evidence, AFaultyMachineUnderAMistakenJob) {
-  Evidence e;
+TEST(FailureAttribution, AFaultyMachineUnderAMistakenJob) {
+  FailureAttribution e;
   for (int j = 2; j <= 3; ++j) e.succeeded(job(j), machine(1));
   for (int m = 6; m <= 8; ++m) e.failed(job(1), machine(m), at(1), false);
   e.failed(job(2), machine(7), at(2), false);
@@ -72,8 +72,8 @@
 
 // One success does not make up for a sound job's failure: a machine that fails now and then is
 // found.
-TEST(Evidence, AMachineIsNeverAcquittedForGood) {
-  Evidence e;
+TEST(FailureAttribution, AMachineIsNeverAcquittedForGood) {
+  FailureAttribution e;
   int until = 0;
   for (int j = 1; j <= 20 && !e.faulty(machine(7)); ++j) {
     e.succeeded(job(j), machine(1));
@@ -86,11 +86,11 @@
 
 // One failure in a hundred is chance: of machines on which 500 tasks end so, few are given up (each
 // costs one rental).
-TEST(Evidence, ChanceCondemnsFew) {
+TEST(FailureAttribution, ChanceCondemnsFew) {
   std::mt19937 random(3);
   int condemned = 0;
   for (int life = 0; life < 200; ++life) {
-    Evidence e;
+    FailureAttribution e;
     for (int j = 1; j <= 500 && !e.faulty(machine(7)); ++j) {
       e.succeeded(job(j), machine(1));
       if (random() % 100 == 0) {
@@ -104,8 +104,8 @@
   EXPECT_LE(condemned, 24);
 }
 
-TEST(Evidence, ASuspectJobIsTriedWithGrowingPausesAndReturnsToFullSpeed) {
-  Evidence e;
+TEST(FailureAttribution, ASuspectJobIsTriedWithGrowingPausesAndReturnsToFullSpeed) {
+  FailureAttribution e;
   double now = 0;
   for (int m = 0; m < 2; ++m) e.failed(job(1), machine(m), at(now), false);
   double last = 0;
@@ -124,8 +124,8 @@
   for (int m = 0; m < 9; ++m) EXPECT_FALSE(e.faulty(machine(m)));
 }
 
-TEST(Evidence, ASoundJobWhoseImageTurnsBadIsSuspectAndTheChargesAreTakenBack) {
-  Evidence e;
+TEST(FailureAttribution, ASoundJobWhoseImageTurnsBadIsSuspectAndTheChargesAreTakenBack) {
+  FailureAttribution e;
   for (int j = 1; j <= 3; ++j) e.succeeded(job(j), machine(0));
   for (int j = 1; j <= 3; ++j) {
     for (int m = 1; m <= 3; ++m) e.failed(job(j), machine(m), at(j), false);
@@ -134,8 +134,8 @@
   for (int m = 1; m <= 3; ++m) EXPECT_FALSE(e.faulty(machine(m)));
 }
 
-TEST(Evidence, ANewLeaderKnowsTheSuspects) {
-  Evidence e, next;
+TEST(FailureAttribution, ANewLeaderKnowsTheSuspects) {
+  FailureAttribution e, next;
   for (int m = 0; m < 2; ++m) e.failed(job(1), machine(m), at(1), false);
   for (const auto& [id, rounds] : e.suspects(8)) next.adopt(id, rounds, at(5));
   EXPECT_EQ(next.mostAtOnce(job(1)), 2U);
@@ -144,10 +144,10 @@
 
 // Drawn fleets: a share of the jobs mistaken, a few machines faulty. None of the sound machines may
 // be given up, all the faulty ones that get enough work must be.
-TEST(Evidence, DrawnFleets) {
+TEST(FailureAttribution, DrawnFleets) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
-    Evidence e;
+    FailureAttribution e;
     const int machines = 10 + static_cast<int>(random() % 30);
     const int faulty = static_cast<int>(random() % 3);
     const auto wrongInTen = random() % 4;
--- a/src/fleet/dispatch.hpp
+++ b/src/fleet/command_dispatcher.hpp
@@ -11,30 +11,30 @@
 
 namespace kestrelhoist {
 
-class Dispatch {
+class CommandDispatcher {
  public:
-  Dispatch(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
+  CommandDispatcher(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
   // Sends a machine its orders now rather than with its next report.
-  void push(const MachineId& id);
+  void sendCommands(const MachineId& id);
   // Asks all machines that this leader has not heard, once there is a list.
-  void askAll();
-  void askOverdue();
-  bool roundOver() const;
+  void probeAll();
+  void probeOverdue();
+  bool initialRoundOver() const;
 
   // A machine's newer report was taken in: it may have proven something.
-  std::function<void(Machine&)> onNews;
+  std::function<void(Machine&)> onReport;
 
  private:
-  void ask(Machine& m);
+  void probe(Machine& m);
 
   LeaderContext& context_;
   Fleet& fleet_;
-  bool askedAll_ = false;  // in place of waiting for the round
-  std::deque<MachineId> toAsk_;
-  std::set<MachineId> asking_;                 // no answer yet
-  std::size_t silentAtOnce_ = kSilentAtLeast;  // of machines in silent zones
-  static constexpr std::size_t kSilentAtLeast = 2, kAtOnce = 32;
+  bool probedAll_ = false;  // in place of waiting for the round
+  std::deque<MachineId> probeQueue_;
+  std::set<MachineId> probing_;                            // no answer yet
+  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;  // of machines in silent zones
+  static constexpr std::size_t kFewestZoneProbes = 2, kAtOnce = 32;
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -20,87 +20,87 @@
       replica_(replica),
       token_(token),
       since_(now),
-      lastHeardAny_(now) {}
+      lastReportOfAny_(now) {}
 
 Machine* Fleet::find(const MachineId& id) {
   auto it = machines_.find(id);
   return it == machines_.end() ? nullptr : &it->second;
 }
 
-bool Fleet::take(const Report& report, Instant now, bool beat) {
+bool Fleet::applyReport(const Report& report, Instant now, bool isHeartbeat) {
   auto [it, isNew] = machines_.try_emplace(report.machine);
   Machine& m = it->second;
   if (isNew) {
     m.id = report.machine;
     m.firstSeen = m.rentedAt = now;
   }
-  bool first = !m.heard();
-  bool leaseEnded = !first && report.workerEpoch > m.memory.last->workerEpoch;
-  if (!takeReport(m.memory, report, now, beat)) return false;
-  if (beat) {
-    m.muteSince.reset();
-  } else if (leaseEnded && !m.muteSince) {
-    m.muteSince = now;
+  bool first = !m.hasReported();
+  bool leaseEnded = !first && report.workerEpoch > m.session.lastReport->workerEpoch;
+  if (!updateSession(m.session, report, now, isHeartbeat)) return false;
+  if (isHeartbeat) {
+    m.notReportingSince.reset();
+  } else if (leaseEnded && !m.notReportingSince) {
+    m.notReportingSince = now;
     logInfo("machine answers but does not report", "machine", m.id, "tenure", report.workerEpoch);
   }
   m.type = report.type;
   m.zone = report.zone;
   m.spot = report.spot;
   m.address = report.address;
-  m.askedInVain = 0;
-  lastHeardAny_ = now;
+  m.failedProbes = 0;
+  lastReportOfAny_ = now;
   if (first) {
-    ++heardCount_;
+    ++reportingCount_;
     logInfo("machine heard", "machine", m.id, "zone", m.zone, "spot", m.spot, "tenure",
             report.workerEpoch, "tasks", report.tasks.size());
   }
   if (report.notice) {
-    if (!m.noticeEnds) {
+    if (!m.terminationNoticeEnds) {
       logInfo("machine has its notice", "machine", m.id, "taken_in_ms", *report.notice);
     }
-    m.noticeEnds = now + *report.notice;
+    m.terminationNoticeEnds = now + *report.notice;
   }
-  touchImages(m);
-  std::erase_if(m.seenRunning, [&](const auto& s) { return !report.find(s.first); });
+  updateImageCache(m);
+  std::erase_if(m.firstSeenRunning, [&](const auto& s) { return !report.find(s.first); });
   for (const auto& t : report.tasks) {
     if (t.state != TaskState::running) continue;
-    if (m.seenRunning.try_emplace(t.id, now).second) {
+    if (m.firstSeenRunning.try_emplace(t.id, now).second) {
       logDebug("task runs", "task", t.id.str(), "machine", m.id);
     }
   }
   return true;
 }
 
-std::vector<Order> Fleet::onReport(const Report& report, Instant now, bool mayLaunch) {
-  take(report, now, true);
-  return ordersFor(machines_.at(report.machine), now, mayLaunch);
+std::vector<WorkerCommand> Fleet::onReport(const Report& report, Instant now, bool mayLaunch) {
+  applyReport(report, now, true);
+  return commandsFor(machines_.at(report.machine), now, mayLaunch);
 }
 
-std::vector<Order> Fleet::ordersFor(Machine& m, Instant now, bool mayLaunch) {
+std::vector<WorkerCommand> Fleet::commandsFor(Machine& m, Instant now, bool mayLaunch) {
   const auto* record = replica_.machine(m.id);
   // What is known of attempts that are off the record by now is settled.
   auto settled = [&](const auto& entry) { return !record || !record->find(entry.first); };
-  std::erase_if(m.memory.gone, settled);
-  std::erase_if(m.memory.stops, settled);
-  std::erase_if(m.memory.launched, settled);
+  std::erase_if(m.session.outcomes, settled);
+  std::erase_if(m.session.stopRequests, settled);
+  std::erase_if(m.session.launchSequences, settled);
   bool launch = mayLaunch && !(record && record->draining);
-  return reconcile(m.memory, record, token_, launch,
-                   [&](const AttemptId& id) { return wishFor(m, id, now); });
+  return reconcile(m.session, record, token_, launch,
+                   [&](const AttemptId& id) { return desiredStateOf(m, id, now); });
 }
 
-Wish Fleet::wishFor(const Machine& m, const AttemptId& id, Instant now) const {
+DesiredState Fleet::desiredStateOf(const Machine& m, const AttemptId& id, Instant now) const {
   const auto* job = replica_.job(id.task.job);
   if (!job || !job->active() || job->isDropped(id.task.index)) return {true, Duration{0}};
   const auto* record = replica_.machine(m.id);
-  if (record && record->draining && m.releaseWanted) return {true, Duration{0}};
-  if (auto stop = m.memory.stops.find(id); stop != m.memory.stops.end()) {
+  if (record && record->draining && m.terminationRequested) return {true, Duration{0}};
+  if (auto stop = m.session.stopRequests.find(id); stop != m.session.stopRequests.end()) {
     return {true, stop->second};
   }
-  if (m.noticeEnds && job->record.spec) {
+  if (m.terminationNoticeEnds && job->record.spec) {
     const JobSpec& spec = *job->record.spec;
-    Duration left = *m.noticeEnds - now;
-    auto seen = m.seenRunning.find(id);
-    Duration age = seen == m.seenRunning.end() ? Duration{0} : now - seen->second;
+    Duration left = *m.terminationNoticeEnds - now;
+    auto seen = m.firstSeenRunning.find(id);
+    Duration age = seen == m.firstSeenRunning.end() ? Duration{0} : now - seen->second;
     // The notice is rough: half as long at worst, which the worker's report already counts down.
     if (spec.checkpoints()) {
       if (left < spec.saveTime + 2 * platform_.reportEvery + Duration{4000}) {
@@ -113,20 +113,20 @@
   return {};
 }
 
-void Fleet::touchImages(Machine& m) {
-  if (!m.memory.last) return;
-  for (const auto& t : m.memory.last->tasks) {
+void Fleet::updateImageCache(Machine& m) {
+  if (!m.session.lastReport) return;
+  for (const auto& t : m.session.lastReport->tasks) {
     const auto* job = replica_.job(t.id.task.job);
     if (!job || !job->record.spec || t.state == TaskState::ended) continue;
     const auto& spec = *job->record.spec;
     auto it = std::find_if(m.images.begin(), m.images.end(),
                            [&](const auto& i) { return i.id == job->image; });
-    bool held = t.state != TaskState::fetching;
+    bool cached = t.state != TaskState::fetching;
     if (it != m.images.end()) {
-      held = held || it->held;
+      cached = cached || it->cached;
       m.images.erase(it);
     }
-    m.images.push_front({job->image, spec.imageGb, held});
+    m.images.push_front({job->image, spec.imageGb, cached});
   }
   const MachineType* type = catalogue_ ? catalogue_->find(m.type) : nullptr;
   double space = type ? type->cacheGb : 0;
@@ -140,7 +140,7 @@
   }
 }
 
-void Fleet::remember(const MachineId& id, std::uint32_t image, double gb) {
+void Fleet::noteCachedImage(const MachineId& id, std::uint32_t image, double gb) {
   Machine* m = find(id);
   if (!m || std::any_of(m->images.begin(), m->images.end(),
                         [&](const Machine::Image& i) { return i.id == image; })) {
@@ -150,33 +150,35 @@
 }
 
 void Fleet::requestStop(const AttemptId& id, const MachineId& machine, Duration grace) {
-  if (auto* m = find(machine)) m->memory.stops.insert_or_assign(id, grace);
+  if (auto* m = find(machine)) m->session.stopRequests.insert_or_assign(id, grace);
 }
 
-void Fleet::wantRelease(Machine& m, const std::string& why) {
-  if (m.releaseWanted) return;
-  m.releaseWanted = true;
-  toRelease_.insert(m.id);
-  m.releaseWhy = why;
+void Fleet::requestTermination(Machine& m, const std::string& why) {
+  if (m.terminationRequested) return;
+  m.terminationRequested = true;
+  terminating_.insert(m.id);
+  m.terminationReason = why;
   logInfo("machine to be released", "machine", m.id, "why", why);
 }
 
 void Fleet::onReleased(const MachineId& id, Instant now) {
   if (auto it = machines_.find(id); it != machines_.end()) {
-    if (it->second.heard()) --heardCount_;
+    if (it->second.hasReported()) --reportingCount_;
     machines_.erase(it);
   }
-  toRelease_.erase(id);
-  evidence_.forgetMachine(id);
-  unexpected_.erase(id);
+  terminating_.erase(id);
+  failureAttribution_.forgetMachine(id);
+  unrecorded_.erase(id);
   released_[id] = now;
   std::erase_if(released_, [&](const auto& r) { return now - r.second > kForgetReleased; });
 }
 
 bool Fleet::usable(const Machine& m, Instant now) const {
-  if (!m.heard() || m.releaseWanted || m.noticeEnds || m.muteSince || faulty(m)) return false;
-  if (m.memory.last->token != token_) return false;
-  if (now - m.memory.lastHeard > 2 * platform_.reportEvery + Duration{1000}) return false;
+  if (!m.hasReported() || m.terminationRequested || m.terminationNoticeEnds ||
+      m.notReportingSince || faulty(m))
+    return false;
+  if (m.session.lastReport->token != token_) return false;
+  if (now - m.session.lastReportAt > 2 * platform_.reportEvery + Duration{1000}) return false;
   const auto* record = replica_.machine(m.id);
   return record && !record->draining;
 }
@@ -184,18 +186,18 @@
 // Reports come every reportEvery, give or take a quarter.
 Duration Fleet::reportDue() const { return platform_.reportEvery * 5 / 4 + Duration{1000}; }
 
-bool Fleet::overdue(const Machine& m, Instant now) const {
-  return m.heard() && !m.releaseWanted && now - m.memory.lastHeard > reportDue();
+bool Fleet::isOverdue(const Machine& m, Instant now) const {
+  return m.hasReported() && !m.terminationRequested && now - m.session.lastReportAt > reportDue();
 }
 
-bool Fleet::unheard(const Machine& m, Instant now) const {
-  if (m.heard() || m.releaseWanted || m.listed != Listed::running) return false;
+bool Fleet::hasUnconfirmedTasks(const Machine& m, Instant now) const {
+  if (m.hasReported() || m.terminationRequested || m.listed != Listed::running) return false;
   const auto* record = replica_.machine(m.id);
   return record && !record->tasks.empty() && now - since_ > reportDue();
 }
 
 // A worker whose node went away reports to the next one after this long at worst.
-Duration Fleet::silentAfter() const {
+Duration Fleet::failoverTime() const {
   return 2 * platform_.reportEvery + kWorkerGivesUp + 2 * kWorkerNextNode;
 }
 
@@ -230,7 +232,7 @@
     m.listed = entry.listed;
     if (entry.listed == Listed::running && !m.runningSince) m.runningSince = now;
     m.rentedAt = entry.rentedAt;
-    if (!m.heard()) m.address = entry.address;
+    if (!m.hasReported()) m.address = entry.address;
     m.missedLists = 0;
   }
   for (auto& [id, m] : machines_) {
@@ -240,21 +242,21 @@
   }
 }
 
-void Fleet::answeredElsewhere(const MachineId& id, Instant at) {
-  if (Machine* m = find(id)) m->answeredAt = std::max(m->answeredAt.value_or(at), at);
+void Fleet::noteAckByPeer(const MachineId& id, Instant at) {
+  if (Machine* m = find(id)) m->ackedByPeerAt = std::max(m->ackedByPeerAt.value_or(at), at);
 }
 
-std::map<ZoneId, Instant> Fleet::quietZones(Instant now) const {
+std::map<ZoneId, Instant> Fleet::suspectedZones(Instant now) const {
   struct Newest {
     Instant at;
     int machines = 0;
   };
   std::map<ZoneId, Newest> zones;
   for (const auto& [id, m] : machines_) {
-    bool working = m.heard() || m.answeredAt;
-    if (!working || m.releaseWanted) continue;
+    bool working = m.hasReported() || m.ackedByPeerAt;
+    if (!working || m.terminationRequested) continue;
     auto& zone = zones[m.zone];
-    zone.at = std::max(zone.at, lastSign(m));
+    zone.at = std::max(zone.at, lastSignOfLife(m));
     ++zone.machines;
   }
   std::map<ZoneId, Instant> out;
@@ -272,46 +274,46 @@
 
 // Of a machine that this leader has not heard: what others told, else what the record of the
 // windows says of its zone, else nothing is known before this leadership.
-Instant Fleet::lastSign(const Machine& m) const {
-  if (m.heard()) return m.memory.lastHeard;
-  if (m.answeredAt) return *m.answeredAt;
-  if (auto zone = silentBefore_.find(m.zone); zone != silentBefore_.end()) return zone->second;
+Instant Fleet::lastSignOfLife(const Machine& m) const {
+  if (m.hasReported()) return m.session.lastReportAt;
+  if (m.ackedByPeerAt) return *m.ackedByPeerAt;
+  if (auto zone = suspectedSince_.find(m.zone); zone != suspectedSince_.end()) return zone->second;
   return std::max(since_, m.firstSeen);
 }
 
-void Fleet::judge(Instant now, const Catalogue* catalogue,
-                  const std::function<bool(const ZoneId&)>& mayHaveActingLeader) {
+void Fleet::detectFailures(Instant now, const Catalogue* catalogue,
+                           const std::function<bool(const ZoneId&)>& mayHaveActingLeader) {
   catalogue_ = catalogue;
-  evidence_.sweep([&](const JobId& id) {
+  failureAttribution_.sweep([&](const JobId& id) {
     const auto* job = replica_.job(id);
     return job && job->active();
   });
   struct Count {
-    int onTime = 0, overdue = 0;
+    int isOnTime = 0, isOverdue = 0;
   };
   std::map<ZoneId, Count> zones;
   int reporting = 0, expected = 0, mute = 0;
   const Duration due = reportDue();
   for (const auto& [id, m] : machines_) {
-    if (!m.heard()) {
+    if (!m.hasReported()) {
       const auto* record = replica_.machine(id);
       if (!record || record->tasks.empty()) continue;
     }
     // A new leader is not known to the workers yet.
-    Instant last =
-        m.heard() ? m.memory.lastHeard : std::max(lastSign(m), since_ + silentAfter() / 2);
-    ++(now - last <= due ? zones[m.zone].onTime : zones[m.zone].overdue);
+    Instant last = m.hasReported() ? m.session.lastReportAt
+                                   : std::max(lastSignOfLife(m), since_ + failoverTime() / 2);
+    ++(now - last <= due ? zones[m.zone].isOnTime : zones[m.zone].isOverdue);
     ++expected;
     // On time, not merely within a worker's patience: where hardly any is, the way to all of them
     // is what fails, and they need a tour of all nodes to be heard again.
     if (now - last <= due) ++reporting;
-    if (m.muteSince) ++mute;
+    if (m.notReportingSince) ++mute;
   }
-  silentZones_.clear();
+  unreachableZones_.clear();
   for (const auto& [zone, count] : zones) {
-    if (count.overdue > 1 && count.overdue > count.onTime) {
-      silentZones_.insert(zone);
-      zoneSilentAt_[zone] = now;
+    if (count.isOverdue > 1 && count.isOverdue > count.isOnTime) {
+      unreachableZones_.insert(zone);
+      zoneUnreachableAt_[zone] = now;
     }
   }
   // Where next to nobody is heard of many, what fails is this leader's own way to them (its peers
@@ -320,93 +322,93 @@
   const bool blind = expected >= kMany && reporting * kTenth < expected;
   // Releases that an earlier leader began, of machines that work as ever: not all in one moment.
   std::size_t finishing = static_cast<std::size_t>(
-      std::count_if(toRelease_.begin(), toRelease_.end(), [&](const MachineId& id) {
+      std::count_if(terminating_.begin(), terminating_.end(), [&](const MachineId& id) {
         const auto* record = replica_.machine(id);
-        return record && !record->tasks.empty() && find(id) && onTime(*find(id), now);
+        return record && !record->tasks.empty() && find(id) && isOnTime(*find(id), now);
       }));
   const std::size_t mostFinishing = std::max<std::size_t>(4, machines_.size() / 20);
-  unexpected_.clear();
+  unrecorded_.clear();
   for (auto& [id, m] : machines_) {
-    if (m.releaseWanted) continue;
+    if (m.terminationRequested) continue;
     const auto* record = replica_.machine(id);
-    if (m.heard() && (!record || record->rental.empty())) unexpected_.insert(id);
+    if (m.hasReported() && (!record || record->rental.empty())) unrecorded_.insert(id);
     bool hasTasks = record && !record->tasks.empty();
     if (record && record->draining) {
-      if (hasTasks && onTime(m, now) && ++finishing > mostFinishing) continue;
-      wantRelease(m, "release was begun");
+      if (hasTasks && isOnTime(m, now) && ++finishing > mostFinishing) continue;
+      requestTermination(m, "release was begun");
       continue;
     }
     if (m.listed == Listed::failed) {
       ++lost_;
-      wantRelease(m, "the cloud lists it as failed");
+      requestTermination(m, "the cloud lists it as failed");
       continue;
     }
-    Instant last = lastSign(m);
+    Instant last = lastSignOfLife(m);
     Duration silent = now - last;
     if (m.missedLists >= 2 && silent > 2 * platform_.reportEvery) {
       ++lost_;
-      wantRelease(m, "no longer listed and silent");
+      requestTermination(m, "no longer listed and silent");
       continue;
     }
-    if (m.noticeEnds && !hasTasks) {
-      wantRelease(m, "notice, and nothing left on it");
+    if (m.terminationNoticeEnds && !hasTasks) {
+      requestTermination(m, "notice, and nothing left on it");
       continue;
     }
     if (faulty(m) && !hasTasks) {
-      wantRelease(m, "tasks of several sound jobs failed on it");
+      requestTermination(m, "tasks of several sound jobs failed on it");
       continue;
     }
     // Another in its place can be used. Where most are like this, new ones would be, too.
-    if (m.muteSince && !hasTasks && 2 * mute <= expected &&
-        now - *m.muteSince > platform_.workerLease) {
+    if (m.notReportingSince && !hasTasks && 2 * mute <= expected &&
+        now - *m.notReportingSince > platform_.workerLease) {
       ++lost_;
-      wantRelease(m, "answers but does not report");
+      requestTermination(m, "answers but does not report");
       continue;
     }
-    if (!m.heard() && !hasTasks) {
+    if (!m.hasReported() && !hasTasks) {
       const MachineType* type = catalogue ? catalogue->find(m.type) : nullptr;
       if (type && m.listed != Listed::running &&
           toSeconds(now - m.rentedAt) > kBootPatience * toSeconds(type->boot) + 5 &&
-          now - since_ > silentAfter()) {
+          now - since_ > failoverTime()) {
         ++neverBooted_;
-        wantRelease(m, "did not boot");
+        requestTermination(m, "did not boot");
       } else if (m.listed == Listed::running && m.runningSince &&
                  now - std::max(last, *m.runningSince) > platform_.workerLease) {
         // Counted from when it was known to run: a list may come before the first report, and while
         // it booted its silence was no sign of anything.
-        wantRelease(m, "runs but never reported");
+        requestTermination(m, "runs but never reported");
       }
       continue;
     }
     // Dead or out of reach. While others of its zone report it is most likely dead. A zone that is
     // silent is most likely cut off and goes on working inside: its tasks run for as long as their
     // leases, which a controller there can keep up until the bound for unknown cancellations.
-    Duration patience = silentAfter();
-    if (!reached_ && platform_.nodes() > 2) {
+    Duration patience = failoverTime();
+    if (!workersReachable_ && platform_.nodes() > 2) {
       patience += static_cast<int>(platform_.nodes() - 2) * (kWorkerGivesUp + kWorkerNextNode);
     }
-    if (silentZones_.contains(m.zone) || reporting == 0 || blind) {
+    if (unreachableZones_.contains(m.zone) || reporting == 0 || blind) {
       Duration inside = platform_.workerLease + Duration{1000};
       if (mayHaveActingLeader(m.zone)) inside += renewal_.longest();
       if (blind) inside = 2 * platform_.workerLease + renewal_.longest() + Duration{1000};
       patience = std::max(patience, inside);
-    } else if (auto back = zoneSilentAt_.find(m.zone); back != zoneSilentAt_.end()) {
+    } else if (auto back = zoneUnreachableAt_.find(m.zone); back != zoneUnreachableAt_.end()) {
       // The zone has just come back: its workers find the leader one after the other.
       silent = std::min(silent, now - back->second);
     }
     // A worker that lives answers a direct question, whichever node it reports to.
     constexpr int kEnough = 2;
-    if (m.heard() && overdue(m, now) && !inSilentZone(m) && reporting > 0 &&
-        m.askedInVain >= kEnough) {
+    if (m.hasReported() && isOverdue(m, now) && !inUnreachableZone(m) && reporting > 0 &&
+        m.failedProbes >= kEnough) {
       patience = std::min(patience, reportDue());
     }
     // Nothing may be known of it because this leader is new and its worker still looks for a node.
-    bool unknown = !m.heard() && last >= since_;
-    if (unknown) patience += silentAfter() / 2;
-    if (!m.heard() && !unknown && now - since_ < silentAfter()) continue;
+    bool unknown = !m.hasReported() && last >= since_;
+    if (unknown) patience += failoverTime() / 2;
+    if (!m.hasReported() && !unknown && now - since_ < failoverTime()) continue;
     if (silent > patience) {
       ++lost_;
-      wantRelease(m, "silent for " + std::to_string(silent.count()) + " ms");
+      requestTermination(m, "silent for " + std::to_string(silent.count()) + " ms");
     }
   }
 }
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -9,7 +9,7 @@
 
 #include "cloud/catalogue.hpp"
 #include "config/platform.hpp"
-#include "evidence/evidence.hpp"
+#include "failures/failure_attribution.hpp"
 #include "fleet/lease_renewal.hpp"
 #include "fleet/reconcile.hpp"
 #include "store/replica.hpp"
@@ -23,31 +23,31 @@
   TypeId type;
   ZoneId zone;
   bool spot{};
-  MachineMemory memory;
-  std::optional<Instant> noticeEnds;  // the cloud takes it away about then
+  WorkerSession session;
+  std::optional<Instant> terminationNoticeEnds;  // the cloud takes it away about then
   Listed listed = Listed::never;
   int missedLists{};
   Instant rentedAt{};  // as far as known
   Instant firstSeen{};
-  std::optional<Instant> answeredAt;    // by another controller, before this leader heard it
-  std::optional<Instant> runningSince;  // first listed as running
-  std::string address;                  // as last reported or listed
-  Instant askedAt{};                    // last asked directly
-  int askedInVain{};                    // direct questions in a row without an answer
+  std::optional<Instant> ackedByPeerAt;  // by another controller, before this leader heard it
+  std::optional<Instant> runningSince;   // first listed as running
+  std::string address;                   // as last reported or listed
+  Instant probedAt{};                    // last asked directly
+  int failedProbes{};                    // direct questions in a row without an answer
   // Since when it is known to answer questions while its lease ended, and to report nothing: no
   // controller answers its reports, so that whatever runs on it ends with its lease.
-  std::optional<Instant> muteSince;
-  bool releaseWanted{};
-  std::string releaseWhy;
+  std::optional<Instant> notReportingSince;
+  bool terminationRequested{};
+  std::string terminationReason;
   struct Image {
     std::uint32_t id{};  // its number in the replica
     double gb{};
-    bool held{};  // a task has run with it; otherwise it is being fetched
+    bool cached{};  // a task has run with it; otherwise it is being fetched
   };
-  std::deque<Image> images;                  // newest first
-  std::map<AttemptId, Instant> seenRunning;  // since when, for ages
+  std::deque<Image> images;                       // newest first
+  std::map<AttemptId, Instant> firstSeenRunning;  // since when, for ages
 
-  bool heard() const { return memory.last.has_value(); }
+  bool hasReported() const { return session.lastReport.has_value(); }
 };
 
 class Fleet {
@@ -55,21 +55,21 @@
   Fleet(const Platform& platform, const Replica& replica, FencingToken token, Instant now);
 
   // Takes a worker's report; returns the orders. `mayLaunch`: the leader is sure of its leadership.
-  std::vector<Order> onReport(const Report& report, Instant now, bool mayLaunch);
+  std::vector<WorkerCommand> onReport(const Report& report, Instant now, bool mayLaunch);
   // The same for machines that have something to be told now, outside a report.
-  std::vector<Order> ordersFor(Machine& m, Instant now, bool mayLaunch);
+  std::vector<WorkerCommand> commandsFor(Machine& m, Instant now, bool mayLaunch);
   // A report that came as the answer to a direct command. False if it was not newer.
-  bool take(const Report& report, Instant now, bool beat = false);
+  bool applyReport(const Report& report, Instant now, bool isHeartbeat = false);
   // Zones of which nothing has come for longer than the number of their machines explains, with the
   // newest sign of any of them.
-  std::map<ZoneId, Instant> quietZones(Instant now) const;
+  std::map<ZoneId, Instant> suspectedZones(Instant now) const;
   // What others tell of a machine that this leader has not heard: when it was last answered.
-  void answeredElsewhere(const MachineId& id, Instant at);
+  void noteAckByPeer(const MachineId& id, Instant at);
   // The same of all machines of a zone that an earlier leader found silent since then.
-  void zoneSilentSince(const ZoneId& zone, Instant at) { silentBefore_[zone] = at; }
+  void restoreSuspectedZone(const ZoneId& zone, Instant at) { suspectedSince_[zone] = at; }
 
   // An earlier leader knew that it holds this image, from tasks that are long over.
-  void remember(const MachineId& id, std::uint32_t image, double gb);
+  void noteCachedImage(const MachineId& id, std::uint32_t image, double gb);
   void onList(const std::vector<std::pair<MachineId, Machine>>& listed, Instant now,
               Duration listLag);
   // Machines on record that were never seen yet get an entry.
@@ -80,23 +80,23 @@
   // Machines that were given up because they were dead or out of reach, and that never came up.
   std::uint32_t lost() const { return lost_; }
   std::uint32_t neverBooted() const { return neverBooted_; }
-  std::size_t heardCount() const { return heardCount_; }
+  std::size_t reportingCount() const { return reportingCount_; }
   // Machines to be released, until they are.
-  const std::set<MachineId>& toRelease() const { return toRelease_; }
+  const std::set<MachineId>& terminating() const { return terminating_; }
   // Machines that get no more work, to be given back once they are empty.
-  std::set<MachineId>& emptying() { return emptying_; }
+  std::set<MachineId>& cordoned() { return cordoned_; }
   // Whether a machine that should have reported by now is worth a direct question.
-  bool overdue(const Machine& m, Instant now) const;
-  bool inSilentZone(const Machine& m) const { return silentZones_.contains(m.zone); }
+  bool isOverdue(const Machine& m, Instant now) const;
+  bool inUnreachableZone(const Machine& m) const { return unreachableZones_.contains(m.zone); }
   // The same of one that this leader has not heard although tasks may be on it: its worker may
   // report to a controller that can do nothing for it.
-  bool unheard(const Machine& m, Instant now) const;
+  bool hasUnconfirmedTasks(const Machine& m, Instant now) const;
   // Zones from which hardly any machine reports that should.
-  const std::set<ZoneId>& silentZones() const { return silentZones_; }
+  const std::set<ZoneId>& unreachableZones() const { return unreachableZones_; }
   // Machines that report although they are on no rental's record, found by judge().
-  const std::set<MachineId>& unexpected() const { return unexpected_; }
+  const std::set<MachineId>& unrecorded() const { return unrecorded_; }
   void requestStop(const AttemptId& id, const MachineId& machine, Duration grace);
-  void wantRelease(Machine& m, const std::string& why);
+  void requestTermination(Machine& m, const std::string& why);
   // The cloud has confirmed the release: whatever its name still appears in is old.
   void onReleased(const MachineId& id, Instant now);
   bool isReleased(const MachineId& id) const { return released_.contains(id); }
@@ -106,28 +106,28 @@
   // Machines to give up: dead, failed, never booted, taken, faulty.
   // `mayHaveActingLeader` tells whether a controller in that zone may be answering its workers
   // unseen.
-  void judge(Instant now, const Catalogue* catalogue,
-             const std::function<bool(const ZoneId&)>& mayHaveActingLeader);
+  void detectFailures(Instant now, const Catalogue* catalogue,
+                      const std::function<bool(const ZoneId&)>& mayHaveActingLeader);
   // Whether this controller's own way to the workers is known to work. Where it is not, a silent
   // worker may be on a tour of several nodes that hang.
-  void setReached(bool reached) { reached_ = reached; }
+  void setWorkersReachable(bool reached) { workersReachable_ = reached; }
   // Whether its report is not yet due.
-  bool onTime(const Machine& m, Instant now) const {
-    return m.heard() && now - m.memory.lastHeard <= reportDue();
+  bool isOnTime(const Machine& m, Instant now) const {
+    return m.hasReported() && now - m.session.lastReportAt <= reportDue();
   }
   // The newest sign of any worker.
-  Instant lastHeardAny() const { return lastHeardAny_; }
+  Instant lastReportOfAny() const { return lastReportOfAny_; }
   // What speaks against jobs and machines whose tasks end in error.
-  Evidence& evidence() { return evidence_; }
-  const Evidence& evidence() const { return evidence_; }
-  bool faulty(const Machine& m) const { return evidence_.faulty(m.id); }
+  FailureAttribution& failureAttribution() { return failureAttribution_; }
+  const FailureAttribution& failureAttribution() const { return failureAttribution_; }
+  bool faulty(const Machine& m) const { return failureAttribution_.faulty(m.id); }
 
  private:
   // The newest sign of life that is known of a machine.
-  Instant lastSign(const Machine& m) const;
-  Wish wishFor(const Machine& m, const AttemptId& id, Instant now) const;
-  void touchImages(Machine& m);
-  Duration silentAfter() const;
+  Instant lastSignOfLife(const Machine& m) const;
+  DesiredState desiredStateOf(const Machine& m, const AttemptId& id, Instant now) const;
+  void updateImageCache(Machine& m);
+  Duration failoverTime() const;
   Duration reportDue() const;
 
   const Platform& platform_;
@@ -135,19 +135,19 @@
   const Replica& replica_;
   FencingToken token_;
   Instant since_;
-  Instant lastHeardAny_{};
+  Instant lastReportOfAny_{};
   std::map<MachineId, Machine> machines_;
   std::map<MachineId, Instant> released_;
-  std::set<MachineId> toRelease_;
-  std::set<MachineId> unexpected_;
-  std::set<MachineId> emptying_;
-  std::set<ZoneId> silentZones_;
-  std::map<ZoneId, Instant> zoneSilentAt_;  // when last
-  std::map<ZoneId, Instant> silentBefore_;  // since when, as an earlier leader recorded it
-  Evidence evidence_;
+  std::set<MachineId> terminating_;
+  std::set<MachineId> unrecorded_;
+  std::set<MachineId> cordoned_;
+  std::set<ZoneId> unreachableZones_;
+  std::map<ZoneId, Instant> zoneUnreachableAt_;  // when last
+  std::map<ZoneId, Instant> suspectedSince_;     // since when, as an earlier leader recorded it
+  FailureAttribution failureAttribution_;
   std::uint32_t lost_ = 0, neverBooted_ = 0;
-  bool reached_ = true;
-  std::size_t heardCount_ = 0;
+  bool workersReachable_ = true;
+  std::size_t reportingCount_ = 0;
   const Catalogue* catalogue_ = nullptr;
 };
 
--- a/src/fleet/fleet_test.cpp
+++ b/src/fleet/fleet_test.cpp
@@ -38,12 +38,12 @@
       r.workerEpoch = WorkerEpoch{1};
       r.sequence = ReportSequence{static_cast<std::uint64_t>(atMs)};
       r.token = FencingToken{5};
-      fleet->take(r, Instant{atMs}, true);
+      fleet->applyReport(r, Instant{atMs}, true);
     }
   }
   std::size_t givenUp(std::int64_t atMs) {
-    fleet->judge(Instant{atMs}, nullptr, [](const ZoneId&) { return false; });
-    return fleet->toRelease().size();
+    fleet->detectFailures(Instant{atMs}, nullptr, [](const ZoneId&) { return false; });
+    return fleet->terminating().size();
   }
 };
 
--- a/src/fleet/report.cpp
+++ b/src/fleet/heartbeat_messages.cpp
@@ -1,4 +1,4 @@
-#include "fleet/report.hpp"
+#include "fleet/heartbeat_messages.hpp"
 
 #include <charconv>
 
@@ -92,19 +92,19 @@
 }
 
 namespace {
-Json orderList(const std::vector<Order>& orders) {
+Json commandList(const std::vector<WorkerCommand>& commands) {
   Json list = Json::array();
-  for (const auto& o : orders) {
+  for (const auto& o : commands) {
     Json v = {{"shard", o.id.task.str()}, {"try", o.id.attempt.value}};
-    switch (o.kind) {
-      case Order::Kind::launch:
+    switch (o.operation) {
+      case WorkerCommand::Operation::launch:
         v["verb"] = "launch";
         break;
-      case Order::Kind::stop:
+      case WorkerCommand::Operation::stop:
         v["verb"] = "stop";
         v["wind_down_s"] = toSeconds(o.grace);
         break;
-      case Order::Kind::clear:
+      case WorkerCommand::Operation::clear:
         v["verb"] = "clear";
         break;
     }
@@ -114,12 +114,13 @@
 }
 }  // namespace
 
-Json ordersToJson(FencingToken token, const std::vector<Order>& orders) {
-  return {{"baton", token.value}, {"orders", orderList(orders)}};
+Json reportResponseToJson(FencingToken token, const std::vector<WorkerCommand>& commands) {
+  return {{"baton", token.value}, {"orders", commandList(commands)}};
 }
 
-Json commandsToJson(FencingToken token, WorkerEpoch workerEpoch, const std::vector<Order>& orders) {
-  return {{"baton", token.value}, {"tenure", workerEpoch.value}, {"orders", orderList(orders)}};
+Json commandRequestToJson(FencingToken token, WorkerEpoch workerEpoch,
+                          const std::vector<WorkerCommand>& commands) {
+  return {{"baton", token.value}, {"tenure", workerEpoch.value}, {"orders", commandList(commands)}};
 }
 
 }  // namespace kestrelhoist
--- a/src/fleet/report.hpp
+++ b/src/fleet/heartbeat_messages.hpp
@@ -35,14 +35,15 @@
   const ReportedTask* find(const AttemptId& id) const;
 };
 
-struct Order {
-  enum class Kind { launch, stop, clear } kind{};
+struct WorkerCommand {
+  enum class Operation { launch, stop, clear } operation{};
   AttemptId id;
   Duration grace{};
 };
 
 std::optional<Report> reportFrom(const Json& body);
-Json ordersToJson(FencingToken token, const std::vector<Order>& orders);
-Json commandsToJson(FencingToken token, WorkerEpoch workerEpoch, const std::vector<Order>& orders);
+Json reportResponseToJson(FencingToken token, const std::vector<WorkerCommand>& commands);
+Json commandRequestToJson(FencingToken token, WorkerEpoch workerEpoch,
+                          const std::vector<WorkerCommand>& commands);
 
 }  // namespace kestrelhoist
--- a/src/fleet/reconcile.cpp
+++ b/src/fleet/reconcile.cpp
@@ -4,58 +4,59 @@
 namespace {
 
 // A response to a worker may be at most 64 KiB.
-constexpr std::size_t kMaxOrders = 300;
+constexpr std::size_t kMaxCommands = 300;
 
 // Makes the worker know the attempt, so that a launch that is still under way does nothing. Both or
 // none: a launch alone would start it.
-void addSettled(std::vector<Order>& orders, const AttemptId& id) {
-  if (orders.size() + 2 > kMaxOrders) return;
-  orders.push_back({Order::Kind::launch, id, Duration{0}});
-  orders.push_back({Order::Kind::stop, id, Duration{0}});
+void addSettled(std::vector<WorkerCommand>& commands, const AttemptId& id) {
+  if (commands.size() + 2 > kMaxCommands) return;
+  commands.push_back({WorkerCommand::Operation::launch, id, Duration{0}});
+  commands.push_back({WorkerCommand::Operation::stop, id, Duration{0}});
 }
 
-Gone goneFrom(EndCause cause) {
+AttemptOutcome outcomeFrom(EndCause cause) {
   switch (cause) {
     case EndCause::done:
-      return Gone::done;
+      return AttemptOutcome::done;
     case EndCause::stopped:
-      return Gone::stopped;
+      return AttemptOutcome::stopped;
     case EndCause::error:
-      return Gone::failed;
+      return AttemptOutcome::failed;
     default:
-      return Gone::refused;
+      return AttemptOutcome::refused;
   }
 }
 
 }  // namespace
 
-bool takeReport(MachineMemory& m, const Report& report, Instant now, bool beat) {
-  if (m.last && beat && report.workerEpoch == m.last->workerEpoch) {
-    m.lastBeat = std::max(m.lastBeat, report.sequence);
+bool updateSession(WorkerSession& m, const Report& report, Instant now, bool isHeartbeat) {
+  if (m.lastReport && isHeartbeat && report.workerEpoch == m.lastReport->workerEpoch) {
+    m.lastHeartbeatSequence = std::max(m.lastHeartbeatSequence, report.sequence);
   }
-  if (m.last && std::pair(report.workerEpoch, report.sequence) <=
-                    std::pair(m.last->workerEpoch, m.last->sequence)) {
+  if (m.lastReport && std::pair(report.workerEpoch, report.sequence) <=
+                          std::pair(m.lastReport->workerEpoch, m.lastReport->sequence)) {
     return false;
   }
-  if (m.last && report.workerEpoch > m.last->workerEpoch) {
+  if (m.lastReport && report.workerEpoch > m.lastReport->workerEpoch) {
     // A new session: direct commands of the old one are refused from now on.
-    m.inDoubt.clear();
-    m.launched.clear();
-    m.lastBeat = {};
+    m.unacknowledgedLaunches.clear();
+    m.launchSequences.clear();
+    m.lastHeartbeatSequence = {};
   }
-  if (beat) m.lastBeat = report.sequence;
-  m.last = report;
-  m.lastHeard = now;
+  if (isHeartbeat) m.lastHeartbeatSequence = report.sequence;
+  m.lastReport = report;
+  m.lastReportAt = now;
   return true;
 }
 
-std::vector<Order> reconcile(MachineMemory& m, const MachineState* record, FencingToken token,
-                             bool mayLaunch, const std::function<Wish(const AttemptId&)>& wish) {
-  std::vector<Order> orders;
-  if (!m.last) return orders;
-  const Report& report = *m.last;
-  auto add = [&](Order::Kind kind, const AttemptId& id, Duration grace = Duration{0}) {
-    if (orders.size() < kMaxOrders) orders.push_back({kind, id, grace});
+std::vector<WorkerCommand> reconcile(WorkerSession& m, const MachineState* record,
+                                     FencingToken token, bool mayLaunch,
+                                     const std::function<DesiredState(const AttemptId&)>& desired) {
+  std::vector<WorkerCommand> commands;
+  if (!m.lastReport) return commands;
+  const Report& report = *m.lastReport;
+  auto add = [&](WorkerCommand::Operation kind, const AttemptId& id, Duration grace = Duration{0}) {
+    if (commands.size() < kMaxCommands) commands.push_back({kind, id, grace});
   };
   static const std::vector<PlacedTask> kNone;
   const auto& onRecord = record ? record->tasks : kNone;
@@ -66,42 +67,43 @@
     // the task is gone.
     if (report.workerEpoch < on.workerEpoch) continue;
     if (report.workerEpoch > on.workerEpoch) {
-      m.gone.emplace(id, Gone::lost);
+      m.outcomes.emplace(id, AttemptOutcome::lost);
       continue;
     }
-    if (m.gone.contains(id)) continue;
-    Wish w = wish(id);
+    if (m.outcomes.contains(id)) continue;
+    DesiredState state = desired(id);
     const ReportedTask* task = report.find(id);
     if (!task) {
-      if (!w.stop) {
+      if (!state.stop) {
         if (mayLaunch) {
-          add(Order::Kind::launch, id);
-          m.launched[id] = report.sequence;
+          add(WorkerCommand::Operation::launch, id);
+          m.launchSequences[id] = report.sequence;
         }
         continue;
       }
       // Told to launch in answer to this very report, or by an earlier leader whose orders this
       // worker may still obey: absence proves nothing yet.
       if (report.token != token) continue;
-      if (m.inDoubt.contains(id)) {
-        addSettled(orders, id);
-        m.launched[id] = report.sequence;
+      if (m.unacknowledgedLaunches.contains(id)) {
+        addSettled(commands, id);
+        m.launchSequences[id] = report.sequence;
         continue;
       }
-      auto launched = m.launched.find(id);
+      auto launched = m.launchSequences.find(id);
       // Only a later report of the worker's own accord shows that the answer with the launch came
       // to nothing: one that answers a direct command may overtake it, for as long as a relay or a
       // held connection keeps that answer, and the launch would be carried out after this "proof".
-      if (launched != m.launched.end() && m.lastBeat <= launched->second) continue;
-      m.gone.emplace(id, Gone::stopped);
+      if (launched != m.launchSequences.end() && m.lastHeartbeatSequence <= launched->second)
+        continue;
+      m.outcomes.emplace(id, AttemptOutcome::stopped);
       continue;
     }
     if (task->state == TaskState::ended) {
-      m.gone.emplace(id, goneFrom(task->cause));
-    } else if (w.stop) {
+      m.outcomes.emplace(id, outcomeFrom(task->cause));
+    } else if (state.stop) {
       // While it saves, only a stop that grants no time is worth repeating.
-      if (task->state != TaskState::saving || w.grace.count() == 0) {
-        add(Order::Kind::stop, id, w.grace);
+      if (task->state != TaskState::saving || state.grace.count() == 0) {
+        add(WorkerCommand::Operation::stop, id, state.grace);
       }
     }
   }
@@ -110,22 +112,22 @@
     if (record && record->find(task.id)) continue;
     if (task.state != TaskState::ended) {
       // On no record, so nobody may run it here.
-      add(Order::Kind::stop, task.id);
-    } else if (!m.inDoubt.contains(task.id)) {
+      add(WorkerCommand::Operation::stop, task.id);
+    } else if (!m.unacknowledgedLaunches.contains(task.id)) {
       // Its end is committed: the record no longer has it.
-      add(Order::Kind::clear, task.id);
+      add(WorkerCommand::Operation::clear, task.id);
     }
   }
-  return orders;
+  return commands;
 }
 
-std::vector<Order> leaseOnlyOrders(const Report& report, const MachineState* record,
-                                   const std::function<JobEnd(const JobId&)>& end) {
-  std::vector<Order> orders;
+std::vector<WorkerCommand> leaseOnlyCommands(const Report& report, const MachineState* record,
+                                             const std::function<JobEnd(const JobId&)>& end) {
+  std::vector<WorkerCommand> commands;
   for (const auto& task : report.tasks) {
-    if (orders.size() == kMaxOrders) return orders;
+    if (commands.size() == kMaxCommands) return commands;
     if (task.state != TaskState::ended && end(task.id.task.job) != JobEnd::none) {
-      orders.push_back({Order::Kind::stop, task.id, Duration{0}});
+      commands.push_back({WorkerCommand::Operation::stop, task.id, Duration{0}});
     }
   }
   // A direct launch that the leader has no answer to may arrive minutes later, under a token that
@@ -138,10 +140,10 @@
   for (const auto& on : record ? record->tasks : std::vector<PlacedTask>{}) {
     if (on.workerEpoch == report.workerEpoch && !report.find(on.id) &&
         end(on.id.task.job) == JobEnd::known) {
-      addSettled(orders, on.id);
+      addSettled(commands, on.id);
     }
   }
-  return orders;
+  return commands;
 }
 
 }  // namespace kestrelhoist
--- a/src/fleet/reconcile.hpp
+++ b/src/fleet/reconcile.hpp
@@ -6,47 +6,49 @@
 #include <map>
 #include <set>
 
-#include "fleet/report.hpp"
+#include "fleet/heartbeat_messages.hpp"
 #include "store/replica.hpp"
 
 namespace kestrelhoist {
 
 // Why a task is off its machine.
-enum class Gone { done, stopped, failed, refused, lost };
+enum class AttemptOutcome { done, stopped, failed, refused, lost };
 
 // What the leader remembers of one machine between its reports.
-struct MachineMemory {
-  std::optional<Report> last;  // the newest
-  Instant lastHeard{};
+struct WorkerSession {
+  std::optional<Report> lastReport;  // the newest
+  Instant lastReportAt{};
   // The newest that the worker sent of its own accord. It sends one only after it has carried out
   // or given up the answer to the one before; an answer to a direct command may overtake that
   // answer.
-  ReportSequence lastBeat{};
+  ReportSequence lastHeartbeatSequence{};
   // Attempts that may have been told to launch, with the newest report known by then: only a
   // later report can prove them absent.
-  std::map<AttemptId, ReportSequence> launched;
+  std::map<AttemptId, ReportSequence> launchSequences;
   // Attempts with a direct launch that got no answer: it may still arrive. The worker must know
   // the attempt for good, so these are proven gone only as `ended`, and never cleared.
   // Once for each such command: an answer to another one with the same launch, which may have gone
   // another way, says nothing of it.
-  std::multiset<AttemptId> inDoubt;
-  std::map<AttemptId, Duration> stops;  // asked for, with the time to save
-  std::map<AttemptId, Gone> gone;       // proven, to be committed
+  std::multiset<AttemptId> unacknowledgedLaunches;
+  std::map<AttemptId, Duration> stopRequests;    // asked for, with the time to save
+  std::map<AttemptId, AttemptOutcome> outcomes;  // proven, to be committed
 };
 
 // What the leader wants with an attempt on record.
-struct Wish {
+struct DesiredState {
   bool stop{};
   Duration grace{};
 };
 
 // Takes a newer report in; false if it is not newer than the last one. `beat`: sent by the worker
 // of its own accord, not as the answer to a direct command.
-bool takeReport(MachineMemory& memory, const Report& report, Instant now, bool beat = true);
+bool updateSession(WorkerSession& session, const Report& report, Instant now,
+                   bool isHeartbeat = true);
 
 // Updates memory.gone and returns the orders. `record` is null for a machine that has none.
-std::vector<Order> reconcile(MachineMemory& memory, const MachineState* record, FencingToken token,
-                             bool mayLaunch, const std::function<Wish(const AttemptId&)>& wish);
+std::vector<WorkerCommand> reconcile(WorkerSession& session, const MachineState* record,
+                                     FencingToken token, bool mayLaunch,
+                                     const std::function<DesiredState(const AttemptId&)>& desired);
 
 // Whether a job is over by a controller's records, and whether these are complete up to its end:
 // behind a commit of its own that was not read back, placements from before it may be missing.
@@ -54,7 +56,7 @@
 
 // Orders for a worker whose lease a controller renews in the leader's stead: none but stops of jobs
 // that are over by its records. `record`: as that controller's copy has it.
-std::vector<Order> leaseOnlyOrders(const Report& report, const MachineState* record,
-                                   const std::function<JobEnd(const JobId&)>& end);
+std::vector<WorkerCommand> leaseOnlyCommands(const Report& report, const MachineState* record,
+                                             const std::function<JobEnd(const JobId&)>& end);
 
 }  // namespace kestrelhoist
--- a/src/fleet/reconcile_test.cpp
+++ b/src/fleet/reconcile_test.cpp
@@ -11,7 +11,7 @@
 const AttemptId kTask{{JobId{"j-000001"}, 3}, Attempt{7}};
 
 struct Fixture : testing::Test {
-  MachineMemory memory;
+  WorkerSession session;
   MachineState record;
   bool stop = false;
 
@@ -24,19 +24,19 @@
     r.token = FencingToken{token};
     return r;
   }
-  std::vector<Order> hear(const Report& r, bool mayLaunch = true) {
-    takeReport(memory, r, Instant{0});
-    return reconcile(memory, &record, FencingToken{5}, mayLaunch, [&](const AttemptId&) {
-      return Wish{stop, Duration{0}};
+  std::vector<WorkerCommand> hear(const Report& r, bool mayLaunch = true) {
+    updateSession(session, r, Instant{0});
+    return reconcile(session, &record, FencingToken{5}, mayLaunch, [&](const AttemptId&) {
+      return DesiredState{stop, Duration{0}};
     });
   }
-  bool gone() { return memory.gone.contains(kTask); }
+  bool gone() { return session.outcomes.contains(kTask); }
 };
 
 TEST_F(Fixture, MissingTaskIsLaunchedAgainNotGivenUp) {
-  auto orders = hear(report(2, 1, 5));
-  ASSERT_EQ(orders.size(), 1U);
-  EXPECT_EQ(orders[0].kind, Order::Kind::launch);
+  auto commands = hear(report(2, 1, 5));
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::launch);
   EXPECT_FALSE(gone());
 }
 
@@ -63,9 +63,9 @@
   hear(report(2, 1, 5));
   stop = true;
   auto direct = [&](const Report& r) {
-    takeReport(memory, r, Instant{0}, false);
-    reconcile(memory, &record, FencingToken{5}, false, [&](const AttemptId&) {
-      return Wish{stop, Duration{0}};
+    updateSession(session, r, Instant{0}, false);
+    reconcile(session, &record, FencingToken{5}, false, [&](const AttemptId&) {
+      return DesiredState{stop, Duration{0}};
     });
   };
   direct(report(2, 2, 5));
@@ -78,13 +78,13 @@
 }
 
 TEST_F(Fixture, ALateDirectLaunchIsMadeHarmlessBeforeTheTaskIsGivenUp) {
-  memory.inDoubt.insert(kTask);
+  session.unacknowledgedLaunches.insert(kTask);
   stop = true;
-  auto orders = hear(report(2, 1, 5));
+  auto commands = hear(report(2, 1, 5));
   EXPECT_FALSE(gone());
-  ASSERT_EQ(orders.size(), 2U);
-  EXPECT_EQ(orders[0].kind, Order::Kind::launch);
-  EXPECT_EQ(orders[1].kind, Order::Kind::stop);
+  ASSERT_EQ(commands.size(), 2U);
+  EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::launch);
+  EXPECT_EQ(commands[1].operation, WorkerCommand::Operation::stop);
   auto ended = report(2, 2, 5);
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::stopped});
   hear(ended);
@@ -98,9 +98,9 @@
 
 // Two commands with the same launch, by two ways: the answer to one says nothing of the other.
 TEST_F(Fixture, AnAttemptStaysInDoubtForEachCommandWithoutAnAnswer) {
-  memory.inDoubt.insert(kTask);
-  memory.inDoubt.insert(kTask);
-  memory.inDoubt.erase(memory.inDoubt.find(kTask));
+  session.unacknowledgedLaunches.insert(kTask);
+  session.unacknowledgedLaunches.insert(kTask);
+  session.unacknowledgedLaunches.erase(session.unacknowledgedLaunches.find(kTask));
   auto ended = report(2, 1, 5);
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::stopped});
   hear(ended);
@@ -113,17 +113,17 @@
   auto ended = report(2, 1, 5);
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::done});
   EXPECT_TRUE(hear(ended).empty());
-  EXPECT_EQ(memory.gone.at(kTask), Gone::done);
+  EXPECT_EQ(session.outcomes.at(kTask), AttemptOutcome::done);
   record.tasks.clear();
   ended.sequence = ReportSequence{2};
-  auto orders = hear(ended);
-  ASSERT_EQ(orders.size(), 1U);
-  EXPECT_EQ(orders[0].kind, Order::Kind::clear);
+  auto commands = hear(ended);
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::clear);
 }
 
 TEST_F(Fixture, AHigherTenureProvesTheOldSessionsTasksGone) {
   hear(report(3, 1, 0));
-  EXPECT_EQ(memory.gone.at(kTask), Gone::lost);
+  EXPECT_EQ(session.outcomes.at(kTask), AttemptOutcome::lost);
 }
 
 TEST_F(Fixture, ALateReportOfAnEarlierSessionSaysNothing) {
@@ -133,18 +133,18 @@
 }
 
 TEST_F(Fixture, AnOlderReportIsNotTakenIn) {
-  EXPECT_TRUE(takeReport(memory, report(2, 5, 5), Instant{0}));
-  EXPECT_FALSE(takeReport(memory, report(2, 4, 5), Instant{1}));
-  EXPECT_FALSE(takeReport(memory, report(1, 9, 5), Instant{1}));
+  EXPECT_TRUE(updateSession(session, report(2, 5, 5), Instant{0}));
+  EXPECT_FALSE(updateSession(session, report(2, 4, 5), Instant{1}));
+  EXPECT_FALSE(updateSession(session, report(1, 9, 5), Instant{1}));
 }
 
 TEST_F(Fixture, ARunningTaskOnNoRecordIsStopped) {
   record.tasks.clear();
   auto r = report(2, 1, 5);
   r.tasks.push_back({kTask, TaskState::running, EndCause::done});
-  auto orders = hear(r);
-  ASSERT_EQ(orders.size(), 1U);
-  EXPECT_EQ(orders[0].kind, Order::Kind::stop);
+  auto commands = hear(r);
+  ASSERT_EQ(commands.size(), 1U);
+  EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::stop);
 }
 
 TEST(ReportCodec, AListThatCannotBeReadWholeIsNoReport) {
@@ -171,19 +171,19 @@
     record.tasks.push_back({{{JobId{"j-000002"}, i}, Attempt{7}}, WorkerEpoch{2}, nullptr});
   }
   record.tasks.push_back({kTask, WorkerEpoch{2}, nullptr});
-  memory.inDoubt.insert(kTask);
-  takeReport(memory, report(2, 1, 5), Instant{0});
-  auto orders = reconcile(memory, &record, FencingToken{5}, true, [&](const AttemptId& id) {
-    return Wish{id == kTask, Duration{0}};
+  session.unacknowledgedLaunches.insert(kTask);
+  updateSession(session, report(2, 1, 5), Instant{0});
+  auto commands = reconcile(session, &record, FencingToken{5}, true, [&](const AttemptId& id) {
+    return DesiredState{id == kTask, Duration{0}};
   });
-  auto mine = [](const Order& o) { return o.id == kTask; };
-  EXPECT_EQ(std::count_if(orders.begin(), orders.end(), mine), 0);
+  auto mine = [](const WorkerCommand& o) { return o.id == kTask; };
+  EXPECT_EQ(std::count_if(commands.begin(), commands.end(), mine), 0);
 }
 
 struct LeaseOnly : Fixture {
   Report r = report(2, 1, 5);
-  std::vector<Order> answer(JobEnd end) {
-    return leaseOnlyOrders(r, &record, [&](const JobId&) { return end; });
+  std::vector<WorkerCommand> answer(JobEnd end) {
+    return leaseOnlyCommands(r, &record, [&](const JobId&) { return end; });
   }
 };
 
@@ -191,20 +191,20 @@
   r.tasks = {{kTask, TaskState::running}, {{{JobId{"j-000009"}, 0}, Attempt{1}}, TaskState::ended}};
   EXPECT_TRUE(answer(JobEnd::none).empty());
   for (JobEnd end : {JobEnd::known, JobEnd::notReadBack}) {
-    auto orders = answer(end);
-    ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].kind, Order::Kind::stop);
-    EXPECT_EQ(orders[0].id, kTask);
+    auto commands = answer(end);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::stop);
+    EXPECT_EQ(commands[0].id, kTask);
   }
 }
 
 // The leader's direct launch may still be under way, and this answer keeps its session up.
 TEST_F(LeaseOnly, AnswerMakesAHeldLaunchOfWhatIsOverHarmless) {
   EXPECT_TRUE(answer(JobEnd::none).empty());
-  auto orders = answer(JobEnd::known);
-  ASSERT_EQ(orders.size(), 2U);
-  EXPECT_EQ(orders[0].kind, Order::Kind::launch);
-  EXPECT_EQ(orders[1].kind, Order::Kind::stop);
+  auto commands = answer(JobEnd::known);
+  ASSERT_EQ(commands.size(), 2U);
+  EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::launch);
+  EXPECT_EQ(commands[1].operation, WorkerCommand::Operation::stop);
   r = report(3, 1, 5);  // of another session: the launch is refused there
   EXPECT_TRUE(answer(JobEnd::known).empty());
 }
--- a/src/placement/consolidate.cpp
+++ b/src/placement/consolidate.cpp
@@ -17,7 +17,7 @@
 
 bool holds(const EmptyCandidate& m, std::uint32_t image) {
   return std::any_of(m.images.begin(), m.images.end(),
-                     [&](const PlanImage& i) { return i.id == image && i.held; });
+                     [&](const PlanImage& i) { return i.id == image && i.cached; });
 }
 
 }  // namespace
--- a/src/placement/job_placement.cpp
+++ b/src/placement/job_placement.cpp
@@ -70,7 +70,7 @@
 
 bool JobPlacement::holdsImage(std::size_t machine) const {
   for (const auto& image : input_.machines[machine].images) {
-    if (image.id == job_.image) return image.held;
+    if (image.id == job_.image) return image.cached;
   }
   return false;
 }
@@ -87,9 +87,9 @@
   double leftOfFetch = 1.0;
   for (const auto& image : state_.images[machine]) {
     if (image.id == job_.image) {
-      if (image.held) return 0;
+      if (image.cached) return 0;
       leftOfFetch = kLeftOfFetchUnderWay;
-    } else if (!image.held) {
+    } else if (!image.cached) {
       othersGb += image.gb;
     }
   }
--- a/src/placement/plan_duty.cpp
+++ b/src/placement/plan_duty.cpp
@@ -125,7 +125,7 @@
     p.zone = zoneNumber(record.zone);
     p.spot = record.spot;
     p.keeps = context_.effectivePolicy && context_.effectivePolicy->holds(id);
-    p.usable = type && m && fleet_.usable(*m, now) && !fleet_.emptying().contains(id);
+    p.usable = type && m && fleet_.usable(*m, now) && !fleet_.cordoned().contains(id);
     if (type) {
       p.capacity = type->capacity;
       p.fetchGbPerS = type->fetchGbPerS;
@@ -133,20 +133,20 @@
     p.free = p.soon = p.capacity;
     if (p.usable) {
       p.images.reserve(m->images.size() + 1);
-      for (const auto& image : m->images) p.images.push_back({image.id, image.gb, image.held});
+      for (const auto& image : m->images) p.images.push_back({image.id, image.gb, image.cached});
     }
     for (const auto& t : record.tasks) {
-      if (m && m->memory.gone.contains(t.id)) continue;
+      if (m && m->session.outcomes.contains(t.id)) continue;
       const auto& spec = t.job->orderedSpec();
       if (!spec) continue;
       in.used[t.job->team] += spec->perTask;
       p.free -= spec->perTask;
-      bool stopping = (m && m->memory.stops.contains(t.id)) || !t.job->active();
+      bool stopping = (m && m->session.stopRequests.contains(t.id)) || !t.job->active();
       if (!stopping) p.soon -= spec->perTask;
       if (!p.usable) continue;
       if (gathers && spec->kind != JobKind::service) {
-        auto seen = m->seenRunning.find(t.id);
-        double ran = seen == m->seenRunning.end() ? 0 : toSeconds(now - seen->second);
+        auto seen = m->firstSeenRunning.find(t.id);
+        double ran = seen == m->firstSeenRunning.end() ? 0 : toSeconds(now - seen->second);
         // One that runs for longer than its owner thought is taken to need as long again.
         double whole = toSeconds(spec->estimate);
         p.ends.push_back({ran < whole ? whole - ran : std::max(1.0, whole / 2), spec->perTask});
@@ -159,16 +159,17 @@
       bool kept = context_.effectivePolicy && context_.effectivePolicy->protects(*spec);
       if (kept) p.kept += spec->perTask.shareOf(p.capacity);
       if (!stopping && !kept && (guarantees || spec->priority < highest)) {
-        auto seen = m->seenRunning.find(t.id);
-        p.stoppable.push_back({t.id, spec, t.job->team,
-                               seen == m->seenRunning.end() ? Duration{0} : now - seen->second});
+        auto seen = m->firstSeenRunning.find(t.id);
+        p.stoppable.push_back(
+            {t.id, spec, t.job->team,
+             seen == m->firstSeenRunning.end() ? Duration{0} : now - seen->second});
       }
     }
     index.emplace_hint(index.end(), id, in.machines.size());
     in.machines.push_back(std::move(p));
   }
   for (auto& j : in.jobs) {
-    for (const auto& id : fleet_.evidence().avoids(j.spec->id)) {
+    for (const auto& id : fleet_.failureAttribution().avoids(j.spec->id)) {
       if (auto at = index.find(id); at != index.end()) j.failedOn.insert(at->second);
     }
   }
@@ -261,7 +262,7 @@
     fleet_.requestStop(stop.id, stop.machine, stop.grace);
     told.insert(stop.machine);
   }
-  for (const auto& m : told) dispatch_.push(m);
+  for (const auto& m : told) dispatcher_.sendCommands(m);
   if (plan.deferred) context_.planInvalidated = true;
   context_.finishStep(plan.placements.empty() ? std::nullopt : tasks_.commit(&input, &plan));
 }
--- a/src/placement/plan_duty.hpp
+++ b/src/placement/plan_duty.hpp
@@ -9,11 +9,11 @@
 
 class PlanDuty : public ControlLoop {
  public:
-  PlanDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch, TaskFacts& facts,
+  PlanDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher, TaskFacts& facts,
            TaskDuty& tasks, PlanRunner& planner)
       : context_(context),
         fleet_(fleet),
-        dispatch_(dispatch),
+        dispatcher_(dispatcher),
         facts_(facts),
         tasks_(tasks),
         planner_(planner) {}
@@ -39,7 +39,7 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  Dispatch& dispatch_;
+  CommandDispatcher& dispatcher_;
   TaskFacts& facts_;
   TaskDuty& tasks_;
   PlanRunner& planner_;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -29,7 +29,7 @@
 struct PlanImage {
   std::uint32_t id{};
   double gb{};
-  bool held{};  // needs no fetch any more
+  bool cached{};  // needs no fetch any more
 };
 
 // Room that comes free as a task ends, by its owner's estimate.
--- a/src/placement/task_duty.cpp
+++ b/src/placement/task_duty.cpp
@@ -16,7 +16,7 @@
       if (told_.insert({{id, index}, placed.attempt}).second) machines.insert(placed.machine);
     }
   }
-  for (const auto& m : machines) dispatch_.push(m);
+  for (const auto& m : machines) dispatcher_.sendCommands(m);
 }
 
 // What has been proven of tasks and, with a plan, its placements that still hold. A launch
@@ -45,7 +45,7 @@
       if (index >= job->tasks) continue;
       // Attempts are larger than any of this task before: each earlier placement and its end were
       // committed at revisions up to `leadership_.highest`.
-      TaskPlacement placed{m->id, m->memory.last->workerEpoch,
+      TaskPlacement placed{m->id, m->session.lastReport->workerEpoch,
                            Attempt{context_.latestRevision.value}};
       if (!writes.place(id, *job, index, placed)) {
         context_.planInvalidated = true;
@@ -92,13 +92,13 @@
   return Commit{
       std::move(t),
       [this, settled = std::move(settled), machines] {
-        for (const auto& [attempt, gone] : settled) {
-          logDebug("task off its machine", "task", attempt.str(), "how", static_cast<int>(gone));
+        for (const auto& [attempt, how] : settled) {
+          logDebug("task off its machine", "task", attempt.str(), "how", static_cast<int>(how));
           told_.erase(attempt);
           if (const auto* job = context_.replica.job(attempt.task.job))
             facts_.forgetFact(attempt, *job);
         }
-        for (const auto& m : machines) dispatch_.push(m);
+        for (const auto& m : machines) dispatcher_.sendCommands(m);
       },
       std::to_string(count) + " facts, " + std::to_string(placements) + " placements on " +
           std::to_string(machines.size()) + " machines"};
--- a/src/placement/task_duty.hpp
+++ b/src/placement/task_duty.hpp
@@ -1,7 +1,7 @@
 // Commits what has been proven of tasks, and placements of a plan. Launches follow the commit.
 #pragma once
 
-#include "fleet/dispatch.hpp"
+#include "fleet/command_dispatcher.hpp"
 #include "placement/planner.hpp"
 #include "placement/task_facts.hpp"
 
@@ -9,8 +9,8 @@
 
 class TaskDuty : public ControlLoop {
  public:
-  TaskDuty(LeaderContext& context, Fleet& fleet, Dispatch& dispatch, TaskFacts& facts)
-      : context_(context), fleet_(fleet), dispatch_(dispatch), facts_(facts) {}
+  TaskDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher, TaskFacts& facts)
+      : context_(context), fleet_(fleet), dispatcher_(dispatcher), facts_(facts) {}
 
   LoopStep next() override { return LoopStep::committing(commit(nullptr, nullptr)); }
   void onRecordsChanged(bool byOthers) override {
@@ -24,7 +24,7 @@
  private:
   LeaderContext& context_;
   Fleet& fleet_;
-  Dispatch& dispatch_;
+  CommandDispatcher& dispatcher_;
   TaskFacts& facts_;
   std::set<AttemptId> told_;  // stops of cancelled jobs that were sent directly once
 };
--- a/src/placement/task_facts.cpp
+++ b/src/placement/task_facts.cpp
@@ -13,7 +13,7 @@
 constexpr Duration kFlowFactsWait{3000};
 }  // namespace
 
-void TaskFacts::noteFact(const PlacedTask& task, Gone gone, Duration ran) {
+void TaskFacts::noteFact(const PlacedTask& task, AttemptOutcome how, Duration ran) {
   const JobId& job = task.id.task.job;
   if (!task.job || task.job->record.chunkSize == 0) return;
   Due& due = due_[{job, task.id.task.index / task.job->record.chunkSize}];
@@ -21,29 +21,31 @@
   const JobState& state = *task.job;
   // Only an array's task can be done; a service's that ended by itself is started again. A flow's
   // task may be given up, or no longer be wanted.
-  bool settles = gone == Gone::done && state.record.spec->kind != JobKind::service;
+  bool settles = how == AttemptOutcome::done && state.record.spec->kind != JobKind::service;
   if (state.record.flow) {
     std::uint32_t index = task.id.task.index;
-    bool last = gone == Gone::failed && state.failuresOf(index) + 1 > state.record.flow->retries;
+    bool last =
+        how == AttemptOutcome::failed && state.failuresOf(index) + 1 > state.record.flow->retries;
     settles = settles || last || state.isDropped(index);
   }
   auto [it, isNew] =
-      due.facts.try_emplace(task.id.task.index, Fact{task.id.attempt, gone, settles, ran});
+      due.facts.try_emplace(task.id.task.index, Fact{task.id.attempt, how, settles, ran});
   if (!isNew) return;
   ++(settles ? dueDone_ : dueAgain_)[job];
   context_.planInvalidated = true;
-  if (gone == Gone::done) pauses_.erase(job);
+  if (how == AttemptOutcome::done) pauses_.erase(job);
   // Errors of users' jobs are weighed against those of their machines (Evidence).
-  if (gone != Gone::refused && (gone != Gone::failed || !state.record.flow)) return;
+  if (how != AttemptOutcome::refused && (how != AttemptOutcome::failed || !state.record.flow))
+    return;
   Pause& pause = pauses_[job];
   // A flow's rule is tried a few times anyway: what fails in one round counts once.
   if (state.record.flow && context_.runtime.now() < pause.until) return;
   pause.failures = std::min(pause.failures + 1, 16);
   auto seconds = std::min<std::size_t>(kMaxPauseS, 1UL << std::min(pause.failures - 1, 6));
-  Duration length{static_cast<std::int64_t>(gone == Gone::failed ? seconds : 1) * 1000};
+  Duration length{static_cast<std::int64_t>(how == AttemptOutcome::failed ? seconds : 1) * 1000};
   pause.until = context_.runtime.now() + length;
   logInfo("task's job pauses", "task", task.id.str(), "cause",
-          gone == Gone::failed ? "failed" : "refused", "ms", length);
+          how == AttemptOutcome::failed ? "failed" : "refused", "ms", length);
 }
 
 // Off the record, or no longer what is on it.
@@ -72,8 +74,9 @@
     if (placed.machine == except) continue;
     const Machine* m = fleet_.find(placed.machine);
     if (!m) continue;
-    auto seen = m->seenRunning.find({{job.record.spec->id, index}, placed.attempt});
-    if (seen == m->seenRunning.end() || context_.runtime.now() - seen->second < kWell) continue;
+    auto seen = m->firstSeenRunning.find({{job.record.spec->id, index}, placed.attempt});
+    if (seen == m->firstSeenRunning.end() || context_.runtime.now() - seen->second < kWell)
+      continue;
     where = placed.machine;
     return true;
   }
@@ -81,25 +84,25 @@
 }
 
 void TaskFacts::noteError(const JobId& id, const JobState& job, const MachineId& machine) {
-  Evidence& evidence = fleet_.evidence();
+  FailureAttribution& attribution = fleet_.failureAttribution();
   MachineId well;
   if (job.record.spec->kind == JobKind::service && runsWell(job, machine, well)) {
-    evidence.succeeded(id, well);
+    attribution.succeeded(id, well);
   }
-  bool before = evidence.suspect(id), faulty = evidence.faulty(machine);
-  auto pause = evidence.pausedUntil(id);
-  evidence.failed(id, machine, context_.runtime.now(), job.record.flow != nullptr);
-  if (!before && evidence.suspect(id)) {
+  bool before = attribution.suspect(id), faulty = attribution.faulty(machine);
+  auto pause = attribution.pausedUntil(id);
+  attribution.failed(id, machine, context_.runtime.now(), job.record.flow != nullptr);
+  if (!before && attribution.suspect(id)) {
     logInfo("job is suspect: fails wherever it goes", "job", id);
   }
-  if (!faulty && evidence.faulty(machine)) logInfo("machine is faulty", "machine", machine);
-  if (auto until = evidence.pausedUntil(id); until && until != pause) {
+  if (!faulty && attribution.faulty(machine)) logInfo("machine is faulty", "machine", machine);
+  if (auto until = attribution.pausedUntil(id); until && until != pause) {
     logInfo("job pauses after errors", "job", id, "ms", *until - context_.runtime.now());
   }
 }
 
 std::optional<Instant> TaskFacts::pausedUntil(const JobId& job) const {
-  auto until = fleet_.evidence().pausedUntil(job);
+  auto until = fleet_.failureAttribution().pausedUntil(job);
   if (auto it = pauses_.find(job); it != pauses_.end()) {
     until = std::max(until.value_or(it->second.until), it->second.until);
   }
@@ -108,15 +111,15 @@
 
 bool TaskFacts::refused(const JobId& job) const {
   auto it = pauses_.find(job);
-  return it != pauses_.end() && it->second.until >= fleet_.evidence().pausedUntil(job);
+  return it != pauses_.end() && it->second.until >= fleet_.failureAttribution().pausedUntil(job);
 }
 
 std::optional<std::uint32_t> TaskFacts::trialsLeft(const JobId& id, const JobState& job) const {
-  auto most = fleet_.evidence().mostAtOnce(id);
+  auto most = fleet_.failureAttribution().mostAtOnce(id);
   if (!most) return std::nullopt;
   MachineId well;
   if (job.record.spec->kind == JobKind::service && runsWell(job, {}, well)) {
-    fleet_.evidence().succeeded(id, well);
+    fleet_.failureAttribution().succeeded(id, well);
     return std::nullopt;
   }
   auto on = static_cast<std::uint32_t>(job.placed.size());
@@ -125,23 +128,23 @@
 }
 
 void TaskFacts::noteFacts(Machine& m) {
-  if (m.memory.gone.empty()) return;
+  if (m.session.outcomes.empty()) return;
   const auto* record = context_.replica.machine(m.id);
   if (!record) return;
-  for (const auto& [attempt, gone] : m.memory.gone) {
+  for (const auto& [attempt, how] : m.session.outcomes) {
     const auto* task = record->find(attempt);
     if (!task || factOf(attempt)) continue;
-    const ReportedTask* told = m.memory.last ? m.memory.last->find(attempt) : nullptr;
-    auto seen = m.seenRunning.find(attempt);
+    const ReportedTask* told = m.session.lastReport ? m.session.lastReport->find(attempt) : nullptr;
+    auto seen = m.firstSeenRunning.find(attempt);
     Duration ran{0};
     if (told && told->ran) {
       ran = *told->ran;
-    } else if (seen != m.seenRunning.end()) {
+    } else if (seen != m.firstSeenRunning.end()) {
       ran = context_.runtime.now() - seen->second;
     }
-    noteFact(*task, gone, ran);
-    if (gone == Gone::failed) noteError(attempt.task.job, *task->job, m.id);
-    if (gone == Gone::done) fleet_.evidence().succeeded(attempt.task.job, m.id);
+    noteFact(*task, how, ran);
+    if (how == AttemptOutcome::failed) noteError(attempt.task.job, *task->job, m.id);
+    if (how == AttemptOutcome::done) fleet_.failureAttribution().succeeded(attempt.task.job, m.id);
   }
   context_.scheduleCycle();
 }
--- a/src/placement/task_facts.hpp
+++ b/src/placement/task_facts.hpp
@@ -13,7 +13,7 @@
  public:
   struct Fact {
     Attempt attempt;
-    Gone gone{};
+    AttemptOutcome how{};
     bool settles{};  // the task is not to be run again
     Duration ran{};  // as its worker told, or as it was seen
   };
@@ -32,7 +32,7 @@
 
   // Takes in what a machine's reports have proven.
   void noteFacts(Machine& m);
-  void noteFact(const PlacedTask& task, Gone gone, Duration ran = Duration{0});
+  void noteFact(const PlacedTask& task, AttemptOutcome how, Duration ran = Duration{0});
   // Off the record, or no longer what is on it.
   void forgetFact(const AttemptId& id, const JobState& job);
   // The job is on no record any more.
--- a/src/placement/task_writes.hpp
+++ b/src/placement/task_writes.hpp
@@ -80,7 +80,7 @@
   }
 
   bool empty() const { return drafts_.empty(); }
-  std::vector<std::pair<AttemptId, Gone>>& settled() { return settled_; }
+  std::vector<std::pair<AttemptId, AttemptOutcome>>& settled() { return settled_; }
 
   void finish(Transaction& t) {
     std::set<JobId> compared, ended;
@@ -168,14 +168,14 @@
     TaskChunkRecord& r = draft.record;
     const JobState& job = *draft.job;
     auto ran = static_cast<std::uint64_t>(std::max<std::int64_t>(0, fact.ran.count()));
-    if (fact.gone != Gone::refused) ++r.use.attempts;
-    bool done = fact.gone == Gone::done && job.active() && !job.isDropped(index);
+    if (fact.how != AttemptOutcome::refused) ++r.use.attempts;
+    bool done = fact.how == AttemptOutcome::done && job.active() && !job.isDropped(index);
     (done ? r.use.ranMs : r.use.lostMs) += ran;
     if (done) {
       ++r.use.tasks;
       r.failures.erase(index);
-    } else if (fact.gone == Gone::failed && ++r.failures[index] > job.record.flow->retries &&
-               !job.isDropped(index)) {
+    } else if (fact.how == AttemptOutcome::failed &&
+               ++r.failures[index] > job.record.flow->retries && !job.isDropped(index)) {
       ++r.use.failed;
     }
   }
@@ -186,13 +186,14 @@
     if (at == draft.record.placed.end() || at->second.attempt != fact.attempt) return;
     draft.record.placed.erase(at);
     const JobState& job = *draft.job;
-    if (fact.gone == Gone::done && job.active() && job.record.spec->kind != JobKind::service &&
+    if (fact.how == AttemptOutcome::done && job.active() &&
+        job.record.spec->kind != JobKind::service &&
         !draft.record.finished.test(index - draft.piece.first)) {
       draft.record.finished.set(index - draft.piece.first);
       ++draft.done;
     }
     if (job.record.flow) account(draft, index, fact);
-    settled_.push_back({{{id, index}, fact.attempt}, fact.gone});
+    settled_.push_back({{{id, index}, fact.attempt}, fact.how});
   }
 
   LeaderContext& context_;
@@ -202,7 +203,7 @@
   bool mayWriteFormat2_;
   std::map<std::pair<JobId, std::uint32_t>, Draft> drafts_;  // by the record's first task
   std::map<JobId, std::uint32_t> newlyDone_;
-  std::vector<std::pair<AttemptId, Gone>> settled_;
+  std::vector<std::pair<AttemptId, AttemptOutcome>> settled_;
   std::size_t ending_ = 0;
   bool full_ = false;
   std::size_t bytes_ = 1024;
--- a/src/policy/duty.cpp
+++ b/src/policy/duty.cpp
@@ -45,7 +45,7 @@
     windowEnds_ = now + context_.settings.window;
     for (const auto& [image, held] : replica_.standing().pools) {
       for (const auto& m : held.machines)
-        fleet_.remember(m, context_.replica.imageNumber(image), held.gb);
+        fleet_.noteCachedImage(m, context_.replica.imageNumber(image), held.gb);
     }
   }
   const Standing& s = replica_.standing();
@@ -97,13 +97,13 @@
   s.firstMachines = firstMachines();
   s.lost = fleet_.lost() - std::exchange(lostBefore_, fleet_.lost());
   s.lateBoots = fleet_.neverBooted() - std::exchange(lateBefore_, fleet_.neverBooted());
-  s.silentZones = static_cast<std::uint32_t>(fleet_.silentZones().size());
+  s.unreachableZones = static_cast<std::uint32_t>(fleet_.unreachableZones().size());
   std::map<ImageId, double> starts;
   for (const auto& [id, m] : fleet_.machines()) {
-    if (!m.heard()) continue;
+    if (!m.hasReported()) continue;
     ++s.machines;
-    if (m.noticeEnds && noticed_.insert(id).second) ++s.notices;
-    for (const auto& [attempt, since] : m.seenRunning) {
+    if (m.terminationNoticeEnds && noticed_.insert(id).second) ++s.notices;
+    for (const auto& [attempt, since] : m.firstSeenRunning) {
       const auto* job = context_.replica.job(attempt.task.job);
       if (job && job->record.spec && since > startsSince_) ++starts[job->record.spec->image];
     }
@@ -117,7 +117,9 @@
     std::uint32_t up = 0;
     for (const auto& [index, at] : job->placed) {
       const Machine* m = fleet_.find(at.machine);
-      up += m && !m->releaseWanted && m->seenRunning.contains({{id, index}, at.attempt}) ? 1 : 0;
+      up += m && !m->terminationRequested && m->firstSeenRunning.contains({{id, index}, at.attempt})
+                ? 1
+                : 0;
     }
     s.missing += job->tasks - std::min(job->tasks, up);
   }
@@ -155,7 +157,7 @@
     auto zone = zones.try_emplace(record.zone, static_cast<std::uint32_t>(zones.size())).first;
     CoverMachine c{zone->second, record.spot ? 0.0 : 1.0, {}};
     for (const auto& image : m->images) {
-      if (image.held) c.images.insert(image.id);
+      if (image.cached) c.images.insert(image.id);
     }
     std::map<std::pair<std::uint32_t, double>, std::uint32_t> here;
     for (const auto& t : record.tasks) {
@@ -206,7 +208,7 @@
       for (const auto& [id, m] : fleet_.machines()) {
         if (!fleet_.usable(m, now)) continue;
         bool holds = std::any_of(m.images.begin(), m.images.end(), [&](const Machine::Image& i) {
-          bool it = i.held && context_.replica.imageNumber(image) == i.id;
+          bool it = i.cached && context_.replica.imageNumber(image) == i.id;
           if (it) held.gb = i.gb;
           return it;
         });
@@ -256,7 +258,7 @@
     MachineTime time;
     time.rentedAtMs = state.rentedAtMs;
     time.pricePerHour = state.spot ? type->spotPrice : type->price;
-    time.up = m && m->heard();
+    time.up = m && m->hasReported();
     for (const auto& task : state.tasks) {
       if (!task.job->record.spec) continue;
       const JobSpec& spec = *task.job->record.spec;
--- a/src/policy/standing.cpp
+++ b/src/policy/standing.cpp
@@ -48,7 +48,7 @@
 void watchStorm(Standing& s, const Seen& seen) {
   std::uint32_t losses = seen.lost + seen.notices + seen.lateBoots;
   bool many = losses >= std::max<double>(kStormAtLeast, kStormShare * seen.machines);
-  bool hit = many || seen.silentZones > 0;
+  bool hit = many || seen.unreachableZones > 0;
   if (!s.storm) {
     if (hit) s.storm = Storm{seen.nowMs, losses, 1, 0, seen.missing};
     return;
--- a/src/policy/standing.hpp
+++ b/src/policy/standing.hpp
@@ -52,7 +52,7 @@
   std::int64_t nowMs{};    // time of day, as the controllers agree on it
   double firstMachines{};  // taken or waited for by those who go first in the open period
   bool windowEnds{};
-  std::uint32_t machines{}, lost{}, notices{}, silentZones{}, lateBoots{}, missing{};
+  std::uint32_t machines{}, lost{}, notices{}, unreachableZones{}, lateBoots{}, missing{};
   std::map<ImageId, double> starts;
 };
 
