--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -62,7 +62,7 @@
   void startLeader();
   // What peers know of workers that this new leader has not heard.
   void requestAckTimesFromPeers();
-  void stepDown(const std::string& why, bool dropLease, Duration holdBack);
+  void stepDown(const std::string& why, bool dropLease, Duration backOff);
   void watchLeadership();
   void watchWorkers();
   // Until when leases may be renewed; empty: not at all. Every 200 to a worker asks it.
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -129,12 +129,12 @@
   }
 }
 
-void Controller::stepDown(const std::string& why, bool dropLease, Duration holdBack) {
+void Controller::stepDown(const std::string& why, bool dropLease, Duration backOff) {
   logInfo("no longer leading", "token", election_.token(), "why", why);
   lastToken_ = std::max(lastToken_, election_.token());
   auto lease = election_.lease();
   if (dropLease && lease) store_.dropLease(*lease);
-  election_.stepDown(runtime_.now() + holdBack);
+  election_.stepDown(runtime_.now() + backOff);
   watcher_.setInterval(kFollowerRead);
   // Not from within one of its own calls.
   if (leader_) {
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -18,15 +18,15 @@
       mayHaveActingLeader_(std::move(mayHaveActingLeader)),
       fleet_(context_.platform, context_.replica, context_.token, context_.electedAt),
       dispatcher_(context_, fleet_),
-      facts_(context_, fleet_),
+      outcomes_(context_, fleet_),
       forecasts_{{}, std::mt19937_64(context_.token.value)},
       listing_(context_, fleet_, dispatcher_),
-      tasks_(context_, fleet_, dispatcher_, facts_),
-      plans_(context_, fleet_, dispatcher_, facts_, tasks_, planner),
-      releases_(context_, fleet_, facts_),
+      tasks_(context_, fleet_, dispatcher_, outcomes_),
+      plans_(context_, fleet_, dispatcher_, outcomes_, tasks_, planner),
+      releases_(context_, fleet_, outcomes_),
       rentals_(context_, fleet_, dispatcher_, plans_, forecasts_),
       windows_(context_, fleet_, plans_, rentals_, forecasts_),
-      flows_(context_, facts_, tasks_),
+      flows_(context_, outcomes_, tasks_),
       policy_(context_, fleet_, policy),
       loops_{&policy_, &plans_, &tasks_, &releases_, &rentals_, &windows_, &flows_},
       writes_(context_.platform.stateWritesPerS * kLeaderWriteShare,
@@ -51,8 +51,8 @@
     room.insert(room.end(), ofJobs.begin(), ofJobs.end());
     return room;
   };
-  plans_.roomReason = [this](const JobSpec& spec) { return rentals_.roomReason(spec); };
-  dispatcher_.onReport = [this](Machine& m) { facts_.noteFacts(m); };
+  plans_.resourcesReason = [this](const JobSpec& spec) { return rentals_.resourcesReason(spec); };
+  dispatcher_.onReport = [this](Machine& m) { outcomes_.noteOutcomes(m); };
   if (context_.replica.catalogue())
     context_.catalogue = catalogueFrom(*context_.replica.catalogue());
   const auto& windows = context_.replica.forecast();
@@ -205,7 +205,7 @@
     context_.planInvalidated = true;
     scheduleCycle();
   }
-  facts_.noteFacts(m);
+  outcomes_.noteOutcomes(m);
   return jsonResponse(200, reportResponseToJson(context_.token, commands));
 }
 
@@ -218,18 +218,18 @@
   };
   const auto* job = context_.replica.job(id);
   if (job && job->active()) {
-    std::map<Waits, std::uint32_t> placed;
+    std::map<PendingReason, std::uint32_t> placed;
     for (const auto& [index, at] : job->placed) {
       const Machine* m = fleet_.find(at.machine);
       const ReportedTask* told = m && m->session.lastReport
                                      ? m->session.lastReport->find({{id, index}, at.attempt})
                                      : nullptr;
       if (!m || !m->hasReported() || fleet_.isOverdue(*m, now)) {
-        ++placed[Waits::silent];
+        ++placed[PendingReason::unreachable];
       } else if (!told) {
-        ++placed[Waits::start];
+        ++placed[PendingReason::start];
       } else if (told->state == TaskState::fetching) {
-        ++placed[Waits::image];
+        ++placed[PendingReason::image];
       }
     }
     if (!context_.initialRoundOver) {
@@ -238,11 +238,11 @@
       for (const auto& awaited : context_.replica.dependencies().unfinishedDependencies(id)) {
         awaits.push_back(awaited.value);
       }
-      add(wordOf(Waits::dependencies), job->tasks);
+      add(wordOf(PendingReason::dependencies), job->tasks);
     } else if (!context_.watcher.reachable()) {
       add("the state service is out of reach", job->waiting());
     } else {
-      for (const auto& g : plans_.waits().of(id)) add(wordOf(g.why), g.tasks);
+      for (const auto& g : plans_.pendingReasons().of(id)) add(wordOf(g.why), g.tasks);
     }
     for (const auto& [why, tasks] : placed) add(wordOf(why), tasks);
   }
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -39,11 +39,11 @@
   std::function<bool(const ZoneId&)> mayHaveActingLeader_;
   Fleet fleet_;
   CommandDispatcher dispatcher_;
-  TaskFacts facts_;
+  ConfirmedOutcomes outcomes_;
   DemandForecasts forecasts_;
   ListingDuty listing_;
-  TaskDuty tasks_;
-  PlanDuty plans_;
+  TaskLoop tasks_;
+  PlanningLoop plans_;
   ReleaseDuty releases_;
   RentalDuty rentals_;
   WindowDuty windows_;
--- a/src/cloud/emptying.cpp
+++ b/src/cloud/emptying.cpp
@@ -13,7 +13,7 @@
   constexpr std::size_t kMoveAtLeast = 4;
   Instant now = context_.runtime.now();
   std::erase_if(fleet_.cordoned(), [&](const MachineId& id) { return !fleet_.find(id); });
-  EmptyInput in;
+  ConsolidationInput in;
   std::map<ZoneId, std::uint32_t> zones;
   for (const auto& z : context_.platform.zones) zones.try_emplace(z, zones.size());
   const MachineType* known = context_.catalogue->find(type);
@@ -22,7 +22,8 @@
     const Machine* m = fleet_.find(id);
     if (record.type != type || record.spot || !m || !fleet_.usable(*m, now)) continue;
     if (context_.effectivePolicy && context_.effectivePolicy->holds(id)) continue;
-    EmptyCandidate c{id, type, zones[record.zone], known->capacity, known->capacity, {}, {}};
+    ConsolidationCandidate c{id, type, zones[record.zone], known->capacity, known->capacity,
+                             {}, {}};
     for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.cached});
     for (const auto& t : record.tasks) {
       const auto& spec = t.job->record.spec;
@@ -42,9 +43,9 @@
     if (!fleet_.cordoned().contains(id)) in.machines.push_back(std::move(c));
   }
   in.surplus = surplus;
-  in.mostMoves =
+  in.maxMoves =
       std::max(kMoveAtLeast, static_cast<std::size_t>(kMoveShare * static_cast<double>(replicas)));
-  auto decision = chooseToEmpty(std::move(in));
+  auto decision = chooseDrainCandidates(std::move(in));
   for (const auto& id : decision.machines) fleet_.cordoned().insert(id);
   for (const auto& [machine, task] : decision.moves) {
     fleet_.requestStop(task, machine, Duration{0});
--- a/src/cloud/release_duty.cpp
+++ b/src/cloud/release_duty.cpp
@@ -86,7 +86,7 @@
     for (const auto& id : batch) {
       logInfo("machine released", "machine", id);
       if (const auto* state = context_.replica.machine(id)) {
-        for (const auto& t : state->tasks) facts_.noteFact(t, AttemptOutcome::lost);
+        for (const auto& t : state->tasks) outcomes_.note(t, AttemptOutcome::lost);
       }
       releaseConfirmed_.insert(id);
       fleet_.onReleased(id, context_.runtime.now());
--- a/src/cloud/release_duty.hpp
+++ b/src/cloud/release_duty.hpp
@@ -2,14 +2,14 @@
 // 200, then the end of its entry.
 #pragma once
 
-#include "placement/task_facts.hpp"
+#include "placement/confirmed_outcomes.hpp"
 
 namespace kestrelhoist {
 
 class ReleaseDuty : public ControlLoop {
  public:
-  ReleaseDuty(LeaderContext& context, Fleet& fleet, TaskFacts& facts)
-      : context_(context), fleet_(fleet), facts_(facts) {}
+  ReleaseDuty(LeaderContext& context, Fleet& fleet, ConfirmedOutcomes& outcomes)
+      : context_(context), fleet_(fleet), outcomes_(outcomes) {}
 
   LoopStep next() override;
   void onTimer() override { start(); }
@@ -19,7 +19,7 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  TaskFacts& facts_;
+  ConfirmedOutcomes& outcomes_;
   std::set<MachineId> releasing_;         // asked, no answer yet
   std::set<MachineId> releaseConfirmed_;  // 200, still on record
 };
--- a/src/cloud/rental_duty.cpp
+++ b/src/cloud/rental_duty.cpp
@@ -262,7 +262,7 @@
   if (!wanted_.empty()) context_.scheduleCycle();
 }
 
-Waits RentalDuty::roomReason(const JobSpec& spec) const {
+PendingReason RentalDuty::resourcesReason(const JobSpec& spec) const {
   bool offered = false, coming = false;
   auto mayUse = [&](const TypeId& type, const ZoneId& zone, bool spot) {
     return spec.allowsType(type) && (!spec.zone || *spec.zone == zone) &&
@@ -275,7 +275,7 @@
   for (const auto& [id, r] : context_.replica.rentals()) {
     coming = coming || (!r.answered && mayUse(r.type, r.zone, r.spot));
   }
-  if (coming) return Waits::boot;
+  if (coming) return PendingReason::boot;
   for (const auto& type : context_.catalogue->types) {
     for (const auto& zone : type.zones) {
       for (bool spot : {false, true}) {
@@ -284,7 +284,7 @@
       }
     }
   }
-  return offered ? Waits::room : Waits::capacity;
+  return offered ? PendingReason::resources : PendingReason::capacity;
 }
 
 void RentalDuty::check() {
--- a/src/cloud/rental_duty.hpp
+++ b/src/cloud/rental_duty.hpp
@@ -5,14 +5,14 @@
 #include "cloud/client.hpp"
 #include "cloud/demand.hpp"
 #include "forecast/demand_series.hpp"
-#include "placement/plan_duty.hpp"
+#include "placement/planning_loop.hpp"
 
 namespace kestrelhoist {
 
 class RentalDuty : public ControlLoop {
  public:
-  RentalDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher, PlanDuty& plans,
-             DemandForecasts& forecasts)
+  RentalDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
+             PlanningLoop& plans, DemandForecasts& forecasts)
       : context_(context),
         fleet_(fleet),
         dispatcher_(dispatcher),
@@ -28,7 +28,7 @@
   // Room that will be asked for, and left, within a time; null if nobody tells.
   std::function<std::vector<RoomAhead>(Duration)> upcoming, ending;
   // What stands between a job without room and machines that it may use.
-  Waits roomReason(const JobSpec& spec) const;
+  PendingReason resourcesReason(const JobSpec& spec) const;
   // Offers that were refused, and when last.
   const std::map<Offer, Instant>& refused() const { return refused_; }
 
@@ -40,7 +40,7 @@
   LeaderContext& context_;
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
-  PlanDuty& plans_;
+  PlanningLoop& plans_;
   DemandForecasts& forecasts_;
   std::map<Offer, std::uint32_t> wanted_;  // machines to be rented, by the last decision
   std::set<RentalId> asked_;
--- a/src/cloud/window_duty.hpp
+++ b/src/cloud/window_duty.hpp
@@ -7,7 +7,7 @@
 
 class WindowDuty : public ControlLoop {
  public:
-  WindowDuty(LeaderContext& context, Fleet& fleet, PlanDuty& plans, RentalDuty& rentals,
+  WindowDuty(LeaderContext& context, Fleet& fleet, PlanningLoop& plans, RentalDuty& rentals,
              DemandForecasts& forecasts)
       : context_(context), fleet_(fleet), plans_(plans), rentals_(rentals), forecasts_(forecasts) {
     ends_ = context_.electedAt + context_.settings.window;
@@ -25,7 +25,7 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  PlanDuty& plans_;
+  PlanningLoop& plans_;
   RentalDuty& rentals_;
   DemandForecasts& forecasts_;
   Instant ends_{};
--- a/src/flows/duty.cpp
+++ b/src/flows/duty.cpp
@@ -379,7 +379,7 @@
   std::vector<JobId> gone = draft.droppedJobs();
   return Commit{draft.finish(),
                 [this, id, changes, gone] {
-                  for (const auto& job : gone) facts_.forgetJob(job);
+                  for (const auto& job : gone) outcomes_.forgetJob(job);
                   if (auto r = runs_.find(id); r != runs_.end()) r->second.changes += changes;
                 },
                 "flow " + id.value + ": " + std::to_string(createdNow) + " jobs of " +
--- a/src/flows/duty.hpp
+++ b/src/flows/duty.hpp
@@ -6,14 +6,14 @@
 #include "cloud/demand.hpp"
 #include "flows/progress.hpp"
 #include "leadership/leader_context.hpp"
-#include "placement/task_duty.hpp"
+#include "placement/task_loop.hpp"
 
 namespace kestrelhoist {
 
 class FlowDuty : public ControlLoop {
  public:
-  FlowDuty(LeaderContext& context, TaskFacts& facts, TaskDuty& tasks)
-      : context_(context), facts_(facts), tasks_(tasks) {}
+  FlowDuty(LeaderContext& context, ConfirmedOutcomes& outcomes, TaskLoop& tasks)
+      : context_(context), outcomes_(outcomes), tasks_(tasks) {}
 
   LoopStep next() override;
   void onRecordsChanged(bool byOthers) override;
@@ -65,8 +65,8 @@
   std::uint32_t tasksPerChunk() const { return chunkSizeFor(context_.platform.valueBytes); }
 
   LeaderContext& context_;
-  TaskFacts& facts_;
-  TaskDuty& tasks_;
+  ConfirmedOutcomes& outcomes_;
+  TaskLoop& tasks_;
   std::map<FlowId, Run> runs_;
   FlowId last_;  // whose turn it was
   std::uint64_t jobCount_ = 0;
--- a/src/flows/duty_versions.cpp
+++ b/src/flows/duty_versions.cpp
@@ -63,7 +63,7 @@
     ++jobs;
   }
   if (jobs > 0) {
-    return Commit{draft.finish(), [this] { tasks_.tellStops(); },
+    return Commit{draft.finish(), [this] { tasks_.sendStops(); },
                   "flow " + id.value + ": " + std::to_string(dropped) + " tasks no longer wanted"};
   }
   for (std::uint32_t page = 0; page * kPageSize < letters.size(); ++page) {
@@ -123,8 +123,8 @@
   std::vector<JobId> gone = draft.droppedJobs();
   return Commit{draft.finish(),
                 [this, gone] {
-                  for (const auto& job : gone) facts_.forgetJob(job);
-                  tasks_.tellStops();
+                  for (const auto& job : gone) outcomes_.forgetJob(job);
+                  tasks_.sendStops();
                 },
                 "flow " + id.value + ": " + std::to_string(cancelled) + " jobs cancelled, " +
                     std::to_string(ended) + " ended"};
--- a/src/placement/task_facts.cpp
+++ b/src/placement/confirmed_outcomes.cpp
@@ -1,4 +1,4 @@
-#include "placement/task_facts.hpp"
+#include "placement/confirmed_outcomes.hpp"
 
 #include <algorithm>
 
@@ -9,29 +9,29 @@
 constexpr std::size_t kMaxPauseS = 60;
 // Facts that nobody waits for are written together: their tasks stay on record a little longer,
 // and the worker goes on reporting them until then.
-constexpr Duration kFactsWait{1500};
-constexpr Duration kFlowFactsWait{3000};
+constexpr Duration kOutcomesWait{1500};
+constexpr Duration kFlowOutcomesWait{3000};
 }  // namespace
 
-void TaskFacts::noteFact(const PlacedTask& task, AttemptOutcome how, Duration ran) {
+void ConfirmedOutcomes::note(const PlacedTask& task, AttemptOutcome how, Duration ran) {
   const JobId& job = task.id.task.job;
   if (!task.job || task.job->record.chunkSize == 0) return;
-  Due& due = due_[{job, task.id.task.index / task.job->record.chunkSize}];
-  if (due.facts.empty()) due.since = context_.runtime.now();
+  PendingOutcomes& pending = pending_[{job, task.id.task.index / task.job->record.chunkSize}];
+  if (pending.outcomes.empty()) pending.since = context_.runtime.now();
   const JobState& state = *task.job;
   // Only an array's task can be done; a service's that ended by itself is started again. A flow's
   // task may be given up, or no longer be wanted.
-  bool settles = how == AttemptOutcome::done && state.record.spec->kind != JobKind::service;
+  bool isFinal = how == AttemptOutcome::done && state.record.spec->kind != JobKind::service;
   if (state.record.flow) {
     std::uint32_t index = task.id.task.index;
     bool last =
         how == AttemptOutcome::failed && state.failuresOf(index) + 1 > state.record.flow->retries;
-    settles = settles || last || state.isDropped(index);
+    isFinal = isFinal || last || state.isDropped(index);
   }
   auto [it, isNew] =
-      due.facts.try_emplace(task.id.task.index, Fact{task.id.attempt, how, settles, ran});
+      pending.outcomes.try_emplace(task.id.task.index, Outcome{task.id.attempt, how, isFinal, ran});
   if (!isNew) return;
-  ++(settles ? dueDone_ : dueAgain_)[job];
+  ++(isFinal ? finished_ : requeued_)[job];
   context_.planInvalidated = true;
   if (how == AttemptOutcome::done) pauses_.erase(job);
   // Errors of users' jobs are weighed against those of their machines (Evidence).
@@ -49,26 +49,27 @@
 }
 
 // Off the record, or no longer what is on it.
-void TaskFacts::forgetFact(const AttemptId& id, const JobState& job) {
-  auto due = due_.find({id.task.job, id.task.index / job.record.chunkSize});
-  if (due == due_.end()) return;
-  auto fact = due->second.facts.find(id.task.index);
-  if (fact == due->second.facts.end() || fact->second.attempt != id.attempt) return;
-  auto& counts = fact->second.settles ? dueDone_ : dueAgain_;
+void ConfirmedOutcomes::forget(const AttemptId& id, const JobState& job) {
+  auto pending = pending_.find({id.task.job, id.task.index / job.record.chunkSize});
+  if (pending == pending_.end()) return;
+  auto outcome = pending->second.outcomes.find(id.task.index);
+  if (outcome == pending->second.outcomes.end() || outcome->second.attempt != id.attempt) return;
+  auto& counts = outcome->second.isFinal ? finished_ : requeued_;
   if (auto c = counts.find(id.task.job); c != counts.end() && --c->second == 0) counts.erase(c);
-  due->second.facts.erase(fact);
-  if (due->second.facts.empty()) due_.erase(due);
+  pending->second.outcomes.erase(outcome);
+  if (pending->second.outcomes.empty()) pending_.erase(pending);
 }
 
-void TaskFacts::forgetJob(const JobId& job) {
-  due_.erase(due_.lower_bound({job, 0}), due_.upper_bound({job, 0xffffffffU}));
-  dueDone_.erase(job);
-  dueAgain_.erase(job);
+void ConfirmedOutcomes::forgetJob(const JobId& job) {
+  pending_.erase(pending_.lower_bound({job, 0}), pending_.upper_bound({job, 0xffffffffU}));
+  finished_.erase(job);
+  requeued_.erase(job);
   pauses_.erase(job);
 }
 
 // A replica that has run for a while is a service's success.
-bool TaskFacts::runsWell(const JobState& job, const MachineId& except, MachineId& where) const {
+bool ConfirmedOutcomes::runsWell(const JobState& job, const MachineId& except,
+                                 MachineId& where) const {
   constexpr Duration kWell{30000};
   for (const auto& [index, placed] : job.placed) {
     if (placed.machine == except) continue;
@@ -83,7 +84,8 @@
   return false;
 }
 
-void TaskFacts::noteError(const JobId& id, const JobState& job, const MachineId& machine) {
+void ConfirmedOutcomes::noteFailure(const JobId& id, const JobState& job,
+                                    const MachineId& machine) {
   FailureAttribution& attribution = fleet_.failureAttribution();
   MachineId well;
   if (job.record.spec->kind == JobKind::service && runsWell(job, machine, well)) {
@@ -101,7 +103,7 @@
   }
 }
 
-std::optional<Instant> TaskFacts::pausedUntil(const JobId& job) const {
+std::optional<Instant> ConfirmedOutcomes::pausedUntil(const JobId& job) const {
   auto until = fleet_.failureAttribution().pausedUntil(job);
   if (auto it = pauses_.find(job); it != pauses_.end()) {
     until = std::max(until.value_or(it->second.until), it->second.until);
@@ -109,12 +111,13 @@
   return until;
 }
 
-bool TaskFacts::refused(const JobId& job) const {
+bool ConfirmedOutcomes::refused(const JobId& job) const {
   auto it = pauses_.find(job);
   return it != pauses_.end() && it->second.until >= fleet_.failureAttribution().pausedUntil(job);
 }
 
-std::optional<std::uint32_t> TaskFacts::trialsLeft(const JobId& id, const JobState& job) const {
+std::optional<std::uint32_t> ConfirmedOutcomes::trialsLeft(const JobId& id,
+                                                           const JobState& job) const {
   auto most = fleet_.failureAttribution().mostAtOnce(id);
   if (!most) return std::nullopt;
   MachineId well;
@@ -123,17 +126,18 @@
     return std::nullopt;
   }
   auto on = static_cast<std::uint32_t>(job.placed.size());
-  if (auto again = dueAgain_.find(id); again != dueAgain_.end()) on -= std::min(on, again->second);
+  if (auto requeued = requeued_.find(id); requeued != requeued_.end())
+    on -= std::min(on, requeued->second);
   return *most > on ? *most - on : 0;
 }
 
-void TaskFacts::noteFacts(Machine& m) {
+void ConfirmedOutcomes::noteOutcomes(Machine& m) {
   if (m.session.outcomes.empty()) return;
   const auto* record = context_.replica.machine(m.id);
   if (!record) return;
   for (const auto& [attempt, how] : m.session.outcomes) {
     const auto* task = record->find(attempt);
-    if (!task || factOf(attempt)) continue;
+    if (!task || find(attempt)) continue;
     const ReportedTask* told = m.session.lastReport ? m.session.lastReport->find(attempt) : nullptr;
     auto seen = m.firstSeenRunning.find(attempt);
     Duration ran{0};
@@ -142,35 +146,36 @@
     } else if (seen != m.firstSeenRunning.end()) {
       ran = context_.runtime.now() - seen->second;
     }
-    noteFact(*task, how, ran);
-    if (how == AttemptOutcome::failed) noteError(attempt.task.job, *task->job, m.id);
+    note(*task, how, ran);
+    if (how == AttemptOutcome::failed) noteFailure(attempt.task.job, *task->job, m.id);
     if (how == AttemptOutcome::done) fleet_.failureAttribution().succeeded(attempt.task.job, m.id);
   }
   context_.scheduleCycle();
 }
 
-const TaskFacts::Fact* TaskFacts::factOf(const AttemptId& id) const {
+const ConfirmedOutcomes::Outcome* ConfirmedOutcomes::find(const AttemptId& id) const {
   const auto* job = context_.replica.job(id.task.job);
   if (!job || job->record.chunkSize == 0) return nullptr;
-  auto due = due_.find({id.task.job, id.task.index / job->record.chunkSize});
-  if (due == due_.end()) return nullptr;
-  auto fact = due->second.facts.find(id.task.index);
-  return fact != due->second.facts.end() && fact->second.attempt == id.attempt ? &fact->second
-                                                                               : nullptr;
+  auto pending = pending_.find({id.task.job, id.task.index / job->record.chunkSize});
+  if (pending == pending_.end()) return nullptr;
+  auto outcome = pending->second.outcomes.find(id.task.index);
+  return outcome != pending->second.outcomes.end() && outcome->second.attempt == id.attempt
+             ? &outcome->second
+             : nullptr;
 }
 
 // Somebody waits for these: a job that is complete, or a machine that can't go before its tasks.
-bool TaskFacts::factsUrgent(const ChunkKey& key, const Due& due) const {
+bool ConfirmedOutcomes::isUrgent(const ChunkKey& key, const PendingOutcomes& pending) const {
   const auto* job = context_.replica.job(key.first);
   if (!job || !job->active()) return true;
-  auto done = dueDone_.find(key.first);
+  auto done = finished_.find(key.first);
   if (job->record.flow) {
     // Its dependents wait, but many ends at once are few writes.
-    if (context_.runtime.now() - due.since >= kFlowFactsWait) return true;
-    return done != dueDone_.end() && done->second >= job->placed.size() && job->waiting() == 0;
+    if (context_.runtime.now() - pending.since >= kFlowOutcomesWait) return true;
+    return done != finished_.end() && done->second >= job->placed.size() && job->waiting() == 0;
   }
-  if (context_.runtime.now() - due.since >= kFactsWait) return true;
-  return done != dueDone_.end() && job->finishedCount + done->second >= job->tasks;
+  if (context_.runtime.now() - pending.since >= kOutcomesWait) return true;
+  return done != finished_.end() && job->finishedCount + done->second >= job->tasks;
 }
 
 }  // namespace kestrelhoist
--- a/src/placement/task_facts.hpp
+++ b/src/placement/confirmed_outcomes.hpp
@@ -9,18 +9,18 @@
 
 namespace kestrelhoist {
 
-class TaskFacts {
+class ConfirmedOutcomes {
  public:
-  struct Fact {
+  struct Outcome {
     Attempt attempt;
     AttemptOutcome how{};
-    bool settles{};  // the task is not to be run again
+    bool isFinal{};  // the task is not to be run again
     Duration ran{};  // as its worker told, or as it was seen
   };
   // Facts of one stretch of a job's tasks, to be committed together.
-  struct Due {
+  struct PendingOutcomes {
     Instant since{};
-    std::map<std::uint32_t, Fact> facts;  // by the task's number
+    std::map<std::uint32_t, Outcome> outcomes;  // by the task's number
   };
   using ChunkKey = std::pair<JobId, std::uint32_t>;
   struct Pause {
@@ -28,21 +28,21 @@
     Instant until{};
   };
 
-  TaskFacts(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
+  ConfirmedOutcomes(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
   // Takes in what a machine's reports have proven.
-  void noteFacts(Machine& m);
-  void noteFact(const PlacedTask& task, AttemptOutcome how, Duration ran = Duration{0});
+  void noteOutcomes(Machine& m);
+  void note(const PlacedTask& task, AttemptOutcome how, Duration ran = Duration{0});
   // Off the record, or no longer what is on it.
-  void forgetFact(const AttemptId& id, const JobState& job);
+  void forget(const AttemptId& id, const JobState& job);
   // The job is on no record any more.
   void forgetJob(const JobId& job);
-  const Fact* factOf(const AttemptId& id) const;
+  const Outcome* find(const AttemptId& id) const;
   // Somebody waits for these: a job that is complete, or a machine that can't go before its tasks.
-  bool factsUrgent(const ChunkKey& key, const Due& due) const;
-  const std::map<ChunkKey, Due>& due() const { return due_; }
+  bool isUrgent(const ChunkKey& key, const PendingOutcomes& pending) const;
+  const std::map<ChunkKey, PendingOutcomes>& pending() const { return pending_; }
   // Tasks found gone that must run again, by job.
-  const std::map<JobId, std::uint32_t>& again() const { return dueAgain_; }
+  const std::map<JobId, std::uint32_t>& requeued() const { return requeued_; }
   // Until when nothing of this job is to be placed, if so.
   std::optional<Instant> pausedUntil(const JobId& job) const;
   // The newest pause is for a start that was refused.
@@ -51,14 +51,14 @@
   std::optional<std::uint32_t> trialsLeft(const JobId& id, const JobState& job) const;
 
  private:
-  void noteError(const JobId& id, const JobState& job, const MachineId& machine);
+  void noteFailure(const JobId& id, const JobState& job, const MachineId& machine);
   bool runsWell(const JobState& job, const MachineId& except, MachineId& where) const;
 
   LeaderContext& context_;
   Fleet& fleet_;
-  std::map<ChunkKey, Due> due_;
-  std::map<JobId, std::uint32_t> dueDone_;   // tasks found done, not committed yet
-  std::map<JobId, std::uint32_t> dueAgain_;  // tasks found gone that must run again
+  std::map<ChunkKey, PendingOutcomes> pending_;
+  std::map<JobId, std::uint32_t> finished_;  // tasks found done, not committed yet
+  std::map<JobId, std::uint32_t> requeued_;  // tasks found gone that must run again
   std::map<JobId, Pause> pauses_;            // flows' whose tasks failed, and refused starts
 };
 
--- a/src/placement/consolidate.cpp
+++ b/src/placement/consolidate.cpp
@@ -9,21 +9,21 @@
 // A replica that has just come up is left alone: so no two turns move the same one.
 constexpr Duration kSettled{60000};
 
-double serviceShare(const EmptyCandidate& m) {
+double serviceShare(const ConsolidationCandidate& m) {
   double share = 0;
   for (const auto& t : m.services) share += t.spec->perTask.shareOf(m.capacity);
   return share;
 }
 
-bool holds(const EmptyCandidate& m, std::uint32_t image) {
+bool holds(const ConsolidationCandidate& m, std::uint32_t image) {
   return std::any_of(m.images.begin(), m.images.end(),
                      [&](const PlanImage& i) { return i.id == image && i.cached; });
 }
 
 }  // namespace
 
-EmptyDecision chooseToEmpty(EmptyInput in) {
-  EmptyDecision out;
+ConsolidationDecision chooseDrainCandidates(ConsolidationInput in) {
+  ConsolidationDecision out;
   std::vector<std::size_t> order(in.machines.size());
   std::vector<double> share;
   for (const auto& m : in.machines) share.push_back(serviceShare(m));
@@ -33,9 +33,9 @@
   std::set<std::size_t> emptied, targets;
   for (auto from : order) {
     if (emptied.size() >= in.surplus) break;
-    const EmptyCandidate& source = in.machines[from];
+    const ConsolidationCandidate& source = in.machines[from];
     if (share[from] == 0 || share[from] > 0.5 || targets.contains(from)) continue;
-    if (out.moves.size() + source.services.size() > in.mostMoves) continue;
+    if (out.moves.size() + source.services.size() > in.maxMoves) continue;
     // All of its replicas, or none.
     auto perZone = in.perZone;
     std::vector<std::pair<std::size_t, Resources>> booked;
@@ -44,7 +44,7 @@
       auto& zones = perZone[t.spec->id];
       std::size_t best = in.machines.size();
       for (std::size_t to = 0; to < in.machines.size() && t.age >= kSettled; ++to) {
-        const EmptyCandidate& target = in.machines[to];
+        const ConsolidationCandidate& target = in.machines[to];
         if (to == from || emptied.contains(to) || share[to] == 0 || share[to] < share[from] ||
             !t.spec->perTask.fitsIn(target.free) || !holds(target, t.image) ||
             !t.spec->allowsType(target.type) || (t.spec->zone && target.zone != source.zone)) {
--- a/src/placement/consolidate.hpp
+++ b/src/placement/consolidate.hpp
@@ -18,7 +18,7 @@
   Duration age{};  // since it was seen to run
 };
 
-struct EmptyCandidate {
+struct ConsolidationCandidate {
   MachineId id;
   TypeId type;
   std::uint32_t zone{};
@@ -27,19 +27,19 @@
   std::vector<MovableTask> services;  // others run out by themselves
 };
 
-struct EmptyInput {
-  std::vector<EmptyCandidate> machines;                 // ordinary ones that may get work
+struct ConsolidationInput {
+  std::vector<ConsolidationCandidate> machines;         // ordinary ones that may get work
   std::map<JobId, std::vector<std::uint32_t>> perZone;  // replicas of the services, by zone
   std::size_t surplus{};                                // how many machines fewer would do
-  std::size_t mostMoves{};  // replicas to be moved at once: each is down for a moment
+  std::size_t maxMoves{};  // replicas to be moved at once: each is down for a moment
 };
 
-struct EmptyDecision {
+struct ConsolidationDecision {
   std::vector<MachineId> machines;                     // get no more work
   std::vector<std::pair<MachineId, AttemptId>> moves;  // to be stopped and started elsewhere
 };
 
 // Only replicas that find room now where their image is held: anything else costs a fetch.
-EmptyDecision chooseToEmpty(EmptyInput in);
+ConsolidationDecision chooseDrainCandidates(ConsolidationInput in);
 
 }  // namespace kestrelhoist
--- a/src/placement/consolidate_test.cpp
+++ b/src/placement/consolidate_test.cpp
@@ -7,14 +7,15 @@
 
 // Machines of 4 places; each replica is of a service of its own and has image 1.
 struct Builder {
-  EmptyInput in;
+  ConsolidationInput in;
   int jobs = 0;
   Builder() {
     in.surplus = 10;
-    in.mostMoves = 10;
+    in.maxMoves = 10;
   }
-  EmptyCandidate& machine(const char* id, std::uint32_t zone, int replicas, bool held = true) {
-    EmptyCandidate m;
+  ConsolidationCandidate& machine(const char* id, std::uint32_t zone, int replicas,
+                                  bool held = true) {
+    ConsolidationCandidate m;
     m.id = MachineId{id};
     m.zone = zone;
     m.capacity = m.free = {4, 4, 4};
@@ -41,7 +42,7 @@
   b.machine("one", 0, 1);
   b.machine("two", 0, 2);
   b.machine("three", 0, 3);
-  auto d = chooseToEmpty(b.in);
+  auto d = chooseDrainCandidates(b.in);
   ASSERT_EQ(d.machines.size(), 1U);  // then nothing is left that fits
   EXPECT_EQ(d.machines[0], MachineId{"one"});
   EXPECT_EQ(d.moves.size(), 1U);
@@ -51,16 +52,16 @@
   Builder b;
   b.machine("one", 0, 1);
   b.machine("two", 0, 2, false);
-  EXPECT_TRUE(chooseToEmpty(b.in).moves.empty());
+  EXPECT_TRUE(chooseDrainCandidates(b.in).moves.empty());
 }
 
 TEST(Consolidate, AllReplicasOfAMachineOrNone) {
   Builder b;
   b.machine("one", 0, 2);
   b.machine("two", 0, 3);
-  EXPECT_TRUE(chooseToEmpty(b.in).moves.empty());
+  EXPECT_TRUE(chooseDrainCandidates(b.in).moves.empty());
   b.in.machines[1].free += {1, 1, 1};
-  EXPECT_EQ(chooseToEmpty(b.in).moves.size(), 2U);
+  EXPECT_EQ(chooseDrainCandidates(b.in).moves.size(), 2U);
 }
 
 TEST(Consolidate, SpreadHoldsAndFreshReplicasStay) {
@@ -71,21 +72,21 @@
   spec->spread = true;  // one in a zone, and its sibling is in the other
   b.in.machines[0].services[0].spec = spec;
   b.in.perZone[spec->id] = {1, 1, 0};
-  EXPECT_TRUE(chooseToEmpty(b.in).moves.empty());
+  EXPECT_TRUE(chooseDrainCandidates(b.in).moves.empty());
   b.in.perZone[spec->id] = {1, 0, 1};
-  EXPECT_EQ(chooseToEmpty(b.in).moves.size(), 1U);
+  EXPECT_EQ(chooseDrainCandidates(b.in).moves.size(), 1U);
   b.in.machines[0].services[0].age = Duration{1000};
-  EXPECT_TRUE(chooseToEmpty(b.in).moves.empty());
+  EXPECT_TRUE(chooseDrainCandidates(b.in).moves.empty());
 }
 
 TEST(Consolidate, OnlyAsManyAsAreSurplusAndMayMove) {
   Builder b;
   for (const char* id : {"a", "b", "c", "d"}) b.machine(id, 0, 1);
   b.in.surplus = 1;
-  EXPECT_EQ(chooseToEmpty(b.in).machines.size(), 1U);
+  EXPECT_EQ(chooseDrainCandidates(b.in).machines.size(), 1U);
   b.in.surplus = 10;
-  b.in.mostMoves = 2;
-  EXPECT_EQ(chooseToEmpty(b.in).moves.size(), 2U);
+  b.in.maxMoves = 2;
+  EXPECT_EQ(chooseDrainCandidates(b.in).moves.size(), 2U);
 }
 
 }  // namespace
--- a/src/placement/order.cpp
+++ b/src/placement/job_queue.cpp
@@ -1,4 +1,4 @@
-#include "placement/order.hpp"
+#include "placement/job_queue.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,18 +8,19 @@
 namespace kestrelhoist {
 namespace {
 
-bool isBatch(const OrderJob& j) { return j.spec->kind != JobKind::service; }
+bool isBatch(const QueuedJob& j) { return j.spec->kind != JobKind::service; }
 
 // What never passes another's turn, whatever waits for how long.
-auto levelOf(const OrderJob& j) {
-  return std::tuple(j.protectedService, j.spec->priority, j.standing);
+auto levelOf(const QueuedJob& j) {
+  return std::tuple(j.protectedService, j.spec->priority, j.priorityAdjustment);
 }
 
 }  // namespace
 
-std::vector<OrderTurn> orderOf(const std::vector<OrderJob>& jobs, std::int64_t nowMs,
-                               const std::vector<double>& machinesFor,
-                               const std::vector<double>& shareOf, const OrderSettings& settings) {
+std::vector<QueueEntry> orderQueue(const std::vector<QueuedJob>& jobs, std::int64_t nowMs,
+                                   const std::vector<double>& machinesFor,
+                                   const std::vector<double>& shareOf,
+                                   const QueueSettings& settings) {
   std::vector<std::size_t> order(jobs.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
@@ -35,9 +36,9 @@
   auto left = [&](std::size_t j) {
     const auto& job = jobs[j];
     if (!job.most) return job.waiting;
-    return std::min(job.waiting, *job.most > job.held ? *job.most - job.held : 0);
+    return std::min(job.waiting, *job.most > job.placed ? *job.most - job.placed : 0);
   };
-  std::vector<OrderTurn> turns;
+  std::vector<QueueEntry> turns;
   std::optional<std::pair<bool, Priority>> rank;
   for (auto from = order.begin(); from != order.end();) {
     auto to = std::find_if(from, order.end(),
@@ -53,7 +54,7 @@
         const auto& job = jobs[*at];
         if (std::pair(job.protectedService, job.spec->priority) != now) break;
         bool late = nowMs - job.acceptedAtMs >= settings.beginWithin.count();
-        if (job.held == 0 && late && left(*at) > 0 && isBatch(job) && !job.begun) {
+        if (job.placed == 0 && late && left(*at) > 0 && isBatch(job) && !job.begun) {
           unbegun.push_back(*at);
         }
       }
@@ -77,7 +78,7 @@
     std::int64_t newest = 0;  // of those that go before
     for (auto at = from; at != to; ++at) {
       const auto& job = jobs[*at];
-      bool waited = nowMs - job.acceptedAtMs >= settings.patience.count();
+      bool waited = nowMs - job.acceptedAtMs >= settings.agingThreshold.count();
       if (isBatch(job) && waited && job.remainingS >= large &&
           newest - job.acceptedAtMs >= settings.cohort.count()) {
         passed.push_back(*at);
@@ -96,9 +97,9 @@
       auto fair = static_cast<std::uint32_t>(
           std::max(1.0, std::floor(machines / std::max(1e-6, shareOf[j]) + 1e-6)));
       // A gang runs whole or not at all.
-      if (jobs[j].spec->kind == JobKind::gang) fair = jobs[j].held + jobs[j].waiting;
-      std::uint32_t most = std::min(left(j), fair > jobs[j].held ? fair - jobs[j].held : 0);
-      given += shareOf[j] * (most + std::min(jobs[j].held, fair));
+      if (jobs[j].spec->kind == JobKind::gang) fair = jobs[j].placed + jobs[j].waiting;
+      std::uint32_t most = std::min(left(j), fair > jobs[j].placed ? fair - jobs[j].placed : 0);
+      given += shareOf[j] * (most + std::min(jobs[j].placed, fair));
       if (most > 0) turns.push_back({j, most, true});
     }
     for (auto at = from; at != to; ++at) turns.push_back({*at, left(*at), false});
--- a/src/placement/order.hpp
+++ b/src/placement/job_queue.hpp
@@ -11,9 +11,9 @@
 
 namespace kestrelhoist {
 
-struct OrderSettings {
+struct QueueSettings {
   // A job that has waited so long is no longer passed by newer ones without getting its share.
-  Duration patience{60000};
+  Duration agingThreshold{60000};
   // One that has waited so long without a beginning gets its first task before others of its rank:
   // all begin within four minutes. Not sooner: under a load that lasts it ends fewer jobs.
   Duration beginWithin{180000};
@@ -28,29 +28,30 @@
   double large = 3;
 };
 
-struct OrderJob {
+struct QueuedJob {
   std::shared_ptr<const JobSpec> spec;
   std::int64_t acceptedAtMs{};  // time of day, as on record
   double remainingS{};          // estimated run time of what is not done
   std::uint32_t waiting{};
-  std::uint32_t held{};  // tasks that are on machines: with `acceptedAtMs`, its place in the order
-  bool begun{};          // some of its tasks are done
+  std::uint32_t
+      placed{};  // tasks that are on machines: with `acceptedAtMs`, its place in the order
+  bool begun{};  // some of its tasks are done
   bool protectedService{};            // above all batch work, whatever its rank (policy)
-  int standing{};                     // within its rank: 1 goes first, -1 yields (calendar)
+  int priorityAdjustment{};           // within its rank: 1 goes first, -1 yields (calendar)
   std::optional<std::uint32_t> most;  // that it may hold now (calendar, pools); empty: no bound
 };
 
 // A turn: up to `most` tasks of this job. A job may have two.
-struct OrderTurn {
+struct QueueEntry {
   std::size_t job{};  // index in the input
   std::uint32_t most{};
   bool overdue{};  // room is gathered for it if there is none
 };
 
 // `machinesFor`: how many machines the job may use; `shareOf`: of one machine that a task takes.
-std::vector<OrderTurn> orderOf(const std::vector<OrderJob>& jobs, std::int64_t nowMs,
-                               const std::vector<double>& machinesFor,
-                               const std::vector<double>& shareOf,
-                               const OrderSettings& settings = {});
+std::vector<QueueEntry> orderQueue(const std::vector<QueuedJob>& jobs, std::int64_t nowMs,
+                                   const std::vector<double>& machinesFor,
+                                   const std::vector<double>& shareOf,
+                                   const QueueSettings& settings = {});
 
 }  // namespace kestrelhoist
--- a/src/placement/order_test.cpp
+++ b/src/placement/job_queue_test.cpp
@@ -1,18 +1,18 @@
-#include "placement/order.hpp"
+#include "placement/job_queue.hpp"
 
 #include <gtest/gtest.h>
 
 namespace kestrelhoist {
 namespace {
 
-OrderJob job(const char* id, std::uint32_t tasks, std::int64_t acceptedS, double remainingS,
-             Priority rank = Priority::low, JobKind kind = JobKind::array) {
+QueuedJob job(const char* id, std::uint32_t tasks, std::int64_t acceptedS, double remainingS,
+              Priority rank = Priority::low, JobKind kind = JobKind::array) {
   JobSpec s;
   s.id = JobId{id};
   s.kind = kind;
   s.priority = rank;
   s.tasks = tasks;
-  OrderJob j;
+  QueuedJob j;
   j.spec = std::make_shared<const JobSpec>(std::move(s));
   j.acceptedAtMs = acceptedS * 1000;
   j.remainingS = remainingS;
@@ -20,10 +20,10 @@
   return j;
 }
 
-std::vector<OrderTurn> order(const std::vector<OrderJob>& jobs, std::int64_t nowS,
-                             double machines = 12, double share = 0.125) {
-  return orderOf(jobs, nowS * 1000, std::vector<double>(jobs.size(), machines),
-                 std::vector<double>(jobs.size(), share));
+std::vector<QueueEntry> order(const std::vector<QueuedJob>& jobs, std::int64_t nowS,
+                              double machines = 12, double share = 0.125) {
+  return orderQueue(jobs, nowS * 1000, std::vector<double>(jobs.size(), machines),
+                    std::vector<double>(jobs.size(), share));
 }
 
 TEST(Order, LeastRemainingWorkFirstWhileNobodyIsPassedForLong) {
@@ -35,7 +35,7 @@
 
 // 300 x 20 s had started nothing after 300 s beside a stream of 8 x 15 s.
 TEST(Order, AJobThatNewerWorkPassesGetsAPartOfItsMachinesFirst) {
-  std::vector<OrderJob> jobs{job("j-1", 300, 0, 6000), job("j-2", 8, 58, 120)};
+  std::vector<QueuedJob> jobs{job("j-1", 300, 0, 6000), job("j-2", 8, 58, 120)};
   auto turns = order(jobs, 60);
   ASSERT_EQ(turns.size(), 3U);
   EXPECT_EQ(turns[0].job, 0U);
@@ -43,9 +43,9 @@
   EXPECT_TRUE(turns[0].overdue);
   EXPECT_EQ(turns[1].job, 1U);
   // What it holds already counts: a new leader goes on from the record.
-  jobs[0].held = 20;
+  jobs[0].placed = 20;
   EXPECT_EQ(order(jobs, 60)[0].most, 4U);
-  jobs[0].held = 24;
+  jobs[0].placed = 24;
   EXPECT_EQ(order(jobs, 60)[0].job, 1U);
 }
 
@@ -61,11 +61,11 @@
 }
 
 TEST(Order, ManyThatWerePassedComeOneAfterTheOther) {
-  std::vector<OrderJob> jobs;
+  std::vector<QueuedJob> jobs;
   for (int i = 0; i < 3; ++i) {
     jobs.push_back(job(("j-" + std::to_string(i)).c_str(), 20, i, 3000.0 + i));
   }
-  jobs[0].held = 5;
+  jobs[0].placed = 5;
   jobs[0].waiting = 15;
   for (int i = 6; i < 10; ++i) {
     jobs.push_back(job(("j-" + std::to_string(i)).c_str(), 1, 100, 900));
@@ -85,7 +85,7 @@
   auto service = job("j-3", 2, 90, 0, Priority::low, JobKind::service);
   service.protectedService = true;
   auto yields = job("j-2", 2, 80, 1);
-  yields.standing = -1;
+  yields.priorityAdjustment = -1;
   yields.most = 1;
   auto turns = order(
       {job("j-1", 8, 80, 50), yields, service, job("j-4", 1, 80, 9, Priority::production)}, 90);
@@ -97,9 +97,9 @@
 }
 
 TEST(Order, EachBeginsOnceItHasWaitedLongTheOldestFirst) {
-  std::vector<OrderJob> jobs{job("j-1", 60, 0, 300), job("j-2", 60, 40, 1800),
-                             job("j-3", 60, 30, 1800)};
-  jobs[0].held = 10;
+  std::vector<QueuedJob> jobs{job("j-1", 60, 0, 300), job("j-2", 60, 40, 1800),
+                              job("j-3", 60, 30, 1800)};
+  jobs[0].placed = 10;
   auto turns = order(jobs, 225);
   EXPECT_EQ(turns[0].job, 2U);
   EXPECT_EQ(turns[1].job, 1U);
@@ -110,9 +110,9 @@
 
 TEST(Order, WhatYieldsBeginsBeforeItsRanksOthersOnceItHasWaitedLong) {
   auto yields = job("j-2", 30, 0, 600);
-  yields.standing = -1;
+  yields.priorityAdjustment = -1;
   yields.most = 1;
-  std::vector<OrderJob> jobs{job("j-1", 8, 110, 50), yields};
+  std::vector<QueuedJob> jobs{job("j-1", 8, 110, 50), yields};
   EXPECT_EQ(order(jobs, 175)[0].job, 0U);
   auto turns = order(jobs, 180);
   EXPECT_EQ(turns[0].job, 1U);
--- a/src/placement/machine_score.cpp
+++ b/src/placement/machine_score.cpp
@@ -67,7 +67,7 @@
 }
 
 double MachineScore::otherImagePenalty(std::size_t m) const {
-  return input_.machines[m].keeps && !placement_.holdsImage(m) ? kKeepsAnother : 0;
+  return input_.machines[m].keptForImage && !placement_.holdsImage(m) ? kKeepsAnother : 0;
 }
 
 double MachineScore::protectedSharePenalty(std::size_t m) const {
--- a/src/placement/task_writes.hpp
+++ b/src/placement/placement_transaction.hpp
@@ -4,18 +4,18 @@
 #include <set>
 
 #include "base/log.hpp"
-#include "placement/task_facts.hpp"
+#include "placement/confirmed_outcomes.hpp"
 
 namespace kestrelhoist {
 
 // Puts together one transaction over stretches of jobs' tasks. Whatever is due for a stretch
 // goes with any change of it, so a task that is lost leaves its machine and gets its next one in
 // the same write.
-class TaskWrites {
+class PlacementTransaction {
  public:
-  TaskWrites(LeaderContext& context, TaskFacts& facts)
+  PlacementTransaction(LeaderContext& context, ConfirmedOutcomes& outcomes)
       : context_(context),
-        facts_(facts),
+        outcomes_(outcomes),
         limit_(context.platform.transactionOps),
         fits_(chunkSizeFor(context.platform.valueBytes)),
         mayWriteFormat2_(context.mayWriteFormat2()) {}
@@ -35,9 +35,10 @@
     }
     bytes_ += size + kBytesPerWrite;
     draft.bytes = size;
-    if (auto due = facts_.due().find({id, index / job.record.chunkSize});
-        due != facts_.due().end()) {
-      for (const auto& [task, fact] : due->second.facts) takeOff(id, draft, task, fact);
+    if (auto pending = outcomes_.pending().find({id, index / job.record.chunkSize});
+        pending != outcomes_.pending().end()) {
+      for (const auto& [task, outcome] : pending->second.outcomes)
+        takeOff(id, draft, task, outcome);
     }
     // A flow's job ends in its flow's own transaction.
     if (draft.done > 0 && !job.record.flow) {
@@ -75,8 +76,9 @@
     }
     auto placed = job.placed.find(index);
     if (placed == job.placed.end()) return true;
-    const TaskFacts::Fact* fact = facts_.factOf({{id, index}, placed->second.attempt});
-    return fact && !fact->settles;
+    const ConfirmedOutcomes::Outcome* outcome =
+        outcomes_.find({{id, index}, placed->second.attempt});
+    return outcome && !outcome->isFinal;
   }
 
   bool empty() const { return drafts_.empty(); }
@@ -164,40 +166,42 @@
 
   // What the attempt used goes with the write that takes it off the record: counted once, however
   // often leaders change.
-  static void account(Draft& draft, std::uint32_t index, const TaskFacts::Fact& fact) {
+  static void account(Draft& draft, std::uint32_t index,
+                      const ConfirmedOutcomes::Outcome& outcome) {
     TaskChunkRecord& r = draft.record;
     const JobState& job = *draft.job;
-    auto ran = static_cast<std::uint64_t>(std::max<std::int64_t>(0, fact.ran.count()));
-    if (fact.how != AttemptOutcome::refused) ++r.use.attempts;
-    bool done = fact.how == AttemptOutcome::done && job.active() && !job.isDropped(index);
+    auto ran = static_cast<std::uint64_t>(std::max<std::int64_t>(0, outcome.ran.count()));
+    if (outcome.how != AttemptOutcome::refused) ++r.use.attempts;
+    bool done = outcome.how == AttemptOutcome::done && job.active() && !job.isDropped(index);
     (done ? r.use.ranMs : r.use.lostMs) += ran;
     if (done) {
       ++r.use.tasks;
       r.failures.erase(index);
-    } else if (fact.how == AttemptOutcome::failed &&
+    } else if (outcome.how == AttemptOutcome::failed &&
                ++r.failures[index] > job.record.flow->retries && !job.isDropped(index)) {
       ++r.use.failed;
     }
   }
 
-  void takeOff(const JobId& id, Draft& draft, std::uint32_t index, const TaskFacts::Fact& fact) {
+  void takeOff(const JobId& id, Draft& draft, std::uint32_t index,
+               const ConfirmedOutcomes::Outcome& outcome) {
     auto at = draft.record.placed.find(index);
     if (index < draft.piece.first || index >= draft.piece.last) return;
-    if (at == draft.record.placed.end() || at->second.attempt != fact.attempt) return;
+    if (at == draft.record.placed.end() || at->second.attempt != outcome.attempt) return;
     draft.record.placed.erase(at);
     const JobState& job = *draft.job;
-    if (fact.how == AttemptOutcome::done && job.active() &&
+    if (outcome.how == AttemptOutcome::done && job.active() &&
         job.record.spec->kind != JobKind::service &&
         !draft.record.finished.test(index - draft.piece.first)) {
       draft.record.finished.set(index - draft.piece.first);
       ++draft.done;
     }
-    if (job.record.flow) account(draft, index, fact);
-    settled_.push_back({{{id, index}, fact.attempt}, fact.how});
+    if (job.record.flow) account(draft, index, outcome);
+    settled_.push_back({{{id, index}, outcome.attempt}, outcome.how});
   }
 
   LeaderContext& context_;
-  TaskFacts& facts_;
+  ConfirmedOutcomes& outcomes_;
   std::size_t limit_;
   std::uint32_t fits_;  // tasks of a record under the smaller limit
   bool mayWriteFormat2_;
--- a/src/placement/plan_turns.cpp
+++ b/src/placement/plan_queue.cpp
@@ -1,4 +1,4 @@
-#include "placement/plan_turns.hpp"
+#include "placement/plan_queue.hpp"
 
 #include <algorithm>
 #include <map>
@@ -45,24 +45,24 @@
   std::map<std::pair<bool, std::optional<std::uint32_t>>, double> counts_;
 };
 
-OrderJob orderJobOf(const PlanJob& job) {
-  OrderJob out;
+QueuedJob queuedJobOf(const PlanJob& job) {
+  QueuedJob out;
   out.spec = job.spec;
   out.acceptedAtMs = job.acceptedAtMs;
   out.remainingS = job.remainingS;
   out.waiting = job.waiting;
-  out.held = job.held;
+  out.placed = job.placed;
   out.begun = job.begun;
   out.protectedService = job.protectedService;
-  out.standing = job.standing;
+  out.priorityAdjustment = job.priorityAdjustment;
   out.most = job.most;
   return out;
 }
 
 }  // namespace
 
-std::vector<OrderTurn> turnsOf(const PlanInput& input) {
-  std::vector<OrderJob> jobs;
+std::vector<QueueEntry> queueOf(const PlanInput& input) {
+  std::vector<QueuedJob> jobs;
   std::vector<double> machinesFor;
   std::vector<double> shares;
   jobs.reserve(input.jobs.size());
@@ -71,11 +71,11 @@
   MachineCounts counts(input);
   Resources largest = largestRoom(input);
   for (const auto& job : input.jobs) {
-    jobs.push_back(orderJobOf(job));
+    jobs.push_back(queuedJobOf(job));
     machinesFor.push_back(counts.of(job));
     shares.push_back(job.spec->perTask.shareOf(largest));
   }
-  return orderOf(jobs, input.nowMs, machinesFor, shares, input.order);
+  return orderQueue(jobs, input.nowMs, machinesFor, shares, input.queue);
 }
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_turns.hpp
+++ b/src/placement/plan_queue.hpp
@@ -3,12 +3,12 @@
 
 #include <vector>
 
-#include "placement/order.hpp"
+#include "placement/job_queue.hpp"
 #include "placement/planner.hpp"
 
 namespace kestrelhoist {
 
 // Jobs by their index in PlanInput::jobs.
-std::vector<OrderTurn> turnsOf(const PlanInput& input);
+std::vector<QueueEntry> queueOf(const PlanInput& input);
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_state.cpp
+++ b/src/placement/plan_state.cpp
@@ -10,13 +10,13 @@
   for (const auto& machine : input.machines) {
     free.push_back(machine.free);
     soon.push_back(machine.soon);
-    protectedShare.push_back(machine.kept);
+    protectedShare.push_back(machine.protectedShare);
     images.push_back(machine.images);
   }
   plan.unplaced.resize(input.jobs.size());
   plan.clearing.resize(input.jobs.size());
   plan.later.resize(input.jobs.size());
-  plan.heldBack.resize(input.jobs.size());
+  plan.withheld.resize(input.jobs.size());
   plan.overLimit.resize(input.jobs.size());
 }
 
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -8,8 +8,8 @@
 #include "placement/job_placement.hpp"
 #include "placement/machine_candidate.hpp"
 #include "placement/machine_score.hpp"
+#include "placement/plan_queue.hpp"
 #include "placement/plan_state.hpp"
-#include "placement/plan_turns.hpp"
 #include "placement/preemption.hpp"
 #include "placement/reservations.hpp"
 
@@ -34,9 +34,9 @@
 }
 
 // Waiting tasks of the job that may not begin now, by policy.
-std::uint32_t heldBackTasks(const PlanJob& job) {
+std::uint32_t withheldTasks(const PlanJob& job) {
   if (!job.most) return 0;
-  std::uint32_t allowed = *job.most > job.held ? *job.most - job.held : 0;
+  std::uint32_t allowed = *job.most > job.placed ? *job.most - job.placed : 0;
   return job.waiting - std::min(job.waiting, allowed);
 }
 
@@ -92,9 +92,9 @@
   }
 
   Plan run() {
-    for (const auto& turn : turnsOf(input_)) serve(turn);
+    for (const auto& turn : queueOf(input_)) serve(turn);
     for (std::size_t j = 0; j < input_.jobs.size(); ++j) countUnplaced(j);
-    state_.plan.gathered = reservations_.machines(input_);
+    state_.plan.reservedMachines = reservations_.machines(input_);
     return std::move(state_.plan);
   }
 
@@ -105,7 +105,7 @@
     TaskSpread spread;
   };
 
-  void serve(const OrderTurn& turn) {
+  void serve(const QueueEntry& turn) {
     std::uint32_t wanted = wantedTasks(turn);
     if (wanted == 0) return;
     JobPlacement placement = placementOf(turn.job);
@@ -122,9 +122,9 @@
     }
   }
 
-  std::uint32_t wantedTasks(const OrderTurn& turn) const {
+  std::uint32_t wantedTasks(const QueueEntry& turn) const {
     const PlanJob& job = input_.jobs[turn.job];
-    std::uint32_t mayBegin = job.waiting - heldBackTasks(job);
+    std::uint32_t mayBegin = job.waiting - withheldTasks(job);
     std::uint32_t settled = settled_[turn.job];
     return std::min(turn.most, mayBegin > settled ? mayBegin - settled : 0);
   }
@@ -138,7 +138,7 @@
   }
 
   // Its turn comes with a later plan; until then, what finds no room counts as demand.
-  void defer(const OrderTurn& turn, JobPlacement& placement, std::uint32_t wanted) {
+  void defer(const QueueEntry& turn, JobPlacement& placement, std::uint32_t wanted) {
     std::uint32_t fitting = bookAnywhere(placement, wanted);
     if (fitting > 0) state_.plan.deferred = true;
     state_.plan.later[turn.job] += fitting;
@@ -203,7 +203,7 @@
            placement.fetchSeconds(machine) > kWorthStopping;
   }
 
-  void record(const OrderTurn& turn, const JobPlacement& placement, std::uint32_t settled,
+  void record(const QueueEntry& turn, const JobPlacement& placement, std::uint32_t settled,
               bool emitted) {
     settled_[turn.job] += settled;
     if (turn.overdue) firstTurns_[turn.job] = {emitted, placement.spread()};
@@ -214,8 +214,8 @@
   // What may not begin now is no demand.
   void countUnplaced(std::size_t j) {
     std::uint32_t left = input_.jobs[j].waiting - settled_[j];
-    state_.plan.heldBack[j] = std::min(left, heldBackTasks(input_.jobs[j]));
-    state_.plan.unplaced[j] = left - state_.plan.heldBack[j];
+    state_.plan.withheld[j] = std::min(left, withheldTasks(input_.jobs[j]));
+    state_.plan.unplaced[j] = left - state_.plan.withheld[j];
   }
 
   const PlanInput& input_;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -13,7 +13,7 @@
 #include "base/types.hpp"
 #include "config/platform.hpp"
 #include "jobs/spec.hpp"
-#include "placement/order.hpp"
+#include "placement/job_queue.hpp"
 
 namespace kestrelhoist {
 
@@ -45,8 +45,8 @@
   std::uint32_t zone{};
   bool spot{};
   bool usable{};                    // may get new work now
-  bool keeps{};                     // kept for the image that it holds
-  double kept{};                    // share of it that protected services take
+  bool keptForImage{};              // kept for the image that it holds
+  double protectedShare{};          // share of it that protected services take
   Resources capacity;               // of the whole machine
   Resources free;                   // now
   Resources soon;                   // once everything that is stopping has gone
@@ -62,10 +62,10 @@
   std::int64_t acceptedAtMs{};
   double remainingS{};  // estimated run time of all its tasks that are not done, together
   std::uint32_t waiting{};
-  std::uint32_t held{};  // tasks that are on machines
-  bool begun{};          // some of its tasks are done
+  std::uint32_t placed{};  // tasks that are on machines
+  bool begun{};            // some of its tasks are done
   bool protectedService{};
-  int standing{};
+  int priorityAdjustment{};
   std::optional<std::uint32_t> most;
   std::uint32_t image{};
   std::uint32_t team{};
@@ -86,7 +86,7 @@
   std::vector<Resources> used;  // by team
   std::size_t zones{};
   std::int64_t nowMs{};  // time of day
-  OrderSettings order;
+  QueueSettings queue;
   std::size_t maxJobs{};  // of how many jobs tasks may be placed: the rest waits for the next plan
 };
 
@@ -107,13 +107,13 @@
 struct Plan {
   std::vector<Placement> placements;  // one for each task, the most important first
   std::vector<Stop> stops;
-  std::vector<std::uint32_t> unplaced;  // per job of the input: tasks that found no room
-  std::vector<std::uint32_t> clearing;  // per job: tasks for which room is being made
-  std::vector<std::uint32_t> later;     // per job: tasks with room, for a later plan
-  std::vector<std::uint32_t> heldBack;  // per job: tasks that may not begin now (policy)
-  std::vector<MachineId> gathered;      // machines whose room is kept for work that waited long
-  std::vector<bool> overLimit;          // per job: its team's limit left tasks unplaced
-  bool deferred{};                      // there was room for more jobs than maxJobs
+  std::vector<std::uint32_t> unplaced;      // per job of the input: tasks that found no room
+  std::vector<std::uint32_t> clearing;      // per job: tasks for which room is being made
+  std::vector<std::uint32_t> later;         // per job: tasks with room, for a later plan
+  std::vector<std::uint32_t> withheld;      // per job: tasks that may not begin now (policy)
+  std::vector<MachineId> reservedMachines;  // machines whose room is kept for work that waited long
+  std::vector<bool> overLimit;              // per job: its team's limit left tasks unplaced
+  bool deferred{};                          // there was room for more jobs than maxJobs
 };
 
 // The same input gives the same plan.
--- a/src/placement/plan_duty.cpp
+++ b/src/placement/planning_loop.cpp
@@ -1,4 +1,4 @@
-#include "placement/plan_duty.hpp"
+#include "placement/planning_loop.hpp"
 
 #include <algorithm>
 
@@ -11,20 +11,20 @@
 constexpr int kPlanShare = 4;     // and this many times what the last one took
 }  // namespace
 
-Duration PlanDuty::bootTime() const {
+Duration PlanningLoop::bootTime() const {
   Duration boot{0};
   for (const auto& type : context_.catalogue->types) boot = std::max(boot, type.boot * 3 / 2);
   return boot;
 }
 
-bool PlanDuty::start() {
+bool PlanningLoop::start() {
   Instant now = context_.runtime.now();
   if (!context_.planInvalidated || !mayPlace() || now < nextPlan_) return false;
   context_.planInvalidated = false;
-  PlanInput input = picture();
+  PlanInput input = buildPlanInput();
   if (input.jobs.empty()) {
     unplaced_.clear();
-    waits_.end(now);
+    pendingReasons_.end(now);
     return false;
   }
   planner_.run(std::move(input), context_.whileLeading([this, now](PlanInput in, Plan plan) {
@@ -33,14 +33,14 @@
     nextPlan_ = end + std::max(kPlanGap, kPlanShare * (end - now));
     context_.runtime.after(nextPlan_ - end,
                            context_.whileLeading([this] { context_.scheduleCycle(); }));
-    onPlan(in, plan);
+    applyPlan(in, plan);
   }));
   return true;
 }
 
 // What the planner needs to know: as on record, less what is proven to have ended since.
-PlanInput PlanDuty::picture() {
-  waits_.begin();
+PlanInput PlanningLoop::buildPlanInput() {
+  pendingReasons_.begin();
   Instant now = context_.runtime.now();
   PlanInput in;
   in.maxJobs = context_.platform.transactionOps;
@@ -57,22 +57,23 @@
     if (!job->active() || !job->record.spec) continue;
     // No part of its team's limit or guarantee, and no demand: what is about to be ready is.
     if (job->blockedOnDependencies()) {
-      waits_.note(id, Waits::dependencies, job->tasks);
+      pendingReasons_.note(id, PendingReason::dependencies, job->tasks);
       continue;
     }
     std::uint32_t waiting = job->waiting();
-    auto lost = facts_.again().find(id);
-    std::uint32_t again = lost == facts_.again().end() ? 0 : lost->second;
+    auto lost = outcomes_.requeued().find(id);
+    std::uint32_t again = lost == outcomes_.requeued().end() ? 0 : lost->second;
     waiting += again;
     if (waiting == 0) continue;
-    if (auto pause = facts_.pausedUntil(id); pause && now < *pause) {
-      waits_.note(id, facts_.refused(id) ? Waits::refused : Waits::errors, waiting);
+    if (auto pause = outcomes_.pausedUntil(id); pause && now < *pause) {
+      pendingReasons_.note(
+          id, outcomes_.refused(id) ? PendingReason::refused : PendingReason::errors, waiting);
       continue;
     }
     // A job that fails wherever it goes: few tasks at a time, and no demand beyond these.
-    auto trials = facts_.trialsLeft(id, *job);
+    auto trials = outcomes_.trialsLeft(id, *job);
     if (trials && *trials < waiting) {
-      waits_.note(id, Waits::errors, waiting - *trials);
+      pendingReasons_.note(id, PendingReason::errors, waiting - *trials);
       waiting = *trials;
     }
     if (waiting == 0) continue;
@@ -82,9 +83,9 @@
     j.waiting = waiting;
     if (context_.effectivePolicy) {
       j.protectedService = context_.effectivePolicy->protects(*j.spec);
-      j.standing = context_.effectivePolicy->standing(*j.spec);
+      j.priorityAdjustment = context_.effectivePolicy->standing(*j.spec);
     }
-    j.held =
+    j.placed =
         job->placed.size() > again ? static_cast<std::uint32_t>(job->placed.size()) - again : 0;
     j.suspect = trials.has_value();
     j.begun = job->finishedCount > 0;
@@ -100,9 +101,9 @@
   }
   if (in.jobs.empty()) return in;
   // Room may have to be gathered for what has waited for long (Planner::gather).
-  bool gathers = std::any_of(in.jobs.begin(), in.jobs.end(), [&](const PlanJob& j) {
+  bool reserves = std::any_of(in.jobs.begin(), in.jobs.end(), [&](const PlanJob& j) {
     return j.spec->kind != JobKind::service &&
-           in.nowMs - j.acceptedAtMs >= in.order.patience.count();
+           in.nowMs - j.acceptedAtMs >= in.queue.agingThreshold.count();
   });
   in.teams.resize(context_.replica.teams());
   in.teamKnown.resize(in.teams.size());
@@ -124,7 +125,7 @@
     p.type = record.type;
     p.zone = zoneNumber(record.zone);
     p.spot = record.spot;
-    p.keeps = context_.effectivePolicy && context_.effectivePolicy->holds(id);
+    p.keptForImage = context_.effectivePolicy && context_.effectivePolicy->holds(id);
     p.usable = type && m && fleet_.usable(*m, now) && !fleet_.cordoned().contains(id);
     if (type) {
       p.capacity = type->capacity;
@@ -144,7 +145,7 @@
       bool stopping = (m && m->session.stopRequests.contains(t.id)) || !t.job->active();
       if (!stopping) p.soon -= spec->perTask;
       if (!p.usable) continue;
-      if (gathers && spec->kind != JobKind::service) {
+      if (reserves && spec->kind != JobKind::service) {
         auto seen = m->firstSeenRunning.find(t.id);
         double ran = seen == m->firstSeenRunning.end() ? 0 : toSeconds(now - seen->second);
         // One that runs for longer than its owner thought is taken to need as long again.
@@ -157,7 +158,7 @@
       }
       // A protected service is stopped for nobody's sake, though its rank would allow it.
       bool kept = context_.effectivePolicy && context_.effectivePolicy->protects(*spec);
-      if (kept) p.kept += spec->perTask.shareOf(p.capacity);
+      if (kept) p.protectedShare += spec->perTask.shareOf(p.capacity);
       if (!stopping && !kept && (guarantees || spec->priority < highest)) {
         auto seen = m->firstSeenRunning.find(t.id);
         p.stoppable.push_back(
@@ -173,7 +174,7 @@
       if (auto at = index.find(id); at != index.end()) j.failedOn.insert(at->second);
     }
   }
-  if (context_.effectivePolicy) holdBack(in);
+  if (context_.effectivePolicy) limitYieldingJobs(in);
   in.zones = zones.size();
   for (std::size_t j = 0; j < in.jobs.size(); ++j) {
     in.jobs[j].perZone.resize(in.zones);
@@ -181,7 +182,7 @@
     if (!spec.spread && !spec.oneZone && spec.kind != JobKind::service) continue;
     for (const auto& [task, placed] : states[j]->placed) {
       auto at = index.find(placed.machine);
-      if (at == index.end() || facts_.factOf({{spec.id, task}, placed.attempt})) continue;
+      if (at == index.end() || outcomes_.find({{spec.id, task}, placed.attempt})) continue;
       ++in.jobs[j].perZone[in.machines[at->second].zone];
       if (spec.kind == JobKind::service) ++in.jobs[j].siblings[at->second];
     }
@@ -191,7 +192,7 @@
 
 // Work that yields holds what those who go first leave; before they come, none is begun that would
 // outlast their coming, unless it saves.
-void PlanDuty::holdBack(PlanInput& in) const {
+void PlanningLoop::limitYieldingJobs(PlanInput& in) const {
   double machines = 0;
   Resources whole;
   for (const auto& m : in.machines) {
@@ -204,12 +205,12 @@
   for (std::size_t i = 0; i < in.jobs.size(); ++i) {
     PlanJob& j = in.jobs[i];
     double share = j.spec->perTask.shareOf(whole);
-    if (j.standing < 0) {
+    if (j.priorityAdjustment < 0) {
       yields.push_back(i);
-      shares.push_back({share, j.waiting, j.held});
+      shares.push_back({share, j.waiting, j.placed});
     } else if (auto until = context_.effectivePolicy->untilYielding(*j.spec);
                until && !j.spec->checkpoints() && j.spec->estimate > *until) {
-      j.most = std::max(j.held, 1U);  // begun, as every job
+      j.most = std::max(j.placed, 1U);  // begun, as every job
     }
   }
   if (yields.empty()) return;
@@ -230,7 +231,7 @@
   for (std::size_t i = 0; i < yields.size(); ++i) in.jobs[yields[i]].most = most[i];
 }
 
-void PlanDuty::onPlan(const PlanInput& input, const Plan& plan) {
+void PlanningLoop::applyPlan(const PlanInput& input, const Plan& plan) {
   unplaced_.clear();
   for (std::size_t j = 0; j < input.jobs.size(); ++j) {
     const JobSpec& spec = *input.jobs[j].spec;
@@ -238,23 +239,23 @@
     // What yields is demand like any other: where machines can be had, room is rented for it beside
     // that of those who go first. What only waits for an opening to pass is none, but shortly
     // before a close.
-    bool yields = input.jobs[j].standing < 0;
-    if (plan.heldBack[j] > 0 && (yields || context_.effectivePolicy->returnsWithin(bootTime()))) {
-      wants += plan.heldBack[j];
+    bool yields = input.jobs[j].priorityAdjustment < 0;
+    if (plan.withheld[j] > 0 && (yields || context_.effectivePolicy->returnsWithin(bootTime()))) {
+      wants += plan.withheld[j];
     }
     if (wants > 0) unplaced_[spec.id] = wants;
-    waits_.note(spec.id, Waits::stops, plan.clearing[j]);
-    waits_.note(spec.id, Waits::turn, plan.later[j]);
-    waits_.note(spec.id, Waits::held, plan.heldBack[j]);
+    pendingReasons_.note(spec.id, PendingReason::preemption, plan.clearing[j]);
+    pendingReasons_.note(spec.id, PendingReason::writeQueue, plan.later[j]);
+    pendingReasons_.note(spec.id, PendingReason::policy, plan.withheld[j]);
     if (plan.unplaced[j] > 0) {
-      waits_.note(spec.id,
-                  plan.overLimit[j] ? Waits::quota
-                  : roomReason      ? roomReason(spec)
-                                    : Waits::room,
-                  plan.unplaced[j]);
+      pendingReasons_.note(spec.id,
+                           plan.overLimit[j] ? PendingReason::quota
+                           : resourcesReason ? resourcesReason(spec)
+                                             : PendingReason::resources,
+                           plan.unplaced[j]);
     }
   }
-  waits_.end(context_.runtime.now());
+  pendingReasons_.end(context_.runtime.now());
   std::set<MachineId> told;
   for (const auto& stop : plan.stops) {
     logInfo("task to be stopped for more important work", "task", stop.id.str(), "machine",
--- a/src/placement/plan_duty.hpp
+++ b/src/placement/planning_loop.hpp
@@ -1,20 +1,20 @@
 // Plans on a copied picture, one at a time; its placements are committed in the same turn.
 #pragma once
 
+#include "placement/pending_reasons.hpp"
 #include "placement/runner.hpp"
-#include "placement/task_duty.hpp"
-#include "placement/waiting.hpp"
+#include "placement/task_loop.hpp"
 
 namespace kestrelhoist {
 
-class PlanDuty : public ControlLoop {
+class PlanningLoop : public ControlLoop {
  public:
-  PlanDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher, TaskFacts& facts,
-           TaskDuty& tasks, PlanRunner& planner)
+  PlanningLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
+               ConfirmedOutcomes& outcomes, TaskLoop& tasks, PlanRunner& planner)
       : context_(context),
         fleet_(fleet),
         dispatcher_(dispatcher),
-        facts_(facts),
+        outcomes_(outcomes),
         tasks_(tasks),
         planner_(planner) {}
 
@@ -25,27 +25,27 @@
   const std::map<JobId, std::uint32_t>& unplaced() const { return unplaced_; }
 
   // Why tasks wait, by the last plan.
-  const WaitBook& waits() const { return waits_; }
+  const PendingReasons& pendingReasons() const { return pendingReasons_; }
   // What stands between this job and machines that it may use; null: just no room.
-  std::function<Waits(const JobSpec&)> roomReason;
+  std::function<PendingReason(const JobSpec&)> resourcesReason;
 
  private:
   bool mayPlace() const { return context_.initialRoundOver && context_.catalogue.has_value(); }
   bool start();
-  PlanInput picture();
-  void holdBack(PlanInput& in) const;
+  PlanInput buildPlanInput();
+  void limitYieldingJobs(PlanInput& in) const;
   Duration bootTime() const;
-  void onPlan(const PlanInput& input, const Plan& plan);
+  void applyPlan(const PlanInput& input, const Plan& plan);
 
   LeaderContext& context_;
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
-  TaskFacts& facts_;
-  TaskDuty& tasks_;
+  ConfirmedOutcomes& outcomes_;
+  TaskLoop& tasks_;
   PlanRunner& planner_;
   Instant nextPlan_{};  // plans take a bounded share of the time
   std::map<JobId, std::uint32_t> unplaced_;
-  WaitBook waits_;
+  PendingReasons pendingReasons_;
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/task_duty.cpp
+++ b/src/placement/task_loop.cpp
@@ -1,19 +1,19 @@
-#include "placement/task_duty.hpp"
+#include "placement/task_loop.hpp"
 
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "placement/task_writes.hpp"
+#include "placement/placement_transaction.hpp"
 
 namespace kestrelhoist {
 
-void TaskDuty::tellStops() {
+void TaskLoop::sendStops() {
   std::set<MachineId> machines;
   for (const auto& [id, job] : context_.replica.live()) {
     if (job->active() && !(job->record.flow && !job->record.flow->dropped.empty())) continue;
     for (const auto& [index, placed] : job->placed) {
       if (job->active() && !job->isDropped(index)) continue;
-      if (told_.insert({{id, index}, placed.attempt}).second) machines.insert(placed.machine);
+      if (stopsSent_.insert({{id, index}, placed.attempt}).second) machines.insert(placed.machine);
     }
   }
   for (const auto& m : machines) dispatcher_.sendCommands(m);
@@ -21,8 +21,8 @@
 
 // What has been proven of tasks and, with a plan, its placements that still hold. A launch
 // follows only after the commit.
-std::optional<Commit> TaskDuty::commit(const PlanInput* input, const Plan* plan) {
-  TaskWrites writes(context_, facts_);
+std::optional<Commit> TaskLoop::commit(const PlanInput* input, const Plan* plan) {
+  PlacementTransaction writes(context_, outcomes_);
   Instant now = context_.runtime.now();
   std::set<MachineId> machines;
   std::size_t placements = 0;
@@ -58,29 +58,29 @@
     }
   }
   // Oldest first, so that none waits for ever behind others.
-  std::vector<std::pair<Instant, TaskFacts::ChunkKey>> urgent;
+  std::vector<std::pair<Instant, ConfirmedOutcomes::ChunkKey>> urgent;
   std::vector<AttemptId> stale;
-  for (const auto& [key, due] : facts_.due()) {
+  for (const auto& [key, pending] : outcomes_.pending()) {
     const auto* job = context_.replica.job(key.first);
     if (!job) continue;  // a flow's, dropped by a later leader
-    if (!facts_.factsUrgent(key, due)) continue;
-    urgent.emplace_back(due.since, key);
+    if (!outcomes_.isUrgent(key, pending)) continue;
+    urgent.emplace_back(pending.since, key);
     const auto& placed = job->placed;
-    for (const auto& [index, fact] : due.facts) {
+    for (const auto& [index, outcome] : pending.outcomes) {
       auto at = placed.find(index);
-      if (at == placed.end() || at->second.attempt != fact.attempt) {
-        stale.push_back({{key.first, index}, fact.attempt});
+      if (at == placed.end() || at->second.attempt != outcome.attempt) {
+        stale.push_back({{key.first, index}, outcome.attempt});
       }
     }
   }
-  for (const auto& id : stale) facts_.forgetFact(id, *context_.replica.job(id.task.job));
+  for (const auto& id : stale) outcomes_.forget(id, *context_.replica.job(id.task.job));
   std::sort(urgent.begin(), urgent.end());
   for (const auto& entry : urgent) {
-    const TaskFacts::ChunkKey& key = entry.second;
-    if (!facts_.due().contains(key)) continue;
-    const auto& facts = facts_.due().at(key).facts;
-    bool all = std::all_of(facts.begin(), facts.end(), [&](const auto& fact) {
-      return writes.open(key.first, *context_.replica.job(key.first), fact.first);
+    const ConfirmedOutcomes::ChunkKey& key = entry.second;
+    if (!outcomes_.pending().contains(key)) continue;
+    const auto& outcomes = outcomes_.pending().at(key).outcomes;
+    bool all = std::all_of(outcomes.begin(), outcomes.end(), [&](const auto& outcome) {
+      return writes.open(key.first, *context_.replica.job(key.first), outcome.first);
     });
     if (!all) break;
   }
@@ -94,9 +94,9 @@
       [this, settled = std::move(settled), machines] {
         for (const auto& [attempt, how] : settled) {
           logDebug("task off its machine", "task", attempt.str(), "how", static_cast<int>(how));
-          told_.erase(attempt);
+          stopsSent_.erase(attempt);
           if (const auto* job = context_.replica.job(attempt.task.job))
-            facts_.forgetFact(attempt, *job);
+            outcomes_.forget(attempt, *job);
         }
         for (const auto& m : machines) dispatcher_.sendCommands(m);
       },
--- a/src/placement/task_duty.hpp
+++ b/src/placement/task_loop.hpp
@@ -2,22 +2,23 @@
 #pragma once
 
 #include "fleet/command_dispatcher.hpp"
+#include "placement/confirmed_outcomes.hpp"
 #include "placement/planner.hpp"
-#include "placement/task_facts.hpp"
 
 namespace kestrelhoist {
 
-class TaskDuty : public ControlLoop {
+class TaskLoop : public ControlLoop {
  public:
-  TaskDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher, TaskFacts& facts)
-      : context_(context), fleet_(fleet), dispatcher_(dispatcher), facts_(facts) {}
+  TaskLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
+           ConfirmedOutcomes& outcomes)
+      : context_(context), fleet_(fleet), dispatcher_(dispatcher), outcomes_(outcomes) {}
 
   LoopStep next() override { return LoopStep::committing(commit(nullptr, nullptr)); }
   void onRecordsChanged(bool byOthers) override {
-    if (byOthers) tellStops();
+    if (byOthers) sendStops();
   }
   // Tasks that are no longer wanted are told so at once, and again with every report.
-  void tellStops();
+  void sendStops();
   // Facts that are due and, with a plan, its placements that still hold.
   std::optional<Commit> commit(const PlanInput* input, const Plan* plan);
 
@@ -25,8 +26,8 @@
   LeaderContext& context_;
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
-  TaskFacts& facts_;
-  std::set<AttemptId> told_;  // stops of cancelled jobs that were sent directly once
+  ConfirmedOutcomes& outcomes_;
+  std::set<AttemptId> stopsSent_;  // stops of cancelled jobs that were sent directly once
 };
 
 }  // namespace kestrelhoist
