--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -1,7 +1,7 @@
 #include "app/leader.hpp"
 
 #include "base/log.hpp"
-#include "dependencies/room_ahead.hpp"
+#include "dependencies/projected_demand.hpp"
 
 namespace kestrelhoist {
 namespace {
@@ -20,15 +20,15 @@
       dispatcher_(context_, fleet_),
       outcomes_(context_, fleet_),
       forecasts_{{}, std::mt19937_64(context_.token.value)},
-      listing_(context_, fleet_, dispatcher_),
-      tasks_(context_, fleet_, dispatcher_, outcomes_),
-      plans_(context_, fleet_, dispatcher_, outcomes_, tasks_, planner),
-      releases_(context_, fleet_, outcomes_),
-      rentals_(context_, fleet_, dispatcher_, plans_, forecasts_),
-      windows_(context_, fleet_, plans_, rentals_, forecasts_),
-      flows_(context_, outcomes_, tasks_),
+      machineList_(context_, fleet_, dispatcher_),
+      taskLoop_(context_, fleet_, dispatcher_, outcomes_),
+      planning_(context_, fleet_, dispatcher_, outcomes_, taskLoop_, planner),
+      terminations_(context_, fleet_, outcomes_),
+      scaling_(context_, fleet_, dispatcher_, planning_, forecasts_),
+      forecast_(context_, fleet_, planning_, scaling_, forecasts_),
+      flows_(context_, outcomes_, taskLoop_),
       policy_(context_, fleet_, policy),
-      loops_{&policy_, &plans_, &tasks_, &releases_, &rentals_, &windows_, &flows_},
+      loops_{&policy_, &planning_, &taskLoop_, &terminations_, &scaling_, &forecast_, &flows_},
       writes_(context_.platform.stateWritesPerS * kLeaderWriteShare,
               std::max<double>(context_.platform.stateWritesPerS * kLeaderWriteShare,
                                static_cast<double>(context_.platform.transactionOps))) {
@@ -39,19 +39,21 @@
     if (c) return commit(std::move(*c));
     scheduleCycle();
   };
-  rentals_.upcoming = [this](Duration horizon) {
+  scaling_.upcoming = [this](Duration horizon) {
     auto room = flows_.upcoming(horizon);
-    auto ofJobs = roomOfJobsReadyWithin(context_.replica, horizon);
+    auto ofJobs = demandOfJobsReadyWithin(context_.replica, horizon);
     room.insert(room.end(), ofJobs.begin(), ofJobs.end());
     return room;
   };
-  rentals_.ending = [this](Duration horizon) {
+  scaling_.ending = [this](Duration horizon) {
     auto room = flows_.ending(horizon);
-    auto ofJobs = roomOfAwaitedJobsEndingWithin(context_.replica, horizon);
+    auto ofJobs = demandOfDependenciesEndingWithin(context_.replica, horizon);
     room.insert(room.end(), ofJobs.begin(), ofJobs.end());
     return room;
   };
-  plans_.resourcesReason = [this](const JobSpec& spec) { return rentals_.resourcesReason(spec); };
+  planning_.resourcesReason = [this](const JobSpec& spec) {
+    return scaling_.resourcesReason(spec);
+  };
   dispatcher_.onReport = [this](Machine& m) { outcomes_.noteOutcomes(m); };
   if (context_.replica.catalogue())
     context_.catalogue = catalogueFrom(*context_.replica.catalogue());
@@ -83,7 +85,7 @@
   Instant now = context_.runtime.now();
   if (!context_.initialRoundOver && dispatcher_.initialRoundOver()) {
     context_.initialRoundOver = true;
-    windows_.load();
+    forecast_.load();
     logInfo("report round over", "machines", fleet_.machines().size());
   }
   if (++timerCount_ % kTimersPerFailureDetection == 0) {
@@ -95,7 +97,7 @@
                           mayHaveActingLeader_);
     dispatcher_.probeOverdue();
   }
-  listing_.onTimer();
+  machineList_.onTimer();
   for (ControlLoop* loop : loops_) loop->onTimer();
   scheduleCycle();
 }
@@ -242,7 +244,7 @@
     } else if (!context_.watcher.reachable()) {
       add("the state service is out of reach", job->waiting());
     } else {
-      for (const auto& g : plans_.pendingReasons().of(id)) add(wordOf(g.why), g.tasks);
+      for (const auto& g : planning_.pendingReasons().of(id)) add(wordOf(g.why), g.tasks);
     }
     for (const auto& [why, tasks] : placed) add(wordOf(why), tasks);
   }
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -2,9 +2,9 @@
 // decide is theirs. It lives from the election to the step-down.
 #pragma once
 
-#include "cloud/listing_duty.hpp"
-#include "cloud/release_duty.hpp"
-#include "cloud/window_duty.hpp"
+#include "cloud/forecast_loop.hpp"
+#include "cloud/machine_list_loop.hpp"
+#include "cloud/termination_loop.hpp"
 #include "flows/duty.hpp"
 #include "policy/duty.hpp"
 
@@ -41,12 +41,12 @@
   CommandDispatcher dispatcher_;
   ConfirmedOutcomes outcomes_;
   DemandForecasts forecasts_;
-  ListingDuty listing_;
-  TaskLoop tasks_;
-  PlanningLoop plans_;
-  ReleaseDuty releases_;
-  RentalDuty rentals_;
-  WindowDuty windows_;
+  MachineListLoop machineList_;
+  TaskLoop taskLoop_;
+  PlanningLoop planning_;
+  TerminationLoop terminations_;
+  ScalingLoop scaling_;
+  ForecastLoop forecast_;
   FlowDuty flows_;
   PolicyDuty policy_;
   std::vector<ControlLoop*> loops_;  // in the order in which they take turns
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -42,7 +42,7 @@
              });
 }
 
-void CloudClient::hire(const RentalRecord& h, std::function<void(HireResult)> done) {
+void CloudClient::requestMachines(const RentalRecord& h, std::function<void(RentalResult)> done) {
   Json body = {{"hire", h.id.value},
                {"rig", h.type.value},
                {"site", h.zone.value},
@@ -51,20 +51,20 @@
   http_.send(
       address_, {"POST", "/hosts", encodeBody(body)}, kTimeout,
       [done = std::move(done)](const std::optional<Response>& r) {
-        HireResult result;
+        RentalResult result;
         auto body = r ? decodeBody(r->body) : std::nullopt;
         if (r && r->status == 200 && body) {
           const Json* hosts = field(*body, "hosts");
           if (hosts && hosts->is_array()) {
-            result.kind = HireResult::Kind::hired;
+            result.kind = RentalResult::Kind::rented;
             for (const auto& h : *hosts) {
               if (h.is_string()) result.machines.emplace_back(h.get<std::string>());
             }
           }
         } else if (r && r->status == 503 && body && textField(*body, "error") == "no capacity") {
-          result.kind = HireResult::Kind::noCapacity;
+          result.kind = RentalResult::Kind::noCapacity;
         } else if (r && r->status == 400) {
-          result.kind = HireResult::Kind::rejected;
+          result.kind = RentalResult::Kind::rejected;
         }
         done(std::move(result));
       });
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -19,8 +19,8 @@
   Duration age{};
 };
 
-struct HireResult {
-  enum class Kind { hired, noCapacity, rejected, failed } kind = Kind::failed;
+struct RentalResult {
+  enum class Kind { rented, noCapacity, rejected, failed } kind = Kind::failed;
   std::vector<MachineId> machines;
 };
 
@@ -30,7 +30,7 @@
 
   bool mayAsk() { return budget_.take(runtime_.now(), 1); }
   void types(std::function<void(std::optional<Catalogue>)> done);
-  void hire(const RentalRecord& rental, std::function<void(HireResult)> done);
+  void requestMachines(const RentalRecord& rental, std::function<void(RentalResult)> done);
   // True: the machines and all that was on them are gone.
   void release(const std::vector<MachineId>& machines, std::function<void(bool)> done);
   void list(std::function<void(std::optional<std::vector<ListedMachine>>)> done);
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-std::map<TypeId, std::pair<double, double>> inMachines(const Catalogue& catalogue,
-                                                       const std::vector<RoomAhead>& ahead) {
+std::map<TypeId, std::pair<double, double>> demandInMachines(
+    const Catalogue& catalogue, const std::vector<ProjectedDemand>& ahead) {
   std::map<TypeId, std::pair<double, double>> out;
   for (const auto& a : ahead) {
     const MachineType* best = cheapest(catalogue, a.perTask, nullptr);
--- a/src/cloud/window_duty.cpp
+++ b/src/cloud/forecast_loop.cpp
@@ -1,4 +1,4 @@
-#include "cloud/window_duty.hpp"
+#include "cloud/forecast_loop.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,16 +7,16 @@
 
 namespace kestrelhoist {
 
-void WindowDuty::onTimer() {
+void ForecastLoop::onTimer() {
   if (!context_.initialRoundOver || !context_.catalogue) return;
   if (context_.runtime.now() >= ends_) {
     turn();
   } else {
-    rentals_.check();
+    scaling_.check();
   }
 }
 
-LoopStep WindowDuty::next() {
+LoopStep ForecastLoop::next() {
   Transaction t = context_.begin();
   auto set = [&](const std::string& key, Json value) {
     t.compares.push_back({key, context_.replica.modRevisionOf(key)});
@@ -32,9 +32,9 @@
   return LoopStep::committing(Commit{std::move(t), nullptr, "types or forecast"});
 }
 
-void WindowDuty::turn() {
+void ForecastLoop::turn() {
   Instant now = context_.runtime.now();
-  auto demand = demandNow(context_, fleet_, plans_.unplaced());
+  auto demand = demandNow(context_, fleet_, planning_.unplaced());
   for (const auto& type : context_.catalogue->types) {
     const TypeDemand& d = demand[type.id];
     auto horizon = static_cast<std::size_t>(
@@ -45,8 +45,8 @@
     // can't come. While every zone refuses, waiting work is not taken for demand.
     auto allRefused = [&](bool spot) {
       return std::all_of(type.zones.begin(), type.zones.end(), [&](const ZoneId& z) {
-        auto r = rentals_.refused().find({type.id, z, spot});
-        return r != rentals_.refused().end() && now - r->second <= kScarceMemory;
+        auto r = scaling_.refused().find({type.id, z, spot});
+        return r != scaling_.refused().end() && now - r->second <= kConstrainedMemory;
       });
     };
     bool noOrdinary = allRefused(false);
@@ -57,11 +57,11 @@
   }
   while (ends_ <= now) ends_ = ends_ + context_.settings.window;
   dirty_ = true;
-  rentals_.decide(true);
+  scaling_.decide(true);
 }
 
 // With less of what a new leader can learn again: first suspects, then types' series.
-Json WindowDuty::fitting(std::size_t bytes) const {
+Json ForecastLoop::fitting(std::size_t bytes) const {
   Json value = toJson();
   for (const char* list : {"suspect", "types"}) {
     while (value.dump().size() >= bytes && !value[list].empty()) {
@@ -73,7 +73,7 @@
   return value;
 }
 
-Json WindowDuty::toJson() const {
+Json ForecastLoop::toJson() const {
   Json types = Json::object();
   for (const auto& [type, series] : forecasts_.series) {
     types[type.value] = {{"firm", series.firm.toJson()}, {"flexible", series.flexible.toJson()}};
@@ -99,7 +99,7 @@
 }
 
 // The windows that an earlier leader left, with the gap since then closed at present demand.
-void WindowDuty::load() {
+void ForecastLoop::load() {
   const auto& stored = context_.replica.forecast();
   if (loaded_ || !stored || !context_.catalogue) return;
   loaded_ = true;
@@ -109,7 +109,7 @@
   auto age = Duration{
       std::max<std::int64_t>(0, context_.runtime.wallMillis() - static_cast<std::int64_t>(*at))};
   auto missed = static_cast<std::size_t>(age / context_.settings.window);
-  auto demand = demandNow(context_, fleet_, plans_.unplaced());
+  auto demand = demandNow(context_, fleet_, planning_.unplaced());
   for (const auto& type : context_.catalogue->types) {
     const Json* entry = field(*types, type.id.value.c_str());
     const Json* firm = entry ? field(*entry, "firm") : nullptr;
--- a/src/cloud/window_duty.hpp
+++ b/src/cloud/forecast_loop.hpp
@@ -1,15 +1,19 @@
 // The forecast's windows: demand is recorded at each turn, kept in one state value, and rented for.
 #pragma once
 
-#include "cloud/rental_duty.hpp"
+#include "cloud/scaling_loop.hpp"
 
 namespace kestrelhoist {
 
-class WindowDuty : public ControlLoop {
+class ForecastLoop : public ControlLoop {
  public:
-  WindowDuty(LeaderContext& context, Fleet& fleet, PlanningLoop& plans, RentalDuty& rentals,
-             DemandForecasts& forecasts)
-      : context_(context), fleet_(fleet), plans_(plans), rentals_(rentals), forecasts_(forecasts) {
+  ForecastLoop(LeaderContext& context, Fleet& fleet, PlanningLoop& planning, ScalingLoop& scaling,
+               DemandForecasts& forecasts)
+      : context_(context),
+        fleet_(fleet),
+        planning_(planning),
+        scaling_(scaling),
+        forecasts_(forecasts) {
     ends_ = context_.electedAt + context_.settings.window;
   }
 
@@ -25,8 +29,8 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  PlanningLoop& plans_;
-  RentalDuty& rentals_;
+  PlanningLoop& planning_;
+  ScalingLoop& scaling_;
   DemandForecasts& forecasts_;
   Instant ends_{};
   bool dirty_ = false;
--- a/src/cloud/listing_duty.cpp
+++ b/src/cloud/machine_list_loop.cpp
@@ -1,4 +1,4 @@
-#include "cloud/listing_duty.hpp"
+#include "cloud/machine_list_loop.hpp"
 
 #include <algorithm>
 
@@ -9,12 +9,12 @@
 constexpr Duration kRetry{1000};
 }  // namespace
 
-void ListingDuty::onTimer() {
+void MachineListLoop::onTimer() {
   if (!context_.catalogue) readTypes();
   if (context_.runtime.now() >= nextList_ && !listing_) readList();
 }
 
-void ListingDuty::readTypes() {
+void MachineListLoop::readTypes() {
   if (asked_ || !context_.cloud.mayAsk()) return;
   asked_ = true;
   context_.cloud.types(context_.whileLeading([this](std::optional<Catalogue> c) {
@@ -28,7 +28,7 @@
   }));
 }
 
-void ListingDuty::readList() {
+void MachineListLoop::readList() {
   if (!context_.cloud.mayAsk()) return;
   listing_ = true;
   nextList_ = context_.runtime.now() + std::max(context_.platform.listLag, Duration{2000});
--- a/src/cloud/listing_duty.hpp
+++ b/src/cloud/machine_list_loop.hpp
@@ -6,9 +6,9 @@
 
 namespace kestrelhoist {
 
-class ListingDuty : public ControlLoop {
+class MachineListLoop : public ControlLoop {
  public:
-  ListingDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher)
+  MachineListLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher)
       : context_(context), fleet_(fleet), dispatcher_(dispatcher) {}
 
   LoopStep next() override { return LoopStep::idle(); }
--- a/src/cloud/renting.cpp
+++ b/src/cloud/scaling_decision.cpp
@@ -1,4 +1,4 @@
-#include "cloud/renting.hpp"
+#include "cloud/scaling_decision.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -12,40 +12,41 @@
 
 int ceilMachines(double share) { return static_cast<int>(std::ceil(std::max(0.0, share) - 1e-6)); }
 
-struct Pool {
+struct PoolState {
   int have{};   // counts toward the target: up, booting in time, ordered
   int inUse{};  // with something on them
   std::map<ZoneId, int> perZone;
 };
 
-Pool poolOf(const RentInput& in, bool spot) {
-  Pool p;
+PoolState poolOf(const ScalingInput& in, bool spot) {
+  PoolState p;
   for (const auto& m : in.machines) {
-    if (m.offer.spot != spot) continue;
+    if (m.offering.spot != spot) continue;
     if (!m.idle) ++p.inUse;
     if (m.late) continue;
     ++p.have;
-    ++p.perZone[m.offer.zone];
+    ++p.perZone[m.offering.zone];
   }
-  for (const auto& [offer, count] : in.ordered) {
-    if (offer.spot != spot || offer.type != in.type->id) continue;
+  for (const auto& [offering, count] : in.pendingRentals) {
+    if (offering.spot != spot || offering.type != in.type->id) continue;
     p.have += static_cast<int>(count);
-    p.perZone[offer.zone] += static_cast<int>(count);
+    p.perZone[offering.zone] += static_cast<int>(count);
   }
   return p;
 }
 
 // Spreads `count` rentals over the zones that are not refused, the emptiest first; `only`: in
 // these.
-void rent(const RentInput& in, bool spot, int count, Pool& pool, RentDecision& out,
-          const std::set<ZoneId>* only = nullptr) {
+void scaleOut(const ScalingInput& in, bool spot, int count, PoolState& pool, ScalingDecision& out,
+              const std::set<ZoneId>* only = nullptr) {
   std::map<ZoneId, std::uint32_t> add;
   for (int i = 0; i < count; ++i) {
     const ZoneId* best = nullptr;
     for (const auto& zone : in.type->zones) {
       if (only && !only->contains(zone)) continue;
-      Offer offer{in.type->id, zone, spot};
-      if (in.refused.contains(offer) || (in.scarce.contains(offer) && add[zone] > 0)) continue;
+      InstanceOffering offering{in.type->id, zone, spot};
+      if (in.refused.contains(offering) || (in.constrained.contains(offering) && add[zone] > 0))
+        continue;
       if (!best || pool.perZone[zone] < pool.perZone[*best]) best = &zone;
     }
     if (!best) break;
@@ -58,34 +59,34 @@
   }
 }
 
-void giveBack(const RentInput& in, bool spot, int surplus, RentDecision& out) {
+void scaleIn(const ScalingInput& in, bool spot, int surplus, ScalingDecision& out) {
   std::map<ZoneId, int> perZone;
-  std::vector<const RentMachine*> idle;
+  std::vector<const ScalingMachine*> idle;
   for (const auto& m : in.machines) {
-    if (m.offer.spot != spot) continue;
-    ++perZone[m.offer.zone];
+    if (m.offering.spot != spot) continue;
+    ++perZone[m.offering.zone];
     if (m.idle && !m.keep && m.up && m.age >= in.minimumCharge) idle.push_back(&m);
   }
   while (surplus-- > 0 && !idle.empty()) {
     // From the zone with the most machines, the newest first: its cache is the coldest.
     auto best = std::max_element(idle.begin(), idle.end(), [&](const auto* a, const auto* b) {
-      int x = perZone[a->offer.zone], y = perZone[b->offer.zone];
+      int x = perZone[a->offering.zone], y = perZone[b->offering.zone];
       return x != y ? x < y : a->age > b->age;
     });
-    --perZone[(*best)->offer.zone];
-    out.giveBack.push_back((*best)->id);
+    --perZone[(*best)->offering.zone];
+    out.scaleIn.push_back((*best)->id);
     idle.erase(best);
   }
 }
 
 }  // namespace
 
-RentDecision decideRent(const RentInput& in) {
-  RentDecision out;
+ScalingDecision decideScaling(const ScalingInput& in) {
+  ScalingDecision out;
   const TypeDemand& d = in.demand;
   const double k = in.spreadMultiple;
-  Pool spot = poolOf(in, true);
-  Pool ordinary = poolOf(in, false);
+  PoolState spot = poolOf(in, true);
+  PoolState ordinary = poolOf(in, false);
 
   double flexible = std::max(d.flexible.mean + kFlexible * d.flexible.spread,
                              d.flexibleOnSpot + d.flexibleOnOrdinary + d.flexibleWaiting);
@@ -93,7 +94,7 @@
       in.useSpot && std::any_of(in.type->zones.begin(), in.type->zones.end(), [&](const ZoneId& z) {
         // Not by the pause alone: zones whose pauses end in
         // turn would keep the work waiting for ever.
-        return !in.scarce.contains({in.type->id, z, true});
+        return !in.constrained.contains({in.type->id, z, true});
       });
   out.spotTarget = std::max(ceilMachines(flexible - d.flexibleOnOrdinary),
                             spot.inUse + ceilMachines(d.flexibleWaiting));
@@ -112,23 +113,24 @@
   for (const auto& [zones, need] : d.pinnedWaiting) {
     // Room elsewhere does not help this work: machines of its zones that are still to come do.
     int coming = 0;
-    for (const auto& m : in.machines) coming += zones.contains(m.offer.zone) && !m.up && !m.late;
-    for (const auto& [offer, n] : in.ordered) {
-      if (zones.contains(offer.zone) && offer.type == in.type->id) coming += static_cast<int>(n);
+    for (const auto& m : in.machines) coming += zones.contains(m.offering.zone) && !m.up && !m.late;
+    for (const auto& [offering, n] : in.pendingRentals) {
+      if (zones.contains(offering.zone) && offering.type == in.type->id)
+        coming += static_cast<int>(n);
     }
     for (const auto& r : out.rentals) {
-      coming += zones.contains(r.offer.zone) ? static_cast<int>(r.count) : 0;
+      coming += zones.contains(r.offering.zone) ? static_cast<int>(r.count) : 0;
     }
-    rent(in, false, ceilMachines(need) - coming, ordinary, out, &zones);
+    scaleOut(in, false, ceilMachines(need) - coming, ordinary, out, &zones);
   }
-  if (out.spotTarget > spot.have) rent(in, true, out.spotTarget - spot.have, spot, out);
+  if (out.spotTarget > spot.have) scaleOut(in, true, out.spotTarget - spot.have, spot, out);
   if (out.ordinaryTarget > ordinary.have) {
-    rent(in, false, out.ordinaryTarget - ordinary.have, ordinary, out);
+    scaleOut(in, false, out.ordinaryTarget - ordinary.have, ordinary, out);
   }
-  if (in.giveBack) {
-    if (spot.have > out.spotTarget) giveBack(in, true, spot.have - out.spotTarget, out);
+  if (in.scaleIn) {
+    if (spot.have > out.spotTarget) scaleIn(in, true, spot.have - out.spotTarget, out);
     if (ordinary.have > out.ordinaryTarget) {
-      giveBack(in, false, ordinary.have - out.ordinaryTarget, out);
+      scaleIn(in, false, ordinary.have - out.ordinaryTarget, out);
     }
   }
   return out;
--- a/src/cloud/renting.hpp
+++ b/src/cloud/scaling_decision.hpp
@@ -12,16 +12,16 @@
 namespace kestrelhoist {
 
 // A thing that can be refused: a type in a zone, spot or ordinary.
-struct Offer {
+struct InstanceOffering {
   TypeId type;
   ZoneId zone;
   bool spot{};
-  auto operator<=>(const Offer&) const = default;
+  auto operator<=>(const InstanceOffering&) const = default;
 };
 
-struct RentMachine {
+struct ScalingMachine {
   MachineId id;
-  Offer offer;
+  InstanceOffering offering;
   bool up{};    // has reported
   bool late{};  // booting for so long that it no longer counts
   bool idle{};  // nothing on it or meant for it
@@ -38,31 +38,31 @@
   std::map<std::set<ZoneId>, double> pinnedWaiting;
 };
 
-struct RentInput {
+struct ScalingInput {
   const MachineType* type{};
-  std::vector<RentMachine> machines;       // of this type, not leaving
-  std::map<Offer, std::uint32_t> ordered;  // rentals asked for, not answered
-  std::set<Offer> refused;                 // not to be asked now
-  std::set<Offer> scarce;                  // refused lately: asked for one at a time
+  std::vector<ScalingMachine> machines;                      // of this type, not leaving
+  std::map<InstanceOffering, std::uint32_t> pendingRentals;  // rentals asked for, not answered
+  std::set<InstanceOffering> refused;                        // not to be asked now
+  std::set<InstanceOffering> constrained;  // refused lately: asked for one at a time
   TypeDemand demand;
   double spreadMultiple = 1.0;
   bool useSpot = true;
-  bool giveBack{};  // the window turns
+  bool scaleIn{};  // the window turns
   Duration minimumCharge{60000};
 };
 
-struct Rental {
-  Offer offer;
+struct ScaleOut {
+  InstanceOffering offering;
   std::uint32_t count{};
 };
 
-struct RentDecision {
-  std::vector<Rental> rentals;
-  std::vector<MachineId> giveBack;
+struct ScalingDecision {
+  std::vector<ScaleOut> rentals;
+  std::vector<MachineId> scaleIn;
   int ordinaryTarget{}, spotTarget{};
   int ordinaryNeeded{};  // if all work were packed as tightly as it goes
 };
 
-RentDecision decideRent(const RentInput& in);
+ScalingDecision decideScaling(const ScalingInput& in);
 
 }  // namespace kestrelhoist
--- a/src/cloud/rental_duty.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -1,4 +1,4 @@
-#include "cloud/rental_duty.hpp"
+#include "cloud/scaling_loop.hpp"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 }  // namespace
 
 // A rental is written down before it is asked for, and again with the machines that came of it.
-LoopStep RentalDuty::next() {
+LoopStep ScalingLoop::next() {
   const std::size_t limit = context_.platform.transactionOps;
   Transaction t = context_.begin();
   std::vector<RentalId> ended;
@@ -40,33 +40,33 @@
   }
   // Machines that nobody expected: on record before they can be used. While a rental of their
   // kind has no answer on record yet, they are likely its own.
-  std::map<Offer, RentalRecord> adopted;
+  std::map<InstanceOffering, RentalRecord> adopted;
   constexpr std::size_t kMostAdopted = 50;  // of a kind at a time, for the size of the value
   auto adopt = [&](const MachineId& id, bool draining) {
     const Machine* m = fleet_.find(id);
     const auto* known = context_.replica.machine(id);
     if (!m || m->type.empty() || (known && !known->rental.empty())) return;
-    Offer offer{m->type, m->zone, m->spot};
+    InstanceOffering offering{m->type, m->zone, m->spot};
     for (const auto& [rentalId, r] : context_.replica.rentals()) {
-      if (!r.answered && Offer{r.type, r.zone, r.spot} == offer) return;
+      if (!r.answered && InstanceOffering{r.type, r.zone, r.spot} == offering) return;
     }
-    RentalRecord& record = adopted[offer];
+    RentalRecord& record = adopted[offering];
     if (record.machines.size() >= kMostAdopted) return;
     record.machines.push_back({id, draining});
   };
   for (const auto& id : fleet_.unrecorded()) adopt(id, false);
   for (const auto& id : fleet_.terminating()) adopt(id, true);
-  for (auto& [offer, record] : adopted) {
+  for (auto& [offering, record] : adopted) {
     if (full()) break;
     record.id =
         RentalId{"a-" + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
-    record.type = offer.type;
-    record.zone = offer.zone;
-    record.spot = offer.spot;
+    record.type = offering.type;
+    record.zone = offering.zone;
+    record.spot = offering.spot;
     record.count = static_cast<std::uint32_t>(record.machines.size());
     record.atMs = context_.runtime.wallMillis();
     record.answered = true;
-    logInfo("machines adopted", "count", record.count, "zone", offer.zone);
+    logInfo("machines adopted", "count", record.count, "zone", offering.zone);
     add(record.id, toJson(record));
   }
   // No more than the cloud takes calls for in a second: what is still wanted later is decided
@@ -84,11 +84,12 @@
       return a.second < b.second;
     });
     std::uint32_t n = std::min(next->second, kMostAtOnce);
-    const Offer& offer = next->first;
+    const InstanceOffering& offering = next->first;
     // Unique for ever: tokens are, and the counter within one.
     RentalId id{"r-" + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
-    RentalRecord record{id,    offer.type, offer.zone, offer.spot, n, context_.runtime.wallMillis(),
-                        false, {}};
+    RentalRecord record{
+        id, offering.type, offering.zone, offering.spot, n, context_.runtime.wallMillis(), false,
+        {}};
     add(id, toJson(record));
     ++written;
     next->second -= n;
@@ -107,36 +108,37 @@
         }
         fleet_.adoptRecords(context_.runtime.now(), context_.runtime.wallMillis());
         context_.planInvalidated = true;
-        startHires();
+        startRentals();
       },
       std::to_string(written) + " rentals wanted, " + std::to_string(ended.size()) + " ended"});
 }
 
-void RentalDuty::startHires() {
+void ScalingLoop::startRentals() {
   for (const auto& [id, rental] : context_.replica.rentals()) {
     if (rental.answered || results_.contains(id) || asked_.contains(id)) continue;
     if (!context_.cloud.mayAsk()) return;
     asked_.insert(id);
-    context_.cloud.hire(
-        rental, context_.whileLeading([this, rental](HireResult r) { onHired(rental, r); }));
+    context_.cloud.requestMachines(rental, context_.whileLeading([this, rental](RentalResult r) {
+      onRentalAnswered(rental, r);
+    }));
   }
 }
 
-void RentalDuty::onHired(const RentalRecord& rental, const HireResult& result) {
+void ScalingLoop::onRentalAnswered(const RentalRecord& rental, const RentalResult& result) {
   Instant now = context_.runtime.now();
-  Offer offer{rental.type, rental.zone, rental.spot};
-  if (result.kind == HireResult::Kind::failed) {
+  InstanceOffering offering{rental.type, rental.zone, rental.spot};
+  if (result.kind == RentalResult::Kind::failed) {
     // Trouble or no answer: the same name again, which rents nothing twice.
     context_.runtime.after(kRetry, context_.whileLeading([this, id = rental.id] {
       asked_.erase(id);
-      startHires();
+      startRentals();
     }));
     return;
   }
   if (result.machines.size() < rental.count) {
-    refused_[offer] = now;
+    refused_[offering] = now;
   } else {
-    refused_.erase(offer);
+    refused_.erase(offering);
   }
   logInfo("rental answered", "rental", rental.id, "got", result.machines.size(), "wanted",
           rental.count, "spot", rental.spot, "type", rental.type, "zone", rental.zone);
@@ -145,16 +147,16 @@
   context_.scheduleCycle();
 }
 
-void RentalDuty::decide(bool turn) {
+void ScalingLoop::decide(bool turn) {
   Instant now = context_.runtime.now();
   nextCheck_ = now + Duration{1000};
-  std::erase_if(refused_, [&](const auto& r) { return now - r.second > kScarceMemory; });
-  auto demand = demandNow(context_, fleet_, plans_.unplaced());
+  std::erase_if(refused_, [&](const auto& r) { return now - r.second > kConstrainedMemory; });
+  auto demand = demandNow(context_, fleet_, planning_.unplaced());
   wanted_.clear();
   // Work that finds no room needs the machines that were to be emptied.
-  if (!plans_.unplaced().empty()) fleet_.cordoned().clear();
+  if (!planning_.unplaced().empty()) fleet_.cordoned().clear();
   for (const auto& type : context_.catalogue->types) {
-    RentInput in;
+    ScalingInput in;
     in.type = &type;
     in.demand = demand[type.id];
     if (auto f = forecasts_.series.find(type.id); f != forecasts_.series.end()) {
@@ -165,8 +167,8 @@
     // room is free by then.
     if (upcoming && ending) {
       Duration horizon = type.boot + type.boot / 2;
-      auto more = inMachines(*context_.catalogue, upcoming(horizon))[type.id];
-      auto less = inMachines(*context_.catalogue, ending(horizon))[type.id];
+      auto more = demandInMachines(*context_.catalogue, upcoming(horizon))[type.id];
+      auto less = demandInMachines(*context_.catalogue, ending(horizon))[type.id];
       double firm = in.demand.firmBooked + in.demand.firmWaiting;
       double flexible =
           in.demand.flexibleOnSpot + in.demand.flexibleOnOrdinary + in.demand.flexibleWaiting;
@@ -182,15 +184,15 @@
     in.useSpot = context_.settings.useSpot;
     // In a storm nothing is given back or emptied: what competes with repair waits.
     const bool storm = context_.effectivePolicy && context_.effectivePolicy->storm();
-    in.giveBack = turn && !storm;
+    in.scaleIn = turn && !storm;
     if (context_.effectivePolicy) {
       double day = context_.effectivePolicy->machinesAhead(type.boot * 3 / 2) /
                    static_cast<double>(context_.catalogue->types.size());
       in.demand.firm.mean = std::max(in.demand.firm.mean, in.demand.firmBooked + day);
     }
-    for (const auto& [offer, at] : refused_) {
-      in.scarce.insert(offer);
-      if (now - at < kRefusedPause) in.refused.insert(offer);
+    for (const auto& [offering, at] : refused_) {
+      in.constrained.insert(offering);
+      if (now - at < kRefusedPause) in.refused.insert(offering);
     }
     // What is rented into a zone that is cut off can't be reached either.
     for (const auto& zone : fleet_.unreachableZones()) {
@@ -203,7 +205,7 @@
       auto n = result == results_.end()
                    ? rental.count
                    : static_cast<std::uint32_t>(result->second.machines.size());
-      in.ordered[{rental.type, rental.zone, rental.spot}] += n;
+      in.pendingRentals[{rental.type, rental.zone, rental.spot}] += n;
     }
     for (auto& [id, m] : fleet_.machines()) {
       const auto* record = context_.replica.machine(id);
@@ -211,9 +213,9 @@
           m.terminationNoticeEnds || fleet_.faulty(m)) {
         continue;
       }
-      RentMachine r;
+      ScalingMachine r;
       r.id = id;
-      r.offer = {m.type, m.zone, m.spot};
+      r.offering = {m.type, m.zone, m.spot};
       r.up = m.hasReported();
       r.age = now - m.rentedAt;
       // Only what the cloud lists as booting: a new leader has not heard the machines that are up,
@@ -224,7 +226,7 @@
       r.keep = context_.effectivePolicy && context_.effectivePolicy->holds(id);
       in.machines.push_back(std::move(r));
     }
-    RentDecision out = decideRent(in);
+    ScalingDecision out = decideScaling(in);
     if (turn) {
       logInfo("window", "type", type.id, "firm", in.demand.firmBooked, "firm_waiting",
               in.demand.firmWaiting, "firm_mean", in.demand.firm.mean, "firm_spread",
@@ -234,18 +236,18 @@
               "flexible_spread", in.demand.flexible.spread, "target_ordinary", out.ordinaryTarget,
               "target_spot", out.spotTarget, "have", in.machines.size());
     }
-    if (turn && !storm && plans_.unplaced().empty()) {
+    if (turn && !storm && planning_.unplaced().empty()) {
       int ordinary = static_cast<int>(
-          std::count_if(in.machines.begin(), in.machines.end(), [&](const RentMachine& m) {
-            return !m.offer.spot && !fleet_.cordoned().contains(m.id);
+          std::count_if(in.machines.begin(), in.machines.end(), [&](const ScalingMachine& m) {
+            return !m.offering.spot && !fleet_.cordoned().contains(m.id);
           }));
       int needed = out.ordinaryNeeded + 1;
       if (ordinary > needed) {
-        emptyMachines(type.id, static_cast<std::size_t>(ordinary - needed));
+        consolidateMachines(type.id, static_cast<std::size_t>(ordinary - needed));
       }
     }
     std::size_t have = in.machines.size();
-    for (const auto& [offer, n] : in.ordered) have += n;
+    for (const auto& [offering, n] : in.pendingRentals) have += n;
     for (const auto& rental : out.rentals) {
       std::uint32_t count = rental.count;
       if (context_.settings.maxMachines > 0) {
@@ -253,16 +255,16 @@
         count = static_cast<std::uint32_t>(std::min<std::size_t>(count, left));
       }
       have += count;
-      if (count > 0) wanted_[rental.offer] += count;
+      if (count > 0) wanted_[rental.offering] += count;
     }
-    for (const auto& id : out.giveBack) {
+    for (const auto& id : out.scaleIn) {
       if (auto* m = fleet_.find(id)) fleet_.requestTermination(*m, "idle above the target");
     }
   }
   if (!wanted_.empty()) context_.scheduleCycle();
 }
 
-PendingReason RentalDuty::resourcesReason(const JobSpec& spec) const {
+PendingReason ScalingLoop::resourcesReason(const JobSpec& spec) const {
   bool offered = false, coming = false;
   auto mayUse = [&](const TypeId& type, const ZoneId& zone, bool spot) {
     return spec.allowsType(type) && (!spec.zone || *spec.zone == zone) &&
@@ -287,7 +289,7 @@
   return offered ? PendingReason::resources : PendingReason::capacity;
 }
 
-void RentalDuty::check() {
+void ScalingLoop::check() {
   if (context_.runtime.now() >= nextCheck_) decide(false);
 }
 
--- a/src/cloud/rental_duty.hpp
+++ b/src/cloud/scaling_loop.hpp
@@ -9,43 +9,43 @@
 
 namespace kestrelhoist {
 
-class RentalDuty : public ControlLoop {
+class ScalingLoop : public ControlLoop {
  public:
-  RentalDuty(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
-             PlanningLoop& plans, DemandForecasts& forecasts)
+  ScalingLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
+              PlanningLoop& planning, DemandForecasts& forecasts)
       : context_(context),
         fleet_(fleet),
         dispatcher_(dispatcher),
-        plans_(plans),
+        planning_(planning),
         forecasts_(forecasts) {}
 
   LoopStep next() override;
-  void onTimer() override { startHires(); }
+  void onTimer() override { startRentals(); }
   // Decides what to rent and, at a window's turn, what to give back.
   void decide(bool turn);
   // The same between turns, once a second.
   void check();
   // Room that will be asked for, and left, within a time; null if nobody tells.
-  std::function<std::vector<RoomAhead>(Duration)> upcoming, ending;
+  std::function<std::vector<ProjectedDemand>(Duration)> upcoming, ending;
   // What stands between a job without room and machines that it may use.
   PendingReason resourcesReason(const JobSpec& spec) const;
   // Offers that were refused, and when last.
-  const std::map<Offer, Instant>& refused() const { return refused_; }
+  const std::map<InstanceOffering, Instant>& refused() const { return refused_; }
 
  private:
-  void startHires();
-  void onHired(const RentalRecord& rental, const HireResult& result);
-  void emptyMachines(const TypeId& type, std::size_t surplus);
+  void startRentals();
+  void onRentalAnswered(const RentalRecord& rental, const RentalResult& result);
+  void consolidateMachines(const TypeId& type, std::size_t surplus);
 
   LeaderContext& context_;
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
-  PlanningLoop& plans_;
+  PlanningLoop& planning_;
   DemandForecasts& forecasts_;
-  std::map<Offer, std::uint32_t> wanted_;  // machines to be rented, by the last decision
+  std::map<InstanceOffering, std::uint32_t> wanted_;  // machines to be rented, by the last decision
   std::set<RentalId> asked_;
-  std::map<RentalId, HireResult> results_;  // to be committed
-  std::map<Offer, Instant> refused_;        // when last
+  std::map<RentalId, RentalResult> results_;     // to be committed
+  std::map<InstanceOffering, Instant> refused_;  // when last
   std::uint64_t count_ = 0;
   Instant nextCheck_{};
 };
--- a/src/cloud/emptying.cpp
+++ b/src/cloud/scaling_loop_consolidation.cpp
@@ -1,14 +1,14 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "cloud/rental_duty.hpp"
+#include "cloud/scaling_loop.hpp"
 #include "placement/consolidate.hpp"
 
 namespace kestrelhoist {
 
 // Moves the replicas of machines that hold few of them to where their images are, so that whole
 // machines fall idle and can be given back.
-void RentalDuty::emptyMachines(const TypeId& type, std::size_t surplus) {
+void ScalingLoop::consolidateMachines(const TypeId& type, std::size_t surplus) {
   constexpr double kMoveShare = 0.02;  // of all replicas, at one turn
   constexpr std::size_t kMoveAtLeast = 4;
   Instant now = context_.runtime.now();
--- a/src/cloud/release_duty.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -1,4 +1,4 @@
-#include "cloud/release_duty.hpp"
+#include "cloud/termination_loop.hpp"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 
 // First the mark that a machine gets no more work; after the cloud's 200, and once its tasks are
 // off the record, the end of its entry. One write for all machines of a rental.
-LoopStep ReleaseDuty::next() {
+LoopStep TerminationLoop::next() {
   std::map<RentalId, RentalRecord> drafts;
   std::vector<MachineId> ended;
   std::size_t marked = 0;
@@ -22,7 +22,7 @@
     if (!drafts.contains(id) && drafts.size() >= context_.platform.transactionOps) return nullptr;
     return &drafts.try_emplace(id, rental->second).first->second;
   };
-  for (const auto& id : releaseConfirmed_) {
+  for (const auto& id : terminated_) {
     const auto* state = context_.replica.machine(id);
     if (!state) {
       ended.push_back(id);
@@ -35,14 +35,14 @@
   }
   for (const auto& id : fleet_.terminating()) {
     const auto* state = context_.replica.machine(id);
-    if (!state || state->draining || releaseConfirmed_.contains(id)) continue;
+    if (!state || state->draining || terminated_.contains(id)) continue;
     if (auto* draft = draftOf(state->rental)) {
       for (auto& m : draft->machines) m.draining = m.draining || m.id == id;
       ++marked;
     }
   }
   auto settle = [this, ended] {
-    for (const auto& id : ended) releaseConfirmed_.erase(id);
+    for (const auto& id : ended) terminated_.erase(id);
   };
   if (drafts.empty()) {
     settle();
@@ -66,8 +66,8 @@
 
 // Asks for the release of machines whose mark is on record. The answer 200 is the one fence for
 // silent machines: they and all that was on them are gone.
-void ReleaseDuty::start() {
-  if (!releasing_.empty()) return;
+void TerminationLoop::start() {
+  if (!terminationUnderWay_.empty()) return;
   constexpr std::size_t kMostNames = 100;
   std::vector<MachineId> batch;
   for (const auto& id : fleet_.terminating()) {
@@ -75,20 +75,21 @@
     if (state && state->draining && batch.size() < kMostNames) batch.push_back(id);
   }
   if (batch.empty() || !context_.cloud.mayAsk()) return;
-  releasing_.insert(batch.begin(), batch.end());
+  terminationUnderWay_.insert(batch.begin(), batch.end());
   context_.cloud.release(batch, context_.whileLeading([this, batch](bool ok) {
     if (!ok) {
       logInfo("release got no 200, asking again", "machines", batch.size());
-      context_.runtime.after(kRetry, context_.whileLeading([this] { releasing_.clear(); }));
+      context_.runtime.after(kRetry,
+                             context_.whileLeading([this] { terminationUnderWay_.clear(); }));
       return;
     }
-    releasing_.clear();
+    terminationUnderWay_.clear();
     for (const auto& id : batch) {
       logInfo("machine released", "machine", id);
       if (const auto* state = context_.replica.machine(id)) {
         for (const auto& t : state->tasks) outcomes_.note(t, AttemptOutcome::lost);
       }
-      releaseConfirmed_.insert(id);
+      terminated_.insert(id);
       fleet_.onReleased(id, context_.runtime.now());
     }
     start();
--- a/src/cloud/release_duty.hpp
+++ b/src/cloud/termination_loop.hpp
@@ -6,9 +6,9 @@
 
 namespace kestrelhoist {
 
-class ReleaseDuty : public ControlLoop {
+class TerminationLoop : public ControlLoop {
  public:
-  ReleaseDuty(LeaderContext& context, Fleet& fleet, ConfirmedOutcomes& outcomes)
+  TerminationLoop(LeaderContext& context, Fleet& fleet, ConfirmedOutcomes& outcomes)
       : context_(context), fleet_(fleet), outcomes_(outcomes) {}
 
   LoopStep next() override;
@@ -20,8 +20,8 @@
   LeaderContext& context_;
   Fleet& fleet_;
   ConfirmedOutcomes& outcomes_;
-  std::set<MachineId> releasing_;         // asked, no answer yet
-  std::set<MachineId> releaseConfirmed_;  // 200, still on record
+  std::set<MachineId> terminationUnderWay_;  // asked, no answer yet
+  std::set<MachineId> terminated_;           // 200, still on record
 };
 
 }  // namespace kestrelhoist
--- a/src/dependencies/room_ahead.cpp
+++ b/src/dependencies/projected_demand.cpp
@@ -1,4 +1,4 @@
-#include "dependencies/room_ahead.hpp"
+#include "dependencies/projected_demand.hpp"
 
 #include <algorithm>
 #include <unordered_map>
@@ -33,35 +33,36 @@
   std::unordered_map<JobId, Duration> ends_;
 };
 
-RoomAhead roomOf(const JobState& job, std::uint32_t tasks) {
+ProjectedDemand demandOf(const JobState& job, std::uint32_t tasks) {
   return {job.record.spec->perTask, tasks, job.record.spec->spotAllowed};
 }
 
 }  // namespace
 
-std::vector<RoomAhead> roomOfJobsReadyWithin(const Replica& replica, Duration horizon) {
-  std::vector<RoomAhead> ahead;
+std::vector<ProjectedDemand> demandOfJobsReadyWithin(const Replica& replica, Duration horizon) {
+  std::vector<ProjectedDemand> ahead;
   ExpectedEnds ends(replica);
   replica.dependencies().forEachBlocked([&](const JobId& id, const std::vector<JobId>& awaited) {
     const auto* job = replica.job(id);
     if (!job || ends.readyIn(awaited) > horizon) return;
-    ahead.push_back(roomOf(*job, job->tasks));
+    ahead.push_back(demandOf(*job, job->tasks));
   });
   return ahead;
 }
 
-std::vector<RoomAhead> roomOfAwaitedJobsEndingWithin(const Replica& replica, Duration horizon) {
-  std::vector<RoomAhead> leaving;
+std::vector<ProjectedDemand> demandOfDependenciesEndingWithin(const Replica& replica,
+                                                              Duration horizon) {
+  std::vector<ProjectedDemand> ending;
   std::set<JobId> counted;
   replica.dependencies().forEachBlocked([&](const JobId&, const std::vector<JobId>& awaited) {
     for (const auto& id : awaited) {
       const auto* job = replica.job(id);
       if (!job || job->placed.empty() || job->record.spec->estimate > horizon) continue;
       if (!counted.insert(id).second) continue;
-      leaving.push_back(roomOf(*job, static_cast<std::uint32_t>(job->placed.size())));
+      ending.push_back(demandOf(*job, static_cast<std::uint32_t>(job->placed.size())));
     }
   });
-  return leaving;
+  return ending;
 }
 
 }  // namespace kestrelhoist
--- a/src/dependencies/room_ahead.hpp
+++ b/src/dependencies/projected_demand.hpp
@@ -10,8 +10,9 @@
 namespace kestrelhoist {
 
 // Of held jobs that are expected to become ready within `horizon`.
-std::vector<RoomAhead> roomOfJobsReadyWithin(const Replica& replica, Duration horizon);
+std::vector<ProjectedDemand> demandOfJobsReadyWithin(const Replica& replica, Duration horizon);
 // Of awaited jobs that run now and are expected to end within it.
-std::vector<RoomAhead> roomOfAwaitedJobsEndingWithin(const Replica& replica, Duration horizon);
+std::vector<ProjectedDemand> demandOfDependenciesEndingWithin(const Replica& replica,
+                                                              Duration horizon);
 
 }  // namespace kestrelhoist
--- a/src/flows/duty.cpp
+++ b/src/flows/duty.cpp
@@ -387,8 +387,8 @@
                     " jobs ended"};
 }
 
-std::vector<RoomAhead> FlowDuty::upcoming(Duration horizon) const {
-  std::vector<RoomAhead> out;
+std::vector<ProjectedDemand> FlowDuty::upcoming(Duration horizon) const {
+  std::vector<ProjectedDemand> out;
   for (const auto& [id, run] : runs_) {
     const FlowState* flow = context_.replica.flows().find(id);
     const FlowVersion* version = flow ? flow->version(run.graph) : nullptr;
@@ -413,8 +413,8 @@
   return out;
 }
 
-std::vector<RoomAhead> FlowDuty::ending(Duration horizon) const {
-  std::vector<RoomAhead> out;
+std::vector<ProjectedDemand> FlowDuty::ending(Duration horizon) const {
+  std::vector<ProjectedDemand> out;
   for (const auto& [id, run] : runs_) {
     for (const auto& [jobId, open] : run.jobs) {
       const auto* job = context_.replica.job(jobId);
--- a/src/flows/duty.hpp
+++ b/src/flows/duty.hpp
@@ -20,9 +20,9 @@
 
   // What becomes ready when tasks end that are expected to end within `horizon`, and how many
   // tasks that is. DESIGN: waiting downstream jobs of a running upstream job add their room.
-  std::vector<RoomAhead> upcoming(Duration horizon) const;
+  std::vector<ProjectedDemand> upcoming(Duration horizon) const;
   // Of what is in jobs, tasks on machines that are expected to end within it: their room is free.
-  std::vector<RoomAhead> ending(Duration horizon) const;
+  std::vector<ProjectedDemand> ending(Duration horizon) const;
 
  private:
   static constexpr Instance kNone = 0xffffffffU;
