--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -36,24 +36,24 @@
       renewal_(platform),
       cancellationBarrier_(platform.peers),
       peerMembership_(runtime, http, platform),
-      stateWay_(runtime, http, peerMembership_,
-                {"state",
-                 platform.stateAddress,
-                 {"GET", std::string("/store/") + keys::kLeader, ""},
-                 kStoreTimeout},
-                [](const PeerStatus& s) { return s.storeAge; }),
-      cloudWay_(
+      stateProxy_(runtime, http, peerMembership_,
+                  {"state",
+                   platform.stateAddress,
+                   {"GET", std::string("/store/") + keys::kLeader, ""},
+                   kStoreTimeout},
+                  [](const PeerStatus& s) { return s.storeAge; }),
+      cloudProxy_(
           runtime, http, peerMembership_,
           {"cloud", platform.cloudAddress, {"GET", "/machine_types", ""}, 3 * kStoreTimeout},
           // Only leaders ask the cloud: of a follower it is mostly not known, and worth a try.
           [](const PeerStatus& s) {
             return s.cloudAge < kUnknownAfter ? s.cloudAge : Duration{0};
           }),
-      workerLine_(runtime, http, peerMembership_),
-      relay_(runtime, peerMembership_, platform.member),
-      store_(runtime, stateWay_, platform.stateAddress,
+      workerTransport_(runtime, http, peerMembership_),
+      forwarder_(runtime, peerMembership_, platform.member),
+      store_(runtime, stateProxy_, platform.stateAddress,
              platform.stateRequestsPerS / static_cast<double>(platform.nodes())),
-      cloud_(runtime, cloudWay_, platform.cloudAddress, platform.cloudRequestsPerS * 0.9),
+      cloud_(runtime, cloudProxy_, platform.cloudAddress, platform.cloudRequestsPerS * 0.9),
       versions_(platform),
       versionWriter_(runtime, store_, replica_, versions_, platform.member),
       watcher_(runtime, store_, replica_, watcherSettings(platform, kStoreSilent)),
@@ -63,7 +63,7 @@
       policy_(runtime, store_, watcher_, replica_, policyReplica_, platform),
       election_({platform.member, incarnation, kLeaseLife, kLeaseRenew}),
       // A worker that hangs in a try waits 4 s and then 1 s before the next (PROTOCOL, "Workers").
-      scouts_(Duration{5000} * static_cast<int>(platform.nodes() - 1) + Duration{1000},
+      canary_(Duration{5000} * static_cast<int>(platform.nodes() - 1) + Duration{1000},
               platform.workerLease, platform.reportEvery) {
   replica_.add(policyReplica_);
   replica_.add(versions_);
@@ -148,8 +148,8 @@
 // Forgets workers that have not come for long.
 void Controller::expireWorkers(Instant now) {
   expiredAt_ = now;
-  answered_.sweep(now);
-  workerLine_.sweep();
+  ackLog_.expire(now);
+  workerTransport_.expire();
   std::erase_if(redirectedAt_, [&](const auto& e) { return now - e.second > kExpireEvery; });
 }
 
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -4,6 +4,11 @@
 #include <memory>
 
 #include "app/leader.hpp"
+#include "connectivity/heartbeat_ack_log.hpp"
+#include "connectivity/heartbeat_forwarder.hpp"
+#include "connectivity/heartbeat_route.hpp"
+#include "connectivity/peer_proxy.hpp"
+#include "connectivity/redirect_canary.hpp"
 #include "flows/service.hpp"
 #include "jobs/service.hpp"
 #include "leadership/cancellation_barrier.hpp"
@@ -11,11 +16,6 @@
 #include "leadership/peer_membership.hpp"
 #include "members/service.hpp"
 #include "policy/service.hpp"
-#include "reach/answered.hpp"
-#include "reach/detour.hpp"
-#include "reach/relay.hpp"
-#include "reach/route.hpp"
-#include "reach/scouts.hpp"
 #include "versions/versions.hpp"
 
 namespace kestrelhoist {
@@ -85,8 +85,8 @@
   // controller_reports.cpp
   void onHeartbeat(const Request& request, const Respond& respond);
   Instant noteHeartbeat(const Report& report);
-  ReportView heartbeatView(const Report& report) const;
-  void addUnreachableLeader(const Report& report, ReportView& v) const;
+  HeartbeatView heartbeatView(const Report& report) const;
+  void addUnreachableLeader(const Report& report, HeartbeatView& v) const;
   // As the leader. `via`: the peer that passed the report on.
   Response serveReport(const Report& report, const std::optional<MemberId>& via);
   Response answerUnforwarded(const Report& report);
@@ -108,11 +108,11 @@
   const LeaseRenewal renewal_;
   CancellationBarrier cancellationBarrier_;
   PeerMembership peerMembership_;
-  Detour stateWay_;
-  Detour cloudWay_;
-  WorkerLine workerLine_;
-  Relay relay_;
-  Answered answered_;
+  PeerProxy stateProxy_;
+  PeerProxy cloudProxy_;
+  WorkerTransport workerTransport_;
+  HeartbeatForwarder forwarder_;
+  HeartbeatAckLog ackLog_;
   StoreClient store_;
   CloudClient cloud_;
   Replica replica_;
@@ -134,7 +134,7 @@
   Instant lastWorker_{};
   Instant lastForeignWorker_{};  // a worker of another zone
   Instant lastPeer_{};           // any other controller was heard
-  Scouts scouts_;
+  RedirectCanary canary_;
   std::map<MachineId, Instant> redirectedAt_;  // workers told to go elsewhere, when
   std::optional<Instant> leaderUnreachableSince_;
   Instant started_{};
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -95,10 +95,12 @@
 
 void Controller::startLeader() {
   watcher_.setInterval(kLeaderRead);
-  workerLine_.forget();
-  LeaderContext context{runtime_,    store_,    watcher_,  replica_,          cloud_,
-                        workerLine_, platform_, settings_, election_.token(), runtime_.now()};
-  context.workersReachedSince = [this](Instant sent) { return workerLine_.reachedSince(sent); };
+  workerTransport_.forgetNextHops();
+  LeaderContext context{runtime_,         store_,    watcher_,  replica_,          cloud_,
+                        workerTransport_, platform_, settings_, election_.token(), runtime_.now()};
+  context.workersReachedSince = [this](Instant sent) {
+    return workerTransport_.reachedSince(sent);
+  };
   context.effectivePolicy = &policyReplica_;
   context.allMembersRead = [this](unsigned format) { return versions_.allAtLeast(format); };
   context.timeOfDay = [this] { return timeOfDay(); };
@@ -107,7 +109,7 @@
       return p.zone == zone && peerMembership_.mayBeAlive(p.member);
     });
   });
-  for (const auto& [machine, at] : answered_.all()) leader_->fleet().noteAckByPeer(machine, at);
+  for (const auto& [machine, at] : ackLog_.entries()) leader_->fleet().noteAckByPeer(machine, at);
   requestAckTimesFromPeers();
 }
 
@@ -115,17 +117,16 @@
 // counts its silence from its own first moment, and its tasks are long over before it is given up.
 void Controller::requestAckTimesFromPeers() {
   for (const auto& peer : platform_.peers) {
-    peerMembership_.send(peer.member, {"POST", "/mesh/answered", encodeBody(Json::object())},
-                         Duration{2000},
-                         [this, token = election_.token()](const std::optional<Response>& r) {
-                           if (!leader_ || leader_->token() != token || !r || r->status != 200)
-                             return;
-                           auto body = decodeBody(r->body);
-                           if (!body) return;
-                           for (const auto& [machine, at] : Answered::from(*body, runtime_.now())) {
-                             leader_->fleet().noteAckByPeer(machine, at);
-                           }
-                         });
+    peerMembership_.send(
+        peer.member, {"POST", "/mesh/answered", encodeBody(Json::object())}, Duration{2000},
+        [this, token = election_.token()](const std::optional<Response>& r) {
+          if (!leader_ || leader_->token() != token || !r || r->status != 200) return;
+          auto body = decodeBody(r->body);
+          if (!body) return;
+          for (const auto& [machine, at] : HeartbeatAckLog::parse(*body, runtime_.now())) {
+            leader_->fleet().noteAckByPeer(machine, at);
+          }
+        });
   }
 }
 
--- a/src/app/controller_peers.cpp
+++ b/src/app/controller_peers.cpp
@@ -48,17 +48,17 @@
     respond(leader_ ? jsonResponse(200, leader_->why(JobId{job->path.substr(1)}))
                     : jsonResponse(409, {{"error", "does not lead"}}));
   } else if (request.path == "/mesh/answered") {
-    respond(jsonResponse(200, answered_.toJson(runtime_.now())));
+    respond(jsonResponse(200, ackLog_.toJson(runtime_.now())));
   } else if (auto state = below("/mesh/state")) {
-    stateWay_.serve(*state, respond);
+    stateProxy_.serve(*state, respond);
   } else if (auto cloud = below("/mesh/cloud")) {
-    cloudWay_.serve(*cloud, respond);
+    cloudProxy_.serve(*cloud, respond);
   } else if (auto worker = below("/mesh/worker")) {
     auto slash = worker->path.find('/', 1);
     if (slash == std::string::npos) return false;
     std::string address = worker->path.substr(1, slash - 1);
     worker->path = worker->path.substr(slash);
-    workerLine_.serve(address, *worker, respond);
+    workerTransport_.serve(address, *worker, respond);
   } else {
     return false;
   }
@@ -72,12 +72,12 @@
       std::max(election_.leads() ? election_.token() : FencingToken{}, replica_.leaderToken());
   s.leading = leader_ != nullptr;
   // By its own links: what peers reach for it is not for others to build on.
-  auto ageOf = [now = runtime_.now()](const Link& link) {
+  auto ageOf = [now = runtime_.now()](const LinkHealth& link) {
     if (!link.lastGood()) return Duration{3600000};
     return std::clamp(now - *link.lastGood(), Duration{0}, Duration{3600000});
   };
-  s.storeAge = ageOf(stateWay_.link());
-  s.cloudAge = ageOf(cloudWay_.link());
+  s.storeAge = ageOf(stateProxy_.link());
+  s.cloudAge = ageOf(cloudProxy_.link());
   s.supportsForwarding = true;
   s.wallMs = runtime_.wallMillis();
   s.workersAge = std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastWorker_));
--- a/src/app/controller_reports.cpp
+++ b/src/app/controller_reports.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 // Without contact to the state service for so long, this controller answers in the leader's stead.
-constexpr Duration kAnswersAloneAfter{1500};
+constexpr Duration kAnswersLocallyAfter{1500};
 // The leader has not answered reports that were passed on for so long: it may not get them.
-constexpr Duration kRelayDoubt{3000};
+constexpr Duration kForwardingDoubt{3000};
 
 }  // namespace
 
@@ -20,84 +20,85 @@
   if (!report) return respond(jsonResponse(400, {{"error", "not a report"}}));
   Instant came = noteHeartbeat(*report);
   auto answer = [this, came, machine = report->machine, respond](Response r) {
-    if (r.status == 200) answered_.note(machine, came);
+    if (r.status == 200) ackLog_.record(machine, came);
     respond(std::move(r));
   };
-  Route route = routeReport(heartbeatView(*report));
-  if (route.way == Way::serve) return answer(serveReport(*report, std::nullopt));
-  if (route.way != Way::relay) return answer(answerLocally(*report, route));
-  relay_.pass(*route.to, request.body,
-              [this, answer, report = *report](const std::optional<Response>& r) {
-                answer(r ? *r : answerUnforwarded(report));
-              });
+  Route route = routeHeartbeat(heartbeatView(*report));
+  if (route.action == RouteAction::serve) return answer(serveReport(*report, std::nullopt));
+  if (route.action != RouteAction::forward) return answer(answerLocally(*report, route));
+  forwarder_.forward(*route.to, request.body,
+                     [this, answer, report = *report](const std::optional<Response>& r) {
+                       answer(r ? *r : answerUnforwarded(report));
+                     });
 }
 
 // A worker was heard; returns when.
 Instant Controller::noteHeartbeat(const Report& report) {
   lastWorker_ = runtime_.now();
   if (report.zone != platform_.zone) lastForeignWorker_ = lastWorker_;
-  scouts_.reported(report.machine, lastWorker_);
-  workerLine_.heard(report.address, std::nullopt);
+  canary_.onReport(report.machine, lastWorker_);
+  workerTransport_.noteReport(report.address, std::nullopt);
   return lastWorker_;
 }
 
 // The leader was asked in vain: as if it were not there.
 Response Controller::answerUnforwarded(const Report& report) {
-  ReportView v = heartbeatView(report);
+  HeartbeatView v = heartbeatView(report);
   if (v.leads) return serveReport(report, std::nullopt);
   v.leader.reset();
-  return answerLocally(report, routeReport(v));
+  return answerLocally(report, routeHeartbeat(v));
 }
 
 // Answers without the leader.
 Response Controller::answerLocally(const Report& report, const Route& route) {
-  if (route.way == Way::leaseOnly) return leaseOnlyResponse(report);
+  if (route.action == RouteAction::leaseOnly) return leaseOnlyResponse(report);
   return redirect(report, route.to);
 }
 
-ReportView Controller::heartbeatView(const Report& report) const {
-  ReportView v;
+HeartbeatView Controller::heartbeatView(const Report& report) const {
+  HeartbeatView v;
   v.now = runtime_.now();
   v.leads = leader_ && election_.leads();
-  v.keyLife = kLeaseLife;
+  v.leaderLeaseLife = kLeaseLife;
   v.renewUntil = renewUntil();
   v.contactAge = watcher_.contactAge();
-  v.known = lastToken_;
-  v.reported = report.token;
+  v.knownToken = lastToken_;
+  v.reportedToken = report.token;
   v.foreignZone = report.zone != platform_.zone;
   v.lease = platform_.workerLease;
   if (auto away = redirectedAt_.find(report.machine); away != redirectedAt_.end()) {
-    v.sentAwayAgo = v.now - away->second;
+    v.sinceRedirect = v.now - away->second;
   }
   if (const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence)) {
     v.leader = leader->member;
-    v.leaderRelays = leader->supportsForwarding && relay_.failingFor(leader->member) < kRelayDoubt;
-    v.leaderHears = !leader->hasLostWorkers;
+    v.leaderForwards =
+        leader->supportsForwarding && forwarder_.failingFor(leader->member) < kForwardingDoubt;
+    v.leaderReachesWorkers = !leader->hasLostWorkers;
   }
-  v.isolated = !peerMembership_.anyReachable(kPeerPresence) && v.contactAge >= kAnswersAloneAfter;
+  v.isolated = !peerMembership_.anyReachable(kPeerPresence) && v.contactAge >= kAnswersLocallyAfter;
   Instant cutOff = std::max(lastPeer_, v.now - v.contactAge);
-  v.zonesReach = lastForeignWorker_ > cutOff + Duration{500} &&
-                 v.now - lastForeignWorker_ < 2 * platform_.reportEvery + Duration{3000};
+  v.foreignZonesReach = lastForeignWorker_ > cutOff + Duration{500} &&
+                        v.now - lastForeignWorker_ < 2 * platform_.reportEvery + Duration{3000};
   if (!v.leader) addUnreachableLeader(report, v);
   return v;
 }
 
 // What the view has of a holder of the leader key that is not heard.
-void Controller::addUnreachableLeader(const Report& report, ReportView& v) const {
+void Controller::addUnreachableLeader(const Report& report, HeartbeatView& v) const {
   const auto& holder = replica_.leader();
-  if (v.contactAge >= kAnswersAloneAfter || !holder || holder->member == platform_.member ||
+  if (v.contactAge >= kAnswersLocallyAfter || !holder || holder->member == platform_.member ||
       !leaderUnreachableSince_) {
     return;
   }
-  v.holder = holder->member;
-  v.holderUnheard = v.now - *leaderUnreachableSince_;
+  v.unreachableLeader = holder->member;
+  v.leaderUnreachableFor = v.now - *leaderUnreachableSince_;
   // One that has just come from a tour has spent most of its lease: it is answered here first (16
   // of 24 replicas were left where it was sent on another tour at once).
-  auto here = answered_.all().find(report.machine);
-  bool fresh = here != answered_.all().end() &&
+  auto here = ackLog_.entries().find(report.machine);
+  bool fresh = here != ackLog_.entries().end() &&
                v.now - here->second < platform_.reportEvery * 5 / 4 + Duration{1500};
-  v.mayPoint = scouts_.may(*v.holder, report.tasks.empty(), v.now) &&
-               (fresh || report.tasks.empty() || !mayRenewAlone(v));
+  v.mayRedirect = canary_.mayRedirect(*v.unreachableLeader, report.tasks.empty(), v.now) &&
+                  (fresh || report.tasks.empty() || !mayRenewLocally(v));
 }
 
 // A worker keeps its lease while no leader can be asked, under the token that it and this
@@ -119,7 +120,7 @@
   redirectedAt_[report.machine] = runtime_.now();
   if (to && replica_.leader() && *to == replica_.leader()->member &&
       !peerMembership_.recentStatus(*to, kPeerPresence)) {
-    scouts_.sent(*to, report.machine, runtime_.now());
+    canary_.onRedirected(*to, report.machine, runtime_.now());
   }
   Json body = Json::object();
   if (to) body["steward"] = to->value;
@@ -138,7 +139,7 @@
     stepDown("machine " + report.machine.value + " has seen a higher token", false, Duration{500});
     return away();
   }
-  if (via) workerLine_.heard(report.address, via);
+  if (via) workerTransport_.noteReport(report.address, via);
   return leader_->onReport(report, watcher_.contactAge() < kStoreSilent);
 }
 
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -6,7 +6,7 @@
 #include "cloud/machine_list_loop.hpp"
 #include "cloud/termination_loop.hpp"
 #include "flows/duty.hpp"
-#include "policy/duty.hpp"
+#include "policy/policy_loop.hpp"
 
 namespace kestrelhoist {
 
@@ -48,7 +48,7 @@
   ScalingLoop scaling_;
   ForecastLoop forecast_;
   FlowDuty flows_;
-  PolicyDuty policy_;
+  PolicyLoop policy_;
   std::vector<ControlLoop*> loops_;  // in the order in which they take turns
   RateBudget writes_;
   bool stepUnderWay_ = false;  // a commit or a held turn is under way
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -183,8 +183,8 @@
     in.spreadMultiple = context_.settings.spreadMultiple;
     in.useSpot = context_.settings.useSpot;
     // In a storm nothing is given back or emptied: what competes with repair waits.
-    const bool storm = context_.effectivePolicy && context_.effectivePolicy->storm();
-    in.scaleIn = turn && !storm;
+    const bool massFailure = context_.effectivePolicy && context_.effectivePolicy->massFailure();
+    in.scaleIn = turn && !massFailure;
     if (context_.effectivePolicy) {
       double day = context_.effectivePolicy->machinesAhead(type.boot * 3 / 2) /
                    static_cast<double>(context_.catalogue->types.size());
@@ -223,7 +223,7 @@
       r.late = !r.up && m.listed == Listed::booting &&
                toSeconds(r.age) > kLateBoot * toSeconds(type.boot);
       r.idle = !record || record->tasks.empty();
-      r.keep = context_.effectivePolicy && context_.effectivePolicy->holds(id);
+      r.keep = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(id);
       in.machines.push_back(std::move(r));
     }
     ScalingDecision out = decideScaling(in);
@@ -236,7 +236,7 @@
               "flexible_spread", in.demand.flexible.spread, "target_ordinary", out.ordinaryTarget,
               "target_spot", out.spotTarget, "have", in.machines.size());
     }
-    if (turn && !storm && planning_.unplaced().empty()) {
+    if (turn && !massFailure && planning_.unplaced().empty()) {
       int ordinary = static_cast<int>(
           std::count_if(in.machines.begin(), in.machines.end(), [&](const ScalingMachine& m) {
             return !m.offering.spot && !fleet_.cordoned().contains(m.id);
--- a/src/reach/reach_test.cpp
+++ b/src/connectivity/connectivity_test.cpp
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
 
-#include "reach/answered.hpp"
-#include "reach/detour.hpp"
-#include "reach/relay.hpp"
-#include "reach/route.hpp"
+#include "connectivity/heartbeat_ack_log.hpp"
+#include "connectivity/heartbeat_forwarder.hpp"
+#include "connectivity/heartbeat_route.hpp"
+#include "connectivity/peer_proxy.hpp"
 #include "sim/virtual_time.hpp"
 
 namespace kestrelhoist {
@@ -12,13 +12,13 @@
 const MemberId kPeer{"peer"}, kOther{"other"};
 
 // Read a second ago, with the token that the worker has, and nobody to ask.
-ReportView alone() {
-  ReportView v;
+HeartbeatView alone() {
+  HeartbeatView v;
   v.now = Instant{100000};
   v.contactAge = Duration{1000};
   v.renewUntil = v.now + Duration{19000};
-  v.known = v.reported = FencingToken{7};
-  v.keyLife = Duration{3000};
+  v.knownToken = v.reportedToken = FencingToken{7};
+  v.leaderLeaseLife = Duration{3000};
   v.lease = Duration{12000};
   return v;
 }
@@ -26,112 +26,112 @@
 TEST(Route, TheLeaderIsAskedWhileItIsHeard) {
   auto v = alone();
   v.leader = kPeer;
-  v.leaderRelays = true;
-  EXPECT_EQ(routeReport(v).way, Way::relay);
+  v.leaderForwards = true;
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::forward);
   v.leads = true;
-  EXPECT_EQ(routeReport(v).way, Way::serve);
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::serve);
 }
 
 TEST(Route, ALeaderThatTakesNoReportsFromPeersGetsItsWorkers) {
   auto v = alone();
   v.leader = kPeer;
-  v.leaderHears = true;  // the version before, or passing on fails
-  EXPECT_EQ(routeReport(v).way, Way::sendTo);
-  EXPECT_EQ(routeReport(v).to, kPeer);
+  v.leaderReachesWorkers = true;  // the version before, or passing on fails
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::redirect);
+  EXPECT_EQ(routeHeartbeat(v).to, kPeer);
   // Back from there a moment ago: it did not get through.
-  v.sentAwayAgo = Duration{5000};
-  EXPECT_EQ(routeReport(v).way, Way::leaseOnly);
-  v.sentAwayAgo = Duration{7000};
-  EXPECT_EQ(routeReport(v).way, Way::sendTo);
+  v.sinceRedirect = Duration{5000};
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
+  v.sinceRedirect = Duration{7000};
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::redirect);
 }
 
 TEST(Route, LeaseOnlyWithinTheBoundAndUnderAKnownToken) {
   auto v = alone();
-  EXPECT_EQ(routeReport(v).way, Way::leaseOnly);
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.renewUntil = v.now;
-  EXPECT_EQ(routeReport(v).way, Way::leaseOnly);
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.renewUntil = v.now - Duration{1};  // a cancellation might be unknown for too long
-  EXPECT_EQ(routeReport(v).way, Way::refuse);
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
   v = alone();
-  v.reported = FencingToken{8};  // the worker would drop it, and stay while its lease runs out
-  EXPECT_EQ(routeReport(v).way, Way::refuse);
+  v.reportedToken = FencingToken{8};  // the worker would drop it, and stay while its lease runs out
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
   v = alone();
-  v.known = v.reported = FencingToken{};
-  EXPECT_EQ(routeReport(v).way, Way::refuse);
+  v.knownToken = v.reportedToken = FencingToken{};
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
   v = alone();
   v.renewUntil.reset();
-  EXPECT_EQ(routeReport(v).way, Way::refuse);
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
 }
 
 TEST(Route, AHolderThatRenewsOutOfSightGetsItsWorkers) {
   auto v = alone();
-  v.holder = kPeer;
-  v.holderUnheard = Duration{2900};  // its key may outlive it for so long
-  EXPECT_EQ(routeReport(v).way, Way::leaseOnly);
-  v.holderUnheard = Duration{3100};
-  EXPECT_EQ(routeReport(v).way, Way::sendTo);
-  EXPECT_EQ(routeReport(v).to, kPeer);
+  v.unreachableLeader = kPeer;
+  v.leaderUnreachableFor = Duration{2900};  // its key may outlive it for so long
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
+  v.leaderUnreachableFor = Duration{3100};
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::redirect);
+  EXPECT_EQ(routeHeartbeat(v).to, kPeer);
 }
 
 TEST(Route, CutOffAloneItKeepsItsZonesWorkersAndSendsOthersOn) {
   auto v = alone();
   v.isolated = true;
-  EXPECT_EQ(routeReport(v).way, Way::leaseOnly);
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.foreignZone = true;
-  EXPECT_EQ(routeReport(v).way, Way::refuse);
-  v.sentAwayAgo = Duration{3000};
-  EXPECT_EQ(routeReport(v).way, Way::leaseOnly);
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
+  v.sinceRedirect = Duration{3000};
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
 }
 
 // Its zone's workers looked dead to the leader, which could hear them.
 TEST(Route, CutOffAloneItSendsItsZonesWorkersOnOnceOthersShowThatItIsNotTheZone) {
   auto v = alone();
-  v.isolated = v.zonesReach = true;
-  EXPECT_EQ(routeReport(v).way, Way::refuse);
+  v.isolated = v.foreignZonesReach = true;
+  EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
 }
 
-TEST(Link, AnAnswerToWhatWasSentEarlierDoesNotClearALaterFailure) {
-  Link link;
+TEST(LinkHealth, AnAnswerToWhatWasSentEarlierDoesNotClearALaterFailure) {
+  LinkHealth link;
   EXPECT_EQ(link.state(Instant{0}, Duration{1000}), LinkState::unknown);
-  link.failed(Instant{500});
-  link.answered(Instant{400});
-  EXPECT_EQ(link.state(Instant{600}, Duration{1000}), LinkState::doubtful);
+  link.onFailed(Instant{500});
+  link.onAnswered(Instant{400});
+  EXPECT_EQ(link.state(Instant{600}, Duration{1000}), LinkState::degraded);
   EXPECT_EQ(link.state(Instant{1500}, Duration{1000}), LinkState::down);
-  link.answered(Instant{500});
+  link.onAnswered(Instant{500});
   EXPECT_EQ(link.state(Instant{1500}, Duration{1000}), LinkState::up);
-  link.failed(Instant{450});  // given up late: something sent after it was answered
+  link.onFailed(Instant{450});  // given up late: something sent after it was answered
   EXPECT_FALSE(link.failing());
 }
 
-TEST(Detour, OnlyThroughPeersThatReachedItSinceItFailsHere) {
-  DetourView v;
+TEST(PeerProxy, OnlyThroughPeersThatReachedItSinceItFailsHere) {
+  PeerProxyView v;
   v.peers = {{kPeer, true, Instant{10200}, true, false},
              {kOther, true, Instant{11000}, true, false}};
-  EXPECT_FALSE(detourPeer(v));  // nothing fails
+  EXPECT_FALSE(chooseProxyPeer(v));  // nothing fails
   v.failingSince = Instant{10000};
-  EXPECT_EQ(detourPeer(v), kOther);
+  EXPECT_EQ(chooseProxyPeer(v), kOther);
   v.peers[1].blocked = true;
-  EXPECT_FALSE(detourPeer(v)) << "an answer that was under way when the outage began";
+  EXPECT_FALSE(chooseProxyPeer(v)) << "an answer that was under way when the outage began";
   v.peers[0].reachedAt = Instant{10400};
-  EXPECT_EQ(detourPeer(v), kPeer);
+  EXPECT_EQ(chooseProxyPeer(v), kPeer);
   v.peers[0].supportsForwarding =
       false;  // the version before: its 404 would look like the service's
-  EXPECT_FALSE(detourPeer(v));
+  EXPECT_FALSE(chooseProxyPeer(v));
   v.peers[0].supportsForwarding = true;
-  v.peers[0].heardLately = false;
-  EXPECT_FALSE(detourPeer(v));
+  v.peers[0].recentlyReachable = false;
+  EXPECT_FALSE(chooseProxyPeer(v));
 }
 
-TEST(Answered, AgesAreBoundsFromAboveWhereverTheyAreRead) {
-  Answered a;
-  a.note(MachineId{"host-1"}, Instant{1000});
-  a.note(MachineId{"host-1"}, Instant{900});
+TEST(HeartbeatAckLog, AgesAreBoundsFromAboveWhereverTheyAreRead) {
+  HeartbeatAckLog a;
+  a.record(MachineId{"host-1"}, Instant{1000});
+  a.record(MachineId{"host-1"}, Instant{900});
   auto told = a.toJson(Instant{5000});
-  auto read = Answered::from(told, Instant{777000});  // another clock, some time on the way
+  auto read = HeartbeatAckLog::parse(told, Instant{777000});  // another clock, some time on the way
   EXPECT_EQ(read.at(MachineId{"host-1"}), Instant{773000});
-  a.sweep(Instant{1000000});
-  EXPECT_TRUE(a.all().empty());
-  EXPECT_TRUE(Answered::from(Json::parse(R"({"host-1":"x"})"), Instant{1}).empty());
+  a.expire(Instant{1000000});
+  EXPECT_TRUE(a.entries().empty());
+  EXPECT_TRUE(HeartbeatAckLog::parse(Json::parse(R"({"host-1":"x"})"), Instant{1}).empty());
 }
 
 struct TwoControllers : testing::Test {
@@ -157,10 +157,10 @@
 };
 
 TEST_F(TwoControllers, EachReportGetsTheAnswerToItself) {
-  Relay relay(runtime, *peers, MemberId{"me"});
+  HeartbeatForwarder relay(runtime, *peers, MemberId{"me"});
   std::map<int, int> answers;
   for (int n = 0; n < 200; ++n) {
-    relay.pass(kPeer, encodeBody({{"n", n}}), [&, n](std::optional<Response> r) {
+    relay.forward(kPeer, encodeBody({{"n", n}}), [&, n](std::optional<Response> r) {
       ASSERT_TRUE(r);
       answers[n] = decodeBody(r->body)->value("of", -1);
     });
@@ -174,12 +174,13 @@
 // Found on tfc-bratislava-fleet's day `apart`: what had failed once counted as failing for ever,
 // since nothing was passed any more, and every worker was sent to the leader.
 TEST_F(TwoControllers, ALeaderThatDidNotAnswerIsTriedAgain) {
-  Relay relay(runtime, *peers, MemberId{"me"});
+  HeartbeatForwarder relay(runtime, *peers, MemberId{"me"});
   network.cut("me", {"peer"}, sim::CutMode::hold, 6000);
   int unanswered = 0;
   Instant began = runtime.now();
   auto pass = [&] {
-    relay.pass(kPeer, encodeBody({{"n", 1}}), [&](std::optional<Response> r) { unanswered += !r; });
+    relay.forward(kPeer, encodeBody({{"n", 1}}),
+                  [&](std::optional<Response> r) { unanswered += !r; });
   };
   for (int i = 0; i < 5; ++i) {
     pass();
@@ -198,7 +199,7 @@
 // A machine is asked in vain only over a way that works: its silence must not count against it
 // while this controller is the one that is cut off from all of them.
 TEST_F(TwoControllers, SilenceCountsOnlyWhereOthersWereReached) {
-  WorkerLine line(runtime, runtime, *peers);
+  WorkerTransport line(runtime, runtime, *peers);
   network.listen("live:9", [](const std::string&, const Request&, const Respond& respond) {
     respond(jsonResponse(200, Json::object()));
   });
--- a/src/reach/answered.hpp
+++ b/src/connectivity/heartbeat_ack_log.hpp
@@ -9,16 +9,16 @@
 
 namespace kestrelhoist {
 
-class Answered {
+class HeartbeatAckLog {
  public:
-  void note(const MachineId& machine, Instant reportCame) {
+  void record(const MachineId& machine, Instant reportCame) {
     auto& at = at_[machine];
     at = std::max(at, reportCame);
   }
-  void sweep(Instant now) {
+  void expire(Instant now) {
     std::erase_if(at_, [&](const auto& e) { return now - e.second > kForget; });
   }
-  const std::map<MachineId, Instant>& all() const { return at_; }
+  const std::map<MachineId, Instant>& entries() const { return at_; }
 
   // {machine: milliseconds since}
   Json toJson(Instant now) const {
@@ -26,7 +26,7 @@
     for (const auto& [machine, at] : at_) out[machine.value] = (now - at).count();
     return out;
   }
-  static std::map<MachineId, Instant> from(const Json& v, Instant came) {
+  static std::map<MachineId, Instant> parse(const Json& v, Instant came) {
     std::map<MachineId, Instant> out;
     if (!v.is_object()) return out;
     for (const auto& [name, age] : v.items()) {
--- a/src/reach/relay.cpp
+++ b/src/connectivity/heartbeat_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "reach/relay.hpp"
+#include "connectivity/heartbeat_forwarder.hpp"
 
 #include "base/log.hpp"
 
@@ -17,7 +17,7 @@
 constexpr Duration kProbeEvery{2000};
 constexpr Duration kOtherWayFor{6000};
 constexpr int kUnknown = 504;  // between controllers: it tried, and no worker reaches it either
-constexpr Duration kForgetVia{5 * 60 * 1000};
+constexpr Duration kForgetNextHop{5 * 60 * 1000};
 constexpr Duration kTryAgainAfter{2 * kPatience};
 
 // Encoded items one after the other in an array of no stated length: they need not be decoded.
@@ -30,54 +30,54 @@
 Response notReached() { return {kNotReached, encodeBody(Json::object())}; }
 }  // namespace
 
-void Relay::pass(const MemberId& leader, std::string report, OnReply done) {
-  Line& line = lines_[leader];
-  line.waiting.push_back({std::move(report), runtime_.now(), std::move(done)});
+void HeartbeatForwarder::forward(const MemberId& leader, std::string report, OnReply done) {
+  PeerQueue& queue = queues_[leader];
+  queue.waiting.push_back({std::move(report), runtime_.now(), std::move(done)});
   schedule(leader, kLinger);
 }
 
-void Relay::schedule(const MemberId& leader, Duration wait) {
-  Line& line = lines_[leader];
-  if (line.scheduled) return;
-  line.scheduled = true;
+void HeartbeatForwarder::schedule(const MemberId& leader, Duration wait) {
+  PeerQueue& queue = queues_[leader];
+  if (queue.scheduled) return;
+  queue.scheduled = true;
   runtime_.after(wait, [this, leader] {
-    lines_[leader].scheduled = false;
+    queues_[leader].scheduled = false;
     flush(leader);
   });
 }
 
-void Relay::flush(const MemberId& leader) {
-  Line& line = lines_[leader];
+void HeartbeatForwarder::flush(const MemberId& leader) {
+  PeerQueue& queue = queues_[leader];
   Instant now = runtime_.now();
-  while (!line.waiting.empty() && now - line.waiting.front().since > kPatience) {
-    auto late = std::move(line.waiting.front());
-    line.waiting.pop_front();
+  while (!queue.waiting.empty() && now - queue.waiting.front().since > kPatience) {
+    auto late = std::move(queue.waiting.front());
+    queue.waiting.pop_front();
     late.done(std::nullopt);
   }
-  if (line.waiting.empty()) return;
-  if (line.inFlight >= kInFlight) return schedule(leader, Duration{100});
+  if (queue.waiting.empty()) return;
+  if (queue.inFlight >= kInFlight) return schedule(leader, Duration{100});
   auto calls = std::make_shared<std::vector<OnReply>>();
   std::deque<std::string> reports;
   std::size_t bytes = 0;
-  while (!line.waiting.empty() && calls->size() < kMostReports) {
-    auto& next = line.waiting.front();
+  while (!queue.waiting.empty() && calls->size() < kMostReports) {
+    auto& next = queue.waiting.front();
     if (!reports.empty() && bytes + next.report.size() > kMostBytes) break;
     bytes += next.report.size();
     reports.push_back(std::move(next.report));
     calls->push_back(std::move(next.done));
-    line.waiting.pop_front();
+    queue.waiting.pop_front();
   }
-  ++line.inFlight;
+  ++queue.inFlight;
   ++batches_;
-  passed_ += calls->size();
+  forwarded_ += calls->size();
   peerMembership_.send(
       leader, {"POST", "/mesh/reports/" + self_.value, arrayOf(reports)}, kPatience,
       [this, leader, calls, sent = now](std::optional<Response> r) {
-        Line& line = lines_[leader];
-        --line.inFlight;
+        PeerQueue& queue = queues_[leader];
+        --queue.inFlight;
         auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
         bool ok = body && body->is_array() && body->size() == calls->size();
-        ok ? line.link.answered(sent) : line.link.failed(sent);
+        ok ? queue.link.onAnswered(sent) : queue.link.onFailed(sent);
         for (std::size_t i = 0; i < calls->size(); ++i) {
           const Json* answer = ok ? &(*body)[i] : nullptr;
           auto status = answer ? countField(*answer, "status") : std::nullopt;
@@ -87,14 +87,14 @@
             (*calls)[i](jsonResponse(static_cast<int>(*status), answer->at("body")));
           }
         }
-        if (!line.waiting.empty()) schedule(leader, Duration{0});
+        if (!queue.waiting.empty()) schedule(leader, Duration{0});
       });
-  if (!line.waiting.empty()) schedule(leader, Duration{0});
+  if (!queue.waiting.empty()) schedule(leader, Duration{0});
 }
 
-Duration Relay::failingFor(const MemberId& leader) const {
-  auto it = lines_.find(leader);
-  if (it == lines_.end() || !it->second.link.failing()) return Duration{0};
+Duration HeartbeatForwarder::failingFor(const MemberId& leader) const {
+  auto it = queues_.find(leader);
+  if (it == queues_.end() || !it->second.link.failing()) return Duration{0};
   // What failed some time ago is tried again: nothing is passed while it counts as failing, so
   // nothing else would ever show that it is back.
   if (runtime_.now() - *it->second.link.lastFailed() > kTryAgainAfter) return Duration{0};
@@ -113,22 +113,23 @@
   return jsonResponse(200, answers);
 }
 
-void WorkerLine::heard(const std::string& address, const std::optional<MemberId>& via) {
+void WorkerTransport::noteReport(const std::string& address, const std::optional<MemberId>& via) {
   if (via) {
-    via_[address] = {*via, runtime_.now()};
+    nextHops_[address] = {*via, runtime_.now()};
   } else {
-    via_.erase(address);
-    link_.answered(runtime_.now());
+    nextHops_.erase(address);
+    link_.onAnswered(runtime_.now());
   }
 }
 
-void WorkerLine::sweep() {
+void WorkerTransport::expire() {
   std::erase_if(failedDirectly_,
                 [&](const auto& f) { return runtime_.now() - f.second > kOtherWayFor; });
-  std::erase_if(via_, [&](const auto& v) { return runtime_.now() - v.second.at > kForgetVia; });
+  std::erase_if(nextHops_,
+                [&](const auto& v) { return runtime_.now() - v.second.at > kForgetNextHop; });
 }
 
-bool WorkerLine::reachedSince(Instant sent) const {
+bool WorkerTransport::reachedSince(Instant sent) const {
   return (link_.lastGood() && *link_.lastGood() >= sent) ||
          std::any_of(throughPeer_.begin(), throughPeer_.end(),
                      [&](const auto& p) { return p.second >= sent; });
@@ -136,17 +137,18 @@
 
 // Who passed on the worker's last report; who heard any worker last; one that heard none may still
 // reach them. Last of all those that failed a moment ago.
-std::optional<MemberId> WorkerLine::peerFor(const std::string& address) const {
+std::optional<MemberId> WorkerTransport::peerFor(const std::string& address) const {
   std::optional<MemberId> best;
   std::tuple<bool, bool, Duration> bestRank{};
   Instant now = runtime_.now();
-  auto via = via_.find(address);
+  auto via = nextHops_.find(address);
   for (const auto& [member, seen] : peerMembership_.statuses()) {
     const auto& [status, heardAt] = seen;
     if (!status.supportsForwarding || now - heardAt >= kPatience) continue;
     auto failed = failedThrough_.find(member);
-    bool doubtful = failed != failedThrough_.end() && now - failed->second < kTryAgainAfter;
-    std::tuple rank{doubtful, via == via_.end() || via->second.peer != member, status.workersAge};
+    bool degraded = failed != failedThrough_.end() && now - failed->second < kTryAgainAfter;
+    std::tuple rank{degraded, via == nextHops_.end() || via->second.peer != member,
+                    status.workersAge};
     if (!best || rank < bestRank) {
       best = member;
       bestRank = rank;
@@ -155,7 +157,8 @@
   return best;
 }
 
-void WorkerLine::send(const std::string& address, Request request, Duration timeout, OnReply done) {
+void WorkerTransport::send(const std::string& address, Request request, Duration timeout,
+                           OnReply done) {
   Instant now = runtime_.now();
   std::optional<MemberId> through;
   auto failed = failedDirectly_.find(address);
@@ -166,7 +169,7 @@
   if (!through) {
     return http_.send(address, std::move(request), timeout,
                       [this, now, address, done = std::move(done)](std::optional<Response> r) {
-                        r ? link_.answered(now) : link_.failed(now);
+                        r ? link_.onAnswered(now) : link_.onFailed(now);
                         if (!r) failedDirectly_[address] = now;
                         bool works = link_.lastGood() && *link_.lastGood() >= now;
                         done(r || !works ? std::move(r) : std::optional(notReached()));
@@ -178,7 +181,7 @@
     probedAt_ = now;
     http_.send(address, {"GET", "/inspect", ""}, kPatience,
                [this, now](const std::optional<Response>& r) {
-                 if (r) link_.answered(now);
+                 if (r) link_.onAnswered(now);
                });
   }
   request.path = "/mesh/worker/" + address + request.path;
@@ -196,13 +199,14 @@
       });
 }
 
-void WorkerLine::serve(const std::string& address, const Request& request, const Respond& respond) {
+void WorkerTransport::serve(const std::string& address, const Request& request,
+                            const Respond& respond) {
   // Within the time that the leader gives a question.
   constexpr Duration kTimeout{1200};
   http_.send(address, request, kTimeout,
              [this, sent = runtime_.now(), respond](std::optional<Response> r) {
                if (r) {
-                 link_.answered(sent);
+                 link_.onAnswered(sent);
                  return respond(std::move(*r));
                }
                bool works = link_.lastGood() && *link_.lastGood() >= sent;
--- a/src/reach/link.hpp
+++ b/src/connectivity/link_health.hpp
@@ -9,30 +9,30 @@
 
 namespace kestrelhoist {
 
-enum class LinkState { unknown, up, doubtful, down };
+enum class LinkState { unknown, up, degraded, down };
 
-inline const char* wordOf(LinkState s) {
+inline const char* toString(LinkState s) {
   switch (s) {
     case LinkState::unknown:
       return "unknown";
     case LinkState::up:
       return "up";
-    case LinkState::doubtful:
+    case LinkState::degraded:
       return "doubtful";
     default:
       return "down";
   }
 }
 
-class Link {
+class LinkHealth {
  public:
   // `sent`: when what was answered, or was not, had been sent.
-  void answered(Instant sent) {
+  void onAnswered(Instant sent) {
     lastGood_ = std::max(lastGood_.value_or(sent), sent);
     if (failing_ && sent >= *failing_) failing_.reset();
     if (!failing_) failures_ = 0;
   }
-  void failed(Instant sent) {
+  void onFailed(Instant sent) {
     lastFailed_ = std::max(lastFailed_.value_or(sent), sent);
     // An answer to something sent later has already shown it up.
     if (lastGood_ && sent < *lastGood_) return;
@@ -51,7 +51,7 @@
 
   // Down once it has failed for `downAfter`; what was never tried is not taken for up or down.
   LinkState state(Instant now, Duration downAfter) const {
-    if (failing_) return now - *failing_ >= downAfter ? LinkState::down : LinkState::doubtful;
+    if (failing_) return now - *failing_ >= downAfter ? LinkState::down : LinkState::degraded;
     return lastGood_ ? LinkState::up : LinkState::unknown;
   }
 
--- a/src/reach/detour.hpp
+++ b/src/connectivity/peer_proxy.hpp
@@ -6,18 +6,18 @@
 
 #include <map>
 
+#include "connectivity/link_health.hpp"
 #include "leadership/peer_membership.hpp"
-#include "reach/link.hpp"
 
 namespace kestrelhoist {
 
 // Whom to ask for it, if anybody: what the mesh tells, and what is known of earlier tries.
-struct DetourView {
+struct PeerProxyView {
   struct PeerView {
     MemberId member;
     bool supportsForwarding{};  // knows how to
     Instant reachedAt{};        // when it last reached the service by its own link, as it says
-    bool heardLately{};
+    bool recentlyReachable{};
     bool blocked{};  // a detour through it failed a moment ago
   };
   std::optional<Instant> failingSince;  // own link
@@ -26,9 +26,9 @@
 
 // The peer that reached the service last, if that was since it began to fail here: one that reached
 // it before may be in the same outage.
-std::optional<MemberId> detourPeer(const DetourView& view);
+std::optional<MemberId> chooseProxyPeer(const PeerProxyView& view);
 
-class Detour : public HttpClient {
+class PeerProxy : public HttpClient {
  public:
   struct Settings {
     std::string name;     // as in the paths between controllers: "state", "cloud"
@@ -37,18 +37,18 @@
     Duration probeEvery{1000};
   };
   // `ageAt`: how long ago a peer reached the service by its own link, by what it last told.
-  Detour(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
-         std::function<Duration(const PeerStatus&)> ageAt);
+  PeerProxy(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
+            std::function<Duration(const PeerStatus&)> ageAt);
 
   void send(const std::string& address, Request request, Duration timeout, OnReply done) override;
   // A peer asks for a detour: always by the own link, so that detours never go in circles.
   void serve(const Request& request, const Respond& respond);
 
-  const Link& link() const { return link_; }
-  std::uint64_t detours() const { return detours_; }
+  const LinkHealth& link() const { return link_; }
+  std::uint64_t proxiedRequests() const { return proxiedRequests_; }
 
  private:
-  DetourView view() const;
+  PeerProxyView view() const;
   void direct(Request request, Duration timeout, OnReply done);
   void probe();
 
@@ -57,12 +57,12 @@
   PeerMembership& peerMembership_;
   Settings settings_;
   std::function<Duration(const PeerStatus&)> ageAt_;
-  Link link_;
+  LinkHealth link_;
   std::map<MemberId, Instant> blockedUntil_;
   Instant probedAt_{};
   bool probing_ = false;
-  bool onDetour_ = false;
-  std::uint64_t detours_ = 0;
+  bool viaPeer_ = false;
+  std::uint64_t proxiedRequests_ = 0;
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/command_dispatcher.cpp
+++ b/src/fleet/command_dispatcher.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "reach/relay.hpp"
+#include "connectivity/heartbeat_forwarder.hpp"
 
 namespace kestrelhoist {
 namespace {
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -257,27 +257,27 @@
     g.deps.push_back(i == 0 ? std::vector<Instance>{} : std::vector<Instance>{i - 1});
     g.rule.push_back(0);
   }
-  FlowReplica copy;
+  FlowReplica flowReplica;
   FlowId id{"w-1"};
   Digest d{"0123456789abcdef"};
   auto put = [&](const std::string& key, const Json& v) {
-    EXPECT_TRUE(copy.apply(key, &v, Revision{1}));
+    EXPECT_TRUE(flowReplica.apply(key, &v, Revision{1}));
   };
   put(keys::graphPart(id, d, 1), partOf(g, 3, 6, false));
-  EXPECT_FALSE(copy.find(id)->version(d)->complete());
+  EXPECT_FALSE(flowReplica.find(id)->version(d)->complete());
   put(keys::upload(id, d), toJson(FlowUpload{6, 2, 1, 6, 0, false}));
   put(keys::graphPart(id, d, 0), partOf(g, 0, 3, true));
-  EXPECT_TRUE(copy.find(id)->version(d)->complete());
-  EXPECT_EQ(copy.instances(), 6u);
+  EXPECT_TRUE(flowReplica.find(id)->version(d)->complete());
+  EXPECT_EQ(flowReplica.instances(), 6u);
   put(keys::page(id, d, 0), "d2aw3");
-  EXPECT_EQ(copy.find(id)->version(d)->stateOf(2), 'a');
+  EXPECT_EQ(flowReplica.find(id)->version(d)->stateOf(2), 'a');
   for (const auto& key : {keys::page(id, d, 0), keys::graphPart(id, d, 0),
                           keys::graphPart(id, d, 1), keys::upload(id, d)}) {
-    EXPECT_TRUE(copy.apply(key, nullptr, Revision{2}));
+    EXPECT_TRUE(flowReplica.apply(key, nullptr, Revision{2}));
   }
-  EXPECT_EQ(copy.find(id), nullptr);
-  EXPECT_EQ(copy.instances(), 0u);
-  EXPECT_TRUE(copy.live().empty());
+  EXPECT_EQ(flowReplica.find(id), nullptr);
+  EXPECT_EQ(flowReplica.instances(), 0u);
+  EXPECT_TRUE(flowReplica.live().empty());
 }
 
 }  // namespace
--- a/src/leadership/leader_context.hpp
+++ b/src/leadership/leader_context.hpp
@@ -7,8 +7,8 @@
 #include "cloud/catalogue.hpp"
 #include "config/operator.hpp"
 #include "config/platform.hpp"
-#include "jobs/in_force.hpp"
 #include "leadership/control_loop.hpp"
+#include "policy/effective_policy.hpp"
 #include "store/change_watcher.hpp"
 
 namespace kestrelhoist {
@@ -35,7 +35,7 @@
   // Whether workers were reached by something sent at this time or later. Null: always.
   std::function<bool(Instant)> workersReachedSince{};
   // What the policy says of work now; without one nothing.
-  const InForce* effectivePolicy = nullptr;
+  const EffectivePolicy* effectivePolicy = nullptr;
   // Whether each controller reads this format of records. Null: not known.
   std::function<bool(unsigned)> allMembersRead{};
   // Milliseconds since 1970, as the controllers agree on it.
--- a/src/placement/planning_loop.cpp
+++ b/src/placement/planning_loop.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "policy/standing.hpp"
+#include "policy/policy_state.hpp"
 
 namespace kestrelhoist {
 namespace {
@@ -83,7 +83,7 @@
     j.waiting = waiting;
     if (context_.effectivePolicy) {
       j.protectedService = context_.effectivePolicy->protects(*j.spec);
-      j.priorityAdjustment = context_.effectivePolicy->standing(*j.spec);
+      j.priorityAdjustment = context_.effectivePolicy->priorityAdjustment(*j.spec);
     }
     j.placed =
         job->placed.size() > again ? static_cast<std::uint32_t>(job->placed.size()) - again : 0;
@@ -125,7 +125,7 @@
     p.type = record.type;
     p.zone = zoneNumber(record.zone);
     p.spot = record.spot;
-    p.keptForImage = context_.effectivePolicy && context_.effectivePolicy->holds(id);
+    p.keptForImage = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(id);
     p.usable = type && m && fleet_.usable(*m, now) && !fleet_.cordoned().contains(id);
     if (type) {
       p.capacity = type->capacity;
@@ -201,7 +201,7 @@
     if (m.capacity.cpus > whole.cpus) whole = m.capacity;
   }
   std::vector<std::size_t> yields;
-  std::vector<Yielding> shares;
+  std::vector<YieldingJob> shares;
   for (std::size_t i = 0; i < in.jobs.size(); ++i) {
     PlanJob& j = in.jobs[i];
     double share = j.spec->perTask.shareOf(whole);
@@ -218,7 +218,7 @@
   double others = 0, first = 0;
   for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec) continue;
-    int standing = context_.effectivePolicy->standing(*job->record.spec);
+    int standing = context_.effectivePolicy->priorityAdjustment(*job->record.spec);
     double share = job->record.spec->perTask.shareOf(whole);
     auto placed = static_cast<double>(job->placed.size());
     if (standing > 0)
--- a/src/policy/ledger.cpp
+++ b/src/policy/charges.cpp
@@ -1,4 +1,4 @@
-#include "policy/ledger.hpp"
+#include "policy/charges.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,15 +7,15 @@
 namespace {
 
 // Splits a whole by shares; what rounding leaves goes to the last.
-std::vector<Paid> split(const Paid& whole, const std::vector<double>& shares) {
-  std::vector<Paid> out;
-  Paid left = whole;
+std::vector<Charge> split(const Charge& whole, const std::vector<double>& shares) {
+  std::vector<Charge> out;
+  Charge left = whole;
   for (std::size_t i = 0; i < shares.size(); ++i) {
     auto part = [&](std::uint64_t of, std::uint64_t most) {
       if (i + 1 == shares.size()) return most;
       return std::min(most, static_cast<std::uint64_t>(static_cast<double>(of) * shares[i]));
     };
-    Paid p{part(whole.ms, left.ms), part(whole.money, left.money)};
+    Charge p{part(whole.ms, left.ms), part(whole.money, left.money)};
     left.ms -= p.ms;
     left.money -= p.money;
     out.push_back(p);
@@ -23,19 +23,19 @@
   return out;
 }
 
-Json paidJson(const Paid& p) { return {p.ms, p.money}; }
+Json paidJson(const Charge& p) { return {p.ms, p.money}; }
 
-std::optional<Paid> paidFrom(const Json& v) {
+std::optional<Charge> paidFrom(const Json& v) {
   if (!v.is_array() || v.size() != 2 || !v[0].is_number_integer() || !v[1].is_number_integer()) {
     return std::nullopt;
   }
-  return Paid{v[0].get<std::uint64_t>(), v[1].get<std::uint64_t>()};
+  return Charge{v[0].get<std::uint64_t>(), v[1].get<std::uint64_t>()};
 }
 
 }  // namespace
 
-Paid Account::total() const {
-  Paid sum = idle;
+Charge ChargeAccount::total() const {
+  Charge sum = idle;
   sum += boot;
   for (const auto* part : {&used, &warm}) {
     for (const auto& [team, paid] : *part) sum += paid;
@@ -43,17 +43,17 @@
   return sum;
 }
 
-void Account::add(const Account& o) {
+void ChargeAccount::add(const ChargeAccount& o) {
   for (const auto& [team, paid] : o.used) used[team] += paid;
   for (const auto& [team, paid] : o.warm) warm[team] += paid;
   idle += o.idle;
   boot += o.boot;
 }
 
-void charge(Account& account, const MachineTime& m, std::int64_t fromMs, std::int64_t toMs) {
+void charge(ChargeAccount& account, const MachineTime& m, std::int64_t fromMs, std::int64_t toMs) {
   std::int64_t from = std::max(fromMs, m.rentedAtMs);
   if (from >= toMs) return;
-  Paid whole;
+  Charge whole;
   whole.ms = static_cast<std::uint64_t>(toMs - from);
   // The same whatever windows it is cut into, but for less than a millionth each.
   whole.money = static_cast<std::uint64_t>(
@@ -65,7 +65,7 @@
   double sum = 0;
   for (const auto& [team, share] : m.used) sum += share;
   double scale = sum > 1 ? 1 / sum : 1;
-  std::vector<Paid*> to;
+  std::vector<Charge*> to;
   std::vector<double> shares;
   for (const auto& [team, share] : m.used) {
     to.push_back(&account.used[team]);
@@ -85,8 +85,8 @@
   for (std::size_t i = 0; i < to.size(); ++i) *to[i] += parts[i];
 }
 
-Json toJson(const PaidRecord& r) {
-  auto teams = [](const std::map<TeamId, Paid>& of) {
+Json toJson(const ChargeRecord& r) {
+  auto teams = [](const std::map<TeamId, Charge>& of) {
     Json out = Json::object();
     for (const auto& [team, paid] : of) out[team.value] = paidJson(paid);
     return out;
@@ -98,14 +98,14 @@
           {"boot", paidJson(r.account.boot)}};
 }
 
-std::optional<PaidRecord> paidRecordFrom(const Json& v) {
+std::optional<ChargeRecord> chargeRecordFrom(const Json& v) {
   auto through = countField(v, "through");
   const Json* idle = field(v, "idle");
   const Json* boot = field(v, "boot");
   auto idlePaid = idle ? paidFrom(*idle) : std::nullopt;
   auto bootPaid = boot ? paidFrom(*boot) : std::nullopt;
   if (!through || !idlePaid || !bootPaid) return std::nullopt;
-  PaidRecord r;
+  ChargeRecord r;
   r.throughMs = static_cast<std::int64_t>(*through);
   r.account.idle = *idlePaid;
   r.account.boot = *bootPaid;
--- a/src/policy/ledger.hpp
+++ b/src/policy/charges.hpp
@@ -12,24 +12,25 @@
 namespace kestrelhoist {
 
 // Money in millionths of the cloud's unit, time in milliseconds of a machine.
-struct Paid {
+struct Charge {
   std::uint64_t ms{}, money{};
-  Paid& operator+=(const Paid& o) {
+  Charge& operator+=(const Charge& o) {
     ms += o.ms;
     money += o.money;
     return *this;
   }
-  bool operator==(const Paid&) const = default;
+  bool operator==(const Charge&) const = default;
 };
 
 // What a machine's time was for.
-enum class For { used, warm, idle, boot };
-
-struct Account {
-  std::map<TeamId, Paid> used, warm;  // by tasks that run or fetch; by pools that want the machine
-  Paid idle, boot;                    // nobody's
-  Paid total() const;
-  void add(const Account& o);
+enum class MachineUse { used, warm, idle, boot };
+
+struct ChargeAccount {
+  std::map<TeamId, Charge> used,
+      warm;           // by tasks that run or fetch; by pools that want the machine
+  Charge idle, boot;  // nobody's
+  Charge total() const;
+  void add(const ChargeAccount& o);
 };
 
 // One machine over a stretch of time.
@@ -42,14 +43,15 @@
 };
 
 // One hour, or one day; `throughMs`: up to where it was counted.
-struct PaidRecord {
+struct ChargeRecord {
   std::int64_t throughMs{};
-  Account account;
+  ChargeAccount account;
 };
 
-void charge(Account& account, const MachineTime& machine, std::int64_t fromMs, std::int64_t toMs);
+void charge(ChargeAccount& account, const MachineTime& machine, std::int64_t fromMs,
+            std::int64_t toMs);
 
-Json toJson(const PaidRecord& r);
-std::optional<PaidRecord> paidRecordFrom(const Json& v);
+Json toJson(const ChargeRecord& r);
+std::optional<ChargeRecord> chargeRecordFrom(const Json& v);
 
 }  // namespace kestrelhoist
--- a/src/jobs/in_force.hpp
+++ b/src/policy/effective_policy.hpp
@@ -6,15 +6,15 @@
 
 namespace kestrelhoist {
 
-class InForce {
+class EffectivePolicy {
  public:
-  virtual ~InForce() = default;
+  virtual ~EffectivePolicy() = default;
   // Services that are kept whatever happens: before all batch work.
   virtual bool protects(const JobSpec&) const { return false; }
   // Within its rank: 1 goes first, -1 yields, 0 neither.
-  virtual int standing(const JobSpec&) const { return 0; }
+  virtual int priorityAdjustment(const JobSpec&) const { return 0; }
   // A storm: losses are being repaired, and what competes with that waits.
-  virtual bool storm() const { return false; }
+  virtual bool massFailure() const { return false; }
   // Of so many usable machines, those that work which yields may hold while those who go first take
   // and wait for so many; empty: no bound.
   virtual std::optional<double> machinesForYielding(double machines, double first) const {
@@ -28,7 +28,7 @@
   // Machines that the next opening's work will need, if it is within this time.
   virtual double machinesAhead(Duration) const { return 0; }
   // Machines kept because they hold an image ahead of a burst.
-  virtual bool holds(const MachineId&) const { return false; }
+  virtual bool keepsWarm(const MachineId&) const { return false; }
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/cover.cpp
+++ b/src/policy/failover_coverage.cpp
@@ -1,4 +1,4 @@
-#include "policy/cover.hpp"
+#include "policy/failover_coverage.hpp"
 
 #include <algorithm>
 #include <map>
@@ -14,7 +14,7 @@
  public:
   using Kind = std::pair<std::uint32_t, std::int64_t>;  // image and share, in millionths
 
-  explicit Matching(const std::vector<CoverMachine>& machines, const std::set<std::size_t>& lost)
+  explicit Matching(const std::vector<CoverageMachine>& machines, const std::set<std::size_t>& lost)
       : machines_(machines), lost_(lost), on_(machines.size()) {
     for (const auto& m : machines) room_.push_back(m.spare);
   }
@@ -65,7 +65,7 @@
     return true;
   }
 
-  const std::vector<CoverMachine>& machines_;
+  const std::vector<CoverageMachine>& machines_;
   const std::set<std::size_t>& lost_;
   std::vector<double> room_;
   std::vector<std::map<Kind, std::uint32_t>> on_;
@@ -74,8 +74,9 @@
 
 }  // namespace
 
-Cover coverFor(const std::vector<CoverMachine>& machines,
-               const std::vector<CoverReplicas>& replicas, const std::set<std::size_t>& lost) {
+FailoverCoverage coverageFor(const std::vector<CoverageMachine>& machines,
+                             const std::vector<CoverageReplicas>& replicas,
+                             const std::set<std::size_t>& lost) {
   std::map<Matching::Kind, std::uint32_t> moving;
   for (const auto& r : replicas) {
     if (!lost.contains(r.machine)) continue;
@@ -86,7 +87,7 @@
   std::stable_sort(kinds.begin(), kinds.end(),
                    [](const auto& a, const auto& b) { return a.first.second > b.first.second; });
   Matching matching(machines, lost);
-  Cover out;
+  FailoverCoverage out;
   for (const auto& [kind, count] : kinds) {
     out.moving += count;
     out.placed += matching.place(kind, count);
@@ -94,11 +95,11 @@
   return out;
 }
 
-Cover worstCover(const std::vector<CoverMachine>& machines,
-                 const std::vector<CoverReplicas>& replicas, std::size_t atOnce) {
-  Cover worst;
+FailoverCoverage worstCoverage(const std::vector<CoverageMachine>& machines,
+                               const std::vector<CoverageReplicas>& replicas, std::size_t atOnce) {
+  FailoverCoverage worst;
   auto consider = [&](const std::set<std::size_t>& lost) {
-    Cover c = coverFor(machines, replicas, lost);
+    FailoverCoverage c = coverageFor(machines, replicas, lost);
     if (c.share() < worst.share() || worst.moving == 0) worst = c;
   };
   std::map<std::uint32_t, std::set<std::size_t>> zones;
--- a/src/policy/cover.hpp
+++ b/src/policy/failover_coverage.hpp
@@ -11,30 +11,31 @@
 
 namespace kestrelhoist {
 
-struct CoverMachine {
+struct CoverageMachine {
   std::uint32_t zone{};
   double spare = 0;                // of a machine: free, or used by what may be stopped
   std::set<std::uint32_t> images;  // held
 };
 
 // Replicas that need the same: so many of them on one machine.
-struct CoverReplicas {
+struct CoverageReplicas {
   std::uint32_t image{};
   double share{};         // of a machine, each
   std::size_t machine{};  // where they are
   std::uint32_t count{};
 };
 
-struct Cover {
+struct FailoverCoverage {
   std::uint32_t moving{}, placed{};  // of the worst loss
   double share() const { return moving == 0 ? 1.0 : static_cast<double>(placed) / moving; }
 };
 
 // How many of the replicas on `lost` machines find a place on the others.
-Cover coverFor(const std::vector<CoverMachine>& machines,
-               const std::vector<CoverReplicas>& replicas, const std::set<std::size_t>& lost);
+FailoverCoverage coverageFor(const std::vector<CoverageMachine>& machines,
+                             const std::vector<CoverageReplicas>& replicas,
+                             const std::set<std::size_t>& lost);
 // The worst of: any one zone; the `atOnce` machines with most replicas.
-Cover worstCover(const std::vector<CoverMachine>& machines,
-                 const std::vector<CoverReplicas>& replicas, std::size_t atOnce);
+FailoverCoverage worstCoverage(const std::vector<CoverageMachine>& machines,
+                               const std::vector<CoverageReplicas>& replicas, std::size_t atOnce);
 
 }  // namespace kestrelhoist
--- a/src/policy/duty.cpp
+++ b/src/policy/policy_loop.cpp
@@ -1,4 +1,4 @@
-#include "policy/duty.hpp"
+#include "policy/policy_loop.hpp"
 
 #include <algorithm>
 
@@ -11,22 +11,22 @@
 
 // With less of what can be learned or chosen anew, if it is more than a value takes: holders first,
 // then what pools' starts were like, then whole pools.
-Json fitting(Standing s, std::size_t bytes) {
+Json fitting(PolicyState s, std::size_t bytes) {
   Json value = toJson(s);
   auto most = [&] {
     std::size_t n = 0;
-    for (const auto& [image, held] : s.pools) n = std::max(n, held.machines.size());
+    for (const auto& [image, warm] : s.pools) n = std::max(n, warm.machines.size());
     return n;
   };
   while (value.dump().size() > bytes && most() > 0) {
     std::size_t keep = most() / 2;
-    for (auto& [image, held] : s.pools) {
-      while (held.machines.size() > keep) held.machines.erase(std::prev(held.machines.end()));
+    for (auto& [image, warm] : s.pools) {
+      while (warm.machines.size() > keep) warm.machines.erase(std::prev(warm.machines.end()));
     }
     value = toJson(s);
   }
   if (value.dump().size() <= bytes) return value;
-  for (auto& [image, held] : s.pools) held.starts = Forecast{};
+  for (auto& [image, warm] : s.pools) warm.starts = Forecast{};
   value = toJson(s);
   while (value.dump().size() > bytes && !s.pools.empty()) {
     s.pools.erase(std::prev(s.pools.end()));
@@ -36,26 +36,26 @@
 }
 }  // namespace
 
-void PolicyDuty::onTimer() {
+void PolicyLoop::onTimer() {
   // Without a policy, and none before it whose standing is left, there is nothing to decide.
-  bool wanted = replica_.policy() || replica_.standing().policy != 0 || replica_.version() != 0;
+  bool wanted = replica_.policy() || replica_.state().policy != 0 || replica_.version() != 0;
   if (!wanted || !context_.initialRoundOver || !context_.catalogue) return;
   Instant now = context_.runtime.now();
   if (windowEnds_ == Instant{}) {
     windowEnds_ = now + context_.settings.window;
-    for (const auto& [image, held] : replica_.standing().pools) {
-      for (const auto& m : held.machines)
-        fleet_.noteCachedImage(m, context_.replica.imageNumber(image), held.gb);
+    for (const auto& [image, warm] : replica_.state().pools) {
+      for (const auto& m : warm.machines)
+        fleet_.noteCachedImage(m, context_.replica.imageNumber(image), warm.gb);
     }
   }
-  const Standing& s = replica_.standing();
+  const PolicyState& s = replica_.state();
   std::int64_t time = context_.timeOfDay();
   windowDue_ = now >= windowEnds_;
-  bool boundary = !s.storm && (s.open.empty() ? replica_.opensBy(time) : time >= s.closesMs);
+  bool boundary = !s.massFailure && (s.open.empty() ? replica_.opensBy(time) : time >= s.closesMs);
   due_ = windowDue_ || boundary || s.policy != replica_.version();
 }
 
-LoopStep PolicyDuty::next() {
+LoopStep PolicyLoop::next() {
   if (!due_) return LoopStep::idle();
   due_ = false;
   bool window = std::exchange(windowDue_, false);
@@ -63,38 +63,39 @@
     while (windowEnds_ <= context_.runtime.now())
       windowEnds_ = windowEnds_ + context_.settings.window;
   }
-  const Standing& before = replica_.standing();
-  Seen what = seen(window);
-  Standing s = decideStanding(replica_.policy().get(), replica_.version(), before, what,
-                              context_.settings.spreadMultiple, random_);
+  const PolicyState& before = replica_.state();
+  PolicyObservation what = seen(window);
+  PolicyState s = decidePolicyState(replica_.policy().get(), replica_.version(), before, what,
+                                    context_.settings.spreadMultiple, random_);
   if (window) {
-    coverServices(s);
-    chooseHolders(s);
+    measureCoverage(s);
+    chooseWarmMachines(s);
   }
   if (s.open != before.open) {
     logInfo(s.open.empty() ? "period closes" : "period opens", "period",
             s.open.empty() ? before.open : s.open, "opened", s.opened, "closed", s.closed);
   }
-  if (s.storm.has_value() != before.storm.has_value()) {
-    logInfo(s.storm ? "storm" : "storm is over", "lost",
-            s.storm ? s.storm->lost : before.storm->lost, "missing", what.missing);
+  if (s.massFailure.has_value() != before.massFailure.has_value()) {
+    logInfo(s.massFailure ? "storm" : "storm is over", "lost",
+            s.massFailure ? s.massFailure->lost : before.massFailure->lost, "missing",
+            what.missing);
   }
   Transaction t = context_.begin();
-  t.compares.push_back({keys::kStanding, context_.replica.modRevisionOf(keys::kStanding)});
-  t.writes.push_back({keys::kStanding, toJson(s), std::nullopt});
+  t.compares.push_back({keys::kPolicyState, context_.replica.modRevisionOf(keys::kPolicyState)});
+  t.writes.push_back({keys::kPolicyState, toJson(s), std::nullopt});
   if (window) charge(t, s, what.nowMs);
   t.writes[0].value = fitting(s, context_.platform.valueBytes);
   return LoopStep::committing(
       Commit{std::move(t), [this] { context_.planInvalidated = true; }, "what is in force"});
 }
 
-Seen PolicyDuty::seen(bool windowEnds) {
-  Seen s;
+PolicyObservation PolicyLoop::seen(bool windowEnds) {
+  PolicyObservation s;
   s.nowMs = context_.timeOfDay();
   s.windowEnds = windowEnds;
   if (!windowEnds) return s;
   Instant now = context_.runtime.now();
-  s.firstMachines = firstMachines();
+  s.prioritizedMachines = prioritizedMachines();
   s.lost = fleet_.lost() - std::exchange(lostBefore_, fleet_.lost());
   s.lateBoots = fleet_.neverBooted() - std::exchange(lateBefore_, fleet_.neverBooted());
   s.unreachableZones = static_cast<std::uint32_t>(fleet_.unreachableZones().size());
@@ -127,10 +128,11 @@
 }
 
 // Machines' worth of what those who go first take or wait for.
-double PolicyDuty::firstMachines() const {
+double PolicyLoop::prioritizedMachines() const {
   double sum = 0;
   for (const auto& [id, job] : context_.replica.live()) {
-    if (!job->active() || !job->record.spec || replica_.standing(*job->record.spec) != 1) continue;
+    if (!job->active() || !job->record.spec || replica_.priorityAdjustment(*job->record.spec) != 1)
+      continue;
     double share = 1;
     for (const auto& type : context_.catalogue->types) {
       if (job->record.spec->allowsType(type.id)) {
@@ -142,12 +144,12 @@
   return sum;
 }
 
-void PolicyDuty::coverServices(Standing& s) const {
+void PolicyLoop::measureCoverage(PolicyState& s) const {
   s.covered = 1;
   s.uncovered = 0;
   if (!replica_.policy() || replica_.policy()->continuity.services.empty()) return;
-  std::vector<CoverMachine> machines;
-  std::vector<CoverReplicas> replicas;
+  std::vector<CoverageMachine> machines;
+  std::vector<CoverageReplicas> replicas;
   std::map<ZoneId, std::uint32_t> zones;
   Instant now = context_.runtime.now();
   for (const auto& [id, record] : context_.replica.machines()) {
@@ -155,7 +157,7 @@
     const MachineType* type = context_.catalogue->find(record.type);
     if (!m || !type || !fleet_.usable(*m, now)) continue;
     auto zone = zones.try_emplace(record.zone, static_cast<std::uint32_t>(zones.size())).first;
-    CoverMachine c{zone->second, record.spot ? 0.0 : 1.0, {}};
+    CoverageMachine c{zone->second, record.spot ? 0.0 : 1.0, {}};
     for (const auto& image : m->images) {
       if (image.cached) c.images.insert(image.id);
     }
@@ -176,20 +178,20 @@
     }
     machines.push_back(std::move(c));
   }
-  Cover worst = worstCover(machines, replicas,
-                           static_cast<std::size_t>(replica_.policy()->continuity.machines));
+  FailoverCoverage worst = worstCoverage(
+      machines, replicas, static_cast<std::size_t>(replica_.policy()->continuity.machines));
   s.covered = worst.share();
   s.uncovered = worst.moving - worst.placed;
 }
 
 // Machines that hold an image stay chosen as long as they hold it; new ones where the fewest are.
-void PolicyDuty::chooseHolders(Standing& s) const {
+void PolicyLoop::chooseWarmMachines(PolicyState& s) const {
   if (!replica_.policy()) return;
   Instant now = context_.runtime.now();
   for (const auto& pool : replica_.policy()->pools) {
     double perHour = 0;  // of machines that only hold
     for (const auto& image : pool.images) {
-      Held& held = s.pools[image];
+      WarmImage& warm = s.pools[image];
       std::map<ZoneId, int> perZone;
       std::vector<const Machine*> fit;
       std::set<MachineId> kept;
@@ -200,7 +202,7 @@
         double price = !type || !idle ? 0 : m.spot ? type->spotPrice : type->price;
         // A pool at its budget shrinks.
         if (pool.budgetPerHour > 0 && perHour + price > pool.budgetPerHour) return;
-        if (kept.size() >= held.wanted) return;
+        if (kept.size() >= warm.wanted) return;
         perHour += price;
         ++perZone[m.zone];
         kept.insert(m.id);
@@ -209,45 +211,45 @@
         if (!fleet_.usable(m, now)) continue;
         bool holds = std::any_of(m.images.begin(), m.images.end(), [&](const Machine::Image& i) {
           bool it = i.cached && context_.replica.imageNumber(image) == i.id;
-          if (it) held.gb = i.gb;
+          if (it) warm.gb = i.gb;
           return it;
         });
         if (!holds) continue;
-        if (held.machines.contains(id)) {
+        if (warm.machines.contains(id)) {
           take(m);
         } else {
           fit.push_back(&m);
         }
       }
-      while (!fit.empty() && kept.size() < held.wanted) {
+      while (!fit.empty() && kept.size() < warm.wanted) {
         auto best = std::min_element(fit.begin(), fit.end(), [&](const auto* a, const auto* b) {
           return perZone[a->zone] < perZone[b->zone];
         });
         take(**best);
         fit.erase(best);
       }
-      held.machines = std::move(kept);
+      warm.machines = std::move(kept);
     }
   }
 }
 
 // What the machines cost since it was last counted, in the transaction of what is in force: it is
 // counted once, whoever leads and whatever is repeated, since the record says up to where.
-void PolicyDuty::charge(Transaction& t, const Standing& s, std::int64_t now) const {
+void PolicyLoop::charge(Transaction& t, const PolicyState& s, std::int64_t now) const {
   std::int64_t hour = now / kHour;
   std::int64_t through = now;
   if (!replica_.hours().empty()) through = replica_.hours().rbegin()->second.throughMs;
   if (now <= through && !replica_.hours().empty()) return;
-  PaidRecord record;
+  ChargeRecord record;
   if (auto same = replica_.hours().find(hour); same != replica_.hours().end())
     record = same->second;
   std::map<MachineId, std::vector<TeamId>> wantedBy;
   if (replica_.policy()) {
     for (const auto& pool : replica_.policy()->pools) {
       for (const auto& image : pool.images) {
-        auto held = s.pools.find(image);
-        if (held == s.pools.end()) continue;
-        for (const auto& m : held->second.machines) wantedBy[m].push_back(pool.team);
+        auto warm = s.pools.find(image);
+        if (warm == s.pools.end()) continue;
+        for (const auto& m : warm->second.machines) wantedBy[m].push_back(pool.team);
       }
     }
   }
@@ -272,22 +274,22 @@
     t.compares.push_back({key, context_.replica.modRevisionOf(key)});
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
-  put(keys::numbered(keys::kPaidHour, hour), toJson(record));
+  put(keys::numbered(keys::kChargesOfHour, hour), toJson(record));
   // Windows fold into hours by being written there, the oldest hour into its day, the oldest day
   // goes.
   if (replica_.hours().size() > kHoursKept && replica_.hours().begin()->first != hour) {
     const auto& [oldest, old] = *replica_.hours().begin();
     std::int64_t day = oldest * kHour / kDay;
-    PaidRecord whole;
+    ChargeRecord whole;
     if (auto known = replica_.days().find(day); known != replica_.days().end())
       whole = known->second;
     whole.account.add(old.account);
     whole.throughMs = old.throughMs;
-    put(keys::numbered(keys::kPaidDay, day), toJson(whole));
-    put(keys::numbered(keys::kPaidHour, oldest), std::nullopt);
+    put(keys::numbered(keys::kChargesOfDay, day), toJson(whole));
+    put(keys::numbered(keys::kChargesOfHour, oldest), std::nullopt);
     if (t.writes.size() < context_.platform.transactionOps && replica_.days().size() > kDaysKept &&
         replica_.days().begin()->first != day) {
-      put(keys::numbered(keys::kPaidDay, replica_.days().begin()->first), std::nullopt);
+      put(keys::numbered(keys::kChargesOfDay, replica_.days().begin()->first), std::nullopt);
     }
   }
 }
--- a/src/policy/duty.hpp
+++ b/src/policy/policy_loop.hpp
@@ -4,25 +4,25 @@
 
 #include "fleet/fleet.hpp"
 #include "leadership/leader_context.hpp"
-#include "policy/cover.hpp"
+#include "policy/failover_coverage.hpp"
 #include "policy/policy_replica.hpp"
 
 namespace kestrelhoist {
 
-class PolicyDuty : public ControlLoop {
+class PolicyLoop : public ControlLoop {
  public:
-  PolicyDuty(LeaderContext& context, Fleet& fleet, PolicyReplica& replica)
+  PolicyLoop(LeaderContext& context, Fleet& fleet, PolicyReplica& replica)
       : context_(context), fleet_(fleet), replica_(replica), random_(context.token.value) {}
 
   LoopStep next() override;
   void onTimer() override;
 
  private:
-  Seen seen(bool windowEnds);
-  double firstMachines() const;
-  void coverServices(Standing& s) const;
-  void chooseHolders(Standing& s) const;
-  void charge(Transaction& t, const Standing& s, std::int64_t now) const;
+  PolicyObservation seen(bool windowEnds);
+  double prioritizedMachines() const;
+  void measureCoverage(PolicyState& s) const;
+  void chooseWarmMachines(PolicyState& s) const;
+  void charge(Transaction& t, const PolicyState& s, std::int64_t now) const;
 
   LeaderContext& context_;
   Fleet& fleet_;
--- a/src/policy/policy_replica.cpp
+++ b/src/policy/policy_replica.cpp
@@ -25,10 +25,10 @@
 }
 
 void PolicyReplica::apply(const std::string& key, const Json* value, Revision) {
-  auto numbered = [&](const std::string& prefix, std::map<std::int64_t, PaidRecord>& to) {
+  auto numbered = [&](const std::string& prefix, std::map<std::int64_t, ChargeRecord>& to) {
     std::int64_t n = 0;
     std::from_chars(key.data() + prefix.size(), key.data() + key.size(), n);
-    auto record = value ? paidRecordFrom(*value) : std::nullopt;
+    auto record = value ? chargeRecordFrom(*value) : std::nullopt;
     if (record) {
       to[n] = std::move(*record);
     } else {
@@ -50,17 +50,17 @@
     if (!past) return;
     past_[past->version] = std::move(*past);
     while (past_.size() > kVersionsKept) past_.erase(past_.begin());
-  } else if (key == keys::kStanding) {
-    standing_ = value ? standingFrom(*value) : Standing{};
-    holders_.clear();
-    for (const auto& [image, held] : standing_.pools) {
-      holders_.insert(held.machines.begin(), held.machines.end());
+  } else if (key == keys::kPolicyState) {
+    state_ = value ? policyStateFrom(*value) : PolicyState{};
+    warmMachines_.clear();
+    for (const auto& [image, held] : state_.pools) {
+      warmMachines_.insert(held.machines.begin(), held.machines.end());
     }
     nextOf_ = -1;
-  } else if (key.starts_with(keys::kPaidHour)) {
-    numbered(keys::kPaidHour, hours_);
-  } else if (key.starts_with(keys::kPaidDay)) {
-    numbered(keys::kPaidDay, days_);
+  } else if (key.starts_with(keys::kChargesOfHour)) {
+    numbered(keys::kChargesOfHour, hours_);
+  } else if (key.starts_with(keys::kChargesOfDay)) {
+    numbered(keys::kChargesOfDay, days_);
   }
 }
 
@@ -71,17 +71,17 @@
 }
 
 const Period* PolicyReplica::open() const {
-  if (!policy_ || standing_.open.empty()) return nullptr;
+  if (!policy_ || state_.open.empty()) return nullptr;
   for (const auto& p : policy_->calendar.periods) {
-    if (p.name == standing_.open) return &p;
+    if (p.name == state_.open) return &p;
   }
   return nullptr;
 }
 
 const std::optional<Occurrence>& PolicyReplica::next() const {
-  if (nextOf_ != standing_.actedMs) {
-    nextOf_ = standing_.actedMs;
-    next_ = policy_ ? nextAfter(policy_->calendar, standing_.actedMs) : std::nullopt;
+  if (nextOf_ != state_.actedMs) {
+    nextOf_ = state_.actedMs;
+    next_ = policy_ ? nextAfter(policy_->calendar, state_.actedMs) : std::nullopt;
   }
   return next_;
 }
@@ -95,7 +95,7 @@
   return policy_ && spec.kind == JobKind::service && anyMatches(policy_->continuity.services, spec);
 }
 
-int PolicyReplica::standing(const JobSpec& spec) const {
+int PolicyReplica::priorityAdjustment(const JobSpec& spec) const {
   const Period* p = open();
   if (!p) return 0;
   if (anyMatches(p->first, spec)) return 1;
@@ -108,8 +108,8 @@
 std::optional<double> PolicyReplica::machinesForYielding(double machines, double first) const {
   const Period* p = open();
   if (!p) return std::nullopt;
-  double day = standing_.expected.mean + standing_.expected.spread;
-  if (auto last = standing_.last.find(p->name); last != standing_.last.end()) {
+  double day = state_.expected.mean + state_.expected.spread;
+  if (auto last = state_.last.find(p->name); last != state_.last.end()) {
     day = std::max(day, last->second);
   }
   return std::max(p->floor * machines, machines - std::max(day, first));
@@ -123,14 +123,14 @@
 }
 
 bool PolicyReplica::returnsWithin(Duration within) const {
-  return open() && timeOfDay && standing_.closesMs - timeOfDay() <= within.count();
+  return open() && timeOfDay && state_.closesMs - timeOfDay() <= within.count();
 }
 
 double PolicyReplica::machinesAhead(Duration within) const {
   const auto& o = next();
   if (!o || !timeOfDay || o->opensMs - timeOfDay() > within.count()) return 0;
-  auto last = standing_.last.find(policy_->calendar.periods[o->period].name);
-  return last == standing_.last.end() ? 0 : last->second;
+  auto last = state_.last.find(policy_->calendar.periods[o->period].name);
+  return last == state_.last.end() ? 0 : last->second;
 }
 
 }  // namespace kestrelhoist
--- a/src/policy/standing.cpp
+++ b/src/policy/policy_state.cpp
@@ -1,4 +1,4 @@
-#include "policy/standing.hpp"
+#include "policy/policy_state.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,11 +6,11 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::uint32_t kStormAtLeast = 3;  // machines lost in a window
-constexpr double kStormShare = 0.05;        // or of all
-constexpr std::uint32_t kCalm = 6;          // windows without a loss or a repair
+constexpr std::uint32_t kMassFailureAtLeast = 3;  // machines lost in a window
+constexpr double kMassFailureShare = 0.05;        // or of all
+constexpr std::uint32_t kCalm = 6;                // windows without a loss or a repair
 
-void openPeriod(Standing& s, const Calendar& c, const Occurrence& o, std::int64_t now) {
+void openPeriod(PolicyState& s, const Calendar& c, const Occurrence& o, std::int64_t now) {
   s.open = c.periods[o.period].name;
   s.openedAtMs = now;
   s.closesMs = o.closesMs;
@@ -18,7 +18,7 @@
   ++s.opened;
 }
 
-void closePeriod(Standing& s) {
+void closePeriod(PolicyState& s) {
   if (s.open.empty()) return;
   if (s.peak > 0) s.last[s.open] = s.peak;
   s.open.clear();
@@ -28,7 +28,7 @@
 
 // A period opens once and closes once: what was acted on lies behind `actedMs`, which never goes
 // back, however clocks step, leaders change or the state service is out.
-void turnCalendar(Standing& s, const Calendar& c, bool edited, std::int64_t now) {
+void turnCalendar(PolicyState& s, const Calendar& c, bool edited, std::int64_t now) {
   auto current = openAt(c, now);
   if (edited) {
     // An edit while a period is open is one step.
@@ -45,53 +45,54 @@
   }
 }
 
-void watchStorm(Standing& s, const Seen& seen) {
+void trackMassFailure(PolicyState& s, const PolicyObservation& seen) {
   std::uint32_t losses = seen.lost + seen.notices + seen.lateBoots;
-  bool many = losses >= std::max<double>(kStormAtLeast, kStormShare * seen.machines);
+  bool many = losses >= std::max<double>(kMassFailureAtLeast, kMassFailureShare * seen.machines);
   bool hit = many || seen.unreachableZones > 0;
-  if (!s.storm) {
-    if (hit) s.storm = Storm{seen.nowMs, losses, 1, 0, seen.missing};
+  if (!s.massFailure) {
+    if (hit) s.massFailure = MassFailure{seen.nowMs, losses, 1, 0, seen.missing};
     return;
   }
-  Storm& storm = *s.storm;
-  storm.lost += losses;
-  if (hit) ++storm.waves;
-  bool repaired = seen.missing < storm.missing;
-  storm.calm = hit || repaired ? 0 : storm.calm + 1;
-  storm.missing = seen.missing;
+  MassFailure& massFailure = *s.massFailure;
+  massFailure.lost += losses;
+  if (hit) ++massFailure.waves;
+  bool repaired = seen.missing < massFailure.missing;
+  massFailure.calm = hit || repaired ? 0 : massFailure.calm + 1;
+  massFailure.missing = seen.missing;
   // By evidence: all is up again, or nothing gets better any more, so there is no room for it.
-  if (!hit && (seen.missing == 0 || storm.calm >= kCalm)) s.storm.reset();
+  if (!hit && (seen.missing == 0 || massFailure.calm >= kCalm)) s.massFailure.reset();
 }
 
 }  // namespace
 
-Standing decideStanding(const Policy* policy, std::uint64_t version, const Standing& before,
-                        const Seen& seen, double spreadMultiple, std::mt19937_64& random) {
-  Standing s = before;
+PolicyState decidePolicyState(const Policy* policy, std::uint64_t version,
+                              const PolicyState& before, const PolicyObservation& seen,
+                              double spreadMultiple, std::mt19937_64& random) {
+  PolicyState s = before;
   std::int64_t now = std::max(seen.nowMs, before.actedMs);
   bool edited = version != before.policy;
   s.policy = version;
-  if (seen.windowEnds) watchStorm(s, seen);
+  if (seen.windowEnds) trackMassFailure(s, seen);
   static const Calendar kNone;
   const Calendar& calendar = policy ? policy->calendar : kNone;
   // Within a storm the calendar moves nothing; what lies behind is done at its end.
-  if (!s.storm || edited) {
+  if (!s.massFailure || edited) {
     turnCalendar(s, calendar, edited, now);
     s.actedMs = now;
   }
   if (seen.windowEnds && !s.open.empty()) {
-    s.peak = std::max(s.peak, seen.firstMachines);
-    s.day.observe(seen.firstMachines);
+    s.peak = std::max(s.peak, seen.prioritizedMachines);
+    s.day.observe(seen.prioritizedMachines);
     s.expected = s.day.predict(random);
   }
   if (!policy) {
     s.pools.clear();
     return s;
   }
-  std::map<ImageId, Held> pools;
+  std::map<ImageId, WarmImage> pools;
   for (const auto& pool : policy->pools) {
     for (const auto& image : pool.images) {
-      Held& held = pools[image];
+      WarmImage& held = pools[image];
       if (auto old = s.pools.find(image); old != s.pools.end()) held = std::move(old->second);
       if (seen.windowEnds) {
         auto starts = seen.starts.find(image);
@@ -109,7 +110,7 @@
   return s;
 }
 
-std::vector<std::uint32_t> shareAmong(const std::vector<Yielding>& jobs, double machines) {
+std::vector<std::uint32_t> shareAmong(const std::vector<YieldingJob>& jobs, double machines) {
   std::vector<std::uint32_t> most(jobs.size(), 0);
   std::vector<std::size_t> open(jobs.size());
   for (std::size_t j = 0; j < jobs.size(); ++j) open[j] = j;
@@ -138,7 +139,7 @@
   return most;
 }
 
-Json toJson(const Standing& s) {
+Json toJson(const PolicyState& s) {
   Json v = s.others;
   v["policy"] = s.policy;
   v["acted"] = s.actedMs;
@@ -154,12 +155,12 @@
   v["covered"] = s.covered;
   v["uncovered"] = s.uncovered;
   v.erase("storm");
-  if (s.storm) {
-    v["storm"] = {{"since", s.storm->sinceMs},
-                  {"lost", s.storm->lost},
-                  {"waves", s.storm->waves},
-                  {"calm", s.storm->calm},
-                  {"missing", s.storm->missing}};
+  if (s.massFailure) {
+    v["storm"] = {{"since", s.massFailure->sinceMs},
+                  {"lost", s.massFailure->lost},
+                  {"waves", s.massFailure->waves},
+                  {"calm", s.massFailure->calm},
+                  {"missing", s.massFailure->missing}};
   }
   Json pools = Json::object();
   for (const auto& [image, held] : s.pools) {
@@ -172,8 +173,8 @@
   return v;
 }
 
-Standing standingFrom(const Json& v) {
-  Standing s;
+PolicyState policyStateFrom(const Json& v) {
+  PolicyState s;
   if (!v.is_object()) return s;
   s.others = v;
   for (const char* known :
@@ -204,16 +205,17 @@
       e && e->is_array() && e->size() == 2 && (*e)[0].is_number() && (*e)[1].is_number()) {
     s.expected = {(*e)[0].get<double>(), (*e)[1].get<double>()};
   }
-  if (const Json* storm = field(v, "storm")) {
+  if (const Json* massFailure = field(v, "storm")) {
     auto n = [&](const char* name) {
-      return static_cast<std::uint32_t>(countField(*storm, name).value_or(0));
+      return static_cast<std::uint32_t>(countField(*massFailure, name).value_or(0));
     };
-    s.storm = Storm{static_cast<std::int64_t>(countField(*storm, "since").value_or(0)), n("lost"),
-                    n("waves"), n("calm"), n("missing")};
+    s.massFailure =
+        MassFailure{static_cast<std::int64_t>(countField(*massFailure, "since").value_or(0)),
+                    n("lost"), n("waves"), n("calm"), n("missing")};
   }
   if (const Json* pools = field(v, "pools"); pools && pools->is_object()) {
     for (const auto& [image, p] : pools->items()) {
-      Held& held = s.pools[ImageId{image}];
+      WarmImage& held = s.pools[ImageId{image}];
       held.wanted = static_cast<std::uint32_t>(countField(p, "wanted").value_or(0));
       held.gb = numberField(p, "gb").value_or(0);
       if (const Json* on = field(p, "on"); on && on->is_array()) {
--- a/src/policy/standing.hpp
+++ b/src/policy/policy_state.hpp
@@ -11,7 +11,7 @@
 
 namespace kestrelhoist {
 
-struct Storm {
+struct MassFailure {
   std::int64_t sinceMs{};
   std::uint32_t lost{};     // machines, so far
   std::uint32_t waves{};    // windows that brought more losses
@@ -20,14 +20,14 @@
 };
 
 // One image of a pool: how many machines shall hold it, and which do.
-struct Held {
+struct WarmImage {
   std::uint32_t wanted{};
   std::set<MachineId> machines;
   double gb{};
   Forecast starts;  // in a window
 };
 
-struct Standing {
+struct PolicyState {
   std::uint64_t policy{};  // the version it was decided under; 0: none
   std::int64_t actedMs{};  // boundaries up to here were acted on; never goes back
   std::string open;        // the period, if one is open
@@ -37,35 +37,36 @@
   std::map<std::string, double> last;  // the same of each period's last opening
   Forecast day{6};                     // of the machines that those who go first take
   Prediction expected;                 // of it, at the horizon
-  std::optional<Storm> storm;
-  std::map<ImageId, Held> pools;
+  std::optional<MassFailure> massFailure;
+  std::map<ImageId, WarmImage> pools;
   double covered = 1;  // share of the protected replicas that the loss of a zone leaves a place for
   std::uint32_t uncovered{};
   Json others = Json::object();  // fields of a newer version, kept
 };
 
-Json toJson(const Standing& s);
-Standing standingFrom(const Json& v);
+Json toJson(const PolicyState& s);
+PolicyState policyStateFrom(const Json& v);
 
 // What was seen in the window that ends.
-struct Seen {
-  std::int64_t nowMs{};    // time of day, as the controllers agree on it
-  double firstMachines{};  // taken or waited for by those who go first in the open period
+struct PolicyObservation {
+  std::int64_t nowMs{};          // time of day, as the controllers agree on it
+  double prioritizedMachines{};  // taken or waited for by those who go first in the open period
   bool windowEnds{};
   std::uint32_t machines{}, lost{}, notices{}, unreachableZones{}, lateBoots{}, missing{};
   std::map<ImageId, double> starts;
 };
 
 // The next standing. `policy` null: none is set.
-Standing decideStanding(const Policy* policy, std::uint64_t version, const Standing& before,
-                        const Seen& seen, double spreadMultiple, std::mt19937_64& random);
+PolicyState decidePolicyState(const Policy* policy, std::uint64_t version,
+                              const PolicyState& before, const PolicyObservation& seen,
+                              double spreadMultiple, std::mt19937_64& random);
 
 // Of jobs that yield and together may hold so many machines: how many tasks each may hold. Each may
 // begin; what is over goes evenly.
-struct Yielding {
+struct YieldingJob {
   double share{};  // of a machine that a task takes
   std::uint32_t waiting{}, held{};
 };
-std::vector<std::uint32_t> shareAmong(const std::vector<Yielding>& jobs, double machines);
+std::vector<std::uint32_t> shareAmong(const std::vector<YieldingJob>& jobs, double machines);
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "policy/cover.hpp"
+#include "policy/failover_coverage.hpp"
 #include "policy/policy_replica.hpp"
 
 namespace kestrelhoist {
@@ -90,8 +90,8 @@
   EXPECT_EQ(why(R"({"later":{"version":2}})"), "");  // of a newer version: kept, not refused
 }
 
-Seen seenAt(std::int64_t ms, bool window = true) {
-  Seen s;
+PolicyObservation seenAt(std::int64_t ms, bool window = true) {
+  PolicyObservation s;
   s.nowMs = ms;
   s.windowEnds = window;
   s.machines = 100;
@@ -100,19 +100,19 @@
 
 // Whatever clocks say and whoever decides: each opening of a period is acted on once, and closed
 // once.
-RC_GTEST_PROP(Standing, PeriodsOpenAndCloseOnce, ()) {
+RC_GTEST_PROP(PolicyState, PeriodsOpenAndCloseOnce, ()) {
   auto policy = policyWith("Europe/Bratislava", "08:00", "17:00");
   std::mt19937_64 random(1);
-  Standing s;
+  PolicyState s;
   std::int64_t now = utc("2026-10-20 00:00"), end = utc("2026-10-30 00:00");
-  s = decideStanding(policy.get(), 1, s, seenAt(now), 1, random);
+  s = decidePolicyState(policy.get(), 1, s, seenAt(now), 1, random);
   while (now < end) {
     now += *rc::gen::inRange<std::int64_t>(1, 6 * 3600) * 1000;
     std::int64_t off = *rc::gen::inRange<std::int64_t>(-300, 300) * 1000;
     auto before = s;
-    s = decideStanding(policy.get(), 1, s, seenAt(now + off, false), 1, random);
+    s = decidePolicyState(policy.get(), 1, s, seenAt(now + off, false), 1, random);
     // Through the record, as a new leader reads it.
-    s = standingFrom(toJson(s));
+    s = policyStateFrom(toJson(s));
     RC_ASSERT(s.actedMs >= before.actedMs);
     RC_ASSERT(s.opened <= before.opened + 1);
     RC_ASSERT(s.opened == s.closed + (s.open.empty() ? 0 : 1));
@@ -120,47 +120,47 @@
   RC_ASSERT(s.opened <= 10U);
 }
 
-TEST(Standing, AnEditIsOneStepAndUnknownFieldsStay) {
+TEST(PolicyState, AnEditIsOneStepAndUnknownFieldsStay) {
   auto c = [](const char* to) { return policyWith("UTC", "08:00", to); };
   std::mt19937_64 random(1);
-  Standing s = standingFrom({{"of_a_newer_version", 7}});
-  s = decideStanding(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
+  PolicyState s = policyStateFrom({{"of_a_newer_version", 7}});
+  s = decidePolicyState(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
   EXPECT_EQ(s.open, "day");
-  s = decideStanding(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
+  s = decidePolicyState(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
   EXPECT_EQ(s.opened, 1U);
   EXPECT_EQ(s.closesMs, utc("2026-10-20 18:00"));
-  s = decideStanding(nullptr, 3, s, seenAt(utc("2026-10-20 09:02")), 1, random);
+  s = decidePolicyState(nullptr, 3, s, seenAt(utc("2026-10-20 09:02")), 1, random);
   EXPECT_EQ(s.closed, 1U);
   EXPECT_EQ(toJson(s).at("of_a_newer_version"), 7);
 }
 
-TEST(Standing, AStormBeginsByLossesHoldsTheCalendarAndEndsByEvidence) {
+TEST(PolicyState, AStormBeginsByLossesHoldsTheCalendarAndEndsByEvidence) {
   auto policy = policyWith("UTC", "08:00", "17:00");
   std::mt19937_64 random(1);
   auto at = utc("2026-10-20 07:59");
   auto seen = seenAt(at);
-  Standing s = decideStanding(policy.get(), 1, {}, seen, 1, random);
+  PolicyState s = decidePolicyState(policy.get(), 1, {}, seen, 1, random);
   seen.lost = 4;
-  s = decideStanding(policy.get(), 1, s, seen, 1, random);
-  EXPECT_FALSE(s.storm);  // 4 of 100
+  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  EXPECT_FALSE(s.massFailure);  // 4 of 100
   seen.lost = 5;
   seen.missing = 40;
-  s = decideStanding(policy.get(), 1, s, seen, 1, random);
-  ASSERT_TRUE(s.storm);
+  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  ASSERT_TRUE(s.massFailure);
   seen = seenAt(utc("2026-10-20 08:05"));
   seen.missing = 20;  // being repaired
-  s = decideStanding(policy.get(), 1, s, seen, 1, random);
+  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_TRUE(s.open.empty());
   seen.lost = 30;  // a second one within the first
-  s = decideStanding(policy.get(), 1, s, seen, 1, random);
-  EXPECT_EQ(s.storm->waves, 2U);
+  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  EXPECT_EQ(s.massFailure->waves, 2U);
   seen.lost = seen.missing = 0;
-  s = decideStanding(policy.get(), 1, s, seen, 1, random);
-  EXPECT_FALSE(s.storm);
+  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  EXPECT_FALSE(s.massFailure);
   EXPECT_EQ(s.open, "day");
 }
 
-TEST(Standing, PoolsHoldMeanAndSpreadOfTheStartsWithinTheirBounds) {
+TEST(PolicyState, PoolsHoldMeanAndSpreadOfTheStartsWithinTheirBounds) {
   auto policy = parsePolicy({{"pools",
                               {{{"name", "llm"},
                                 {"images", {"w"}},
@@ -169,20 +169,20 @@
                                 {"most", 9},
                                 {"ahead_s", 20}}}}});
   std::mt19937_64 random(1);
-  Standing s = decideStanding(policy.get(), 1, {}, seenAt(1000), 1, random);
+  PolicyState s = decidePolicyState(policy.get(), 1, {}, seenAt(1000), 1, random);
   EXPECT_EQ(s.pools.at(ImageId{"w"}).wanted, 2U);
   auto seen = seenAt(2000);
   seen.starts[ImageId{"w"}] = 3;
-  for (int i = 0; i < 30; ++i) s = decideStanding(policy.get(), 1, s, seen, 1, random);
+  for (int i = 0; i < 30; ++i) s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_GE(s.pools.at(ImageId{"w"}).wanted, 6U);
   EXPECT_LE(s.pools.at(ImageId{"w"}).wanted, 9U);
-  s = decideStanding(nullptr, 2, s, seen, 1, random);  // withdrawn
+  s = decidePolicyState(nullptr, 2, s, seen, 1, random);  // withdrawn
   EXPECT_TRUE(s.pools.empty());
 }
 
 RC_GTEST_PROP(ShareAmong, EachMayBeginAndNoMoreThanTheMachinesIsGiven, ()) {
   auto n = *rc::gen::inRange<std::size_t>(1, 12);
-  std::vector<Yielding> jobs;
+  std::vector<YieldingJob> jobs;
   double least = 0;
   for (std::size_t i = 0; i < n; ++i) {
     jobs.push_back({*rc::gen::element(0.125, 0.25, 0.5, 1.0),
@@ -202,8 +202,8 @@
 }
 
 // Against every way to place them.
-std::uint32_t bestOf(const std::vector<CoverMachine>& machines, std::vector<double> room,
-                     const std::vector<CoverReplicas>& one, std::size_t next,
+std::uint32_t bestOf(const std::vector<CoverageMachine>& machines, std::vector<double> room,
+                     const std::vector<CoverageReplicas>& one, std::size_t next,
                      const std::set<std::size_t>& lost) {
   if (next == one.size()) return 0;
   std::uint32_t best = bestOf(machines, room, one, next + 1, lost);
@@ -217,39 +217,39 @@
   return best;
 }
 
-RC_GTEST_PROP(Cover, IsTheBestThereIsForReplicasOfOneSize, ()) {
-  std::vector<CoverMachine> machines;
+RC_GTEST_PROP(FailoverCoverage, IsTheBestThereIsForReplicasOfOneSize, ()) {
+  std::vector<CoverageMachine> machines;
   for (int m = 0; m < 5; ++m) {
-    CoverMachine c{static_cast<std::uint32_t>(m % 3), *rc::gen::element(0.0, 0.25, 0.5), {}};
+    CoverageMachine c{static_cast<std::uint32_t>(m % 3), *rc::gen::element(0.0, 0.25, 0.5), {}};
     for (std::uint32_t i = 0; i < 3; ++i) {
       if (*rc::gen::arbitrary<bool>()) c.images.insert(i);
     }
     machines.push_back(c);
   }
-  std::vector<CoverReplicas> replicas;
+  std::vector<CoverageReplicas> replicas;
   for (auto n = *rc::gen::inRange(0, 6); n > 0; --n) {
     replicas.push_back({*rc::gen::inRange<std::uint32_t>(0, 3), 0.25, 0, 1});
   }
   std::vector<double> room;
-  for (const auto& m : machines) room.push_back(m.room);
+  for (const auto& m : machines) room.push_back(m.spare);
   std::set<std::size_t> lost{0, 3};
-  auto cover = coverFor(machines, replicas, lost);
+  auto cover = coverageFor(machines, replicas, lost);
   RC_ASSERT(cover.moving == replicas.size());
   RC_ASSERT(cover.placed == bestOf(machines, room, replicas, 0, lost));
 }
 
-TEST(Cover, TheWorstLossIsAZoneOrTheFullestMachines) {
-  std::vector<CoverMachine> machines{{0, 0, {1}}, {1, 0.25, {1}}, {2, 0, {}}};
-  std::vector<CoverReplicas> replicas{{1, 0.25, 0, 1}, {1, 0.25, 2, 3}};
-  auto worst = worstCover(machines, replicas, 0);
+TEST(FailoverCoverage, TheWorstLossIsAZoneOrTheFullestMachines) {
+  std::vector<CoverageMachine> machines{{0, 0, {1}}, {1, 0.25, {1}}, {2, 0, {}}};
+  std::vector<CoverageReplicas> replicas{{1, 0.25, 0, 1}, {1, 0.25, 2, 3}};
+  auto worst = worstCoverage(machines, replicas, 0);
   EXPECT_EQ(worst.moving, 3U);
   EXPECT_EQ(worst.placed, 1U);
-  EXPECT_EQ(worstCover(machines, replicas, 2).moving, 4U);
+  EXPECT_EQ(worstCoverage(machines, replicas, 2).moving, 4U);
 }
 
 // The parts of what a machine costs are what it costs, whoever uses it and however time is cut up.
 RC_GTEST_PROP(Ledger, PartsAddUpToWhatWasRented, ()) {
-  Account account;
+  ChargeAccount account;
   std::uint64_t ms = 0, money = 0;
   for (auto n = *rc::gen::inRange(1, 8); n > 0; --n) {
     MachineTime m;
@@ -263,7 +263,7 @@
     std::int64_t from = 0;
     while (from < 30000) {
       std::int64_t to = from + *rc::gen::inRange<std::int64_t>(1, 12000);
-      Account one;
+      ChargeAccount one;
       charge(one, m, from, to);
       auto counted =
           static_cast<std::uint64_t>(std::max<std::int64_t>(0, to - std::max(from, m.rentedAtMs)));
@@ -276,8 +276,8 @@
   }
   RC_ASSERT(account.total().ms == ms);
   RC_ASSERT(account.total().money == money);
-  PaidRecord record{5, account};
-  auto again = paidRecordFrom(toJson(record));
+  ChargeRecord record{5, account};
+  auto again = chargeRecordFrom(toJson(record));
   RC_ASSERT(again.has_value());
   RC_ASSERT(again->account.total() == account.total());
 }
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -37,7 +37,7 @@
     v["past"] = Json::array();
   }
   for (const auto& [n, p] : policyReplica_.past()) v["past"].push_back(toJson(p));
-  Json s = toJson(policyReplica_.standing());
+  Json s = toJson(policyReplica_.state());
   for (const char* own : {"day", "acted"}) s.erase(own);
   for (auto& [image, held] : s["pools"].items()) held.erase("starts");
   v["standing"] = std::move(s);
@@ -45,7 +45,7 @@
 }
 
 Json PolicyService::paid() const {
-  auto list = [](const std::map<std::int64_t, PaidRecord>& of) {
+  auto list = [](const std::map<std::int64_t, ChargeRecord>& of) {
     Json out = Json::array();
     for (const auto& [n, r] : of) {
       Json v = toJson(r);
--- a/tests/meetings_writes.hpp
+++ b/tests/meetings_writes.hpp
@@ -33,7 +33,7 @@
   };
   if (writes(keys::kLeader)) return "claim";
   if (writes("kh/flow") || writes(keys::kText)) return "flow";
-  if (writes(keys::kStanding) || writes("kh/paid/")) return "ledger";
+  if (writes(keys::kPolicyState) || writes("kh/paid/")) return "ledger";
   if (writes("kh/policy/")) return "policy";
   if (writes(keys::kKey) || writes(keys::kCursorKey)) return "member";
   if (writes(keys::kRental)) return "rental";
--- a/tests/scenario_expect.hpp
+++ b/tests/scenario_expect.hpp
@@ -36,21 +36,21 @@
       w.expectAnswered(kForgotten);
     } else if (what == "period") {  // expect period NAME|none opened N closed N
       ASSERT_NE(w.policy(), nullptr);
-      const auto& s = w.policy()->standing();
+      const auto& s = w.policy()->state();
       EXPECT_EQ(s.open.empty() ? "none" : s.open, words.at(2));
       EXPECT_EQ(s.opened, std::stoul(words.at(4)));
       EXPECT_EQ(s.closed, std::stoul(words.at(6)));
     } else if (what == "periods") {  // expect periods sound: as often closed as opened, or one open
       ASSERT_NE(w.policy(), nullptr);
-      const auto& s = w.policy()->standing();
+      const auto& s = w.policy()->state();
       EXPECT_EQ(s.opened, s.closed + (s.open.empty() ? 0 : 1));
     } else if (what == "storm") {  // expect storm yes|no
       ASSERT_NE(w.policy(), nullptr);
-      EXPECT_EQ(w.policy()->storm(), words.at(2) == "yes");
+      EXPECT_EQ(w.policy()->massFailure(), words.at(2) == "yes");
     } else if (what == "held") {  // expect held IMAGE least|most N: machines chosen to hold it
       ASSERT_NE(w.policy(), nullptr);
-      auto held = w.policy()->standing().pools.find(ImageId{words.at(2)});
-      std::size_t n = held == w.policy()->standing().pools.end() ? 0 : held->second.machines.size();
+      auto held = w.policy()->state().pools.find(ImageId{words.at(2)});
+      std::size_t n = held == w.policy()->state().pools.end() ? 0 : held->second.machines.size();
       EXPECT_TRUE(words.at(3) == "least" ? n >= std::stoul(words.at(4))
                                          : n <= std::stoul(words.at(4)))
           << n;
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -88,9 +88,9 @@
                 << " reads\n";
       w.tellWaits(std::cout);
       if (const auto* p = w.policy(); p && p->active()) {
-        const auto& s = p->standing();
+        const auto& s = p->state();
         std::cout << "  covered " << s.covered << ", uncovered " << s.uncovered << ", storm "
-                  << p->storm() << "\n";
+                  << p->massFailure() << "\n";
       }
     } else if (verb == "dieshare") {  // dieshare SHARE: of the machines that are up, at once
       std::vector<region::Worker*> up;
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -196,7 +196,7 @@
   for (const auto& n : nodes_) {
     if (!n.controller) continue;
     const auto* p = &n.controller->policy();
-    if (!best || p->standing().actedMs > best->standing().actedMs) best = p;
+    if (!best || p->state().actedMs > best->state().actedMs) best = p;
   }
   return best;
 }
