--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -5,7 +5,7 @@
 #include "cloud/forecast_loop.hpp"
 #include "cloud/machine_list_loop.hpp"
 #include "cloud/termination_loop.hpp"
-#include "flows/duty.hpp"
+#include "flows/flow_loop.hpp"
 #include "policy/policy_loop.hpp"
 
 namespace kestrelhoist {
@@ -47,7 +47,7 @@
   TerminationLoop terminations_;
   ScalingLoop scaling_;
   ForecastLoop forecast_;
-  FlowDuty flows_;
+  FlowLoop flows_;
   PolicyLoop policy_;
   std::vector<ControlLoop*> loops_;  // in the order in which they take turns
   RateBudget writes_;
--- a/src/flows/duty.cpp
+++ b/src/flows/flow_loop.cpp
@@ -1,10 +1,10 @@
-#include "flows/duty.hpp"
+#include "flows/flow_loop.hpp"
 
 #include <algorithm>
 
 #include "base/log.hpp"
 #include "flows/batching.hpp"
-#include "flows/draft.hpp"
+#include "flows/flow_transaction.hpp"
 
 namespace kestrelhoist {
 namespace {
@@ -20,7 +20,7 @@
 
 // The instances of a job's tasks in this version. Jobs of an earlier one are matched by
 // fingerprint, and only where the change to this version has kept them.
-FlowDuty::OpenJob FlowDuty::adopt(
+FlowLoop::OpenJob FlowLoop::adopt(
     const FlowState& flow, const JobState& job, const FlowVersion& version,
     const std::unordered_map<std::uint64_t, Instance>* byPrint) const {
   OpenJob open;
@@ -45,7 +45,7 @@
 }
 
 // Takes in which tasks of a job have ended.
-void FlowDuty::settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const {
+void FlowLoop::settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const {
   const FlowPart& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
   std::erase_if(open.pending, [&](std::uint32_t task) {
@@ -82,7 +82,7 @@
 }
 
 // From the records alone.
-std::optional<FlowDuty::Run> FlowDuty::build(const FlowState& flow, const Digest& graph) const {
+std::optional<FlowLoop::Run> FlowLoop::build(const FlowState& flow, const Digest& graph) const {
   const FlowVersion* version = flow.version(graph);
   if (!version || !version->complete()) return std::nullopt;
   const FlowGraph& g = version->graph;
@@ -136,7 +136,7 @@
   return run;
 }
 
-void FlowDuty::observe(const FlowId& id, const JobId& jobId) {
+void FlowLoop::observe(const FlowId& id, const JobId& jobId) {
   auto it = runs_.find(id);
   const FlowState* flow = context_.replica.flows().find(id);
   if (it == runs_.end() || !flow || !flow->head) return;
@@ -160,7 +160,7 @@
   settle(*flow, run, *job, open->second);
 }
 
-void FlowDuty::onRecordsChanged(bool) {
+void FlowLoop::onRecordsChanged(bool) {
   auto& copy = context_.replica.flows();
   for (const auto& [flow, job] : copy.takeTouched()) observe(flow, job);
   std::erase_if(runs_, [&](const auto& r) {
@@ -171,7 +171,7 @@
   });
 }
 
-LoopStep FlowDuty::next() {
+LoopStep FlowLoop::next() {
   const auto& live = context_.replica.flows().live();
   // Flows take turns.
   auto at = live.upper_bound(last_);
@@ -188,7 +188,7 @@
 
 // Parts of tasks' stretches go after their job, whose end would not fit one transaction with them.
 // Names of jobs are never given twice.
-std::optional<Commit> FlowDuty::dropOrphans() const {
+std::optional<Commit> FlowLoop::dropOrphans() const {
   Transaction t = context_.begin();
   for (const auto& [key, modRevision] : context_.replica.orphanSubChunks()) {
     if (t.writes.size() == context_.platform.transactionOps) break;
@@ -199,7 +199,7 @@
   return Commit{std::move(t), nullptr, "parts of ended jobs"};
 }
 
-std::optional<Commit> FlowDuty::nextOf(const FlowId& id, const FlowState& flow) {
+std::optional<Commit> FlowLoop::nextOf(const FlowId& id, const FlowState& flow) {
   if (!flow.head) return remove(id, flow);
   if (flow.head->phase != FlowPhase::open) {
     return flow.jobs.empty() ? remove(id, flow) : wind(id, flow);
@@ -218,37 +218,37 @@
   return remove(id, flow);
 }
 
-bool FlowDuty::endable(const JobState& job) const {
+bool FlowLoop::endable(const JobState& job) const {
   return job.placed.empty() && (!job.active() || job.waiting() == 0);
 }
 
 // A job's end: its record and those of its tasks go, and what it used is counted, once. The
 // instances that it was for get their state in the same transaction.
-void FlowDuty::endJob(Draft& draft, const FlowState& flow, const JobId& id, const JobState& job,
-                      const OpenJob* open, Run* run) {
+void FlowLoop::endJob(TransactionBuilder& builder, const FlowState& flow, const JobId& id,
+                      const JobState& job, const OpenJob* open, Run* run) {
   Use use = job.flow->use();
   for (const auto& [chunk, s] : job.flow->chunks) {
     std::string key = keys::tasks(id, chunk);
     Revision modRevision = context_.replica.modRevisionOf(key);
-    if (modRevision != Revision{}) draft.drop(key, modRevision);
+    if (modRevision != Revision{}) builder.drop(key, modRevision);
   }
-  draft.drop(keys::job(id), job.modRevision);
+  builder.drop(keys::job(id), job.modRevision);
   const FlowVersion* own = flow.version(job.record.flow->graph);
   if (own && job.record.flow->rule < own->graph.rules().size()) {
-    draft.use(own->graph.rules()[job.record.flow->rule], use);
+    builder.use(own->graph.rules()[job.record.flow->rule], use);
   }
   if (!open || !run) return;
   for (std::size_t task = 0; task < open->instances.size(); ++task) {
     Instance i = open->instances[task];
     if (i == kNone) continue;
     auto n = static_cast<std::uint32_t>(task);
-    if (job.isFinished(n)) draft.state(i, 'd');
-    if (!job.isFinished(n) && job.isGivenUp(n)) draft.state(i, 'f');
+    if (job.isFinished(n)) builder.state(i, 'd');
+    if (!job.isFinished(n) && job.isGivenUp(n)) builder.state(i, 'f');
   }
 }
 
-void FlowDuty::createJob(Draft& draft, const FlowId& id, const FlowState& flow, Run& run,
-                         std::uint32_t rule, const std::vector<Instance>& instances) {
+void FlowLoop::createJob(TransactionBuilder& builder, const FlowId& id, const FlowState& flow,
+                         Run& run, std::uint32_t rule, const std::vector<Instance>& instances) {
   const FlowRule& r = flow.version(run.graph)->graph.rules()[rule];
   FlowPart part;
   part.flow = id;
@@ -261,7 +261,7 @@
     } else {
       part.runs.emplace_back(i, 1);
     }
-    draft.state(i, 'a');
+    builder.state(i, 'a');
   }
   auto spec = std::make_shared<JobSpec>();
   // Never given twice: tokens are, and the counter within one. Users' ids begin otherwise.
@@ -280,12 +280,12 @@
   spec->saveTime = r.saveTime;
   JobRecord record{spec, JobPhase::active, context_.runtime.wallMillis(), tasksPerChunk(),
                    std::make_shared<const FlowPart>(std::move(part))};
-  draft.set(keys::job(spec->id), toJson(record), Revision{});
+  builder.set(keys::job(spec->id), toJson(record), Revision{});
 }
 
 // The step that records ended instances and creates the jobs that become ready: one transaction
 // on the stamps of the head, the pages and the jobs, under the leader's token.
-std::optional<Commit> FlowDuty::advance(const FlowId& id, const FlowState& flow, Run& run) {
+std::optional<Commit> FlowLoop::advance(const FlowId& id, const FlowState& flow, Run& run) {
   Instant now = context_.runtime.now();
   const FlowVersion& version = *flow.version(run.graph);
   std::size_t queued = 0, running = 0, ended = 0;
@@ -309,17 +309,17 @@
   bool over = run.progress.over();
   if (!release && !over && (ended == 0 || now - endedSince < kEndedPatience)) return std::nullopt;
 
-  Draft draft(context_, id, flow, version, run.graph);
+  TransactionBuilder builder(context_, id, flow, version, run.graph);
   // What is still to be written of a version whose record is taken from the head's stamp: an
   // amendment or a cancellation that was committed meanwhile makes this fail.
   std::size_t endedNow = 0, createdNow = 0, instances = 0;
   for (auto& [jobId, open] : run.jobs) {
     const auto* job = context_.replica.job(jobId);
     if (!open.pending.empty() || !endable(*job)) continue;
-    Draft before = draft;
-    endJob(draft, flow, jobId, *job, &open, &run);
-    if (!draft.fits()) {
-      draft = std::move(before);
+    TransactionBuilder before = builder;
+    endJob(builder, flow, jobId, *job, &open, &run);
+    if (!builder.fits()) {
+      builder = std::move(before);
       break;
     }
     ++endedNow;
@@ -346,10 +346,10 @@
           pages += newPage ? 1 : 0;
           batch.push_back(ready[from]);
         }
-        Draft before = draft;
-        createJob(draft, id, flow, run, rule, batch);
-        if (!draft.fits()) {
-          draft = std::move(before);
+        TransactionBuilder before = builder;
+        createJob(builder, id, flow, run, rule, batch);
+        if (!builder.fits()) {
+          builder = std::move(before);
           full = true;
         } else {
           ++createdNow;
@@ -365,19 +365,19 @@
     head.failed = run.progress.count(Progress::State::failed);
     head.skipped = run.progress.count(Progress::State::skipped);
     head.phase = head.failed > 0 ? FlowPhase::failed : FlowPhase::done;
-    Draft before = draft;
-    draft.endFlow(head);
-    if (!draft.fits()) {
-      draft = std::move(before);
+    TransactionBuilder before = builder;
+    builder.endFlow(head);
+    if (!builder.fits()) {
+      builder = std::move(before);
     } else {
       logInfo("flow over", "flow", id, "done", head.done, "failed", head.failed, "skipped",
               head.skipped);
     }
   }
-  if (draft.empty()) return std::nullopt;
-  std::size_t changes = draft.changes();
-  std::vector<JobId> gone = draft.droppedJobs();
-  return Commit{draft.finish(),
+  if (builder.empty()) return std::nullopt;
+  std::size_t changes = builder.changes();
+  std::vector<JobId> gone = builder.droppedJobs();
+  return Commit{builder.finish(),
                 [this, id, changes, gone] {
                   for (const auto& job : gone) outcomes_.forgetJob(job);
                   if (auto r = runs_.find(id); r != runs_.end()) r->second.changes += changes;
@@ -387,7 +387,7 @@
                     " jobs ended"};
 }
 
-std::vector<ProjectedDemand> FlowDuty::upcoming(Duration horizon) const {
+std::vector<ProjectedDemand> FlowLoop::upcoming(Duration horizon) const {
   std::vector<ProjectedDemand> out;
   for (const auto& [id, run] : runs_) {
     const FlowState* flow = context_.replica.flows().find(id);
@@ -413,7 +413,7 @@
   return out;
 }
 
-std::vector<ProjectedDemand> FlowDuty::ending(Duration horizon) const {
+std::vector<ProjectedDemand> FlowLoop::ending(Duration horizon) const {
   std::vector<ProjectedDemand> out;
   for (const auto& [id, run] : runs_) {
     for (const auto& [jobId, open] : run.jobs) {
--- a/src/flows/duty.hpp
+++ b/src/flows/flow_loop.hpp
@@ -10,9 +10,9 @@
 
 namespace kestrelhoist {
 
-class FlowDuty : public ControlLoop {
+class FlowLoop : public ControlLoop {
  public:
-  FlowDuty(LeaderContext& context, ConfirmedOutcomes& outcomes, TaskLoop& tasks)
+  FlowLoop(LeaderContext& context, ConfirmedOutcomes& outcomes, TaskLoop& tasks)
       : context_(context), outcomes_(outcomes), tasks_(tasks) {}
 
   LoopStep next() override;
@@ -39,7 +39,7 @@
     Instant readySince{};
     std::size_t changes = 0;  // written for it by this leadership
   };
-  class Draft;
+  class TransactionBuilder;
 
   void observe(const FlowId& id, const JobId& job);
   std::optional<Run> build(const FlowState& flow, const Digest& graph) const;
@@ -53,9 +53,9 @@
   std::optional<Commit> wind(const FlowId& id, const FlowState& flow);
   std::optional<Commit> remove(const FlowId& id, const FlowState& flow);
   std::optional<Commit> dropOrphans() const;
-  void endJob(Draft& draft, const FlowState& flow, const JobId& id, const JobState& job,
-              const OpenJob* open, Run* run);
-  void createJob(Draft& draft, const FlowId& id, const FlowState& flow, Run& run,
+  void endJob(TransactionBuilder& builder, const FlowState& flow, const JobId& id,
+              const JobState& job, const OpenJob* open, Run* run);
+  void createJob(TransactionBuilder& builder, const FlowId& id, const FlowState& flow, Run& run,
                  std::uint32_t rule, const std::vector<Instance>& instances);
   bool endable(const JobState& job) const;
   // Of one job: its record, its tasks' and an account change with them.
--- a/src/flows/duty_versions.cpp
+++ b/src/flows/flow_loop_versions.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "flows/draft.hpp"
+#include "flows/flow_transaction.hpp"
 
 namespace kestrelhoist {
 namespace {
@@ -14,7 +14,7 @@
 // The change to another version: instances that are the same in both keep their state and their
 // running tasks; tasks of others are dropped, which stops them. Each step is derived from the
 // records, so whoever leads takes it up wherever it is. The flow starts nothing meanwhile.
-std::optional<Commit> FlowDuty::amend(const FlowId& id, const FlowState& flow) {
+std::optional<Commit> FlowLoop::amend(const FlowId& id, const FlowState& flow) {
   const FlowVersion* target = flow.version(flow.head->graph);
   auto old = build(flow, flow.head->from);
   if (!target || !target->complete() || !old) return std::nullopt;
@@ -29,7 +29,7 @@
     if (auto it = byPrint.find(source.graph.print(i)); it != byPrint.end())
       letters[it->second] = 'd';
   }
-  Draft draft(context_, id, flow, *target, flow.head->graph);
+  TransactionBuilder builder(context_, id, flow, *target, flow.head->graph);
   std::size_t dropped = 0, jobs = 0;
   bool full = false;
   for (const auto& [jobId, open] : old->jobs) {
@@ -52,10 +52,10 @@
     part.dropped.insert(part.dropped.end(), unwanted.begin(), unwanted.end());
     std::sort(part.dropped.begin(), part.dropped.end());
     record.flow = std::make_shared<const FlowPart>(std::move(part));
-    Draft before = draft;
-    draft.set(keys::job(jobId), toJson(record), job->modRevision);
-    if (!draft.fits()) {
-      draft = std::move(before);
+    TransactionBuilder before = builder;
+    builder.set(keys::job(jobId), toJson(record), job->modRevision);
+    if (!builder.fits()) {
+      builder = std::move(before);
       full = true;
       continue;
     }
@@ -63,7 +63,7 @@
     ++jobs;
   }
   if (jobs > 0) {
-    return Commit{draft.finish(), [this] { tasks_.sendStops(); },
+    return Commit{builder.finish(), [this] { tasks_.sendStops(); },
                   "flow " + id.value + ": " + std::to_string(dropped) + " tasks no longer wanted"};
   }
   for (std::uint32_t page = 0; page * kPageSize < letters.size(); ++page) {
@@ -73,17 +73,17 @@
                                      : known->second == states) {
       continue;
     }
-    Draft before = draft;
+    TransactionBuilder before = builder;
     for (std::size_t k = 0; k < states.size(); ++k) {
-      draft.state(static_cast<Instance>(page * kPageSize + k), states[k]);
+      builder.state(static_cast<Instance>(page * kPageSize + k), states[k]);
     }
-    if (!draft.fits()) {
-      draft = std::move(before);
+    if (!builder.fits()) {
+      builder = std::move(before);
       break;
     }
   }
-  if (!draft.empty()) {
-    return Commit{draft.finish(), nullptr, "flow " + id.value + ": states of the new version"};
+  if (!builder.empty()) {
+    return Commit{builder.finish(), nullptr, "flow " + id.value + ": states of the new version"};
   }
   FlowHead head = *flow.head;
   head.from = Digest{};
@@ -95,33 +95,33 @@
 }
 
 // A flow that was cancelled: its jobs are, then they leave the record.
-std::optional<Commit> FlowDuty::wind(const FlowId& id, const FlowState& flow) {
+std::optional<Commit> FlowLoop::wind(const FlowId& id, const FlowState& flow) {
   const FlowVersion* version = flow.version(flow.head->graph);
-  Draft draft(context_, id, flow, version ? *version : kNoVersion, flow.head->graph);
+  TransactionBuilder builder(context_, id, flow, version ? *version : kNoVersion, flow.head->graph);
   std::size_t cancelled = 0, ended = 0;
   for (const auto& jobId : flow.jobs) {
     const auto* job = context_.replica.job(jobId);
     if (!job) continue;
-    Draft before = draft;
+    TransactionBuilder before = builder;
     if (job->active()) {
       JobRecord record = job->record;
       record.phase = JobPhase::cancelled;
-      draft.set(keys::job(jobId), toJson(record), job->modRevision);
+      builder.set(keys::job(jobId), toJson(record), job->modRevision);
       ++cancelled;
     } else if (job->placed.empty()) {
-      endJob(draft, flow, jobId, *job, nullptr, nullptr);
+      endJob(builder, flow, jobId, *job, nullptr, nullptr);
       ++ended;
     } else {
       continue;
     }
-    if (!draft.fits()) {
-      draft = std::move(before);
+    if (!builder.fits()) {
+      builder = std::move(before);
       break;
     }
   }
-  if (draft.empty()) return std::nullopt;
-  std::vector<JobId> gone = draft.droppedJobs();
-  return Commit{draft.finish(),
+  if (builder.empty()) return std::nullopt;
+  std::vector<JobId> gone = builder.droppedJobs();
+  return Commit{builder.finish(),
                 [this, gone] {
                   for (const auto& job : gone) outcomes_.forgetJob(job);
                   tasks_.sendStops();
@@ -132,7 +132,7 @@
 
 // Versions that no head and no job refers to. First the upload's record says that it takes no more
 // parts: its stamp moves, so that a late write of a part fails. It is also the last to go.
-std::optional<Commit> FlowDuty::remove(const FlowId& id, const FlowState& flow) {
+std::optional<Commit> FlowLoop::remove(const FlowId& id, const FlowState& flow) {
   bool over = flow.head && flow.head->phase != FlowPhase::open;
   std::int64_t wall = context_.runtime.wallMillis();
   for (const auto& [digest, version] : flow.versions) {
--- a/src/flows/draft.hpp
+++ b/src/flows/flow_transaction.hpp
@@ -2,14 +2,14 @@
 // try out whether one more thing fits.
 #pragma once
 
-#include "flows/duty.hpp"
+#include "flows/flow_loop.hpp"
 
 namespace kestrelhoist {
 
-class FlowDuty::Draft {
+class FlowLoop::TransactionBuilder {
  public:
-  Draft(const LeaderContext& context, const FlowId& id, const FlowState& flow,
-        const FlowVersion& version, const Digest& graph)
+  TransactionBuilder(const LeaderContext& context, const FlowId& id, const FlowState& flow,
+                     const FlowVersion& version, const Digest& graph)
       : context_(&context), id_(id), flow_(&flow), version_(&version), graph_(graph) {}
 
   void set(const std::string& key, Json value, Revision modRevision) {
