--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -240,13 +240,13 @@
       for (const auto& awaited : context_.replica.dependencies().unfinishedDependencies(id)) {
         awaits.push_back(awaited.value);
       }
-      add(wordOf(PendingReason::dependencies), job->tasks);
+      add(toString(PendingReason::dependencies), job->tasks);
     } else if (!context_.watcher.reachable()) {
       add("the state service is out of reach", job->waiting());
     } else {
-      for (const auto& g : planning_.pendingReasons().of(id)) add(wordOf(g.why), g.tasks);
+      for (const auto& g : planning_.pendingReasons().of(id)) add(toString(g.why), g.tasks);
     }
-    for (const auto& [why, tasks] : placed) add(wordOf(why), tasks);
+    for (const auto& [why, tasks] : placed) add(toString(why), tasks);
   }
   Json why = {{"leader", context_.platform.member.value},
               {"leads_s", toSeconds(now - context_.electedAt)},
--- a/src/placement/pending_reasons.cpp
+++ b/src/placement/pending_reasons.cpp
@@ -4,7 +4,7 @@
 
 namespace kestrelhoist {
 
-const char* wordOf(PendingReason why) {
+const char* toString(PendingReason why) {
   switch (why) {
     case PendingReason::dependencies:
       return "jobs that it awaits are not done";
@@ -63,7 +63,7 @@
   ++lines_;
   entry.logged = true;
   logInfo("job waits", "job", job, "tasks", entry.groups.front().tasks, "why",
-          wordOf(entry.groups.front().why));
+          toString(entry.groups.front().why));
 }
 
 std::vector<PendingGroup> PendingReasons::of(const JobId& job) const {
--- a/src/placement/pending_reasons.hpp
+++ b/src/placement/pending_reasons.hpp
@@ -25,7 +25,7 @@
   start,         // on record, the worker has not confirmed it yet
   unreachable    // on a machine that is not heard
 };
-const char* wordOf(PendingReason why);
+const char* toString(PendingReason why);
 
 struct PendingGroup {
   PendingReason why{};
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-const char* wordOf(CommitOutcome outcome) {
+const char* toString(CommitOutcome outcome) {
   switch (outcome) {
     case CommitOutcome::applied:
       return "applied";
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -69,7 +69,7 @@
   std::optional<Json> value;  // empty: no such key
 };
 
-const char* wordOf(CommitOutcome outcome);
+const char* toString(CommitOutcome outcome);
 
 enum class LeaseOutcome { ok, gone, failed };
 
