--- a/hoist/admin_main.cpp
+++ b/cli/admin_main.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 
 #include "base/log.hpp"
-#include "hoist/commands.hpp"
-#include "hoist/job_commands.hpp"
+#include "cli/commands.hpp"
+#include "cli/job_commands.hpp"
 #include "jobs/spec.hpp"
 
 using namespace kestrelhoist;
--- a/hoist/commands.cpp
+++ b/cli/commands.cpp
@@ -1,4 +1,4 @@
-#include "hoist/commands.hpp"
+#include "cli/commands.hpp"
 
 #include <unistd.h>
 
--- a/hoist/commands.hpp
+++ b/cli/commands.hpp
@@ -6,9 +6,9 @@
 #include <optional>
 
 #include "base/http.hpp"
+#include "cli/rule_file.hpp"
 #include "client/src/flow_client.hpp"
 #include "client/src/settings.hpp"
-#include "hoist/rule_file.hpp"
 
 namespace kestrelhoist::hoist {
 
--- a/hoist/job_commands.cpp
+++ b/cli/job_commands.cpp
@@ -1,4 +1,4 @@
-#include "hoist/job_commands.hpp"
+#include "cli/job_commands.hpp"
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <thread>
 
-#include "hoist/commands.hpp"
+#include "cli/commands.hpp"
 #include "members/records.hpp"
 #include "rules/shell.hpp"
 
--- a/hoist/job_main.cpp
+++ b/cli/job_main.cpp
@@ -1,4 +1,4 @@
-#include "hoist/job_main.hpp"
+#include "cli/job_main.hpp"
 
 namespace kestrelhoist::hoist {
 
--- a/hoist/job_main.hpp
+++ b/cli/job_main.hpp
@@ -1,8 +1,8 @@
 // The command lines of `hoist job` and of hoist-admin.
 #pragma once
 
-#include "hoist/commands.hpp"
-#include "hoist/job_commands.hpp"
+#include "cli/commands.hpp"
+#include "cli/job_commands.hpp"
 
 namespace kestrelhoist::hoist {
 
--- a/hoist/main.cpp
+++ b/cli/main.cpp
@@ -6,8 +6,8 @@
 #include <random>
 
 #include "base/log.hpp"
-#include "hoist/commands.hpp"
-#include "hoist/job_main.hpp"
+#include "cli/commands.hpp"
+#include "cli/job_main.hpp"
 
 using namespace kestrelhoist;
 
--- a/hoist/policy_commands.cpp
+++ b/cli/policy_commands.cpp
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "hoist/commands.hpp"
+#include "cli/commands.hpp"
 #include "policy/document.hpp"
 
 namespace kestrelhoist::hoist {
--- a/hoist/rule_file.cpp
+++ b/cli/rule_file.cpp
@@ -1,4 +1,4 @@
-#include "hoist/rule_file.hpp"
+#include "cli/rule_file.hpp"
 
 #include <algorithm>
 #include <filesystem>
--- a/region/host/link_proxy.cpp
+++ b/simulator/host/link_proxy.cpp
@@ -1,4 +1,4 @@
-#include "region/host/link_proxy.hpp"
+#include "simulator/host/link_proxy.hpp"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -10,7 +10,7 @@
 
 #include "base/http.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 namespace {
 
 sockaddr_in nameOf(const std::string& address) {
@@ -113,4 +113,4 @@
   pairs_.remove_if([&](const auto& p) { return p.get() == pair; });
 }
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/host/link_proxy.hpp
+++ b/simulator/host/link_proxy.hpp
@@ -13,7 +13,7 @@
 struct evconnlistener;
 struct sockaddr;
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
 class LinkProxy {
  public:
@@ -50,4 +50,4 @@
   std::list<std::unique_ptr<Pair>> pairs_;
 };
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/host/loop_seams.cpp
+++ b/simulator/host/loop_seams.cpp
@@ -1,6 +1,6 @@
-#include "region/host/loop_seams.hpp"
+#include "simulator/host/loop_seams.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
 void LoopWire::listen(const std::string& address, Server server) {
   auto fixed = fixed_.find(address);
@@ -34,4 +34,4 @@
   http_.send(publicAddress(address), std::move(request), Duration{timeout}, std::move(done));
 }
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/host/loop_seams.hpp
+++ b/simulator/host/loop_seams.hpp
@@ -5,9 +5,9 @@
 #include <memory>
 
 #include "base/http.hpp"
-#include "region/model/seams.hpp"
+#include "simulator/model/seams.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
 class LoopClock : public Clock {
  public:
@@ -41,4 +41,4 @@
   std::map<std::string, std::unique_ptr<HttpServer>> servers_;  // by name
 };
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/host/process_tasks.cpp
+++ b/simulator/host/process_tasks.cpp
@@ -1,4 +1,4 @@
-#include "region/host/process_tasks.hpp"
+#include "simulator/host/process_tasks.hpp"
 
 #include <event2/event.h>
 #include <fcntl.h>
@@ -13,7 +13,7 @@
 #include "base/log.hpp"
 #include "rules/execute.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 namespace fs = std::filesystem;
 
 ProcessTasks::ProcessTasks(EventLoop& loop, HttpClient& http, ProcessSettings settings)
@@ -215,4 +215,4 @@
   r.worker->exited(r.life, fault.empty() ? "done" : "error");
 }
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/host/process_tasks.hpp
+++ b/simulator/host/process_tasks.hpp
@@ -7,12 +7,12 @@
 #include <map>
 
 #include "base/event_loop.hpp"
-#include "region/model/region.hpp"
 #include "rules/plan.hpp"
+#include "simulator/model/simulated_region.hpp"
 
 struct event;
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
 struct ProcessSettings {
   std::string files;                 // root of the files that all machines share
@@ -66,4 +66,4 @@
   std::size_t next_ = 0;  // server to ask
 };
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/main.cpp
+++ b/simulator/main.cpp
@@ -14,13 +14,13 @@
 #include <random>
 
 #include "base/log.hpp"
-#include "region/host/link_proxy.hpp"
-#include "region/host/loop_seams.hpp"
-#include "region/host/process_tasks.hpp"
+#include "simulator/host/link_proxy.hpp"
+#include "simulator/host/loop_seams.hpp"
+#include "simulator/host/process_tasks.hpp"
 
 namespace kh = kestrelhoist;
 namespace fs = std::filesystem;
-using kh::region::Region;
+using kh::simulator::SimulatedRegion;
 
 namespace {
 
@@ -73,11 +73,11 @@
     for (const auto& l : links_) {
       if (l->name() == name) return l->address();
     }
-    links_.push_back(std::make_unique<kh::region::LinkProxy>(loop_, name, target));
+    links_.push_back(std::make_unique<kh::simulator::LinkProxy>(loop_, name, target));
     return links_.back()->address();
   }
   void cutOne(std::mt19937_64& random) {
-    using Mode = kh::region::LinkProxy::Mode;
+    using Mode = kh::simulator::LinkProxy::Mode;
     auto& link = *links_[random() % links_.size()];
     if (link.mode() != Mode::up) return;
     bool hold = random() % 3 != 0;
@@ -91,7 +91,7 @@
  private:
   kh::EventLoop& loop_;
   bool cuts_;
-  std::vector<std::unique_ptr<kh::region::LinkProxy>> links_;
+  std::vector<std::unique_ptr<kh::simulator::LinkProxy>> links_;
 };
 
 // The controllers as processes: started, started again when they end, killed at the end.
@@ -247,13 +247,13 @@
     fs::create_directories(o.directory + "/jobs");
     kh::EventLoop loop;
     kh::EvHttpClient http(loop, 400);
-    kh::region::LoopClock clock(loop);
-    kh::region::LoopWire wire(loop, http);
+    kh::simulator::LoopClock clock(loop);
+    kh::simulator::LoopWire wire(loop, http);
     wire.fix("state:1", "127.0.0.1:" + std::to_string(portOf(o, 0)));
     wire.fix("cloud:1", "127.0.0.1:" + std::to_string(portOf(o, 1)));
     std::mt19937_64 random(o.seed);
 
-    kh::region::RegionSettings settings;
+    kh::simulator::RegionSettings settings;
     settings.cpus = o.cpus;
     settings.gpus = o.gpus;
     settings.ram = o.ram;
@@ -263,7 +263,7 @@
     settings.reportS = 0.5;
     settings.leaseS = 8;
     settings.listLagS = 0.2;
-    kh::region::ProcessSettings processes{
+    kh::simulator::ProcessSettings processes{
         o.directory + "/files", o.directory + "/jobs", {}, o.hoist};
     Links links(loop, o);
     for (int i = 0; i < o.controllers; ++i) {
@@ -271,8 +271,8 @@
           links.through(std::to_string(i) + " to workers", Controllers::address(o, i, false)));
       processes.servers.push_back(Controllers::address(o, i, false));
     }
-    kh::region::ProcessTasks tasks(loop, http, processes);
-    Region region(settings, clock, wire, random, tasks);
+    kh::simulator::ProcessTasks tasks(loop, http, processes);
+    SimulatedRegion region(settings, clock, wire, random, tasks);
     region.state.valueBytes = 16 * 1024;
     region.state.transactionOps = 24;
     Controllers controllers(loop, o, links);
--- a/region/model/seams.hpp
+++ b/simulator/model/seams.hpp
@@ -6,7 +6,7 @@
 
 #include "base/runtime.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
 // Milliseconds.
 class Clock {
@@ -32,4 +32,4 @@
                     std::int64_t timeout, OnReply done) = 0;
 };
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/model/region.cpp
+++ b/simulator/model/simulated_region.cpp
@@ -1,8 +1,9 @@
-#include "region/model/region.hpp"
+#include "simulator/model/simulated_region.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
-Region::Region(RegionSettings s, Clock& c, Wire& w, std::mt19937_64& r, TaskHost& t)
+SimulatedRegion::SimulatedRegion(RegionSettings s, Clock& c, Wire& w, std::mt19937_64& r,
+                                 TaskHost& t)
     : settings(std::move(s)),
       clock(c),
       wire(w),
@@ -18,7 +19,7 @@
   });
 }
 
-std::vector<std::string> Region::machinesWithTasks() const {
+std::vector<std::string> SimulatedRegion::machinesWithTasks() const {
   std::vector<std::string> out;
   for (const auto& [host, worker] : workers) {
     if (!worker->gone && !worker->tasks.empty()) out.push_back(host);
@@ -26,24 +27,24 @@
   return out;
 }
 
-std::size_t Region::machineCount(bool spot) const {
+std::size_t SimulatedRegion::machineCount(bool spot) const {
   return static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& h) {
     return h.second.spot == spot && h.second.goneAt < 0;
   }));
 }
 
-bool Region::isRented(const std::string& host) const {
+bool SimulatedRegion::isRented(const std::string& host) const {
   auto it = hosts_.find(host);
   return it != hosts_.end() && it->second.goneAt < 0;
 }
 
-bool Region::listedAsFailed(const std::string& host, std::int64_t at) const {
+bool SimulatedRegion::listedAsFailed(const std::string& host, std::int64_t at) const {
   auto worker = workers.find(host);
   return settings.failedAfterS > 0 && worker != workers.end() && worker->second->gone &&
          at - worker->second->goneAt > millis(settings.failedAfterS);
 }
 
-double Region::machineSeconds() const {
+double SimulatedRegion::machineSeconds() const {
   double ms = 0;
   for (const auto& [name, h] : hosts_) {
     ms += static_cast<double>((h.goneAt < 0 ? clock.now() : h.goneAt) - h.rentedAt);
@@ -51,7 +52,7 @@
   return ms / 1000.0;
 }
 
-std::vector<std::string> Region::rentedMachines() const {
+std::vector<std::string> SimulatedRegion::rentedMachines() const {
   std::vector<std::string> out;
   for (const auto& [name, host] : hosts_) {
     if (host.goneAt < 0) out.push_back(name);
@@ -59,11 +60,11 @@
   return out;
 }
 
-void Region::setCapacity(bool spot, int perZone) {
+void SimulatedRegion::setCapacity(bool spot, int perZone) {
   for (const auto& z : settings.zones) capacity_[{z, spot}] = perZone;
 }
 
-Response Region::cloud(const Request& q) {
+Response SimulatedRegion::cloud(const Request& q) {
   if (clock.now() < cloudOutageUntil) return jsonResponse(503, {{"error", "trouble"}});
   std::string path = q.path.substr(0, q.path.find('?'));
   auto body = decodeBody(q.body);
@@ -135,4 +136,4 @@
   return jsonResponse(400, Json::object());
 }
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/model/region.hpp
+++ b/simulator/model/simulated_region.hpp
@@ -7,9 +7,9 @@
 #include <random>
 #include <set>
 
-#include "region/model/state_service.hpp"
+#include "simulator/model/state_service.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
 struct RegionSettings {
   std::vector<std::string> zones{"a", "b", "c"};
@@ -33,11 +33,11 @@
   double gb = 1;           // of it, fetchS each
 };
 
-class Region;
+class SimulatedRegion;
 
 class Worker {
  public:
-  Worker(Region& region, std::string host, std::string zone, bool spot);
+  Worker(SimulatedRegion& region, std::string host, std::string zone, bool spot);
   void start();
   Json report();
   Response onCommands(const Request& q);
@@ -89,7 +89,7 @@
   bool frozen() const;
   std::string address() const;
 
-  Region& region_;
+  SimulatedRegion& region_;
   std::uint64_t tenure_ = 1, tick_ = 0, token_ = 0;
   std::int64_t lastAnsweredSent_ = 0, lastSent_ = -1000000, hangUntil_ = 0, noticeEnds_ = 0;
   std::size_t node_ = 0;
@@ -113,10 +113,10 @@
   virtual void end(Worker& worker, const Worker::Task& task) = 0;
 };
 
-class Region {
+class SimulatedRegion {
  public:
-  Region(RegionSettings settings, Clock& clock, Wire& wire, std::mt19937_64& random,
-         TaskHost& tasks);
+  SimulatedRegion(RegionSettings settings, Clock& clock, Wire& wire, std::mt19937_64& random,
+                  TaskHost& tasks);
 
   std::vector<std::string> machinesWithTasks() const;
   std::size_t machineCount(bool spot) const;
@@ -154,4 +154,4 @@
 
 inline std::int64_t millis(double s) { return static_cast<std::int64_t>(s * 1000); }
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/model/state_service.cpp
+++ b/simulator/model/state_service.cpp
@@ -1,8 +1,8 @@
-#include "region/model/state_service.hpp"
+#include "simulator/model/state_service.hpp"
 
 #include <algorithm>
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 namespace {
 
 std::map<std::string, std::string> queryOf(const std::string& path) {
@@ -224,4 +224,4 @@
   return jsonResponse(200, {{"epoch", epoch_}, {"events", events}});
 }
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/model/state_service.hpp
+++ b/simulator/model/state_service.hpp
@@ -4,9 +4,9 @@
 #include <functional>
 #include <map>
 
-#include "region/model/seams.hpp"
+#include "simulator/model/seams.hpp"
 
-namespace kestrelhoist::region {
+namespace kestrelhoist::simulator {
 
 class StateService {
  public:
@@ -69,4 +69,4 @@
   std::map<std::string, std::int64_t> refused_;
 };
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/region/model/worker.cpp
+++ b/simulator/model/worker.cpp
@@ -1,10 +1,10 @@
 // Stand-in of a worker, written from PROTOCOL.
 #include <cmath>
 
-#include "region/model/region.hpp"
+#include "simulator/model/simulated_region.hpp"
 
-namespace kestrelhoist::region {
-Worker::Worker(Region& region, std::string h, std::string z, bool isSpot)
+namespace kestrelhoist::simulator {
+Worker::Worker(SimulatedRegion& region, std::string h, std::string z, bool isSpot)
     : host(std::move(h)), zone(std::move(z)), spot(isSpot), region_(region) {}
 
 void Worker::start() {
@@ -277,4 +277,4 @@
   changed();
 }
 
-}  // namespace kestrelhoist::region
+}  // namespace kestrelhoist::simulator
--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -3,8 +3,8 @@
 
 #include <gtest/gtest.h>
 
-#include "region/model/state_service.hpp"
 #include "sim/virtual_time.hpp"
+#include "simulator/model/state_service.hpp"
 
 namespace kestrelhoist {
 namespace {
--- a/tests/client_loopback_test.cpp
+++ b/tests/client_loopback_test.cpp
@@ -12,7 +12,7 @@
 
 #include "certificates.hpp"
 #include "members/records.hpp"
-#include "members_region.hpp"
+#include "members_simulator.hpp"
 
 namespace kestrelhoist {
 namespace {
@@ -190,7 +190,7 @@
   auto hoist = [&](const std::string& key, const std::string& member, const std::string& words) {
     std::string command = "HOIST_KEY=" + key + " HOIST_MEMBER=" + member +
                           " HOIST_TEAM=audit HOIST_SERVERS=" + servers +
-                          " HOIST_FILES=" + m.process->files + " " + HOIST_PATH + " " + words +
+                          " HOIST_FILES=" + m.process->files + " " + CLI_PATH + " " + words +
                           " > /dev/null 2>&1";
     return WEXITSTATUS(std::system(command.c_str()));
   };
--- a/tests/hoist_test.cpp
+++ b/tests/hoist_test.cpp
@@ -22,7 +22,7 @@
 
 Ran hoist(const std::string& arguments) {
   std::string command = "env -u HOIST_SERVERS -u HOIST_TEAM HOME=/nonexistent " +
-                        std::string(HOIST_PATH) + " " + arguments + " 2>&1";
+                        std::string(CLI_PATH) + " " + arguments + " 2>&1";
   Ran r{-1, ""};
   FILE* p = popen(command.c_str(), "r");
   char block[4096];
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -12,10 +12,10 @@
 #include <sstream>
 
 #include "base/http.hpp"
+#include "cli/rule_file.hpp"
 #include "client/src/flow_client.hpp"
-#include "hoist/rule_file.hpp"
-#include "region_process.hpp"
 #include "rules/execute.hpp"
+#include "simulator_process.hpp"
 
 namespace kestrelhoist {
 namespace {
@@ -78,7 +78,7 @@
     for (const auto& s : region_.servers) servers += (servers.empty() ? "" : ",") + s;
     setenv("HOIST_SERVERS", servers.c_str(), 1);
     std::string command =
-        std::string(HOIST_PATH) + " flow submit " + file + " --id " + id + " > /dev/null";
+        std::string(CLI_PATH) + " flow submit " + file + " --id " + id + " > /dev/null";
     // A repeated call with the same id begins nothing twice.
     EXPECT_EQ(std::system(command.c_str()), 0);
     EXPECT_EQ(std::system(command.c_str()), 0);
--- a/tests/member_load_test.cpp
+++ b/tests/member_load_test.cpp
@@ -10,7 +10,7 @@
 #include "base/http.hpp"
 #include "base/log.hpp"
 #include "client/src/job_codec.hpp"
-#include "members_region.hpp"
+#include "members_simulator.hpp"
 
 namespace kestrelhoist {
 namespace {
--- a/tests/members_region.hpp
+++ b/tests/members_simulator.hpp
@@ -7,7 +7,7 @@
 #include <fstream>
 
 #include "kestrelhoist/client.hpp"
-#include "region_process.hpp"
+#include "simulator_process.hpp"
 
 namespace kestrelhoist {
 
--- a/tests/policy_loopback_test.cpp
+++ b/tests/policy_loopback_test.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "region_process.hpp"
+#include "simulator_process.hpp"
 
 namespace kestrelhoist {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <sstream>
 
-#include "hoist/rule_file.hpp"
+#include "cli/rule_file.hpp"
 
 namespace kestrelhoist {
 namespace {
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -93,7 +93,7 @@
                   << p->massFailure() << "\n";
       }
     } else if (verb == "dieshare") {  // dieshare SHARE: of the machines that are up, at once
-      std::vector<region::Worker*> up;
+      std::vector<simulator::Worker*> up;
       for (const auto& [host, worker] : w.workers) {
         if (!worker->gone) up.push_back(worker.get());
       }
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -6,12 +6,12 @@
 #include <random>
 #include <set>
 
-#include "region/model/seams.hpp"
 #include "sim/traffic_digest.hpp"
+#include "simulator/model/seams.hpp"
 
 namespace kestrelhoist::sim {
 
-class Clockwork : public region::Clock {
+class Clockwork : public simulator::Clock {
  public:
   std::int64_t now() const override { return now_; }
   void at(std::int64_t ms, std::function<void()> f) override {
@@ -46,7 +46,7 @@
 enum class CutWay { both, in, out };
 
 // Hosts by name; an address is "host:port". A cut separates two groups of hosts.
-class Network : public region::Wire {
+class Network : public simulator::Wire {
  public:
   Network(Clockwork& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
   ~Network() override {
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -305,8 +305,8 @@
   return n;
 }
 
-region::RegionSettings World::regionSettings() const {
-  region::RegionSettings r;
+simulator::RegionSettings World::regionSettings() const {
+  simulator::RegionSettings r;
   r.zones = settings.zones;
   for (int i = 0; i < settings.nodes; ++i) r.nodes.push_back(nodeApi(i));
   r.cpus = settings.cpus;
@@ -353,7 +353,7 @@
 }
 
 void World::describe(Worker& worker, const Worker::Task& task,
-                     std::function<void(std::optional<region::TaskNeeds>)> done) {
+                     std::function<void(std::optional<simulator::TaskNeeds>)> done) {
   // A later attempt is placed only when the earlier one is proven gone: whoever makes a worker take
   // that up again relies on a stop that comes in time.
   if (task.attempt < newestTry(task.job, task.index)) {
@@ -363,8 +363,8 @@
   if (task.job.starts_with("f-")) return fetchFlowTask(worker, task, 8, std::move(done));
   const JobPlan* p = plan(task.job);
   if (!p || task.index >= p->tasks) return done(std::nullopt);
-  done(region::TaskNeeds{p->cpus, p->gpus, p->checkpointS > 0, settings.cache ? p->image : "",
-                         settings.cache ? p->imageGb : 1});
+  done(simulator::TaskNeeds{p->cpus, p->gpus, p->checkpointS > 0, settings.cache ? p->image : "",
+                            settings.cache ? p->imageGb : 1});
 }
 
 void World::begin(Worker& worker, const Worker::Task& task) {
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -6,11 +6,11 @@
 
 #include "app/controller.hpp"
 #include "client/src/flow_client.hpp"
-#include "region/model/region.hpp"
 #include "sim/balancer.hpp"
 #include "sim/flow_plans.hpp"
 #include "sim/pipeline_checks.hpp"
 #include "sim/virtual_time.hpp"
+#include "simulator/model/simulated_region.hpp"
 
 namespace kestrelhoist::sim {
 
@@ -71,9 +71,9 @@
   int via = -1;              // the node that is asked first
 };
 
-using region::Worker;
+using simulator::Worker;
 
-class World : public region::TaskHost {
+class World : public simulator::TaskHost {
  public:
   explicit World(WorldSettings settings);
   ~World() override;
@@ -205,7 +205,7 @@
 
   // TaskHost
   void describe(Worker& worker, const Worker::Task& task,
-                std::function<void(std::optional<region::TaskNeeds>)> done) override;
+                std::function<void(std::optional<simulator::TaskNeeds>)> done) override;
   void begin(Worker& worker, const Worker::Task& task) override;
   void save(Worker& worker, const Worker::Task& task) override;
   void end(Worker&, const Worker::Task&) override {}
@@ -215,8 +215,8 @@
   std::mt19937_64 random;
   Clockwork clock;
   Network network;
-  region::Region region;
-  region::StateService& state = region.state;
+  simulator::SimulatedRegion region;
+  simulator::StateService& state = region.state;
   std::map<std::string, std::unique_ptr<Worker>>& workers = region.workers;
   std::vector<std::string> broken;  // rules, with what happened
   std::size_t starts = 0;
@@ -258,7 +258,7 @@
     std::map<std::string, std::int64_t> besideRoom;  // machines with room for it, since when
   };
   void boot(int node);
-  region::RegionSettings regionSettings() const;
+  simulator::RegionSettings regionSettings() const;
   void send(const JobPlan& job);
   void trySubmit(const std::string& id);
   void onAccepted(const std::string& id);
@@ -328,7 +328,7 @@
   void checkFlowOver(const std::string& id);
   void beginFlowTask(Worker& worker, const Worker::Task& task);
   void fetchFlowTask(Worker& worker, const Worker::Task& task, int triesLeft,
-                     std::function<void(std::optional<region::TaskNeeds>)> done);
+                     std::function<void(std::optional<simulator::TaskNeeds>)> done);
   void watchLeader();
   int leader_ = -1;
   std::int64_t ledSince_ = 0, firstStart_ = -1;
--- a/tests/sim/world_flows.cpp
+++ b/tests/sim/world_flows.cpp
@@ -184,7 +184,7 @@
 
 // Asks some controller what the task is to do, as a real worker would.
 void World::fetchFlowTask(Worker& worker, const Worker::Task& task, int triesLeft,
-                          std::function<void(std::optional<region::TaskNeeds>)> done) {
+                          std::function<void(std::optional<simulator::TaskNeeds>)> done) {
   auto node = random() % static_cast<std::uint64_t>(settings.nodes);
   network.send(worker.host, nodeApi(static_cast<int>(node)),
                {"GET", "/v2/flows/tasks/" + task.job + "/" + std::to_string(task.index), ""}, 2000,
@@ -203,8 +203,8 @@
                  if (part.empty()) part = rules::instancesFrom(*textField(*body, "text"));
                  FlowTask known{*textField(*body, "flow"), part.at(*countField(*body, "at"))};
                  flowTasks_[{worker.host, task.life}] = std::move(known);
-                 done(region::TaskNeeds{*numberField(*body, "cpus"), *numberField(*body, "gpus"),
-                                        *numberField(*body, "snapshot_s") > 0});
+                 done(simulator::TaskNeeds{*numberField(*body, "cpus"), *numberField(*body, "gpus"),
+                                           *numberField(*body, "snapshot_s") > 0});
                });
 }
 
--- a/tests/region_process.hpp
+++ b/tests/simulator_process.hpp
@@ -23,14 +23,14 @@
       dup2(out[1], 1);
       close(out[0]);
       if (!std::freopen((directory + "/region.log").c_str(), "w", stderr)) _exit(126);
-      std::vector<std::string> words{REGION_PATH,  "--directory", directory,  "--program",
-                                     PROGRAM_PATH, "--hoist",     HOIST_PATH, "--operator",
-                                     operatorFile, "--port",      "0"};
+      std::vector<std::string> words{SIMULATOR_PATH, "--directory", directory, "--program",
+                                     PROGRAM_PATH,   "--hoist",     CLI_PATH,  "--operator",
+                                     operatorFile,   "--port",      "0"};
       words.insert(words.end(), more.begin(), more.end());
       std::vector<char*> argv;
       for (auto& w : words) argv.push_back(w.data());
       argv.push_back(nullptr);
-      execv(REGION_PATH, argv.data());
+      execv(SIMULATOR_PATH, argv.data());
       _exit(127);
     }
     close(out[1]);
