--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -13,7 +13,7 @@
   sim::Clockwork clock;
   std::mt19937_64 random{1};
   sim::Network network{clock, random};
-  region::StateService state{clock, network, "state:1"};
+  simulator::StateService state{clock, network, "state:1"};
   sim::HostRuntime runtime{clock, network, "node0", 1.0};
   StoreClient store{runtime, runtime, "state:1", 1000};
   Replica replica;
