--- a/client/python/kestrelhoist/__init__.py
+++ b/client/python/kestrelhoist/__init__.py
@@ -28,4 +28,25 @@
     Unusable,
 )
 
-__all__ = [name for name in dir() if name[0].isupper()]
+__all__ = [
+    "Cancelled",
+    "Client",
+    "Conflict",
+    "DeadlinePassed",
+    "Error",
+    "Events",
+    "Identity",
+    "Job",
+    "JobEvent",
+    "JobPage",
+    "JobState",
+    "Malformed",
+    "NeverRuns",
+    "NotPermitted",
+    "OutcomeUnknown",
+    "ProtocolViolated",
+    "Throttled",
+    "Unavailable",
+    "Unknown",
+    "Unusable",
+]
--- a/tests/client_python_test.py
+++ b/tests/client_python_test.py
@@ -20,27 +20,64 @@
         shutil.copy(SOURCE / "deploy/members.json", self.directory)
         self.root = self.admin("key", "init", "--file", str(self.directory / "root.key"))
         self.process = subprocess.Popen(
-            [BUILD / "hoist-region", "--directory", self.directory / "region", "--program",
-             BUILD / "kestrelhoist", "--hoist", BUILD / "hoist", "--operator",
-             self.directory / "members.json", "--port", "0"],
-            stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
+            [
+                BUILD / "hoist-region",
+                "--directory",
+                self.directory / "region",
+                "--program",
+                BUILD / "kestrelhoist",
+                "--hoist",
+                BUILD / "hoist",
+                "--operator",
+                self.directory / "members.json",
+                "--port",
+                "0",
+            ],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+            text=True,
+        )
         _, servers, self.files = self.process.stdout.readline().split()
         self.servers = servers.split(",")
 
     def admin(self, *words, key=""):
         env = dict(os.environ, HOIST_KEY=key, HOIST_SERVERS=",".join(getattr(self, "servers", [])))
-        return subprocess.run([BUILD / "hoist-admin", *words], env=env, check=True, text=True,
-                              stdout=subprocess.PIPE, stderr=subprocess.DEVNULL).stdout.strip()
+        return subprocess.run(
+            [BUILD / "hoist-admin", *words],
+            env=env,
+            check=True,
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+        ).stdout.strip()
 
     def key(self, member, rights="submit,read,cancel"):
-        return self.admin("key", "make", "--team", "herbarium", "--member", member, "--rights",
-                          rights, key=self.root)
+        return self.admin(
+            "key",
+            "make",
+            "--team",
+            "herbarium",
+            "--member",
+            member,
+            "--rights",
+            rights,
+            key=self.root,
+        )
 
     def run(self, name, *words, key):
-        env = dict(os.environ, HOIST_KEY=key, HOIST_SERVERS=",".join(self.servers),
-                   PYTHONPATH=str(BUILD / "python"))
-        return subprocess.run([sys.executable, SOURCE / "examples" / name, *words], env=env,
-                              text=True, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+        env = dict(
+            os.environ,
+            HOIST_KEY=key,
+            HOIST_SERVERS=",".join(self.servers),
+            PYTHONPATH=str(BUILD / "python"),
+        )
+        return subprocess.run(
+            [sys.executable, SOURCE / "examples" / name, *words],
+            env=env,
+            text=True,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+        )
 
     def close(self):
         self.process.terminate()
@@ -111,8 +148,14 @@
     def test_calls_from_several_threads(self):
         with self.client() as c:
             ids = []
-            threads = [threading.Thread(target=lambda n=n: ids.append(c.submit(
-                kestrelhoist.Job(**SMALL), idempotency_key=f"thread-{n % 4}").id)) for n in range(12)]
+            threads = [
+                threading.Thread(
+                    target=lambda n=n: ids.append(
+                        c.submit(kestrelhoist.Job(**SMALL), idempotency_key=f"thread-{n % 4}").id
+                    )
+                )
+                for n in range(12)
+            ]
             for t in threads:
                 t.start()
             for t in threads:
@@ -131,12 +174,16 @@
         first = self.region.run("night_batches.py", str(sheets), key=key)
         self.assertEqual(first.returncode, 0, first.stderr)
         again = self.region.run("night_batches.py", str(sheets), key=key)
-        self.assertEqual([l.split()[:2] for l in again.stdout.splitlines()],
-                         [l.split()[:2] for l in first.stdout.splitlines()])
+        self.assertEqual(
+            [l.split()[:2] for l in again.stdout.splitlines()],
+            [l.split()[:2] for l in first.stdout.splitlines()],
+        )
         with self.client(key) as c:
             self.assertEqual(len(c.list().jobs), 2)
         job = first.stdout.split()[1]
-        self.assertEqual(self.region.run("release_gate.py", job, "--within", "1", key=key).returncode, 75)
+        self.assertEqual(
+            self.region.run("release_gate.py", job, "--within", "1", key=key).returncode, 75
+        )
         with self.client(key) as c:
             c.cancel(job)
         self.assertEqual(self.region.run("release_gate.py", job, key=key).returncode, 1)
--- a/tests/least_served.py
+++ b/tests/least_served.py
@@ -12,8 +12,11 @@
 
 
 def shares(report):
-    up = {t.get("class"): t.get("value") for t in report["targets"]
-          if t["kind"] == "up" and "worst_s" not in t}
+    up = {
+        t.get("class"): t.get("value")
+        for t in report["targets"]
+        if t["kind"] == "up" and "worst_s" not in t
+    }
     for name, c in report["classes"].items():
         if not c.get("accepted"):
             continue
@@ -48,8 +51,10 @@
                 continue
             share, who, kind = found[0]
             failed = failed or share < 0.5
-            print(f"{name}: least served {who}, {kind} {share:.3f}"
-                  + ("  BELOW HALF" if share < 0.5 else ""))
+            print(
+                f"{name}: least served {who}, {kind} {share:.3f}"
+                + ("  BELOW HALF" if share < 0.5 else "")
+            )
     return 1 if failed else 0
 
 
--- a/tests/scale_site.py
+++ b/tests/scale_site.py
@@ -54,11 +54,12 @@
         if line.startswith("restart_delay_s") and back is not None:
             line = f"restart_delay_s = {back:g}"
         if section in ("jobs", "day"):
-            line = re.sub(r"\b(rate\s*=\s*)([\d.]+)",
-                          lambda m: f"{m[1]}{float(m[2]) * factor:.4f}", line)
+            line = re.sub(
+                r"\b(rate\s*=\s*)([\d.]+)", lambda m: f"{m[1]}{float(m[2]) * factor:.4f}", line
+            )
         if section == "jobs":
             line = re.sub(r"^(initial\s*=\s*)(\d+)", lambda m: m[1] + scaled(m[2], factor), line)
-        if "kind = \"machine_" in line:
+        if 'kind = "machine_' in line:
             line = re.sub(r"\b(count\s*=\s*)(\d+)", lambda m: m[1] + scaled(m[2], factor), line)
         if zones and (zone := re.search(r'zone = "([^"]+)"', line)) and zone[1] not in zones:
             line = line.replace(zone[0], f'zone = "{zones[-1]}"')
@@ -74,16 +75,22 @@
         spread = len(old) / len(zones or old)
         for zone in zones or old:
             like = next((r for r in mine if r["zone"] == zone), mine[-1])
-            text += ["[[capacity]]", f'type = "{kind}"', f'zone = "{zone}"',
-                     "count = " + scaled(like["count"], factor * spread),
-                     "spot = " + scaled(like["spot"], factor * spread), ""]
+            text += [
+                "[[capacity]]",
+                f'type = "{kind}"',
+                f'zone = "{zone}"',
+                "count = " + scaled(like["count"], factor * spread),
+                "spot = " + scaled(like["spot"], factor * spread),
+                "",
+            ]
     out[tail] = "\n".join(text)
     return out
 
 
 def main():
-    p = argparse.ArgumentParser(description=__doc__,
-                                formatter_class=argparse.RawDescriptionHelpFormatter)
+    p = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     p.add_argument("site", type=pathlib.Path)
     p.add_argument("factor")
     p.add_argument("out", type=pathlib.Path)
