--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kTick{100};
 constexpr Duration kStatusExchangeEvery{500};
 constexpr Duration kExpireEvery{30000};
-// Beyond this age, when a peer last reached a service is as good as unknown.
+// Beyond this age, the time when a peer last reached a service counts as unknown.
 constexpr Duration kUnknownAfter{10000};
 
 ChangeWatcher::Settings watcherSettings(const Platform& p, Duration staleAfter) {
@@ -45,7 +45,8 @@
       cloudProxy_(
           runtime, http, peerMembership_,
           {"cloud", platform.cloudAddress, {"GET", "/machine_types", ""}, 3 * kStoreTimeout},
-          // Only leaders ask the cloud: of a follower it is mostly not known, and worth a try.
+          // Only leaders call the cloud, so a follower's age is mostly unknown, and it is worth a
+          // try.
           [](const PeerStatus& s) {
             return s.cloudAge < kUnknownAfter ? s.cloudAge : Duration{0};
           }),
@@ -62,7 +63,7 @@
              [this] { return jobs_.catalogue(); }),
       policy_(runtime, store_, watcher_, replica_, policyReplica_, platform),
       election_({platform.member, incarnation, kLeaseLife, kLeaseRenew}),
-      // A worker that hangs in a try waits 4 s and then 1 s before the next (PROTOCOL, "Workers").
+      // A worker whose request hangs waits 4 s and then 1 s before the next (PROTOCOL, "Workers").
       canary_(Duration{5000} * static_cast<int>(platform.nodes() - 1) + Duration{1000},
               platform.workerLease, platform.reportEvery) {
   replica_.add(policyReplica_);
@@ -134,18 +135,18 @@
   watchLeadership();
 }
 
-// For how long the holder of the leader key, if it is a peer, has not been heard.
+// Tracks since when the holder of the leader key, if it is a peer, has been unreachable.
 void Controller::trackUnreachableLeader(Instant now) {
-  const auto& holder = replica_.leader();
-  if (!holder || holder->member == platform_.member ||
-      peerMembership_.recentStatus(holder->member, kPeerPresence)) {
+  const auto& keyHolder = replica_.leader();
+  if (!keyHolder || keyHolder->member == platform_.member ||
+      peerMembership_.recentStatus(keyHolder->member, kPeerPresence)) {
     leaderUnreachableSince_.reset();
   } else if (!leaderUnreachableSince_) {
     leaderUnreachableSince_ = now;
   }
 }
 
-// Forgets workers that have not come for long.
+// Drops the state of workers that have not reported for long.
 void Controller::expireWorkers(Instant now) {
   expiredAt_ = now;
   ackLog_.expire(now);
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,4 +1,4 @@
-// One controller: the election, the users' interface, the workers' reports, the mesh.
+/// One controller process: the election, the user API, the workers' heartbeats and the mesh.
 #pragma once
 
 #include <memory>
@@ -20,22 +20,25 @@
 
 namespace kestrelhoist {
 
-// Everything that one process of the cluster does; its parts are in the files named below.
+/// Wires the parts of one controller together and dispatches requests to them. Single-threaded: all
+/// calls and callbacks run on the thread of `runtime`. The constructor's arguments must outlive it.
+/// The member functions are implemented in the files named in the private section.
 class Controller {
  public:
-  // `boot` must differ between the lives of a process.
+  /// @param incarnation Must differ between restarts of a process.
   Controller(Runtime& runtime, HttpClient& http, PlanRunner& planner, const Platform& platform,
              const OperatorSettings& settings, const std::string& incarnation);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
+  /// Starts reading records and taking part in elections.
   void start();
-  // Users, workers and health checks; `secure`: it came over TLS.
+  /// Serves users, workers and health checks. `secure` says that the request came over TLS.
   void onApi(const Request& request, const Respond& respond, bool secure = false);
-  // The other controllers.
+  /// Serves the other controllers.
   void onMesh(const Request& request, const Respond& respond);
 
-  // In the Prometheus text form.
+  /// The metrics in the Prometheus text format.
   std::string metricsText() { return metrics_ ? metrics_->text() : ""; }
 
   bool leads() const { return leader_ != nullptr; }
@@ -54,50 +57,51 @@
   // controller_leadership.cpp
   void runElection();
   bool defersCandidacy(const Election::View& view);
-  // How long it leaves the leadership to others that are nearer to the workers.
+  // How long the candidacy is deferred in favour of controllers that receive heartbeats.
   Duration candidacyDelay() const;
   void claimLeadership();
   void renewLeadership();
   void beginLeadership();
   void startLeader();
-  // What peers know of workers that this new leader has not heard.
+  // Asks peers for the acknowledgement times of workers that this new leader has not heard from.
   void requestAckTimesFromPeers();
   void stepDown(const std::string& why, bool dropLease, Duration backOff);
   void watchLeadership();
   void watchWorkers();
-  // Until when leases may be renewed; empty: not at all. Every 200 to a worker asks it.
+  // Until when worker leases may be renewed; empty if not at all. Checked for every 200 to a
+  // worker.
   std::optional<Instant> renewUntil() const;
   bool mayRenew() const;
-  // How many machines this leadership has heard.
+  // How many machines have reported to this leader.
   std::size_t reportingMachines() const;
 
-  // controller_users.cpp
+  // controller_user_api.cpp
   void onUserRequest(const std::string& path, const Request& request, const Respond& respond,
                      bool secure);
   bool isUserPath(const std::string& path) const;
   void forwardToPeer(const MemberId& peer, const Request& request, const Respond& respond);
-  // Users' requests, as this node's own records answer them; false: not a path of users.
+  // Answers a user's request from this node's own records; false if the path is not a user path.
   bool answerUser(const Request& request, const Respond& respond, bool hold);
-  // Adds to a job's state, once it is answered, why its tasks wait, as the leader knows.
+  // Wraps a response callback so that it adds the leader's explanation of why tasks wait.
   Respond withReasons(const Respond& respond);
   Response ready();
 
-  // controller_reports.cpp
+  // controller_heartbeats.cpp
   void onHeartbeat(const Request& request, const Respond& respond);
   Instant noteHeartbeat(const Report& report);
   HeartbeatView heartbeatView(const Report& report) const;
   void addUnreachableLeader(const Report& report, HeartbeatView& v) const;
-  // As the leader. `via`: the peer that passed the report on.
+  // Answers as the leader. `via` is the peer that forwarded the heartbeat.
   Response serveReport(const Report& report, const std::optional<MemberId>& via);
   Response answerUnforwarded(const Report& report);
   Response answerLocally(const Report& report, const Route& route);
   Response leaseOnlyResponse(const Report& report) const;
   Response redirect(const Report& report, const std::optional<MemberId>& to);
 
-  // controller_peers.cpp
+  // controller_peer_api.cpp
   bool onMeshService(const Request& request, const Respond& respond);
   PeerStatus status() const;
-  // The time of day, as this controller and its peers have it.
+  // The median time of day of this controller and its peers, in milliseconds since 1970.
   std::int64_t timeOfDay() const;
 
   Runtime& runtime_;
@@ -123,19 +127,19 @@
   JobService jobs_;
   FlowService flows_;
   PolicyService policy_;
-  std::unique_ptr<Metrics> metrics_;        // null: nobody asks
-  std::unique_ptr<MemberService> members_;  // null: off
+  std::unique_ptr<Metrics> metrics_;        // null if members are disabled
+  std::unique_ptr<MemberService> members_;  // null if members are disabled
   Instant lastTimer_{};
   Instant expiredAt_{};
   Election election_;
   std::unique_ptr<Leader> leader_;
   bool beginningLeadership_ = false;
-  FencingToken lastToken_;  // of the newest leader known of
-  Instant lastWorker_{};
-  Instant lastForeignWorker_{};  // a worker of another zone
-  Instant lastPeer_{};           // any other controller was heard
+  FencingToken lastToken_;       // of the newest known leader
+  Instant lastWorker_{};         // last heartbeat from any worker
+  Instant lastForeignWorker_{};  // last heartbeat from a worker of another zone
+  Instant lastPeer_{};           // last time that any peer was reachable
   RedirectCanary canary_;
-  std::map<MachineId, Instant> redirectedAt_;  // workers told to go elsewhere, when
+  std::map<MachineId, Instant> redirectedAt_;  // when each worker was last redirected
   std::optional<Instant> leaderUnreachableSince_;
   Instant started_{};
   std::optional<Instant> leaderMissingSince_;
--- a/src/app/controller_constants.hpp
+++ b/src/app/controller_constants.hpp
@@ -1,4 +1,4 @@
-// Times and bounds that several parts of a controller share.
+/// Time constants that several parts of a controller share.
 #pragma once
 
 #include "base/types.hpp"
@@ -9,11 +9,12 @@
 inline constexpr Duration kFollowerRead{500};
 inline constexpr Duration kLeaderRead{250};
 inline constexpr Duration kStoreTimeout{1000};
-inline constexpr Duration kStoreSilent{2000};  // without contact for so long, it counts as lost
+inline constexpr Duration kStoreSilent{
+    2000};  // without contact for so long, the service counts as unreachable
 // Of the leader's lease.
 inline constexpr Duration kLeaseLife{3000};
 inline constexpr Duration kLeaseRenew{700};
-inline constexpr Duration kPeerPresence{2000};    // a peer that spoke within it is present
-inline constexpr Duration kForwardTimeout{1800};  // of what is passed on to a peer
+inline constexpr Duration kPeerPresence{2000};    // a peer with a status this recent is reachable
+inline constexpr Duration kForwardTimeout{1800};  // of requests forwarded to a peer
 
 }  // namespace kestrelhoist
--- a/src/app/controller_reports.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -1,4 +1,4 @@
-// Workers' reports: which way each goes is decided in src/reach.
+// Workers' heartbeats: accepts them and carries out the route that routeHeartbeat() chooses.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -7,10 +7,10 @@
 namespace kestrelhoist {
 namespace {
 
-// Without contact to the state service for so long, this controller answers in the leader's stead.
+// Without contact to the state service for so long, this controller answers in place of the leader.
 constexpr Duration kAnswersLocallyAfter{1500};
-// The leader has not answered reports that were passed on for so long: it may not get them.
-constexpr Duration kForwardingDoubt{3000};
+// When the leader has not answered forwarded heartbeats for so long, it may not receive them.
+constexpr Duration kForwardingDegradedAfter{3000};
 
 }  // namespace
 
@@ -18,9 +18,9 @@
   auto body = decodeBody(request.body);
   auto report = body ? reportFrom(*body) : std::nullopt;
   if (!report) return respond(jsonResponse(400, {{"error", "not a report"}}));
-  Instant came = noteHeartbeat(*report);
-  auto answer = [this, came, machine = report->machine, respond](Response r) {
-    if (r.status == 200) ackLog_.record(machine, came);
+  Instant receivedAt = noteHeartbeat(*report);
+  auto answer = [this, receivedAt, machine = report->machine, respond](Response r) {
+    if (r.status == 200) ackLog_.record(machine, receivedAt);
     respond(std::move(r));
   };
   Route route = routeHeartbeat(heartbeatView(*report));
@@ -32,7 +32,7 @@
                      });
 }
 
-// A worker was heard; returns when.
+// Records the arrival of a heartbeat and returns its time.
 Instant Controller::noteHeartbeat(const Report& report) {
   lastWorker_ = runtime_.now();
   if (report.zone != platform_.zone) lastForeignWorker_ = lastWorker_;
@@ -41,7 +41,7 @@
   return lastWorker_;
 }
 
-// The leader was asked in vain: as if it were not there.
+// Answers a heartbeat whose forwarding failed, as if there were no reachable leader.
 Response Controller::answerUnforwarded(const Report& report) {
   HeartbeatView v = heartbeatView(report);
   if (v.leads) return serveReport(report, std::nullopt);
@@ -66,13 +66,13 @@
   v.reportedToken = report.token;
   v.foreignZone = report.zone != platform_.zone;
   v.lease = platform_.workerLease;
-  if (auto away = redirectedAt_.find(report.machine); away != redirectedAt_.end()) {
-    v.sinceRedirect = v.now - away->second;
+  if (auto redirected = redirectedAt_.find(report.machine); redirected != redirectedAt_.end()) {
+    v.sinceRedirect = v.now - redirected->second;
   }
   if (const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence)) {
     v.leader = leader->member;
-    v.leaderForwards =
-        leader->supportsForwarding && forwarder_.failingFor(leader->member) < kForwardingDoubt;
+    v.leaderForwards = leader->supportsForwarding &&
+                       forwarder_.failingFor(leader->member) < kForwardingDegradedAfter;
     v.leaderReachesWorkers = !leader->hasLostWorkers;
   }
   v.isolated = !peerMembership_.anyReachable(kPeerPresence) && v.contactAge >= kAnswersLocallyAfter;
@@ -83,20 +83,20 @@
   return v;
 }
 
-// What the view has of a holder of the leader key that is not heard.
+// Adds to the view a holder of the leader key that is unreachable from here.
 void Controller::addUnreachableLeader(const Report& report, HeartbeatView& v) const {
-  const auto& holder = replica_.leader();
-  if (v.contactAge >= kAnswersLocallyAfter || !holder || holder->member == platform_.member ||
+  const auto& keyHolder = replica_.leader();
+  if (v.contactAge >= kAnswersLocallyAfter || !keyHolder || keyHolder->member == platform_.member ||
       !leaderUnreachableSince_) {
     return;
   }
-  v.unreachableLeader = holder->member;
+  v.unreachableLeader = keyHolder->member;
   v.leaderUnreachableFor = v.now - *leaderUnreachableSince_;
-  // One that has just come from a tour has spent most of its lease: it is answered here first (16
-  // of 24 replicas were left where it was sent on another tour at once).
-  auto here = ackLog_.entries().find(report.machine);
-  bool fresh = here != ackLog_.entries().end() &&
-               v.now - here->second < platform_.reportEvery * 5 / 4 + Duration{1500};
+  // A worker that has just come from a failover cycle has spent most of its lease, so it is
+  // answered here first (16 of 24 replicas were left when it was redirected again at once).
+  auto acknowledged = ackLog_.entries().find(report.machine);
+  bool fresh = acknowledged != ackLog_.entries().end() &&
+               v.now - acknowledged->second < platform_.reportEvery * 5 / 4 + Duration{1500};
   v.mayRedirect = canary_.mayRedirect(*v.unreachableLeader, report.tasks.empty(), v.now) &&
                   (fresh || report.tasks.empty() || !mayRenewLocally(v));
 }
@@ -128,16 +128,16 @@
 }
 
 Response Controller::serveReport(const Report& report, const std::optional<MemberId>& via) {
-  auto away = [] { return jsonResponse(421, Json::object()); };
-  if (!leader_ || !election_.leads()) return away();
+  auto reject = [] { return jsonResponse(421, Json::object()); };
+  if (!leader_ || !election_.leads()) return reject();
   if (!mayRenew()) {
     // A node that hung finds reports waiting before its timers: the bound holds for each answer.
     stepDown("no contact with the state service for too long", false, Duration{1000});
-    return away();
+    return reject();
   }
   if (report.token > election_.token()) {
     stepDown("machine " + report.machine.value + " has seen a higher token", false, Duration{500});
-    return away();
+    return reject();
   }
   if (via) workerTransport_.noteReport(report.address, via);
   return leader_->onReport(report, watcher_.contactAge() < kStoreSilent);
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -1,5 +1,5 @@
-// The election, and what the holder of the lease does: it begins to lead, watches whether it may go
-// on, and steps down.
+// The election and the lifecycle of leadership: becoming leader, checking whether to continue, and
+// stepping down.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -9,8 +9,9 @@
 namespace kestrelhoist {
 namespace {
 
-// Several machines do not fall silent in one moment unless the way to them is cut: no need to wait
-// until they have turned up elsewhere, which takes a worker's patience out of its lease.
+// Several machines do not stop reporting at the same moment unless the network path to them is cut.
+// There is then no need to wait until they report elsewhere, which costs each worker part of its
+// lease.
 constexpr std::size_t kSeveralMachines = 3;
 
 }  // namespace
@@ -32,7 +33,7 @@
   if (election_.leads() && !leader_) beginLeadership();
 }
 
-// Candidates that hear workers go first; the others follow a little later.
+// Candidates that receive heartbeats stand first; the others follow a little later.
 bool Controller::defersCandidacy(const Election::View& view) {
   if (election_.leads() || !view.fresh || view.leader) {
     leaderMissingSince_.reset();
@@ -43,17 +44,17 @@
   return now - *leaderMissingSince_ < candidacyDelay();
 }
 
-// One that has heard workers and hears them no more is cut off from them: it would hold the
-// leadership and take all of them for dead (203 healthy machines given back within a second). It
-// leaves time for the others to read that the leadership is free. One that has just started does
-// not know yet.
+// A controller that used to receive heartbeats and no longer does is cut off from the workers. As
+// leader it would take all of them for dead (203 healthy machines were released within a second),
+// so it leaves the others time to read that the leadership is free. A controller that has just
+// started does not know yet whether it is cut off.
 Duration Controller::candidacyDelay() const {
-  Duration silence = runtime_.now() - lastWorker_;
-  if (silence < platform_.reportEvery * 5 / 4 + Duration{1000}) return Duration{0};
+  Duration sinceHeartbeat = runtime_.now() - lastWorker_;
+  if (sinceHeartbeat < platform_.reportEvery * 5 / 4 + Duration{1000}) return Duration{0};
   return lastWorker_ < started_ ? Duration{400} : Duration{1500};
 }
 
-// The lease first, then the key with it on the condition that nobody holds it.
+// Grants the lease first, then writes the key with it on the condition that nobody holds the key.
 void Controller::claimLeadership() {
   store_.grantLease(kLeaseLife, kStoreTimeout, [this](std::optional<LeaseId> lease) {
     election_.onGranted(lease);
@@ -113,8 +114,9 @@
   requestAckTimesFromPeers();
 }
 
-// A worker that nobody answers any more is known by when it was answered last: else a new leader
-// counts its silence from its own first moment, and its tasks are long over before it is given up.
+// For a worker that no controller answers any more, the last acknowledgement tells how long it has
+// been unreachable. Without it a new leader would count from its own election, and the worker's
+// tasks would be long over before they are rescheduled.
 void Controller::requestAckTimesFromPeers() {
   for (const auto& peer : platform_.peers) {
     peerMembership_.send(
@@ -131,7 +133,7 @@
 }
 
 void Controller::stepDown(const std::string& why, bool dropLease, Duration backOff) {
-  logInfo("no longer leading", "token", election_.token(), "why", why);
+  logInfo("stepped down as leader", "token", election_.token(), "why", why);
   lastToken_ = std::max(lastToken_, election_.token());
   auto lease = election_.lease();
   if (dropLease && lease) store_.dropLease(*lease);
@@ -161,28 +163,30 @@
   if (leader_) watchWorkers();
 }
 
-// Gives up the lead if it hears no worker although there are some: cut off from them, or all are
-// gone.
+// Steps down when no worker reports although there are some: this controller is cut off from them,
+// or all have ended.
 void Controller::watchWorkers() {
-  std::size_t heard = reportingMachines();
-  bool expects = heard > 0 || std::any_of(replica_.machines().begin(), replica_.machines().end(),
-                                          [](const auto& m) { return !m.second.tasks.empty(); });
-  Duration unheard = runtime_.now() - std::max(lastWorker_, leader_->fleet().lastReportOfAny());
-  Duration patience = platform_.reportEvery * 3 / 2 + Duration{2000};
+  std::size_t reporting = reportingMachines();
+  bool expectsHeartbeats =
+      reporting > 0 || std::any_of(replica_.machines().begin(), replica_.machines().end(),
+                                   [](const auto& m) { return !m.second.tasks.empty(); });
+  Duration sinceHeartbeat =
+      runtime_.now() - std::max(lastWorker_, leader_->fleet().lastReportOfAny());
+  Duration timeout = platform_.reportEvery * 3 / 2 + Duration{2000};
   // After a failover workers first give up on the old leader (4 s) and try nodes in turn (1 s
   // each). A new leader that resigned meanwhile, because they were heard elsewhere in passing,
   // would cost all of them their leases.
-  if (heard == 0) patience += Duration{6000};
-  if (!expects || unheard < patience) return;
+  if (reporting == 0) timeout += Duration{6000};
+  if (!expectsHeartbeats || sinceHeartbeat < timeout) return;
   bool anyPeer = platform_.peers.empty() || peerMembership_.anyReachable(kPeerPresence);
-  bool peersHear = false;
+  bool peersReceiveHeartbeats = false;
   for (const auto& peer : platform_.peers) {
     const auto* s = peerMembership_.recentStatus(peer.member, kPeerPresence);
-    // Whoever hears workers passes their reports on to here: another leader would hear no more.
-    if (s && s->supportsForwarding && unheard < patience + platform_.workerLease / 2) return;
-    peersHear = peersHear || (s && s->workersAge < unheard);
+    // A peer that receives heartbeats forwards them to here; another leader would receive no more.
+    if (s && s->supportsForwarding && sinceHeartbeat < timeout + platform_.workerLease / 2) return;
+    peersReceiveHeartbeats = peersReceiveHeartbeats || (s && s->workersAge < sinceHeartbeat);
   }
-  if (peersHear || !anyPeer || heard >= kSeveralMachines) {
+  if (peersReceiveHeartbeats || !anyPeer || reporting >= kSeveralMachines) {
     stepDown("no worker reports here", true, 5 * platform_.reportEvery + Duration{10000});
   }
 }
@@ -193,10 +197,10 @@
   // Running work need not end when nobody can have told of a cancellation that is not known here.
   // Own commits that were not read back yet may hide placements, and a flow's are not effective
   // yet.
-  if (auto told = cancellationBarrier_.snapshotTime();
-      told && *told > asOf && watcher_.contactAge() > kStoreSilent &&
+  if (auto barrier = cancellationBarrier_.snapshotTime();
+      barrier && *barrier > asOf && watcher_.contactAge() > kStoreSilent &&
       replica_.newestCancellation() <= replica_.cursor() && !replica_.flowCancellationUnderWay()) {
-    asOf = *told;
+    asOf = *barrier;
   }
   return renewal_.until(asOf);
 }
--- a/src/app/controller_peers.cpp
+++ b/src/app/controller_peer_api.cpp
@@ -1,4 +1,4 @@
-// What controllers ask of each other and tell one another.
+// The mesh API between controllers: status exchange, forwarded requests and proxying.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -25,7 +25,7 @@
   respond(jsonResponse(404, {{"error", "no such path"}}));
 }
 
-// What peers ask whose own links fail.
+// Serves peers whose own links fail.
 bool Controller::onMeshService(const Request& request, const Respond& respond) {
   auto below = [&](const std::string& prefix) -> std::optional<Request> {
     if (!request.path.starts_with(prefix + "/")) return std::nullopt;
--- a/src/app/controller_users.cpp
+++ b/src/app/controller_user_api.cpp
@@ -1,4 +1,4 @@
-// Users' requests, health checks among them.
+// The user-facing API, including the health check.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -21,12 +21,12 @@
 
 void Controller::onUserRequest(const std::string& path, const Request& request,
                                const Respond& respond, bool secure) {
-  bool ofUsers = isUserPath(path);
-  if (ofUsers && members_ && !secure && !settings_.members.plainUsers &&
+  bool isUserRequest = isUserPath(path);
+  if (isUserRequest && members_ && !secure && !settings_.members.plainUsers &&
       !path.starts_with("/v2/flows/tasks/")) {
     return respond(jsonResponse(403, {{"error", "members come with TLS, see docs/members.md"}}));
   }
-  if (ofUsers && !watcher_.reachable()) {
+  if (isUserRequest && !watcher_.reachable()) {
     if (auto peer = peerMembership_.peerReachingStore(watcher_.failingSince())) {
       return forwardToPeer(*peer, request, respond);
     }
@@ -60,19 +60,19 @@
     auto body = r.status == 200 ? decodeBody(r.body) : std::nullopt;
     auto ref = body ? textField(*body, body->contains("job") ? "job" : "ref") : std::nullopt;
     if (!ref) return respond(r);
-    auto tell = [respond, body = *body](const Json& why) mutable {
+    auto respondWith = [respond, body = *body](const Json& why) mutable {
       body["why"] = why;
       respond(jsonResponse(200, body));
     };
-    const Json nobody = {{"leader", nullptr}, {"waits", Json::array()}};
-    if (leader_) return tell(leader_->why(JobId{*ref}));
+    const Json noLeader = {{"leader", nullptr}, {"waits", Json::array()}};
+    if (leader_) return respondWith(leader_->why(JobId{*ref}));
     const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence);
-    if (!leader) return tell(nobody);
+    if (!leader) return respondWith(noLeader);
     peerMembership_.send(leader->member, {"GET", "/mesh/why/" + *ref, ""}, kForwardTimeout,
-                         [tell, nobody](const std::optional<Response>& answer) mutable {
+                         [respondWith, noLeader](const std::optional<Response>& answer) mutable {
                            auto why = answer && answer->status == 200 ? decodeBody(answer->body)
                                                                       : std::nullopt;
-                           tell(why ? *why : nobody);
+                           respondWith(why ? *why : noLeader);
                          });
   };
 }
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -1,5 +1,8 @@
 #include "app/leader.hpp"
 
+#include <algorithm>
+
+#include "app/pending_explanation.hpp"
 #include "base/log.hpp"
 #include "dependencies/projected_demand.hpp"
 
@@ -10,6 +13,12 @@
 constexpr double kLeaderWriteShare = 0.7;  // the rest is for users' requests
 constexpr Duration kCommitTimeout{1500};
 constexpr Duration kRetry{200};
+constexpr Duration kRejectedRetry{1000};
+// Workers count as reachable when something sent within this time reached one.
+constexpr Duration kWorkersReachableWithin{3000};
+// Fields of the forecast record in which the previous leader left its suspicions.
+constexpr const char* kSuspectedZonesField = "silent";
+constexpr const char* kSuspectedJobsField = "suspect";
 }  // namespace
 
 Leader::Leader(const LeaderContext& context, PlanRunner& planner, PolicyReplica& policy,
@@ -32,52 +41,72 @@
       writes_(context_.platform.stateWritesPerS * kLeaderWriteShare,
               std::max<double>(context_.platform.stateWritesPerS * kLeaderWriteShare,
                                static_cast<double>(context_.platform.transactionOps))) {
-  logInfo("leading", "token", context_.token);
+  logInfo("became leader", "token", context_.token);
+  connectLoops();
+  if (context_.replica.catalogue()) {
+    context_.catalogue = catalogueFrom(*context_.replica.catalogue());
+  }
+  if (const auto& forecast = context_.replica.forecast()) {
+    restoreSuspectedZones(*forecast);
+    restoreFailureAttribution(*forecast);
+  }
+  fleet_.adoptRecords(context_.electedAt, context_.runtime.wallMillis());
+  detectFailures(context_.electedAt);
+  onTimer();
+}
+
+void Leader::connectLoops() {
   context_.scheduleCycle = [this] { scheduleCycle(); };
-  context_.finishStep = [this](std::optional<Commit> c) {
-    stepUnderWay_ = false;
-    if (c) return commit(std::move(*c));
-    scheduleCycle();
-  };
+  context_.finishStep = [this](std::optional<Commit> next) { finishStep(std::move(next)); };
   scaling_.upcoming = [this](Duration horizon) {
-    auto room = flows_.upcoming(horizon);
+    auto demand = flows_.upcoming(horizon);
     auto ofJobs = demandOfJobsReadyWithin(context_.replica, horizon);
-    room.insert(room.end(), ofJobs.begin(), ofJobs.end());
-    return room;
+    demand.insert(demand.end(), ofJobs.begin(), ofJobs.end());
+    return demand;
   };
   scaling_.ending = [this](Duration horizon) {
-    auto room = flows_.ending(horizon);
+    auto demand = flows_.ending(horizon);
     auto ofJobs = demandOfDependenciesEndingWithin(context_.replica, horizon);
-    room.insert(room.end(), ofJobs.begin(), ofJobs.end());
-    return room;
+    demand.insert(demand.end(), ofJobs.begin(), ofJobs.end());
+    return demand;
   };
   planning_.resourcesReason = [this](const JobSpec& spec) {
     return scaling_.resourcesReason(spec);
   };
-  dispatcher_.onReport = [this](Machine& m) { outcomes_.noteOutcomes(m); };
-  if (context_.replica.catalogue())
-    context_.catalogue = catalogueFrom(*context_.replica.catalogue());
-  const auto& windows = context_.replica.forecast();
-  if (const Json* silent = windows ? field(*windows, "silent") : nullptr; silent) {
-    for (const auto& [zone, at] : silent->items()) {
-      if (!at.is_number_integer()) continue;
-      // The time of day is only about right: this decides when to ask for releases.
-      Duration ago{
-          std::max<std::int64_t>(0, context_.runtime.wallMillis() - at.get<std::int64_t>())};
-      fleet_.restoreSuspectedZone(ZoneId{zone}, context_.electedAt - ago);
-    }
+  dispatcher_.onReport = [this](Machine& machine) { outcomes_.noteOutcomes(machine); };
+}
+
+void Leader::finishStep(std::optional<Commit> next) {
+  stepUnderWay_ = false;
+  if (next) return commit(std::move(*next));
+  scheduleCycle();
+}
+
+void Leader::restoreSuspectedZones(const Json& forecast) {
+  const Json* zones = field(forecast, kSuspectedZonesField);
+  if (!zones) return;
+  for (const auto& [zone, since] : zones->items()) {
+    if (!since.is_number_integer()) continue;
+    // The time of day is only approximate; it decides merely when releases are requested.
+    Duration ago{
+        std::max<std::int64_t>(0, context_.runtime.wallMillis() - since.get<std::int64_t>())};
+    fleet_.restoreSuspectedZone(ZoneId{zone}, context_.electedAt - ago);
   }
-  if (const Json* suspect = windows ? field(*windows, "suspect") : nullptr; suspect) {
-    for (const auto& [job, rounds] : suspect->items()) {
-      const auto* known = context_.replica.job(JobId{job});
-      if (!known || !known->active() || !rounds.is_number_integer()) continue;
-      fleet_.failureAttribution().adopt(JobId{job}, rounds.get<int>(), context_.electedAt);
-    }
+}
+
+void Leader::restoreFailureAttribution(const Json& forecast) {
+  const Json* suspects = field(forecast, kSuspectedJobsField);
+  if (!suspects) return;
+  for (const auto& [id, rounds] : suspects->items()) {
+    const auto* job = context_.replica.job(JobId{id});
+    if (!job || !job->active() || !rounds.is_number_integer()) continue;
+    fleet_.failureAttribution().adopt(JobId{id}, rounds.get<int>(), context_.electedAt);
   }
-  fleet_.adoptRecords(context_.electedAt, context_.runtime.wallMillis());
-  fleet_.detectFailures(context_.electedAt, context_.catalogue ? &*context_.catalogue : nullptr,
+}
+
+void Leader::detectFailures(Instant now) {
+  fleet_.detectFailures(now, context_.catalogue ? &*context_.catalogue : nullptr,
                         mayHaveActingLeader_);
-  onTimer();
 }
 
 void Leader::onTimer() {
@@ -86,15 +115,13 @@
   if (!context_.initialRoundOver && dispatcher_.initialRoundOver()) {
     context_.initialRoundOver = true;
     forecast_.load();
-    logInfo("report round over", "machines", fleet_.machines().size());
+    logInfo("initial heartbeat round complete", "machines", fleet_.machines().size());
   }
   if (++timerCount_ % kTimersPerFailureDetection == 0) {
     fleet_.adoptRecords(now, context_.runtime.wallMillis());
-    constexpr Duration kLately{3000};
     fleet_.setWorkersReachable(!context_.workersReachedSince ||
-                               context_.workersReachedSince(now - kLately));
-    fleet_.detectFailures(now, context_.catalogue ? &*context_.catalogue : nullptr,
-                          mayHaveActingLeader_);
+                               context_.workersReachedSince(now - kWorkersReachableWithin));
+    detectFailures(now);
     dispatcher_.probeOverdue();
   }
   machineList_.onTimer();
@@ -111,7 +138,7 @@
   }));
 }
 
-// The duties take turns, so that none starves another however much there is of it.
+// The control loops take turns, so that a busy one cannot starve the others.
 void Leader::cycle() {
   if (stepUnderWay_ || deposed() || !context_.watcher.reachable()) return;
   for (std::size_t i = 0; i < loops_.size(); ++i) {
@@ -125,9 +152,9 @@
   }
 }
 
-// One read can bring another's election together with what it has written since. A leader that was
-// cut off must not take those records for its own (flow-faults 1 and 12: a job of the new leader's
-// whose inputs were not done in the old one's picture).
+// One read can bring both the election of another leader and what that leader has written since. A
+// leader that was cut off must not take those records for its own (flow-faults 1 and 12: a job
+// created by the new leader had inputs that were not done in the old leader's view).
 bool Leader::deposed() const { return context_.replica.leaderToken() != context_.token; }
 
 void Leader::notifyLoops(bool changedByOthers) {
@@ -147,55 +174,60 @@
   }
 }
 
-// The same transaction until there is an answer. Each writes a key that it conditions on, so of
-// several copies at most one is applied, and after 200 or 409 none can be applied later.
+// Sends the same transaction until there is an answer. Each one writes a key that it conditions on,
+// so of several sends at most one is applied, and after a 200 or 409 none can be applied later.
 void Leader::send(std::shared_ptr<Commit> commit) {
   writes_.take(context_.runtime.now(), static_cast<double>(commit->transaction.writes.size()));
-  context_.store.commit(
-      commit->transaction, kCommitTimeout, context_.whileLeading([this, commit](CommitResult r) {
-        switch (r.outcome) {
-          case CommitOutcome::applied:
-            for (const auto& w : commit->transaction.writes) {
-              context_.replica.apply({w.key, w.value, r.revision});
-            }
-            context_.latestRevision = std::max(context_.latestRevision, r.revision);
-            stepUnderWay_ = false;
-            notifyLoops(false);
-            logDebug("committed", "revision", r.revision, "what", commit->what);
-            if (commit->onApplied) commit->onApplied();
-            scheduleCycle();
-            return;
-          case CommitOutcome::conflict:
-            logInfo("commit in conflict, reading again", "what", commit->what);
-            context_.watcher.linearizableRead(context_.whileLeading([this](bool) {
-              stepUnderWay_ = false;
-              notifyLoops(false);
-              scheduleCycle();
-            }));
-            return;
-          case CommitOutcome::rejected:
-          case CommitOutcome::noLease:
-            logError("commit rejected", "what", commit->what);
-            // Too large, since the limits fell? An earlier copy may have been taken before that.
-            context_.runtime.after(Duration{1000}, context_.whileLeading([this] {
-              context_.watcher.linearizableRead(context_.whileLeading([this](bool) {
-                stepUnderWay_ = false;
-                notifyLoops(false);
-                scheduleCycle();
-              }));
-            }));
-            return;
-          case CommitOutcome::refused:
-          case CommitOutcome::unknown:
-            context_.runtime.after(kRetry, context_.whileLeading([this, commit] { send(commit); }));
-            return;
-        }
-      }));
+  context_.store.commit(commit->transaction, kCommitTimeout,
+                        context_.whileLeading([this, commit](const CommitResult& result) {
+                          onCommitResult(commit, result);
+                        }));
+}
+
+void Leader::onCommitResult(const std::shared_ptr<Commit>& commit, const CommitResult& result) {
+  switch (result.outcome) {
+    case CommitOutcome::applied:
+      return onCommitApplied(*commit, result.revision);
+    case CommitOutcome::conflict:
+      logInfo("commit in conflict, reading again", "what", commit->what);
+      return rereadRecords();
+    case CommitOutcome::rejected:
+    case CommitOutcome::noLease:
+      logError("commit rejected", "what", commit->what);
+      // The limits may have fallen since; an earlier send may have been applied before that.
+      context_.runtime.after(kRejectedRetry, context_.whileLeading([this] { rereadRecords(); }));
+      return;
+    case CommitOutcome::refused:
+    case CommitOutcome::unknown:
+      context_.runtime.after(kRetry, context_.whileLeading([this, commit] { send(commit); }));
+      return;
+  }
+}
+
+void Leader::onCommitApplied(const Commit& commit, Revision revision) {
+  for (const auto& write : commit.transaction.writes) {
+    context_.replica.apply({write.key, write.value, revision});
+  }
+  context_.latestRevision = std::max(context_.latestRevision, revision);
+  stepUnderWay_ = false;
+  notifyLoops(false);
+  logDebug("committed", "revision", revision, "what", commit.what);
+  if (commit.onApplied) commit.onApplied();
+  scheduleCycle();
+}
+
+// Reads what a failed commit did not know of, and ends its step.
+void Leader::rereadRecords() {
+  context_.watcher.linearizableRead(context_.whileLeading([this](bool) {
+    stepUnderWay_ = false;
+    notifyLoops(false);
+    scheduleCycle();
+  }));
 }
 
 Response Leader::onReport(const Report& report, bool sure) {
   if (fleet_.isReleased(report.machine)) {
-    // Gone for certain: this report was under way for long.
+    // The machine has certainly been released; this heartbeat was delayed in the network.
     return jsonResponse(503, {{"error", "released"}});
   }
   Instant now = context_.runtime.now();
@@ -212,52 +244,7 @@
 }
 
 Json Leader::why(const JobId& id) {
-  Instant now = context_.runtime.now();
-  Json waits = Json::array();
-  Json awaits = Json::array();  // the unfinished jobs that it awaits
-  auto add = [&](const std::string& why, std::uint32_t tasks) {
-    if (tasks > 0) waits.push_back({{"why", why}, {"tasks", tasks}});
-  };
-  const auto* job = context_.replica.job(id);
-  if (job && job->active()) {
-    std::map<PendingReason, std::uint32_t> placed;
-    for (const auto& [index, at] : job->placed) {
-      const Machine* m = fleet_.find(at.machine);
-      const ReportedTask* told = m && m->session.lastReport
-                                     ? m->session.lastReport->find({{id, index}, at.attempt})
-                                     : nullptr;
-      if (!m || !m->hasReported() || fleet_.isOverdue(*m, now)) {
-        ++placed[PendingReason::unreachable];
-      } else if (!told) {
-        ++placed[PendingReason::start];
-      } else if (told->state == TaskState::fetching) {
-        ++placed[PendingReason::image];
-      }
-    }
-    if (!context_.initialRoundOver) {
-      add("the new leader waits for the report round", job->waiting());
-    } else if (job->blockedOnDependencies()) {
-      for (const auto& awaited : context_.replica.dependencies().unfinishedDependencies(id)) {
-        awaits.push_back(awaited.value);
-      }
-      add(toString(PendingReason::dependencies), job->tasks);
-    } else if (!context_.watcher.reachable()) {
-      add("the state service is out of reach", job->waiting());
-    } else {
-      for (const auto& g : planning_.pendingReasons().of(id)) add(toString(g.why), g.tasks);
-    }
-    for (const auto& [why, tasks] : placed) add(toString(why), tasks);
-  }
-  Json why = {{"leader", context_.platform.member.value},
-              {"leads_s", toSeconds(now - context_.electedAt)},
-              {"waits", std::move(waits)}};
-  if (!awaits.empty()) why["awaits"] = std::move(awaits);
-  if (job && job->active() && job->dependencies && job->dependencies->state.latestEndMs) {
-    std::int64_t latestStart =
-        *job->dependencies->state.latestEndMs - job->record.spec->estimate.count();
-    why["slack_s"] = toSeconds(Duration{latestStart - context_.runtime.wallMillis()});
-  }
-  return why;
+  return explainPending(context_, fleet_, planning_.pendingReasons(), id);
 }
 
 void Leader::onRecordsChanged() {
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -1,5 +1,4 @@
-// One leadership. It lets its duties take turns and commits one transaction at a time; what they
-// decide is theirs. It lives from the election to the step-down.
+/// The leader's work: schedules the control loops and commits their transactions.
 #pragma once
 
 #include "cloud/forecast_loop.hpp"
@@ -10,23 +9,32 @@
 
 namespace kestrelhoist {
 
+/// Runs the control loops in turn and commits one transaction at a time; each loop makes its own
+/// decisions. An instance lives from the election to the step-down. Single-threaded.
 class Leader {
  public:
-  // `mayHaveActingLeader`: whether a controller in that zone may be answering its workers unseen.
+  /// @param mayHaveActingLeader Whether a controller in the zone may be answering its workers while
+  ///        it is unreachable from here.
   Leader(const LeaderContext& context, PlanRunner& planner, PolicyReplica& policy,
          std::function<bool(const ZoneId&)> mayHaveActingLeader);
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  // Answers a worker's report. `sure`: the state service was reached a moment ago.
+  /// Answers a worker's heartbeat. `sure` says that the state service was reached a moment ago.
   Response onReport(const Report& report, bool sure);
+  /// The replica has taken in changes from the change feed.
   void onRecordsChanged();
-  // Why a job's tasks wait, who leads and since when, in seconds: for operators.
+  /// Explains why tasks of the job wait; see explainPending().
   Json why(const JobId& job);
   FencingToken token() const { return context_.token; }
   Fleet& fleet() { return fleet_; }
 
  private:
+  void connectLoops();
+  // Reads what the previous leader stored with the forecast.
+  void restoreSuspectedZones(const Json& forecast);
+  void restoreFailureAttribution(const Json& forecast);
+  void detectFailures(Instant now);
   void onTimer();
   void scheduleCycle();
   void cycle();
@@ -34,6 +42,10 @@
   void notifyLoops(bool changedByOthers);
   void commit(Commit commit);
   void send(std::shared_ptr<Commit> commit);
+  void onCommitResult(const std::shared_ptr<Commit>& commit, const CommitResult& result);
+  void onCommitApplied(const Commit& commit, Revision revision);
+  void rereadRecords();
+  void finishStep(std::optional<Commit> next);
 
   LeaderContext context_;
   std::function<bool(const ZoneId&)> mayHaveActingLeader_;
@@ -51,9 +63,9 @@
   PolicyLoop policy_;
   std::vector<ControlLoop*> loops_;  // in the order in which they take turns
   RateBudget writes_;
-  bool stepUnderWay_ = false;  // a commit or a held turn is under way
+  bool stepUnderWay_ = false;  // a commit or an asynchronous step is under way
   bool cycleScheduled_ = false;
-  std::size_t nextLoop_ = 0;  // which duty comes first in the next cycle
+  std::size_t nextLoop_ = 0;  // index of the loop that comes first in the next cycle
   std::int64_t timerCount_ = 0;
 };
 
--- a/src/connectivity/heartbeat_ack_log.hpp
+++ b/src/connectivity/heartbeat_ack_log.hpp
@@ -1,6 +1,4 @@
-// When each worker's report was last answered here: what a new leader needs to know of workers that
-// it does not hear (until when their tasks can run), and what no leader takes with it when it ends.
-// It decides when a release is asked for, never what counts as gone.
+/// Records when this controller last acknowledged each worker's heartbeat.
 #pragma once
 
 #include <map>
@@ -9,38 +7,27 @@
 
 namespace kestrelhoist {
 
+/// Per worker, the arrival time of the newest heartbeat that this controller answered.
+///
+/// A new leader asks its peers for these times to learn until when the tasks of workers that it
+/// does not hear from can run; they survive the end of any single leader. The times decide when a
+/// machine's release is requested, never whether a task counts as ended.
 class HeartbeatAckLog {
  public:
-  void record(const MachineId& machine, Instant reportCame) {
-    auto& at = at_[machine];
-    at = std::max(at, reportCame);
-  }
-  void expire(Instant now) {
-    std::erase_if(at_, [&](const auto& e) { return now - e.second > kForget; });
-  }
-  const std::map<MachineId, Instant>& entries() const { return at_; }
+  /// Records that the heartbeat which arrived at `receivedAt` has been answered.
+  void record(const MachineId& machine, Instant receivedAt);
+  /// Drops workers that have not been answered for ten minutes.
+  void expire(Instant now);
+  const std::map<MachineId, Instant>& entries() const { return acknowledgedAt_; }
 
-  // {machine: milliseconds since}
-  Json toJson(Instant now) const {
-    Json out = Json::object();
-    for (const auto& [machine, at] : at_) out[machine.value] = (now - at).count();
-    return out;
-  }
-  static std::map<MachineId, Instant> parse(const Json& v, Instant came) {
-    std::map<MachineId, Instant> out;
-    if (!v.is_object()) return out;
-    for (const auto& [name, age] : v.items()) {
-      if (age.is_number_unsigned() || age.is_number_integer()) {
-        // Counted from when it came here: an upper bound.
-        out[MachineId{name}] = came - Duration{age.get<std::int64_t>()};
-      }
-    }
-    return out;
-  }
+  /// Encodes the log as {machine: age in milliseconds}.
+  Json toJson(Instant now) const;
+  /// Decodes a peer's log that was received at `receivedAt` on the local clock. Ages count from
+  /// then, so each time is an upper bound. Entries of the wrong type are ignored.
+  static std::map<MachineId, Instant> parse(const Json& v, Instant receivedAt);
 
  private:
-  static constexpr Duration kForget{10 * 60 * 1000};
-  std::map<MachineId, Instant> at_;
+  std::map<MachineId, Instant> acknowledgedAt_;
 };
 
 }  // namespace kestrelhoist
--- a/src/connectivity/link_health.hpp
+++ b/src/connectivity/link_health.hpp
@@ -1,8 +1,6 @@
-// How one link of a controller does, from the traffic that flows over it anyway: pure, told what
-// was sent when and whether an answer came.
+/// Health of one network link, derived from the traffic that flows over it anyway.
 #pragma once
 
-#include <algorithm>
 #include <optional>
 
 #include "base/types.hpp"
@@ -11,52 +9,34 @@
 
 enum class LinkState { unknown, up, degraded, down };
 
-inline const char* toString(LinkState s) {
-  switch (s) {
-    case LinkState::unknown:
-      return "unknown";
-    case LinkState::up:
-      return "up";
-    case LinkState::degraded:
-      return "doubtful";
-    default:
-      return "down";
-  }
-}
+/// The state's name as it appears to operators.
+const char* toString(LinkState state);
 
+/// Tracks the health of one link from the send times of requests and whether they were answered.
+/// The class performs no I/O and is not thread-safe.
 class LinkHealth {
  public:
-  // `sent`: when what was answered, or was not, had been sent.
-  void onAnswered(Instant sent) {
-    lastGood_ = std::max(lastGood_.value_or(sent), sent);
-    if (failing_ && sent >= *failing_) failing_.reset();
-    if (!failing_) failures_ = 0;
-  }
-  void onFailed(Instant sent) {
-    lastFailed_ = std::max(lastFailed_.value_or(sent), sent);
-    // An answer to something sent later has already shown it up.
-    if (lastGood_ && sent < *lastGood_) return;
-    if (!failing_) failing_ = sent;
-    ++failures_;
-  }
-
-  bool failing() const { return failing_.has_value(); }
-  // When the first of what goes unanswered now was sent.
-  std::optional<Instant> failingSince() const { return failing_; }
-  // When the newest that went unanswered was sent.
+  /// Records that the request sent at `sent` has been answered.
+  void onAnswered(Instant sent);
+  /// Records that the request sent at `sent` went unanswered.
+  void onFailed(Instant sent);
+
+  bool failing() const { return failingSince_.has_value(); }
+  /// The send time of the first request of the current series of failures.
+  std::optional<Instant> failingSince() const { return failingSince_; }
+  /// The send time of the newest request that went unanswered.
   std::optional<Instant> lastFailed() const { return lastFailed_; }
-  int failures() const { return failures_; }  // in a row
-  // When the newest that was answered had been sent.
+  /// The number of failures in a row.
+  int failures() const { return failures_; }
+  /// The send time of the newest request that was answered.
   std::optional<Instant> lastGood() const { return lastGood_; }
 
-  // Down once it has failed for `downAfter`; what was never tried is not taken for up or down.
-  LinkState state(Instant now, Duration downAfter) const {
-    if (failing_) return now - *failing_ >= downAfter ? LinkState::down : LinkState::degraded;
-    return lastGood_ ? LinkState::up : LinkState::unknown;
-  }
+  /// Returns `down` once the link has failed for `downAfter`, and `unknown` for a link that has
+  /// never been tried.
+  LinkState state(Instant now, Duration downAfter) const;
 
  private:
-  std::optional<Instant> lastGood_, failing_, lastFailed_;
+  std::optional<Instant> lastGood_, failingSince_, lastFailed_;
   int failures_ = 0;
 };
 
--- a/src/connectivity/peer_proxy.cpp
+++ b/src/connectivity/peer_proxy.cpp
@@ -4,10 +4,11 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kHeard{1500};
-// An answer under way when the link broke: a peer's read may have been sent a little before.
-constexpr Duration kUnderWay{300};
-constexpr Duration kBlock{2000};
+constexpr Duration kPeerStatusMaxAge{1500};
+// A response may have been in flight when the link broke: the peer's read may have been sent a
+// little before.
+constexpr Duration kInFlightMargin{300};
+constexpr Duration kPeerBackoff{2000};
 constexpr Duration kServeTimeout{2500};
 }  // namespace
 
@@ -16,7 +17,7 @@
   const PeerProxyView::PeerView* best = nullptr;
   for (const auto& p : view.peers) {
     if (!p.supportsForwarding || !p.recentlyReachable || p.blocked) continue;
-    if (p.reachedAt <= *view.failingSince + kUnderWay) continue;
+    if (p.reachedAt <= *view.failingSince + kInFlightMargin) continue;
     if (!best || p.reachedAt > best->reachedAt) best = &p;
   }
   return best ? std::optional(best->member) : std::nullopt;
@@ -35,10 +36,10 @@
   v.failingSince = link_.failingSince();
   Instant now = runtime_.now();
   for (const auto& [member, seen] : peerMembership_.statuses()) {
-    const auto& [status, heardAt] = seen;
+    const auto& [status, statusAt] = seen;
     auto block = blockedUntil_.find(member);
-    v.peers.push_back({member, status.supportsForwarding, heardAt - ageAt_(status),
-                       now - heardAt < kHeard,
+    v.peers.push_back({member, status.supportsForwarding, statusAt - ageAt_(status),
+                       now - statusAt < kPeerStatusMaxAge,
                        block != blockedUntil_.end() && now < block->second});
   }
   return v;
@@ -51,7 +52,7 @@
   auto peer = chooseProxyPeer(view());
   if (peer.has_value() != viaPeer_) {
     viaPeer_ = peer.has_value();
-    logInfo(viaPeer_ ? "asking a service through a peer" : "no peer reaches the service either",
+    logInfo(viaPeer_ ? "proxying service requests through peer" : "no peer reaches the service",
             "service", settings_.name, "peer", peer ? peer->value : "-");
   }
   if (!peer) return direct(std::move(request), timeout, std::move(done));
@@ -61,7 +62,7 @@
   peerMembership_.send(*peer, std::move(request), timeout,
                        [this, peer = *peer, done = std::move(done)](std::optional<Response> r) {
                          if (!r || r->status == kNotReached) {
-                           blockedUntil_[peer] = runtime_.now() + kBlock;
+                           blockedUntil_[peer] = runtime_.now() + kPeerBackoff;
                            return done(std::nullopt);
                          }
                          done(std::move(r));
@@ -75,7 +76,7 @@
                up ? link_.onAnswered(sent) : link_.onFailed(sent);
                if (up && viaPeer_ && !link_.failing()) {
                  viaPeer_ = false;
-                 logInfo("own link to the service is back", "service", settings_.name);
+                 logInfo("direct link to service restored", "service", settings_.name);
                }
                done(std::move(r));
              });
--- a/src/connectivity/peer_proxy.hpp
+++ b/src/connectivity/peer_proxy.hpp
@@ -1,7 +1,7 @@
-// A service of the region (state service, cloud) that is asked through a peer while the own link to
-// it fails: one link that is lost costs neither the leadership nor the users of this controller.
-// Requests and answers pass unchanged, so what an answer proves, and what none leaves open, is the
-// same on both ways (docs/safety.md, "Links").
+/// Proxies requests to a service of the region (state service, cloud) through a peer while the
+/// direct link to it fails, so that one lost link costs neither the leadership nor this
+/// controller's users. Requests and responses pass unchanged, so what a response proves, and what a
+/// missing one leaves open, is the same on both paths (docs/safety.md, "Links").
 #pragma once
 
 #include <map>
@@ -11,37 +11,39 @@
 
 namespace kestrelhoist {
 
-// Whom to ask for it, if anybody: what the mesh tells, and what is known of earlier tries.
+/// Inputs for choosing the peer that proxies a request.
 struct PeerProxyView {
   struct PeerView {
     MemberId member;
-    bool supportsForwarding{};  // knows how to
-    Instant reachedAt{};        // when it last reached the service by its own link, as it says
+    bool supportsForwarding{};  // its version can proxy requests
+    Instant reachedAt{};        // when its own link last reached the service
     bool recentlyReachable{};
-    bool blocked{};  // a detour through it failed a moment ago
+    bool blocked{};  // a proxied request through it failed a moment ago
   };
-  std::optional<Instant> failingSince;  // own link
+  std::optional<Instant> failingSince;  // of the direct link
   std::vector<PeerView> peers;
 };
 
-// The peer that reached the service last, if that was since it began to fail here: one that reached
-// it before may be in the same outage.
+/// Returns the peer that reached the service last, provided that this was after it began to fail
+/// here. A peer that reached it only before that may be in the same outage.
 std::optional<MemberId> chooseProxyPeer(const PeerProxyView& view);
 
+/// An HTTP client for one service that falls back to a peer. Single-threaded.
 class PeerProxy : public HttpClient {
  public:
   struct Settings {
-    std::string name;     // as in the paths between controllers: "state", "cloud"
+    std::string name;     // as in the mesh paths: "state", "cloud"
     std::string address;  // of the service
-    Request probe;        // asked now and then by the own link, to know when it is back
+    Request probe;        // sent over the direct link while proxying, to detect recovery
     Duration probeEvery{1000};
   };
-  // `ageAt`: how long ago a peer reached the service by its own link, by what it last told.
+  /// @param ageAt How long ago a peer's own link reached the service, according to its status.
   PeerProxy(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
             std::function<Duration(const PeerStatus&)> ageAt);
 
   void send(const std::string& address, Request request, Duration timeout, OnReply done) override;
-  // A peer asks for a detour: always by the own link, so that detours never go in circles.
+  /// Serves a peer's proxied request. It always takes the direct link, so that proxying cannot
+  /// loop.
   void serve(const Request& request, const Respond& respond);
 
   const LinkHealth& link() const { return link_; }
--- a/src/connectivity/redirect_canary.hpp
+++ b/src/connectivity/redirect_canary.hpp
@@ -1,7 +1,4 @@
-// Whether workers that come here can be pointed to a leader that this controller does not hear. It
-// may hear them no better: controllers refused one another, the leader had lost the workers, and
-// the one that heard them all sent them there; each spent its lease on the tour. So a few go first.
-// Pure.
+/// Limits how many workers are redirected to a leader that this controller cannot reach itself.
 #pragma once
 
 #include <map>
@@ -11,47 +8,36 @@
 
 namespace kestrelhoist {
 
+/// Decides whether a worker may be redirected to an unreachable leader, by redirecting a few
+/// canaries first and watching whether they come back.
+///
+/// The leader may reach the workers no better than this controller reaches the leader. In one such
+/// case controllers refused one another's connections, the leader had lost the workers, and the
+/// controller that received all heartbeats redirected every worker to it; each worker spent its
+/// lease on the failover cycle. The class performs no I/O and is not thread-safe.
 class RedirectCanary {
  public:
-  // `tour`: the longest that a worker needs to come back from nodes that hang; `lease`: the
-  // workers'.
-  RedirectCanary(Duration failoverCycle, Duration lease, Duration reportEvery)
-      : failoverCycle_(failoverCycle),
-        lease_(lease),
-        leaseOutlastsCycle_(failoverCycle + reportEvery * 5 / 4 + Duration{1000} < lease) {}
+  /// @param failoverCycle The longest that a worker takes to come back when every node that it
+  ///        tries hangs.
+  /// @param lease The workers' lease.
+  /// @param reportEvery The workers' heartbeat interval.
+  RedirectCanary(Duration failoverCycle, Duration lease, Duration reportEvery);
 
-  // Whether this worker may be pointed to `holder` now. `idle`: it has no tasks to lose.
-  bool mayRedirect(const MemberId& leader, bool idle, Instant now) const {
-    if (leader_ != leader) return idle || leaseOutlastsCycle_;
-    if (backAt_ && now - *backAt_ < 2 * lease_) return false;
-    if (redirected_.empty()) return idle || leaseOutlastsCycle_;
-    // None came back in the time of a tour: they are answered there.
-    if (now - firstAt_ > failoverCycle_) return true;
-    return redirected_.size() < kMost && (idle || leaseOutlastsCycle_);
-  }
-  void onRedirected(const MemberId& leader, const MachineId& machine, Instant now) {
-    if (leader_ != leader || backAt_) {
-      leader_ = leader;
-      redirected_.clear();
-      backAt_.reset();
-    }
-    if (redirected_.empty()) firstAt_ = now;
-    if (redirected_.size() < kMost) redirected_.emplace(machine, now);
-  }
-  // A worker reports here: one that was sent did not get through.
-  void onReport(const MachineId& machine, Instant now) {
-    if (!redirected_.erase(machine)) return;
-    backAt_ = now;
-    redirected_.clear();
-  }
+  /// Returns whether this worker may be redirected to `leader` now. `idle` says that the worker has
+  /// no tasks to lose.
+  [[nodiscard]] bool mayRedirect(const MemberId& leader, bool idle, Instant now) const;
+  /// Records that `machine` has been redirected to `leader`.
+  void onRedirected(const MemberId& leader, const MachineId& machine, Instant now);
+  /// Records a heartbeat here. If the worker had been redirected, the redirect target is
+  /// unreachable for it.
+  void onReport(const MachineId& machine, Instant now);
 
  private:
-  static constexpr std::size_t kMost = 2;
   Duration failoverCycle_, lease_;
-  bool leaseOutlastsCycle_;  // a worker with tasks survives the tour
-  MemberId leader_;
-  Instant firstAt_{};
-  std::optional<Instant> backAt_;
+  bool leaseOutlastsCycle_;  // a worker with tasks survives a whole failover cycle
+  MemberId leader_;          // the current redirect target
+  Instant firstRedirectAt_{};
+  std::optional<Instant> returnedAt_;  // when a canary last came back
   std::map<MachineId, Instant> redirected_;
 };
 
--- a/src/leadership/peer_membership.cpp
+++ b/src/leadership/peer_membership.cpp
@@ -92,7 +92,6 @@
     if (s->wallMs > 0) s->wallClockOffset = s->wallMs - runtime_.now().ms;
     statuses_[s->member] = {*s, runtime_.now()};
     refusals_.erase(s->member);
-    if (onNews) onNews();
   }
   return s;
 }
--- a/src/leadership/peer_membership.hpp
+++ b/src/leadership/peer_membership.hpp
@@ -1,5 +1,5 @@
-// What the controllers tell one another: how each one sees the state service, the workers and
-// the leader. It never decides safety, only who should act.
+/// Peer membership: the controllers exchange how each one sees the state service, the workers and
+/// the leader. The exchange never decides safety, only which controller should act.
 #pragma once
 
 #include <functional>
@@ -10,61 +10,66 @@
 
 namespace kestrelhoist {
 
-// A peer's answer in the name of a service or worker that it asked in vain; none of them gives it.
+/// The status with which a peer answers for a service or worker that it could not reach. No service
+/// or worker answers with it.
 inline constexpr int kNotReached = 502;
 
+/// What one controller reports about itself. Ages are as of the moment of sending.
 struct PeerStatus {
   MemberId member;
-  FencingToken token;  // highest known
+  FencingToken token;  // the highest that it knows
   bool leading{};
-  Duration storeAge{};    // since it last reached the state service by its own link
-  Duration workersAge{};  // since it last heard a worker
+  Duration storeAge{};    // since its own link last reached the state service
+  Duration workersAge{};  // since the last heartbeat from any worker
   bool ready{};
-  bool hasLostWorkers{};       // leads and heard workers before, but none lately
-  bool supportsForwarding{};   // asks services for peers and takes passed-on reports; the version
-                               // before did not
-  Duration cloudAge{3600000};  // since it last reached the cloud by its own link
-  std::int64_t wallMs{};       // its time of day as it said so; 0: not told
-  // The same against our steady clock, which never steps, when it was said.
+  bool hasLostWorkers{};       // it leads and received heartbeats before, but none lately
+  bool supportsForwarding{};   // proxies requests for peers and accepts forwarded heartbeats;
+                               // the previous version did not
+  Duration cloudAge{3600000};  // since its own link last reached the cloud
+  std::int64_t wallMs{};       // its time of day when it sent this; 0 if not included
+  // `wallMs` minus the local steady clock, which never steps, at the moment of receipt.
   std::optional<std::int64_t> wallClockOffset = std::nullopt;
-  // The newest revision of any cancellation in its records (Witnesses); empty: they are not whole.
+  // The newest revision of any cancellation in its records (CancellationBarrier); empty while its
+  // records are incomplete.
   std::optional<Revision> newestCancellation = std::nullopt;
 };
 
 Json toJson(const PeerStatus& s);
 std::optional<PeerStatus> peerStatusFrom(const Json& v);
 
+/// Exchanges status with all peers and keeps the newest status of each. Single-threaded.
 class PeerMembership {
  public:
   PeerMembership(Runtime& runtime, HttpClient& http, const Platform& platform);
 
-  // Sends `own()` to every peer now and then.
+  /// Sends `own()` to every peer at the given interval, from now on.
   void start(std::function<PeerStatus()> own, Duration every);
   Response onStatusRequest(const Request& request);
-  // Tells the leader to read at once.
+  /// Asks the leader to read the change feed at once.
   void notifyLeader(const MemberId& leader);
-  // To a peer's address for controllers. No such peer: no answer.
+  /// Sends a request to a peer's mesh address. An unknown peer yields no response.
   void send(const MemberId& peer, Request request, Duration timeout, OnReply done);
-  // Passes a user's request to a peer that reaches the state service.
+  /// Forwards a user's request to a peer that reaches the state service.
   void forward(const MemberId& peer, const Request& request, Duration timeout, OnReply done);
 
-  // What a peer said no longer ago than `within`.
+  /// The newest status of a peer if it was received within the given time, else null.
   const PeerStatus* recentStatus(const MemberId& peer, Duration within) const;
-  // Whether any peer spoke no longer ago than `within`.
+  /// Whether any peer's status was received within the given time.
   bool anyReachable(Duration within) const;
-  // Of the peers heard `within` that lead, as they say, the one with the highest token; null: none.
+  /// Of the peers with a recent status that claims the leadership, the one with the highest token,
+  /// or null.
   const PeerStatus* newestLeader(Duration within) const;
-  // Whether the peer may be at work out of our sight. One that refused a connection since it was
-  // last heard has most likely ended, and has nothing to work with until it has read the records;
-  // but a process that ends is started again soon, so long refusals come from a filter between us.
+  /// Whether the peer may be running although it is unreachable from here. A peer that refused a
+  /// connection since its last status has most likely ended, and can do nothing until it has read
+  /// the records. A process that ends is restarted soon, however, so refusals over a long time come
+  /// from a packet filter between the two controllers.
   bool mayBeAlive(const MemberId& peer) const;
-  // A peer that has reached the state service since `failing`, when it began to fail here. A peer
-  // that reached it shortly before may be in the same outage.
+  /// A peer that has reached the state service since `failing`, when requests began to fail here. A
+  /// peer that reached it only before that may be in the same outage.
   std::optional<MemberId> peerReachingStore(Instant failing) const;
   const std::map<MemberId, std::pair<PeerStatus, Instant>>& statuses() const { return statuses_; }
 
-  std::function<void()> onNews;
-  // A peer's answer to what it was asked at that instant.
+  /// Called with each peer's answer to a status request that was sent at `asked`.
   std::function<void(const PeerStatus&, Instant asked)> onAnswer;
 
  private:
@@ -78,7 +83,7 @@
   struct Refusals {
     Instant first, last;
   };
-  std::map<MemberId, Refusals> refusals_;  // since the peer was last heard
+  std::map<MemberId, Refusals> refusals_;  // since the peer's last status
   std::function<PeerStatus()> own_;
   Duration every_{1000};
 };
