--- a/tests/user_looks.hpp
+++ b/tests/concurrent_reads.hpp
@@ -6,11 +6,11 @@
 
 namespace kestrelhoist::sim {
 
-class UserLooks {
+class ConcurrentReads {
  public:
   enum class Kind { poll, submit, abort };
 
-  UserLooks(World& world, int nodes) : world_(world), nodes_(nodes) {}
+  ConcurrentReads(World& world, int nodes) : world_(world), nodes_(nodes) {}
 
   // From now on, after each first word of a job, with so large a share cancelled at once.
   void begin(double cancelledAtOnce) {
--- a/tests/meetings_members_test.cpp
+++ b/tests/member_key_faults_test.cpp
@@ -1,8 +1,8 @@
 // Keys of members while the transactions that write them get no answer: a key is made once, ends
 // once and for good, and each attempt is told so in the end.
 #include "base/log.hpp"
-#include "meetings_writes.hpp"
 #include "member_user.hpp"
+#include "scenario_late_messages.hpp"
 
 namespace kestrelhoist::sim {
 namespace {
--- /dev/null
+++ b/tests/scenario.cpp
@@ -0,0 +1,111 @@
+#include "scenario.hpp"
+
+namespace kestrelhoist::sim {
+
+Scenario::Scenario(std::vector<Line> lines, std::uint64_t seed) {
+  lines_ = std::move(lines);
+  settings_.seed = seed;
+}
+
+void Scenario::run() {
+  for (const auto& line : lines_) {
+    SCOPED_TRACE(line.where());
+    if (line.words[0] == "seeds" || line.words[0] == "each") continue;
+    if (line.words[0] == "world") {
+      // It would be played with other settings than it says.
+      ASSERT_FALSE(world_) << line.where() << ": after a line that began the world";
+      configure(line);
+      continue;
+    }
+    if (!world_) world_ = std::make_unique<World>(settings_);
+    step(line);
+    ASSERT_TRUE(world_->broken.empty()) << line.where() << ": " << world_->broken.front();
+  }
+  expectNoneUnderserved();
+}
+
+// Half of each class and each team, in every scenario that plays long enough to tell; the few that
+// take away what is needed name whom (`expect underserved`).
+void Scenario::expectNoneUnderserved() {
+  auto under = world_->underserved(kLeastServed, kJudgedMs);
+  for (const auto& [what, share] : under) {
+    EXPECT_TRUE(mayStarve_.contains(what)) << "underserved: " << what << " got " << share;
+  }
+}
+
+const std::map<std::string, Scenario::Step>& Scenario::steps() {
+  static const std::map<std::string, Step> steps{
+      {"submit", &Scenario::submitJob},
+      {"stream", &Scenario::streamJobs},
+      {"abort", &Scenario::abortJob},
+      {"mend", &Scenario::repairJob},
+      {"faulty", &Scenario::makeMachineFaulty},
+      {"oncall", &Scenario::submitOnCallJobs},
+      {"flow", &Scenario::submitFlow},
+      {"amend", &Scenario::amendFlow},
+      {"cancelflow", &Scenario::cancelFlow},
+      {"crashcommit", &Scenario::crashAtFlowCommit},
+      {"policy", &Scenario::setPolicy},
+      {"calendar", &Scenario::setCalendar},
+      {"keepviewer", &Scenario::protectViewer},
+      {"policies", &Scenario::drawPolicies},
+      {"starves", &Scenario::mayBeUnderserved},
+      {"polls", &Scenario::setPollRate},
+
+      {"upgrade", &Scenario::upgradeControllers},
+      {"alone", &Scenario::isolateController},
+      {"clock", &Scenario::stepClock},
+      {"crash", &Scenario::crashOnce},
+      {"crashes", &Scenario::crashRepeatedly},
+      {"catch", &Scenario::crashInElection},
+      {"freeze", &Scenario::freezeController},
+      {"trouble", &Scenario::troubleController},
+      {"state_limits", &Scenario::limitStateService},
+      {"slow", &Scenario::slowStateService},
+      {"refuse", &Scenario::refuseController},
+      {"outage", &Scenario::beginOutage},
+      {"chaos", &Scenario::drawFaults},
+      {"beside", &Scenario::faultBeside},
+      {"gap", &Scenario::refuseThenOutage},
+      {"meet", &Scenario::combineFaults},
+
+      {"cut", &Scenario::cutController},
+      {"link", &Scenario::cutLink},
+      {"flap", &Scenario::flapLink},
+      {"cutzone", &Scenario::cutZoneOff},
+      {"cutmachine", &Scenario::cutMachine},
+      {"deafzone", &Scenario::cutInboundOfZone},
+      {"lose", &Scenario::loseMessages},
+      {"late_writes", &Scenario::delayWrites},
+      {"held", &Scenario::delayCommands},
+      {"copies", &Scenario::duplicateReports},
+      {"capacity", &Scenario::setCapacity},
+      {"dieshare", &Scenario::endShareOfMachines},
+      {"die", &Scenario::endMachine},
+      {"hang", &Scenario::hangMachine},
+      {"notice", &Scenario::giveTerminationNotice},
+
+      {"run", &Scenario::runWorld},
+      {"running", &Scenario::printRunning},
+      {"tell", &Scenario::printSummary},
+      {"traffic", &Scenario::printTraffic},
+      {"mark", &Scenario::markController},
+      {"watch", &Scenario::watchJob},
+      {"expect", &Scenario::expect},
+  };
+  return steps;
+}
+
+// The base classes' verbs come first: `late_writes` with a writer is one of theirs.
+void Scenario::step(const Line& line) {
+  if (machineFaultsStep(line) || concurrentReadsStep(line.words) || lateMessagesStep(line.words))
+    return;
+  auto found = steps().find(line.words[0]);
+  if (found != steps().end()) {
+    (this->*found->second)(line);
+  } else if (!pipelineStep(line)) {
+    FAIL() << "unknown verb " << line.words[0];
+  }
+}
+
+}  // namespace kestrelhoist::sim
--- /dev/null
+++ b/tests/scenario.hpp
@@ -0,0 +1,87 @@
+/// The runner of the scenario language (docs/testing.md).
+#pragma once
+
+#include "scenario_expect.hpp"
+
+namespace kestrelhoist::sim {
+
+/// Plays the lines of one scenario file in one simulated world. Each verb of the language has one
+/// step, a member function that gets the whole line.
+class Scenario : public ScenarioExpect {
+ public:
+  Scenario(std::vector<Line> lines, std::uint64_t seed);
+
+  /// Plays every line in its order, until the world breaks a rule. Afterwards checks that each
+  /// class and each team got its share of the machines.
+  void run();
+
+ private:
+  using Step = void (Scenario::*)(const Line& line);
+
+  static const std::map<std::string, Step>& steps();
+  void step(const Line& line);
+  void expectNoneUnderserved();
+
+  // Jobs, flows and policies (scenario_steps_jobs.cpp).
+  void submitJob(const Line& line);
+  void streamJobs(const Line& line);
+  void abortJob(const Line& line);
+  void repairJob(const Line& line);
+  void makeMachineFaulty(const Line& line);
+  void submitOnCallJobs(const Line& line);
+  void submitFlow(const Line& line);
+  void amendFlow(const Line& line);
+  void cancelFlow(const Line& line);
+  void crashAtFlowCommit(const Line& line);
+  void setPolicy(const Line& line);
+  void setCalendar(const Line& line);
+  void protectViewer(const Line& line);
+  void drawPolicies(const Line& line);
+  void mayBeUnderserved(const Line& line);
+  void setPollRate(const Line& line);
+
+  // Controllers and the services that they need (scenario_steps_controllers.cpp).
+  void upgradeControllers(const Line& line);
+  void isolateController(const Line& line);
+  void stepClock(const Line& line);
+  void crashOnce(const Line& line);
+  void crashRepeatedly(const Line& line);
+  void crashInElection(const Line& line);
+  void freezeController(const Line& line);
+  void troubleController(const Line& line);
+  void limitStateService(const Line& line);
+  void slowStateService(const Line& line);
+  void refuseController(const Line& line);
+  void beginOutage(const Line& line);
+  void drawFaults(const Line& line);
+  void faultBeside(const Line& line);
+  void refuseThenOutage(const Line& line);
+  void combineFaults(const Line& line);
+
+  // The network and the machines (scenario_steps_machines.cpp).
+  void cutController(const Line& line);
+  void cutLink(const Line& line);
+  void flapLink(const Line& line);
+  void cutZoneOff(const Line& line);
+  void cutMachine(const Line& line);
+  void cutInboundOfZone(const Line& line);
+  void loseMessages(const Line& line);
+  void delayWrites(const Line& line);
+  void delayCommands(const Line& line);
+  void duplicateReports(const Line& line);
+  void setCapacity(const Line& line);
+  void endShareOfMachines(const Line& line);
+  void endMachine(const Line& line);
+  void hangMachine(const Line& line);
+  void giveTerminationNotice(const Line& line);
+
+  // Time, and what the scenario prints or remembers (scenario_steps_output.cpp).
+  void runWorld(const Line& line);
+  void printRunning(const Line& line);
+  void printSummary(const Line& line);
+  void printTraffic(const Line& line);
+  void markController(const Line& line);
+  void watchJob(const Line& line);
+};
+
+}  // namespace kestrelhoist::sim
--- a/tests/meetings_users.hpp
+++ b/tests/scenario_concurrent_reads.hpp
@@ -3,15 +3,15 @@
 // decides.
 #pragma once
 
-#include "meetings_writes.hpp"
-#include "user_looks.hpp"
+#include "concurrent_reads.hpp"
+#include "scenario_late_messages.hpp"
 
 namespace kestrelhoist::sim {
 
-class ScenarioUsers : public ScenarioWrites {
+class ScenarioConcurrentReads : public ScenarioLateMessages {
  protected:
   // False: not a verb of this file.
-  bool meetsUsers(const std::vector<std::string>& words) {
+  bool concurrentReadsStep(const std::vector<std::string>& words) {
     const std::string& verb = words[0];
     auto ms = [&](std::size_t at) {
       return static_cast<std::int64_t>(std::stod(words.at(at)) * 1000);
@@ -29,7 +29,7 @@
     } else if (verb == "alongside") {
       alongside(words.at(1), ms(2));
     } else if (verb == "agree") {
-      looks().expectAgreement();
+      reads().expectAgreement();
     } else {
       return false;
     }
@@ -41,9 +41,9 @@
     return static_cast<std::int64_t>(world_->random() % static_cast<std::uint64_t>(below));
   }
   bool chance(double share) { return static_cast<double>(drawn(1000000)) < share * 1e6; }
-  UserLooks& looks() {
-    if (!looks_) looks_ = std::make_unique<UserLooks>(*world_, settings_.nodes);
-    return *looks_;
+  ConcurrentReads& reads() {
+    if (!reads_) reads_ = std::make_unique<ConcurrentReads>(*world_, settings_.nodes);
+    return *reads_;
   }
   JobPlan drawnJob() {
     JobPlan p;
@@ -60,7 +60,7 @@
   // third job is handed in at one controller and cancelled at another in the same millisecond.
   void closeLooks(std::int64_t ms) {
     constexpr double kCancelledAtOnce = 0.3;
-    looks().begin(kCancelledAtOnce);
+    reads().begin(kCancelledAtOnce);
     World& w = *world_;
     for (std::int64_t at = 0; at < ms; at += 1000 + drawn(1500)) {
       JobPlan p = drawnJob();
@@ -69,8 +69,8 @@
         world_->submit(p);
         if (!atOnce) return;
         int node = static_cast<int>(drawn(settings_.nodes));
-        looks().ask(UserLooks::Kind::submit, p.id, node);
-        looks().ask(UserLooks::Kind::abort, p.id, (node + 1) % settings_.nodes);
+        reads().ask(ConcurrentReads::Kind::submit, p.id, node);
+        reads().ask(ConcurrentReads::Kind::abort, p.id, (node + 1) % settings_.nodes);
       });
       if (cancelled) w.clock.in(at + drawn(15000), [&w, id = p.id] { w.abort(id); });
     }
@@ -81,7 +81,7 @@
   // a fourth of these also in the moment at which its end is committed.
   void cancelAtEnd(double share, std::int64_t ms) {
     constexpr double kCancelledAtOnce = 0;
-    looks().begin(kCancelledAtOnce);
+    reads().begin(kCancelledAtOnce);
     World& w = *world_;
     for (std::int64_t at = 0; at < ms; at += 500 + drawn(1000)) {
       JobPlan p = drawnJob();
@@ -96,10 +96,10 @@
       int node = static_cast<int>(drawn(settings_.nodes));
       for (int n = 0; n < 2; ++n) {
         w.clock.in(middle + (n == 0 ? 0 : drawn(30)), [this, id, at = (node + n)] {
-          looks().ask(UserLooks::Kind::abort, id, at % settings_.nodes);
+          reads().ask(ConcurrentReads::Kind::abort, id, at % settings_.nodes);
         });
       }
-      w.clock.in(std::max<std::int64_t>(0, middle - 25), [this, id] { looks().burst(id); });
+      w.clock.in(std::max<std::int64_t>(0, middle - 25), [this, id] { reads().burst(id); });
     };
     w.state.onCommit = [this, &w, before = w.state.onCommit](const Json& writes) {
       before(writes);
@@ -109,7 +109,7 @@
         if (drawn(4) != 0) continue;
         for (int node = 0; node < settings_.nodes; ++node) {
           w.clock.in(drawn(5), [this, id = key.substr(7), node] {
-            looks().ask(UserLooks::Kind::abort, id, node);
+            reads().ask(ConcurrentReads::Kind::abort, id, node);
           });
         }
       }
@@ -261,7 +261,7 @@
     }
   }
 
-  std::unique_ptr<UserLooks> looks_;
+  std::unique_ptr<ConcurrentReads> reads_;
   std::unique_ptr<OddRequests> odd_;
   int next_ = 0;
 };
--- /dev/null
+++ b/tests/scenario_expect_cluster.cpp
@@ -0,0 +1,98 @@
+/// Expectations of scenarios on controllers, machines and the state service.
+#include <iostream>
+
+#include "scenario_expect.hpp"
+
+namespace kestrelhoist::sim {
+
+// expect leaderships most N: begun since `watch`
+void ScenarioExpect::expectLeaderships(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_LE(world_->leaderships - leadershipsBefore_, std::stoi(words.at(3)));
+}
+
+// expect leader [unmarked]: somebody leads, and not whom `mark` named
+void ScenarioExpect::expectLeader(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_GE(world_->leaderNode(), 0);
+  EXPECT_TRUE(words.size() < 3 || world_->leaderNode() != marked_);  // expect leader unmarked
+}
+
+// expect versions all|none N: know that all tell format N
+void ScenarioExpect::expectVersionsKnown(const Line& line) {
+  const auto& words = line.words;
+  auto format = static_cast<unsigned>(std::stoul(words.at(3)));
+  EXPECT_TRUE(words.at(2) == "all" ? world_->allKnowFormat(format)
+                                   : world_->noneKnowsFormat(format));
+}
+
+// expect resumed most SECONDS: after the newest leader began
+void ScenarioExpect::expectResumed(const Line& line) {
+  const auto& words = line.words;
+  std::cout << "resumed after " << world_->resumedAfter() << " s\n";
+  EXPECT_LE(world_->resumedAfter(), std::stod(words.at(3)));
+}
+
+// expect gone MACHINE: it was given back
+void ScenarioExpect::expectMachineReleased(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_FALSE(world_->region.isRented(words.at(2)));
+}
+
+// expect machines spot|ordinary most|least N
+void ScenarioExpect::expectMachineCount(const Line& line) {
+  const auto& words = line.words;
+  auto n = world_->region.machineCount(words.at(2) == "spot");
+  auto bound = std::stoul(words.at(4));
+  if (words.at(3) == "most") {
+    EXPECT_LE(n, bound);
+  } else {
+    EXPECT_GE(n, bound);
+  }
+}
+
+// expect hires most N: rental calls so far
+void ScenarioExpect::expectRentalCalls(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_LE(world_->region.hireCalls, std::stoul(words.at(3)));
+}
+
+// expect hired most N: machines rented so far
+void ScenarioExpect::expectRentedMachines(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_LE(world_->region.hired, std::stoul(words.at(3)));
+}
+
+// expect toolarge most N: transactions that got 400 for size
+void ScenarioExpect::expectTooLargeTransactions(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_LE(world_->state.tooLarge, std::stoul(words.at(3)));
+  std::cout << "429: " << world_->state.tooMany << ", 400: " << world_->state.tooLarge << "\n";
+}
+
+// expect changesof KIND most N: committed, of such keys
+void ScenarioExpect::expectChangesOfKind(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_LE(world_->changesByKind[words.at(2)], std::stoul(words.at(4)));
+}
+
+// expect writes most N: changes to the state service so far
+void ScenarioExpect::expectWrites(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_LE(world_->state.changes_made, std::stoul(words.at(3)));
+}
+
+// expect reads most N: of the state service so far
+void ScenarioExpect::expectReads(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_LE(world_->state.reads_made, std::stoul(words.at(3)));
+}
+
+// expect keys PREFIX most N
+void ScenarioExpect::expectKeyCount(const Line& line) {
+  const auto& words = line.words;
+  auto keys = world_->state.keysBelow(words.at(2));
+  EXPECT_LE(keys.size(), std::stoul(words.at(4))) << (keys.empty() ? "" : keys.front());
+}
+
+}  // namespace kestrelhoist::sim
--- /dev/null
+++ b/tests/scenario_expect_flows.cpp
@@ -0,0 +1,74 @@
+/// Expectations of scenarios on flows.
+#include <iostream>
+
+#include "scenario_expect.hpp"
+
+namespace kestrelhoist::sim {
+
+// expect flow ID PHASE
+void ScenarioExpect::expectFlowPhase(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_EQ(world_->flowPhase(words.at(2)), words.at(3)) << world_->flowStatus(words.at(2)).dump();
+}
+
+// expect refused ID STATUS
+void ScenarioExpect::expectFlowRefused(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_EQ(world_->flowRefusedWith(words.at(2)), std::stoi(words.at(3)));
+}
+
+// expect cost READS BYTES, an instance, of all that happened
+void ScenarioExpect::expectCostPerInstance(const Line& line) {
+  const auto& words = line.words;
+  auto n = static_cast<double>(std::max<std::size_t>(1, world_->flowInstances()));
+  EXPECT_LE(static_cast<double>(world_->state.reads_made) / n, std::stod(words.at(2)));
+  EXPECT_LE(static_cast<double>(world_->state.bytes_written) / n, std::stod(words.at(3)));
+}
+
+// expect took ID most SECONDS: from its submission to its end
+void ScenarioExpect::expectFlowDuration(const Line& line) {
+  const auto& words = line.words;
+  double took = world_->flowTook(words.at(2));
+  std::cout << words.at(2) << " took " << took << " s, machines " << world_->region.machineSeconds()
+            << " s\n";
+  EXPECT_LE(took, std::stod(words.at(4)));
+}
+
+// expect count ID FIELD N: as last told
+void ScenarioExpect::expectFlowCount(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_EQ(world_->flowStatus(words.at(2)).value(words.at(3), -1), std::stoi(words.at(4)))
+      << world_->flowStatus(words.at(2)).dump();
+}
+
+// expect report ID FIELD N
+void ScenarioExpect::expectFlowReport(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_EQ(world_->flowReport(words.at(2)).value(words.at(3), -1.0), std::stod(words.at(4)))
+      << world_->flowReport(words.at(2)).dump();
+}
+
+// expect account TEAM FIELD N: of all its flows
+void ScenarioExpect::expectTeamAccount(const Line& line) {
+  const auto& words = line.words;
+  EXPECT_EQ(world_->teamAccount(words.at(2)).value(words.at(3), -1.0), std::stod(words.at(4)));
+}
+
+// expect perinstance most N: changes to the state service for each instance so far
+void ScenarioExpect::expectChangesPerInstance(const Line& line) {
+  const auto& words = line.words;
+  std::size_t ofFlows = 0;
+  for (const auto& [kind, n] : world_->changesByKind) {
+    bool counts = kind.find("flow") != std::string::npos || kind.starts_with("kx");
+    if (counts) ofFlows += n;
+    std::cout << "  " << kind << ": " << n << "\n";
+  }
+  double per = static_cast<double>(ofFlows) /
+               static_cast<double>(std::max<std::size_t>(1, world_->flowInstances()));
+  std::cout << "changes of flows an instance: " << per << " (" << world_->state.changes_made
+            << " changes in all, " << world_->state.reads_made << " reads, "
+            << world_->state.bytes_written << " bytes written)\n";
+  EXPECT_LE(per, std::stod(words.at(3)));
+}
+
+}  // namespace kestrelhoist::sim
--- a/tests/scenario_meetings.hpp
+++ b/tests/scenario_fault_combinations.hpp
@@ -2,11 +2,11 @@
 // the world's seed decides.
 #pragma once
 
-#include "scenario_troubles.hpp"
+#include "scenario_faults.hpp"
 
 namespace kestrelhoist::sim {
 
-class ScenarioMeetings : public ScenarioTroubles {
+class ScenarioFaultCombinations : public ScenarioFaults {
  protected:
   // gap TIMES: the state service refuses the leader alone (0.2 to 14 s); others confirm
   // cancellations, up to the last 100 ms; then it is down for all for half to twice `cancel_s`,
--- a/tests/scenario_troubles.hpp
+++ b/tests/scenario_faults.hpp
@@ -28,6 +28,11 @@
   return out;
 }
 
+// Milliseconds of a word that tells seconds.
+inline std::int64_t toMilliseconds(const std::string& seconds) {
+  return static_cast<std::int64_t>(std::stod(seconds) * 1000);
+}
+
 constexpr std::int64_t kRestartMs = 4000;  // until a process that ended is back
 
 // What is wrong with a line, if anything: numbers that are none, or that can't be. In words at
@@ -123,9 +128,9 @@
   return "";
 }
 
-class ScenarioTroubles {
+class ScenarioFaults {
  public:
-  virtual ~ScenarioTroubles() = default;
+  virtual ~ScenarioFaults() = default;
 
  protected:
   void configure(const Line& line) {
--- a/tests/meetings_writes.hpp
+++ b/tests/scenario_late_messages.hpp
@@ -4,7 +4,7 @@
 
 #include <deque>
 
-#include "scenario_meetings.hpp"
+#include "scenario_fault_combinations.hpp"
 
 namespace kestrelhoist::sim {
 
@@ -42,10 +42,10 @@
   return writes(keys::kTasks) ? "placement" : "other";
 }
 
-class ScenarioWrites : public ScenarioMeetings {
+class ScenarioLateMessages : public ScenarioFaultCombinations {
  protected:
   // The verbs of this file; false: none of them.
-  bool writesVerb(const std::vector<std::string>& words) {
+  bool lateMessagesStep(const std::vector<std::string>& words) {
     const std::string& verb = words[0];
     if (verb == "late_writes" && words.size() > 3) {
       lateWrites(words);
--- a/tests/meetings_machines.hpp
+++ b/tests/scenario_machine_faults.hpp
@@ -1,14 +1,14 @@
 // Meetings of machines, team limits, cuts and leaders: what users cancel while these change.
 #pragma once
 
-#include "meetings_users.hpp"
+#include "scenario_concurrent_reads.hpp"
 
 namespace kestrelhoist::sim {
 
-class ScenarioMachines : public ScenarioUsers {
+class ScenarioMachineFaults : public ScenarioConcurrentReads {
  protected:
   // Whether the line is one of these.
-  bool machinesStep(const Line& line) {
+  bool machineFaultsStep(const Line& line) {
     World& w = *world_;
     const auto& words = line.words;
     auto ms = [&](std::size_t at) {
--- a/tests/scenario_pipelines.hpp
+++ b/tests/scenario_pipelines.hpp
@@ -2,11 +2,11 @@
 // is expected of them.
 #pragma once
 
-#include "meetings_machines.hpp"
+#include "scenario_machine_faults.hpp"
 
 namespace kestrelhoist::sim {
 
-class ScenarioPipelines : public ScenarioMachines {
+class ScenarioPipelines : public ScenarioMachineFaults {
  protected:
   bool pipelineOption(JobPlan& job, const std::string& key, const std::string& value) override {
     if (key == "awaits") {  // j-1,j-2 or j-1..j-100
@@ -29,7 +29,7 @@
   }
 
   // False: it is none of pipelines.
-  bool pipelineVerb(const Line& line) {
+  bool pipelineStep(const Line& line) {
     World& w = *world_;
     const auto& words = line.words;
     if (words[0] == "pipeline") {
@@ -50,7 +50,7 @@
   }
 
   // False: it is nothing of pipelines.
-  bool expectOfPipelines(const Line& line) {
+  bool expectPipeline(const Line& line) {
     World& w = *world_;
     const auto& words = line.words;
     if (words.at(1) == "settled") {  // expect settled: users know the end of each job of a pipeline
--- /dev/null
+++ b/tests/scenario_steps_machines.cpp
@@ -0,0 +1,117 @@
+/// Steps of scenarios that disturb the network and the machines.
+#include "scenario.hpp"
+
+namespace kestrelhoist::sim {
+
+// cut NODE from GROUP MODE SECONDS
+void Scenario::cutController(const Line& line) {
+  const auto& words = line.words;
+  world_->network.cut("node" + std::to_string(world_->nodeFrom(words.at(1))), group(words.at(3)),
+                      mode(words.at(4)), toMilliseconds(words.at(5)));
+}
+
+// link NODE to GROUP HOW SECONDS
+void Scenario::cutLink(const Line& line) {
+  const auto& words = line.words;
+  ASSERT_EQ(words.at(2), "to");
+  link(nodeOf(words.at(1)), words.at(3), words.at(4), toMilliseconds(words.at(5)));
+}
+
+// flap NODE to GROUP MODE EVERY DOWN TIMES: who it is then
+void Scenario::flapLink(const Line& line) {
+  const auto& words = line.words;
+  for (int i = 0; i < std::stoi(words.at(7)); ++i) {
+    world_->clock.in(i * toMilliseconds(words.at(5)), [this, words] {
+      link(nodeOf(words.at(1)), words.at(3), words.at(4), toMilliseconds(words.at(6)));
+    });
+  }
+}
+
+// cutzone leader|other MODE SECONDS: from everything outside
+void Scenario::cutZoneOff(const Line& line) {
+  int node = world_->nodeFrom("leader");
+  if (line.words.at(1) == "other") node = (node + 1) % settings_.nodes;
+  cutZone(node, mode(line.words.at(2)), toMilliseconds(line.words.at(3)));
+}
+
+// cutmachine WHICH MODE SECONDS; mode `in`: it sends, nothing gets there
+void Scenario::cutMachine(const Line& line) {
+  const auto& words = line.words;
+  CutWay way = words.at(2) == "in" ? CutWay::in : CutWay::both;
+  world_->network.cut(busyMachine(words.at(1)), {}, mode(words.at(2)), toMilliseconds(words.at(3)),
+                      way);
+}
+
+// deafzone ZONE|all hold|drop SECONDS: nothing reaches its machines
+void Scenario::cutInboundOfZone(const Line& line) {
+  const auto& words = line.words;
+  deafZone(words.at(1), mode(words.at(2)), toMilliseconds(words.at(3)));
+}
+
+// lose answers|late SHARE
+void Scenario::loseMessages(const Line& line) {
+  auto& network = world_->network;
+  (line.words.at(1) == "answers" ? network.lossOfAnswers : network.lateRequests) =
+      std::stod(line.words.at(2));
+}
+
+// late_writes SHARE SECONDS: carried out 2 to 12 s later
+void Scenario::delayWrites(const Line& line) {
+  world_->network.lateWrites = std::stod(line.words.at(1));
+  world_->clock.in(toMilliseconds(line.words.at(2)),
+                   [world = world_.get()] { world->network.lateWrites = 0; });
+}
+
+// held SHARE FROM TO: direct commands, and answers to workers
+void Scenario::delayCommands(const Line& line) {
+  const auto& words = line.words;
+  world_->network.held = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
+                          toMilliseconds(words.at(3))};
+}
+
+// copies SHARE FROM TO: of reports, seconds later
+void Scenario::duplicateReports(const Line& line) {
+  const auto& words = line.words;
+  world_->network.copies = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
+                            toMilliseconds(words.at(3))};
+}
+
+// capacity spot|ordinary PER_ZONE
+void Scenario::setCapacity(const Line& line) {
+  world_->region.setCapacity(line.words.at(1) == "spot", std::stoi(line.words.at(2)));
+}
+
+// dieshare SHARE: of the machines that are up, at once
+void Scenario::endShareOfMachines(const Line& line) {
+  std::vector<simulator::Worker*> up;
+  for (const auto& [host, worker] : world_->workers) {
+    if (!worker->gone) up.push_back(worker.get());
+  }
+  std::shuffle(up.begin(), up.end(), world_->random);
+  double share = std::stod(line.words.at(1));
+  up.resize(static_cast<std::size_t>(static_cast<double>(up.size()) * share));
+  for (auto* worker : up) worker->die();
+}
+
+// die MACHINE
+void Scenario::endMachine(const Line& line) {
+  auto host = busyMachine(line.words.at(1));
+  ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
+  world_->workers[host]->die();
+}
+
+// hang MACHINE SECONDS
+void Scenario::hangMachine(const Line& line) {
+  auto host = busyMachine(line.words.at(1));
+  ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
+  world_->workers[host]->hang(toMilliseconds(line.words.at(2)));
+}
+
+// notice MACHINE SECONDS: of its termination
+void Scenario::giveTerminationNotice(const Line& line) {
+  auto host = busyMachine(line.words.at(1));
+  ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
+  world_->workers[host]->notice(toMilliseconds(line.words.at(2)));
+}
+
+}  // namespace kestrelhoist::sim
--- /dev/null
+++ b/tests/scenario_steps_output.cpp
@@ -0,0 +1,60 @@
+/// Steps of scenarios that let time pass, print what the world shows, or remember it for later
+/// expectations.
+#include <iostream>
+
+#include "scenario.hpp"
+
+namespace kestrelhoist::sim {
+
+// run SECONDS
+void Scenario::runWorld(const Line& line) { world_->runFor(std::stod(line.words.at(1))); }
+
+// running CLASS: replicas now
+void Scenario::printRunning(const Line& line) {
+  const std::string& jobClass = line.words.at(1);
+  std::cout << "  " << jobClass << " at " << world_->now() << " s: " << world_->runningOf(jobClass)
+            << " running, leader " << world_->leaderNode() << "\n";
+}
+
+// tell WHAT: waits by class, what was used, so far
+void Scenario::printSummary(const Line& line) {
+  World& world = *world_;
+  std::cout << line.words.at(1) << " at " << world.now() << " s, " << world.region.machineSeconds()
+            << " machine s, " << world.state.changes_made << " changes, " << world.state.reads_made
+            << " reads\n";
+  world.tellWaits(std::cout);
+  if (const auto* policy = world.policy(); policy && policy->active()) {
+    const auto& state = policy->state();
+    std::cout << "  covered " << state.covered << ", uncovered " << state.uncovered << ", storm "
+              << policy->massFailure() << "\n";
+  }
+}
+
+// traffic WHAT: between controllers since the line before, a second
+void Scenario::printTraffic(const Line& line) {
+  World& world = *world_;
+  std::cout << line.words.at(1) << " at " << world.now() << " s, " << world.workers.size()
+            << " machines\n";
+  for (const auto& [path, sum] : world.network.traffic) {
+    auto& before = trafficBefore_[path];
+    double seconds = world.now() - trafficAt_;
+    if (sum.requests <= before.requests || !path.starts_with("/mesh")) continue;
+    std::cout << "  " << path << ": "
+              << static_cast<double>(sum.requests - before.requests) / seconds << " requests, "
+              << static_cast<double>(sum.bytes - before.bytes) / seconds / 1024
+              << " KiB a second\n";
+  }
+  trafficBefore_ = world.network.traffic;
+  trafficAt_ = world.now();
+}
+
+// mark NODE: for `expect leader unmarked`
+void Scenario::markController(const Line& line) { marked_ = nodeOf(line.words.at(1)); }
+
+// watch ID: for `expect fewest`
+void Scenario::watchJob(const Line& line) {
+  world_->watch(line.words.at(1));
+  leadershipsBefore_ = world_->leaderships;
+}
+
+}  // namespace kestrelhoist::sim
