--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -35,8 +35,8 @@
   });
   auto left = [&](std::size_t j) {
     const auto& job = jobs[j];
-    if (!job.most) return job.waiting;
-    return std::min(job.waiting, *job.most > job.placed ? *job.most - job.placed : 0);
+    if (!job.maxTasks) return job.waiting;
+    return std::min(job.waiting, *job.maxTasks > job.placed ? *job.maxTasks - job.placed : 0);
   };
   std::vector<QueueEntry> turns;
   std::optional<std::pair<bool, Priority>> rank;
--- a/src/placement/job_queue.hpp
+++ b/src/placement/job_queue.hpp
@@ -36,15 +36,16 @@
   std::uint32_t
       placed{};  // tasks that are on machines: with `acceptedAtMs`, its place in the order
   bool begun{};  // some of its tasks are done
-  bool protectedService{};            // above all batch work, whatever its rank (policy)
-  int priorityAdjustment{};           // within its rank: 1 goes first, -1 yields (calendar)
-  std::optional<std::uint32_t> most;  // that it may hold now (calendar, pools); empty: no bound
+  bool protectedService{};   // above all batch work, whatever its rank (policy)
+  int priorityAdjustment{};  // within its rank: 1 goes first, -1 yields (calendar)
+  std::optional<std::uint32_t>
+      maxTasks;  // that it may have placed at once (calendar, pools); empty: no bound
 };
 
-// A turn: up to `most` tasks of this job. A job may have two.
+// A turn: up to `maxTasks` tasks of this job. A job may have two.
 struct QueueEntry {
   std::size_t job{};  // index in the input
-  std::uint32_t most{};
+  std::uint32_t maxTasks{};
   bool overdue{};  // room is gathered for it if there is none
 };
 
--- a/src/placement/job_queue_test.cpp
+++ b/src/placement/job_queue_test.cpp
@@ -39,12 +39,12 @@
   auto turns = order(jobs, 60);
   ASSERT_EQ(turns.size(), 3U);
   EXPECT_EQ(turns[0].job, 0U);
-  EXPECT_EQ(turns[0].most, 24U);
+  EXPECT_EQ(turns[0].maxTasks, 24U);
   EXPECT_TRUE(turns[0].overdue);
   EXPECT_EQ(turns[1].job, 1U);
   // What it holds already counts: a new leader goes on from the record.
   jobs[0].placed = 20;
-  EXPECT_EQ(order(jobs, 60)[0].most, 4U);
+  EXPECT_EQ(order(jobs, 60)[0].maxTasks, 4U);
   jobs[0].placed = 24;
   EXPECT_EQ(order(jobs, 60)[0].job, 1U);
 }
@@ -72,9 +72,9 @@
   }
   auto turns = order(jobs, 115);
   EXPECT_EQ(turns[0].job, 0U);
-  EXPECT_EQ(turns[0].most, 15U);
+  EXPECT_EQ(turns[0].maxTasks, 15U);
   EXPECT_EQ(turns[1].job, 1U);
-  EXPECT_EQ(turns[1].most, 4U);
+  EXPECT_EQ(turns[1].maxTasks, 4U);
   EXPECT_EQ(turns[2].job, 3U);
   // Of much the same size: nobody is starved, the least remaining work goes first.
   for (auto& j : jobs) j.remainingS = std::max(j.remainingS, 1500.0);
@@ -86,14 +86,14 @@
   service.protectedService = true;
   auto yields = job("j-2", 2, 80, 1);
   yields.priorityAdjustment = -1;
-  yields.most = 1;
+  yields.maxTasks = 1;
   auto turns = order(
       {job("j-1", 8, 80, 50), yields, service, job("j-4", 1, 80, 9, Priority::production)}, 90);
   ASSERT_EQ(turns.size(), 4U);
   EXPECT_EQ(turns[0].job, 2U);
   EXPECT_EQ(turns[1].job, 3U);
   EXPECT_EQ(turns[3].job, 1U);
-  EXPECT_EQ(turns[3].most, 1U);
+  EXPECT_EQ(turns[3].maxTasks, 1U);
 }
 
 TEST(Order, EachBeginsOnceItHasWaitedLongTheOldestFirst) {
@@ -103,7 +103,7 @@
   auto turns = order(jobs, 225);
   EXPECT_EQ(turns[0].job, 2U);
   EXPECT_EQ(turns[1].job, 1U);
-  EXPECT_EQ(turns[1].most, 1U);
+  EXPECT_EQ(turns[1].maxTasks, 1U);
   jobs[1].begun = jobs[2].begun = true;
   EXPECT_EQ(order(jobs, 225)[0].job, 0U);
 }
@@ -111,12 +111,12 @@
 TEST(Order, WhatYieldsBeginsBeforeItsRanksOthersOnceItHasWaitedLong) {
   auto yields = job("j-2", 30, 0, 600);
   yields.priorityAdjustment = -1;
-  yields.most = 1;
+  yields.maxTasks = 1;
   std::vector<QueuedJob> jobs{job("j-1", 8, 110, 50), yields};
   EXPECT_EQ(order(jobs, 175)[0].job, 0U);
   auto turns = order(jobs, 180);
   EXPECT_EQ(turns[0].job, 1U);
-  EXPECT_EQ(turns[0].most, 1U);
+  EXPECT_EQ(turns[0].maxTasks, 1U);
 }
 
 }  // namespace
--- a/src/placement/plan_queue.cpp
+++ b/src/placement/plan_queue.cpp
@@ -55,7 +55,7 @@
   out.begun = job.begun;
   out.protectedService = job.protectedService;
   out.priorityAdjustment = job.priorityAdjustment;
-  out.most = job.most;
+  out.maxTasks = job.maxTasks;
   return out;
 }
 
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -35,8 +35,8 @@
 
 // Waiting tasks of the job that may not begin now, by policy.
 std::uint32_t withheldTasks(const PlanJob& job) {
-  if (!job.most) return 0;
-  std::uint32_t allowed = *job.most > job.placed ? *job.most - job.placed : 0;
+  if (!job.maxTasks) return 0;
+  std::uint32_t allowed = *job.maxTasks > job.placed ? *job.maxTasks - job.placed : 0;
   return job.waiting - std::min(job.waiting, allowed);
 }
 
@@ -126,7 +126,7 @@
     const PlanJob& job = input_.jobs[turn.job];
     std::uint32_t mayBegin = job.waiting - withheldTasks(job);
     std::uint32_t settled = settled_[turn.job];
-    return std::min(turn.most, mayBegin > settled ? mayBegin - settled : 0);
+    return std::min(turn.maxTasks, mayBegin > settled ? mayBegin - settled : 0);
   }
 
   JobPlacement placementOf(std::size_t j) {
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -66,7 +66,8 @@
   bool begun{};            // some of its tasks are done
   bool protectedService{};
   int priorityAdjustment{};
-  std::optional<std::uint32_t> most;
+  std::optional<std::uint32_t>
+      maxTasks;  // that it may have placed at once (calendar, pools); empty: no bound
   std::uint32_t image{};
   std::uint32_t team{};
   std::optional<std::uint32_t> zone;              // the only allowed one
--- a/src/placement/planning_loop.hpp
+++ b/src/placement/planning_loop.hpp
@@ -1,4 +1,5 @@
-// Plans on a copied picture, one at a time; its placements are committed in the same turn.
+/// @file
+/// The control loop that plans where waiting tasks go and commits the placements.
 #pragma once
 
 #include "placement/pending_reasons.hpp"
@@ -7,6 +8,9 @@
 
 namespace kestrelhoist {
 
+/// Plans on an independent copy of the cluster's state, one plan at a time, and commits a plan's
+/// placements in the same loop step. It runs on the controller's thread; the planner may run on
+/// another. One object serves one leader and must not outlive what it is given.
 class PlanningLoop : public ControlLoop {
  public:
   PlanningLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
@@ -20,22 +24,27 @@
 
   LoopStep next() override { return start() ? LoopStep::asynchronous() : LoopStep::idle(); }
   void onRecordsChanged(bool) override { context_.planInvalidated = true; }
-  void onTimer() override { context_.planInvalidated = true; }  // pauses and patience end with time
-  // Tasks that found no room, by the last plan.
+  void onTimer() override {
+    context_.planInvalidated = true;
+  }  // pauses and aging thresholds end with time
+  /// The number of tasks, by job, for which the last plan found no resources. It is the demand for
+  /// which machines are rented.
   const std::map<JobId, std::uint32_t>& unplaced() const { return unplaced_; }
 
-  // Why tasks wait, by the last plan.
+  /// Why tasks wait, according to the last plan.
   const PendingReasons& pendingReasons() const { return pendingReasons_; }
-  // What stands between this job and machines that it may use; null: just no room.
+  /// Says why no machine that the job may use is available. Without it the reason is always
+  /// PendingReason::resources.
   std::function<PendingReason(const JobSpec&)> resourcesReason;
 
  private:
   bool mayPlace() const { return context_.initialRoundOver && context_.catalogue.has_value(); }
   bool start();
-  PlanInput buildPlanInput();
-  void limitYieldingJobs(PlanInput& in) const;
-  Duration bootTime() const;
+  Duration maxBootTime() const;
   void applyPlan(const PlanInput& input, const Plan& plan);
+  void noteDemand(const PlanJob& job, const Plan& plan, std::size_t index);
+  void notePendingReasons(const JobSpec& spec, const Plan& plan, std::size_t index);
+  void requestStops(const Plan& plan);
 
   LeaderContext& context_;
   Fleet& fleet_;
@@ -43,7 +52,7 @@
   ConfirmedOutcomes& outcomes_;
   TaskLoop& tasks_;
   PlanRunner& planner_;
-  Instant nextPlan_{};  // plans take a bounded share of the time
+  Instant nextPlan_{};  // the earliest start of the next plan
   std::map<JobId, std::uint32_t> unplaced_;
   PendingReasons pendingReasons_;
 };
