--- a/src/placement/task_loop.cpp
+++ b/src/placement/task_loop.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "placement/placement_transaction.hpp"
 
 namespace kestrelhoist {
 
@@ -16,92 +15,111 @@
       if (stopsSent_.insert({{id, index}, placed.attempt}).second) machines.insert(placed.machine);
     }
   }
-  for (const auto& m : machines) dispatcher_.sendCommands(m);
+  for (const auto& machine : machines) dispatcher_.sendCommands(machine);
 }
 
-// What has been proven of tasks and, with a plan, its placements that still hold. A launch
-// follows only after the commit.
+// A launch command is sent only after its placement has been committed.
 std::optional<Commit> TaskLoop::commit(const PlanInput* input, const Plan* plan) {
-  PlacementTransaction writes(context_, outcomes_);
+  PlacementTransaction builder(context_, outcomes_);
+  PlacedMachines placed;
+  if (plan) placed = addPlacements(builder, *input, *plan);
+  addUrgentOutcomes(builder);
+  if (builder.empty()) return std::nullopt;
+  Transaction transaction = context_.begin();
+  builder.writeTo(transaction);
+  const auto& ended = builder.endedAttempts();
+  std::string description = std::to_string(ended.size()) + " outcomes, " +
+                            std::to_string(placed.placements) + " placements on " +
+                            std::to_string(placed.machines.size()) + " machines";
+  return Commit{
+      std::move(transaction),
+      [this, ended, machines = std::move(placed.machines)] { onCommitted(ended, machines); },
+      std::move(description)};
+}
+
+// Adds the plan's placements that still hold, as the plan's input may be older than the replica.
+TaskLoop::PlacedMachines TaskLoop::addPlacements(PlacementTransaction& builder,
+                                                 const PlanInput& input, const Plan& plan) {
+  PlacedMachines result;
   Instant now = context_.runtime.now();
-  std::set<MachineId> machines;
-  std::size_t placements = 0;
-  if (plan) {
-    context_.latestRevision = std::max(context_.latestRevision, context_.replica.cursor());
-    std::map<std::size_t, std::uint32_t> next;  // by job: from which task on to look
-    for (const auto& p : plan->placements) {
-      const PlanJob& wanted = input->jobs[p.job];
-      const JobId& id = wanted.spec->id;
-      const auto* job = context_.replica.job(id);
-      Machine* m = fleet_.find(input->machines[p.machine].id);
-      // The picture may be older than what has been read since.
-      if (!m || !fleet_.usable(*m, now) || !job || !job->active() || job->blockedOnDependencies() ||
-          job->modRevision != wanted.modRevision) {
-        context_.planInvalidated = true;
-        continue;
-      }
-      std::uint32_t& index = next[p.job];
-      while (index < job->tasks && !writes.mayPlace(id, *job, index)) ++index;
-      if (index >= job->tasks) continue;
-      // Attempts are larger than any of this task before: each earlier placement and its end were
-      // committed at revisions up to `leadership_.highest`.
-      TaskPlacement placed{m->id, m->session.lastReport->workerEpoch,
-                           Attempt{context_.latestRevision.value}};
-      if (!writes.place(id, *job, index, placed)) {
-        context_.planInvalidated = true;
-        continue;
-      }
-      logDebug("placing", "job", id, "task", index, "machine", m->id);
-      ++index;
-      ++placements;
-      machines.insert(m->id);
+  context_.latestRevision = std::max(context_.latestRevision, context_.replica.cursor());
+  std::map<std::size_t, std::uint32_t> nextTask;  // by job: the first task that may be free
+  for (const auto& placement : plan.placements) {
+    const PlanJob& planned = input.jobs[placement.job];
+    const JobId& id = planned.spec->id;
+    const auto* job = context_.replica.job(id);
+    Machine* machine = fleet_.find(input.machines[placement.machine].id);
+    if (!machine || !fleet_.usable(*machine, now) || !job || !job->active() ||
+        job->blockedOnDependencies() || job->modRevision != planned.modRevision) {
+      context_.planInvalidated = true;
+      continue;
     }
+    std::uint32_t& index = nextTask[placement.job];
+    while (index < job->tasks && !builder.mayPlace(id, *job, index)) ++index;
+    if (index >= job->tasks) continue;
+    // The attempt's number is larger than that of any earlier attempt of this task: each earlier
+    // placement and its end were committed at revisions up to `latestRevision`.
+    TaskPlacement record{machine->id, machine->session.lastReport->workerEpoch,
+                         Attempt{context_.latestRevision.value}};
+    if (!builder.place(id, *job, index, record)) {
+      context_.planInvalidated = true;
+      continue;
+    }
+    logDebug("placing task", "job", id, "task", index, "machine", machine->id);
+    ++index;
+    ++result.placements;
+    result.machines.insert(machine->id);
+  }
+  return result;
+}
+
+// Adds the records with urgent outcomes, the oldest first, so that none is starved by others.
+void TaskLoop::addUrgentOutcomes(PlacementTransaction& builder) {
+  auto urgent = collectUrgentOutcomes();
+  std::sort(urgent.begin(), urgent.end());
+  for (const auto& [since, key] : urgent) {
+    auto pending = outcomes_.pending().find(key);
+    if (pending == outcomes_.pending().end()) continue;
+    const JobId& id = key.first;
+    const auto& outcomes = pending->second.outcomes;
+    bool all = std::all_of(outcomes.begin(), outcomes.end(), [&](const auto& outcome) {
+      return builder.addRecord(id, *context_.replica.job(id), outcome.first);
+    });
+    if (!all) break;
   }
-  // Oldest first, so that none waits for ever behind others.
-  std::vector<std::pair<Instant, ConfirmedOutcomes::ChunkKey>> urgent;
+}
+
+// Returns the chunks with urgent outcomes, and forgets outcomes of attempts that are no longer on
+// record.
+std::vector<TaskLoop::UrgentChunk> TaskLoop::collectUrgentOutcomes() {
+  std::vector<UrgentChunk> urgent;
   std::vector<AttemptId> stale;
   for (const auto& [key, pending] : outcomes_.pending()) {
     const auto* job = context_.replica.job(key.first);
-    if (!job) continue;  // a flow's, dropped by a later leader
+    if (!job) continue;  // a flow's job that a later leader has dropped
     if (!outcomes_.isUrgent(key, pending)) continue;
     urgent.emplace_back(pending.since, key);
-    const auto& placed = job->placed;
     for (const auto& [index, outcome] : pending.outcomes) {
-      auto at = placed.find(index);
-      if (at == placed.end() || at->second.attempt != outcome.attempt) {
+      auto placed = job->placed.find(index);
+      if (placed == job->placed.end() || placed->second.attempt != outcome.attempt) {
         stale.push_back({{key.first, index}, outcome.attempt});
       }
     }
   }
   for (const auto& id : stale) outcomes_.forget(id, *context_.replica.job(id.task.job));
-  std::sort(urgent.begin(), urgent.end());
-  for (const auto& entry : urgent) {
-    const ConfirmedOutcomes::ChunkKey& key = entry.second;
-    if (!outcomes_.pending().contains(key)) continue;
-    const auto& outcomes = outcomes_.pending().at(key).outcomes;
-    bool all = std::all_of(outcomes.begin(), outcomes.end(), [&](const auto& outcome) {
-      return writes.open(key.first, *context_.replica.job(key.first), outcome.first);
-    });
-    if (!all) break;
+  return urgent;
+}
+
+void TaskLoop::onCommitted(const std::vector<EndedAttempt>& ended,
+                           const std::set<MachineId>& machines) {
+  for (const auto& [attempt, outcome] : ended) {
+    logDebug("attempt ended", "task", attempt.str(), "outcome", static_cast<int>(outcome));
+    stopsSent_.erase(attempt);
+    if (const auto* job = context_.replica.job(attempt.task.job)) {
+      outcomes_.forget(attempt, *job);
+    }
   }
-  if (writes.empty()) return std::nullopt;
-  Transaction t = context_.begin();
-  writes.finish(t);
-  auto settled = std::move(writes.settled());
-  std::size_t count = settled.size();
-  return Commit{
-      std::move(t),
-      [this, settled = std::move(settled), machines] {
-        for (const auto& [attempt, how] : settled) {
-          logDebug("task off its machine", "task", attempt.str(), "how", static_cast<int>(how));
-          stopsSent_.erase(attempt);
-          if (const auto* job = context_.replica.job(attempt.task.job))
-            outcomes_.forget(attempt, *job);
-        }
-        for (const auto& m : machines) dispatcher_.sendCommands(m);
-      },
-      std::to_string(count) + " facts, " + std::to_string(placements) + " placements on " +
-          std::to_string(machines.size()) + " machines"};
+  for (const auto& machine : machines) dispatcher_.sendCommands(machine);
 }
 
 }  // namespace kestrelhoist
--- a/src/placement/task_loop.hpp
+++ b/src/placement/task_loop.hpp
@@ -1,12 +1,22 @@
-// Commits what has been proven of tasks, and placements of a plan. Launches follow the commit.
+/// @file
+/// The control loop that commits confirmed task outcomes and the placements of a plan.
 #pragma once
 
+#include <optional>
+#include <set>
+#include <utility>
+#include <vector>
+
 #include "fleet/command_dispatcher.hpp"
 #include "placement/confirmed_outcomes.hpp"
+#include "placement/placement_transaction.hpp"
 #include "placement/planner.hpp"
 
 namespace kestrelhoist {
 
+/// Commits confirmed task outcomes and the placements of a plan; launch commands follow the commit.
+/// It runs on the controller's thread. One object serves one leader and must not outlive what it is
+/// given.
 class TaskLoop : public ControlLoop {
  public:
   TaskLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
@@ -17,12 +27,26 @@
   void onRecordsChanged(bool byOthers) override {
     if (byOthers) sendStops();
   }
-  // Tasks that are no longer wanted are told so at once, and again with every report.
+  /// Sends stop commands for the tasks of cancelled jobs and for dropped tasks at once, without
+  /// waiting for the next report of their machines; every report repeats them.
   void sendStops();
-  // Facts that are due and, with a plan, its placements that still hold.
-  std::optional<Commit> commit(const PlanInput* input, const Plan* plan);
+  /// Returns the commit of the outcomes that are due and, with a plan, of its placements that still
+  /// hold; empty if there is nothing to write. `input` is the plan's input; both may be null.
+  [[nodiscard]] std::optional<Commit> commit(const PlanInput* input, const Plan* plan);
 
  private:
+  using UrgentChunk = std::pair<Instant, ConfirmedOutcomes::ChunkKey>;  // since when, and which
+  struct PlacedMachines {
+    std::size_t placements = 0;
+    std::set<MachineId> machines;
+  };
+
+  PlacedMachines addPlacements(PlacementTransaction& builder, const PlanInput& input,
+                               const Plan& plan);
+  void addUrgentOutcomes(PlacementTransaction& builder);
+  std::vector<UrgentChunk> collectUrgentOutcomes();
+  void onCommitted(const std::vector<EndedAttempt>& ended, const std::set<MachineId>& machines);
+
   LeaderContext& context_;
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
