--- a/src/placement/planning_loop.cpp
+++ b/src/placement/planning_loop.cpp
@@ -32,14 +32,16 @@
     pendingReasons_.end(now);
     return false;
   }
-  planner_.run(std::move(input), context_.whileLeading([this, now](PlanInput planned, Plan plan) {
-    // Answers to workers and users come first, so planning gets a bounded share of the time.
-    Instant end = context_.runtime.now();
-    nextPlan_ = end + std::max(kMinPause, kPausePerPlanTime * (end - now));
-    context_.runtime.after(nextPlan_ - end,
-                           context_.whileLeading([this] { context_.scheduleCycle(); }));
-    applyPlan(planned, plan);
-  }));
+  planner_.run(std::move(input),
+               context_.whileLeading([this, now](const PlanInput& planned, const Plan& plan) {
+                 // Answers to workers and users come first, so planning gets a bounded share of the
+                 // time.
+                 Instant end = context_.runtime.now();
+                 nextPlan_ = end + std::max(kMinPause, kPausePerPlanTime * (end - now));
+                 context_.runtime.after(
+                     nextPlan_ - end, context_.whileLeading([this] { context_.scheduleCycle(); }));
+                 applyPlan(planned, plan);
+               }));
   return true;
 }
 
