--- a/src/app/pending_explanation.cpp
+++ b/src/app/pending_explanation.cpp
@@ -12,8 +12,8 @@
 }
 
 // Counts the tasks that are placed on a machine but have not started there, by reason.
-template <class Job>
-TaskCounts countPlacedButNotRunning(const Job& job, const JobId& id, Fleet& fleet, Instant now) {
+TaskCounts countPlacedButNotRunning(const JobState& job, const JobId& id, Fleet& fleet,
+                                    Instant now) {
   TaskCounts counts;
   for (const auto& [index, placement] : job.placed) {
     const Machine* machine = fleet.find(placement.machine);
@@ -33,9 +33,8 @@
 }
 
 // Why the tasks that are not placed wait.
-template <class Job>
 Json reasonsOfUnplaced(const LeaderContext& context, const PendingReasons& pendingReasons,
-                       const Job& job, const JobId& id) {
+                       const JobState& job, const JobId& id) {
   Json reasons = Json::array();
   if (!context.initialRoundOver) {
     addReason(reasons, "the new leader waits for the report round", job.waiting());
--- a/src/app/servers.hpp
+++ b/src/app/servers.hpp
@@ -1,5 +1,5 @@
-// The addresses of one controller: users and workers, the other controllers, and, if the operator
-// has members, users over TLS and metrics.
+/// The listening servers of one controller: one for users and workers, one for the other
+/// controllers and, if the operator has members, one for users over TLS and one for metrics.
 #pragma once
 
 #include "app/controller.hpp"
@@ -8,15 +8,28 @@
 
 namespace kestrelhoist {
 
+/// Owns the HTTP servers and their TLS contexts. The constructor's arguments must outlive it.
 class Servers {
  public:
-  // Throws std::runtime_error if an address can't be bound or a certificate is no good.
+  /// Throws std::runtime_error if an address cannot be bound or a certificate is invalid.
   Servers(EventLoop& loop, EvHttpClient& http, const Platform& platform,
           const MemberSettings& settings, Controller& controller);
 
  private:
+  void listen(const std::string& address, Handler handler, std::shared_ptr<TlsServer> tls = nullptr,
+              const ServerLimits& limits = {});
+  void serveApi(ServerLimits limits);
+  void serveApiOverTls(const MemberSettings& settings, const ServerLimits& limits);
+  void secureMesh(TlsFiles files);
+  void serveMetrics(int portOffset);
+  void closeIdleConnections();
+  // Reloads changed certificates every two seconds.
   void watchCertificates();
+
   EventLoop& loop_;
+  EvHttpClient& http_;
+  const Platform& platform_;
+  Controller& controller_;
   Instant crowdedAt_{};
   std::shared_ptr<TlsServer> usersTls_, meshTls_;
   std::vector<std::unique_ptr<HttpServer>> servers_;
--- a/src/connectivity/heartbeat_route.cpp
+++ b/src/connectivity/heartbeat_route.cpp
@@ -9,22 +9,24 @@
 
 Route routeHeartbeat(const HeartbeatView& v) {
   if (v.leads) return {RouteAction::serve, std::nullopt};
-  // A worker that was sent away and is back did not get through there: once in half a lease, so
-  // that two nodes that point at each other can't use it up.
-  bool mayMove = !v.sinceRedirect || *v.sinceRedirect > v.lease / 2;
+  // A redirected worker that came back could not reach the target. It is redirected at most once in
+  // half a lease, so that two nodes that redirect to each other cannot use up the lease.
+  bool mayRedirectAgain = !v.sinceRedirect || *v.sinceRedirect > v.lease / 2;
   if (v.leader && v.leaderForwards) return {RouteAction::forward, v.leader};
-  if (v.leader && v.leaderReachesWorkers && mayMove) return {RouteAction::redirect, v.leader};
+  if (v.leader && v.leaderReachesWorkers && mayRedirectAgain)
+    return {RouteAction::redirect, v.leader};
   bool leaseOnly = mayRenewLocally(v);
   if (!v.leader) {
-    // The holder renews its lease out of our sight, so it lives: only the link between us is cut.
-    if (v.unreachableLeader && v.leaderUnreachableFor > v.leaderLeaseLife && mayMove &&
+    // The key holder still renews its lease, so it is alive and only the link to it is cut.
+    if (v.unreachableLeader && v.leaderUnreachableFor > v.leaderLeaseLife && mayRedirectAgain &&
         v.mayRedirect)
       return {RouteAction::redirect, v.unreachableLeader};
-    // Cut off from everything while workers of other zones get here: it is this controller that is
-    // cut off, not its zone, so they reach the others, where orders come from.
-    // Its own zone's workers, too, then: kept here on lease-only answers they look dead to the
-    // leader (8 to 16 of 24 replicas were given up), while they could report to it.
-    if (v.isolated && (v.foreignZone || v.foreignZonesReach) && mayMove) {
+    // This controller reaches neither the store nor any peer, yet workers of other zones reach it:
+    // the controller is cut off, not its zone, so the workers reach the other controllers, where
+    // commands come from. That holds for its own zone's workers, too. Kept here on lease-only
+    // responses they look dead to the leader (8 to 16 of 24 replicas were given up), although they
+    // could report to it.
+    if (v.isolated && (v.foreignZone || v.foreignZonesReach) && mayRedirectAgain) {
       return {RouteAction::reject, std::nullopt};
     }
   }
--- a/src/leadership/control_loop.hpp
+++ b/src/leadership/control_loop.hpp
@@ -1,6 +1,6 @@
-// The seam between a leadership and its duties. Each duty is a part of its own slice, with its own
-// state and messages; the leader only elects, lets them take turns and commits one transaction at
-// a time, so that what a commit changes is on record before the next decision.
+/// The interface between the leader and its control loops. Each loop has its own state and
+/// messages. The leader only schedules the loops in turn and commits one transaction at a time, so
+/// that the effects of a commit are on record before the next decision.
 #pragma once
 
 #include <functional>
@@ -11,32 +11,32 @@
 
 namespace kestrelhoist {
 
-// One transaction of a duty. It conditions on the leader key (Leadership::begin) and writes at
-// least one key that it conditions on.
+/// One transaction of a control loop. It conditions on the leader key (LeaderContext::begin) and
+/// writes at least one key that it conditions on.
 struct Commit {
   Transaction transaction;
-  std::function<void()> onApplied;  // after the copy has taken it in; may be null
+  std::function<void()> onApplied;  // called once the replica has applied it; may be null
   std::string what;                 // for the log
 };
 
-// What a duty does with its turn: nothing, a commit, or something that keeps the turn until
-// Leadership::done is called.
+/// What a control loop does when it is scheduled: nothing, a commit, or an asynchronous step that
+/// lasts until LeaderContext::finishStep is called.
 struct LoopStep {
   std::optional<Commit> commit;
   bool isAsynchronous = false;
   static LoopStep idle() { return {}; }
   static LoopStep asynchronous() { return {std::nullopt, true}; }
-  static LoopStep committing(std::optional<Commit> c) { return {std::move(c), false}; }
+  static LoopStep committing(std::optional<Commit> commit) { return {std::move(commit), false}; }
 };
 
 class ControlLoop {
  public:
   virtual ~ControlLoop() = default;
-  // Asked in turn, never while a commit or a held turn is under way.
+  /// Called in turn, never while a commit or an asynchronous step is under way.
   virtual LoopStep next() = 0;
-  // The records changed: by a commit of this leadership, or (`byOthers`) as read from the feed.
+  /// The records changed, by a commit of this leader or (`byOthers`) as read from the change feed.
   virtual void onRecordsChanged(bool byOthers) { (void)byOthers; }
-  // Four times a second.
+  /// Called four times a second.
   virtual void onTimer() {}
 };
 
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -18,7 +18,7 @@
     case Role::claiming:
       return Step::none;
     case Role::leader:
-      // The key went (the lease ended) or another has it: every write of ours fails by now.
+      // The key is gone (the lease ended) or another member has it, so all our writes fail by now.
       if (view.fresh && (!isMine(view.leader) || view.token != token_)) {
         stepDown(now);
         return Step::none;
@@ -34,7 +34,7 @@
   }
   if (!view.fresh) return Step::none;
   if (claims_ > 0 && lease_ && isMine(view.leader)) {
-    // A claim whose answer was lost has got through.
+    // A claim whose response was lost has been applied.
     role_ = Role::leader;
     token_ = view.token;
     renewing_ = false;
@@ -42,7 +42,7 @@
     return Step::none;
   }
   if (now < candidateFrom_) return Step::none;
-  // A key with our own name is from an earlier life of this member: taken over on its stamp.
+  // A key with our own name is from an earlier incarnation and is taken over by its revision.
   if (view.leader && view.leader->member != settings_.self) return Step::none;
   expectedToken_ = view.leader ? view.token : FencingToken{};
   role_ = Role::granting;
@@ -66,7 +66,7 @@
     return;
   }
   role_ = Role::follower;
-  // Without an answer the claim may have got through: nextStep() recognizes it by record().
+  // Without a response the claim may have been applied; nextStep() recognizes it by record().
   if (result.outcome != CommitOutcome::unknown) lease_.reset();
   candidateFrom_ = std::max(candidateFrom_, now + Duration{200});
 }
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -1,5 +1,6 @@
-// Who leads: a pure state machine. The leader holds the key `leader`, bound to a lease; the
-// key's stamp is the token that workers obey and that every leader write conditions on.
+/// Leader election as a state machine without I/O. The leader holds the key `leader`, bound to a
+/// lease. The key's revision is the fencing token that workers obey and every leader write
+/// conditions on.
 #pragma once
 
 #include <optional>
@@ -15,13 +16,13 @@
  public:
   struct Settings {
     MemberId self;
-    std::string incarnation;  // unique for each life of the process
+    std::string incarnation;  // unique per start of the process
     Duration life{3000};      // of the lease
     Duration renewEvery{750};
   };
-  // What the newest read says of the leader key.
+  /// The leader key according to the newest read.
   struct View {
-    bool fresh{};  // read a moment ago
+    bool fresh{};  // the read is recent
     std::optional<LeaderRecord> leader;
     FencingToken token;
   };
@@ -30,15 +31,15 @@
 
   explicit Election(Settings settings) : settings_(std::move(settings)) {}
 
-  // What to do now. For `claim`, write record() with claimLease() on the condition of
-  // expectedToken(); for `renew`, renew lease().
+  /// Returns the step to take now. For `grant`, request a lease and then write record() under it on
+  /// the condition of expectedToken(); for `renew`, renew lease().
   Step nextStep(Instant now, const View& view);
   void onGranted(std::optional<LeaseId> lease);
   void onClaimed(Instant now, const CommitResult& result);
   void onRenewed(LeaseOutcome outcome);
-  // Gives up leading, and does not stand again before `until`.
+  /// Gives up the leadership; this member is no candidate before `until`.
   void stepDown(Instant until);
-  // Not a candidate before `until`.
+  /// Keeps this member from being a candidate before `until`.
   void backOff(Instant until) { candidateFrom_ = std::max(candidateFrom_, until); }
 
   Role role() const { return role_; }
--- a/src/leadership/leader_context.hpp
+++ b/src/leadership/leader_context.hpp
@@ -1,5 +1,5 @@
-// What one leadership shares with its duties: the node's services, its token, and callbacks that
-// end with it. It lives from the election to the step-down.
+/// State that the leader shares with its control loops: the node's services, the fencing token, and
+/// callbacks that end with the leadership. It lives from the election to the step-down.
 #pragma once
 
 #include <memory>
@@ -27,23 +27,23 @@
 
   FencingToken token;
   Instant electedAt{};
-  bool initialRoundOver = false;          // one report round has passed
-  std::optional<Catalogue> catalogue{};   // machine types, once known
-  Revision latestRevision{};              // newest revision known: of the feed or of own commits
-  bool planInvalidated = true;            // what a plan would be made from has changed
-  std::function<void()> scheduleCycle{};  // a duty may have something to do
-  // Whether workers were reached by something sent at this time or later. Null: always.
+  bool initialRoundOver = false;          // the initial heartbeat round is complete
+  std::optional<Catalogue> catalogue{};   // machine types; empty until read
+  Revision latestRevision{};              // newest known, from the change feed or own commits
+  bool planInvalidated = true;            // the inputs of the plan have changed
+  std::function<void()> scheduleCycle{};  // a control loop may have work to do
+  /// Whether anything sent at this time or later reached a worker. A null function means always.
   std::function<bool(Instant)> workersReachedSince{};
-  // What the policy says of work now; without one nothing.
+  /// The policy in force now; null if there is none.
   const EffectivePolicy* effectivePolicy = nullptr;
-  // Whether each controller reads this format of records. Null: not known.
+  /// Whether every controller reads this record format. A null function means unknown.
   std::function<bool(unsigned)> allMembersRead{};
-  // Milliseconds since 1970, as the controllers agree on it.
+  /// The time of day that the controllers agree on, in milliseconds since 1970.
   std::function<std::int64_t()> timeOfDay{};
   std::function<void(std::optional<Commit>)>
-      finishStep{};  // ends a held turn, with a commit or without
+      finishStep{};  // ends an asynchronous step, with or without a commit
 
-  // Ignores callbacks that outlive this leadership.
+  /// Wraps a callback so that it becomes a no-op once this leader has stepped down.
   template <class F>
   auto whileLeading(F f) const {
     return [weak = std::weak_ptr<int>(alive), f = std::move(f)](auto&&... args) mutable {
@@ -51,17 +51,17 @@
     };
   }
 
-  // Every write conditions on the leader key's stamp: a deposed leader's late write fails.
+  /// Begins a transaction that fails once the leader key's revision is no longer this token.
   Transaction begin() const {
     Transaction t;
     t.compares.push_back({keys::kLeader, Revision{token.value}});
     return t;
   }
 
-  // The form of records for smaller limits may be written.
+  /// Whether records may be written in format 2, which fits smaller value limits.
   bool mayWriteFormat2() const { return allMembersRead && allMembersRead(2); }
-  // Of a value that an older version may have made larger than the smaller limit: until the new
-  // form may be written, the old one is, which the present limit still takes.
+  /// The size limit for a value that an older version may have made larger than the smaller limit.
+  /// The old format is written, which the present limit admits, until format 2 may be written.
   std::size_t legacyValueBytes() const {
     return mayWriteFormat2() ? platform.valueBytes
                              : std::max(platform.valueBytes, platform.valueBytesNow);
