--- a/src/dependencies/job_graph.cpp
+++ b/src/dependencies/job_graph.cpp
@@ -44,8 +44,8 @@
   node.dependenciesAdded = true;
   node.input = input;
   bool cancelled = false;
-  for (const auto& hasDependents : input.dependsOn)
-    cancelled = await(node, hasDependents) || cancelled;
+  for (const auto& dependency : input.dependsOn)
+    cancelled = addDependency(node, dependency) || cancelled;
   if (cancelled) {
     cancelAll({&node});
     return;
@@ -56,16 +56,16 @@
 }
 
 // True: the awaited job is cancelled.
-bool JobGraph::await(Node& node, const JobId& hasDependents) {
-  Node* upstream = find(hasDependents);
+bool JobGraph::addDependency(Node& node, const JobId& dependency) {
+  Node* upstream = find(dependency);
   if (!upstream) {
-    auto input = records_->dependencyInputOf(hasDependents);
+    auto input = records_->dependencyInputOf(dependency);
     if (input && input->phase == JobPhase::done) {
       node.readyAtMs = std::max(node.readyAtMs, input->endedAtMs);
       return false;
     }
     if (input && input->phase == JobPhase::cancelled) return true;
-    upstream = &nodeOf(hasDependents);
+    upstream = &nodeOf(dependency);
     if (input) {
       upstream->known = true;
       upstream->dependenciesAdded = true;  // it awaits nothing, or it would have a node
@@ -185,7 +185,7 @@
   std::vector<JobId> open;
   auto it = nodes_.find(id);
   if (it == nodes_.end()) return open;
-  for (const Node* hasDependents : it->second->dependsOn) open.push_back(hasDependents->id);
+  for (const Node* dependency : it->second->dependsOn) open.push_back(dependency->id);
   return open;
 }
 
--- a/src/dependencies/job_graph.hpp
+++ b/src/dependencies/job_graph.hpp
@@ -19,8 +19,7 @@
   std::vector<JobId> dependsOn;  // without repetitions
   // As decided so far; of a job that is cancelled through another: cancelled.
   JobPhase phase = JobPhase::active;
-  std::int64_t acceptedAtMs{};  // time of day
-  std::int64_t endedAtMs{};     // of a job that is done; 0: not on record
+  std::int64_t endedAtMs{};  // of a job that is done; 0: not on record
   Priority priority = Priority::low;
   Duration estimate{};                // from its first start to its end
   std::optional<std::int64_t> dueMs;  // time of day
@@ -82,7 +81,7 @@
   Node* find(const JobId& id);
   Node& nodeOf(const JobId& id);
   void addDependencies(Node& node, const DependencyInput& input);
-  bool await(Node& node, const JobId& hasDependents);
+  bool addDependency(Node& node, const JobId& dependency);
   void finish(Node& node, bool cancelled, std::int64_t endedAtMs);
   void cancelAll(const std::vector<Node*>& from);
   void inheritUpstream(std::vector<Node*> from);
--- a/src/placement/placement_transaction.hpp
+++ b/src/placement/placement_transaction.hpp
@@ -145,7 +145,7 @@
   Piece pieceOf(const JobState& job, std::uint32_t index) const {
     const std::uint32_t chunk = job.record.chunkSize;
     const std::uint32_t begin = index / chunk * chunk;
-    if (auto part = job.subChunkOf(index)) return {part->first, part->second, true};
+    if (auto part = job.subChunkOf(index)) return {part->first, part->end, true};
     if (!job.subChunks && (chunk <= fits_ || !mayWriteFormat2_))
       return {begin, begin + chunk, false};
     std::uint32_t first = begin + (index - begin) / fits_ * fits_;
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -1,4 +1,4 @@
-// The records kept in the state service: their keys and values.
+/// The values of the records in the state service and their codecs; record_keys.hpp has the keys.
 #pragma once
 
 #include <map>
@@ -12,34 +12,10 @@
 #include "flows/records.hpp"
 #include "jobs/spec.hpp"
 #include "members/records.hpp"
+#include "store/record_keys.hpp"
 
 namespace kestrelhoist {
 
-namespace keys {
-inline const std::string kRoot = "kh/";
-inline const std::string kLeader = "kh/leader";
-inline const std::string kCatalogue = "kh/catalogue";
-inline const std::string kForecast = "kh/forecast";
-inline const std::string kJob = "kh/job/";
-inline const std::string kTasks = "kh/tasks/";
-inline const std::string kSubChunk = "kh/part/";
-inline const std::string kRental = "kh/rental/";
-inline const std::string kAwaits = "kh/awaits/";
-inline std::string job(const JobId& id) { return kJob + id.value; }
-inline std::string tasks(const JobId& id, std::uint32_t chunk) {
-  return kTasks + id.value + "/" + std::to_string(chunk);
-}
-// One part of a list of awaited jobs that does not fit into the job's own record.
-inline std::string awaits(const JobId& id, std::uint32_t part) {
-  return kAwaits + id.value + "/" + std::to_string(part);
-}
-// One part of a stretch: the tasks from `first` to before `last`.
-inline std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last) {
-  return kSubChunk + id.value + "/" + std::to_string(first) + "-" + std::to_string(last);
-}
-inline std::string rental(const RentalId& id) { return kRental + id.value; }
-}  // namespace keys
-
 // Finished tasks of one stretch of a job, a bit each; written as hex digits.
 class TaskBits {
  public:
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -1,85 +1,16 @@
 #include "store/replica.hpp"
 
 #include <algorithm>
-#include <charconv>
 
 #include "base/log.hpp"
 
 namespace kestrelhoist {
 
-bool JobState::isFinished(std::uint32_t index) const {
-  if (record.chunkSize == 0) return false;
-  auto it = finished.find(index / record.chunkSize);
-  return it != finished.end() && it->second.test(index % record.chunkSize);
-}
-
-std::optional<std::pair<std::uint32_t, std::uint32_t>> JobState::subChunkOf(
-    std::uint32_t index) const {
-  if (!subChunks) return std::nullopt;
-  auto after = subChunks->upper_bound(index);
-  if (after == subChunks->begin()) return std::nullopt;
-  const auto& part = *std::prev(after);
-  return index < part.second ? std::optional(std::pair(part.first, part.second)) : std::nullopt;
-}
-
-Use FlowJobState::use() const {
-  Use sum;
-  for (const auto& [chunk, s] : chunks) sum += s.use;
-  for (const auto& [first, use] : subChunks) sum += use;
-  return sum;
-}
-
-std::uint32_t JobState::failuresOf(std::uint32_t index) const {
-  if (!flow || record.chunkSize == 0) return 0;
-  auto chunk = flow->chunks.find(index / record.chunkSize);
-  if (chunk == flow->chunks.end()) return 0;
-  auto it = chunk->second.failures.find(index);
-  return it == chunk->second.failures.end() ? 0 : it->second;
-}
-
-bool JobState::isGivenUp(std::uint32_t index) const {
-  return record.flow && failuresOf(index) > record.flow->retries;
-}
-
-std::uint32_t JobState::waiting() const {
-  std::uint32_t settled = finishedCount + static_cast<std::uint32_t>(placed.size());
-  if (record.flow) {
-    std::uint32_t n = 0;
-    for (auto index : record.flow->dropped) {
-      n += !isFinished(index) && !placed.contains(index) ? 1 : 0;
-    }
-    if (flow) {
-      for (const auto& [chunk, s] : flow->chunks) {
-        for (const auto& [index, count] : s.failures) {
-          n += count > record.flow->retries && !isFinished(index) && !placed.contains(index) &&
-                       !isDropped(index)
-                   ? 1
-                   : 0;
-        }
-      }
-    }
-    settled += n;
-  }
-  return settled < tasks ? tasks - settled : 0;
-}
-
-const PlacedTask* MachineState::find(const AttemptId& id) const {
-  for (const auto& t : tasks) {
-    if (t.id == id) return &t;
-  }
-  return nullptr;
-}
-
 const JobState* Replica::job(const JobId& id) const {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-const MachineState* Replica::machine(const MachineId& id) const {
-  auto it = machines_.find(id);
-  return it == machines_.end() ? nullptr : &it->second;
-}
-
 Revision Replica::modRevisionOf(const std::string& key) const {
   auto it = modRevisions_.find(key);
   return it == modRevisions_.end() ? Revision{} : it->second;
@@ -133,13 +64,13 @@
   if (c.key.starts_with(keys::kJob)) {
     setJob(JobId{rest(keys::kJob)}, value, c.modRevision);
   } else if (c.key.starts_with(keys::kTasks)) {
-    setTasks(rest(keys::kTasks), value, c.modRevision);
+    setTasks(c.key, value, c.modRevision);
   } else if (c.key.starts_with(keys::kAwaits)) {
-    setDependencyPart(rest(keys::kAwaits), value);
+    setDependencyPart(c.key, value);
   } else if (c.key.starts_with(keys::kSubChunk)) {
     setSubChunk(c.key, value, c.modRevision);
   } else if (c.key.starts_with(keys::kRental)) {
-    setRental(RentalId{rest(keys::kRental)}, value);
+    machines_.applyRental(RentalId{rest(keys::kRental)}, value);
   } else if (c.key.starts_with(keys::kKey)) {
     keyRing_.apply(KeyId{rest(keys::kKey)}, value, c.modRevision);
   } else if (c.key == keys::kCursorKey) {
@@ -160,8 +91,7 @@
 }
 
 bool Replica::knowsJobOf(const std::string& key, const std::string& prefix) const {
-  auto rest = key.substr(prefix.size());
-  return jobs_.contains(JobId{rest.substr(0, rest.find('/'))});
+  return jobs_.contains(keys::jobOf(key, prefix));
 }
 
 void Replica::setJob(const JobId& id, const Json* value, Revision modRevision) {
@@ -204,32 +134,28 @@
   settle(job, id);
 }
 
-void Replica::setDependencyPart(const std::string& rest, const Json* value) {
-  auto slash = rest.find('/');
-  std::uint32_t part = 0;
-  if (slash == std::string::npos || !value ||
-      std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), part).ec != std::errc{}) {
-    return;
-  }
+void Replica::setDependencyPart(const std::string& key, const Json* value) {
+  auto parsed = keys::parseAwaits(key);
+  if (!parsed || !value) return;
   const Json* list = field(*value, "jobs");
   auto jobs = list ? jobIdsFrom(*list) : std::nullopt;
   if (!jobs) {
-    logError("awaited jobs can't be read", "part", rest);
+    logError("dependency list can't be read", "key", key);
     return;
   }
-  JobId id{rest.substr(0, slash)};
-  dependencyParts_[id][part] = std::move(*jobs);
-  auto it = jobs_.find(id);
-  if (it != jobs_.end()) updateDependencies(it->second, id);
+  dependencyParts_[parsed->job][parsed->part] = std::move(*jobs);
+  auto it = jobs_.find(parsed->job);
+  if (it != jobs_.end()) updateDependencies(it->second, parsed->job);
 }
 
-// Takes in what a job awaits, and its end. One whose list is not wholly read is held.
+// Takes in the dependencies of a job, and its end. A job whose dependency list is not wholly read
+// stays blocked.
 void Replica::updateDependencies(JobState& job, const JobId& id) {
-  auto facts = dependencyInputOf(id);
-  job.dependenciesUnread = !facts;
-  if (!facts) return;
+  auto input = dependencyInputOf(id);
+  job.dependenciesUnread = !input;
+  if (!input) return;
   if (job.record.phase != JobPhase::active) dependencyParts_.erase(id);
-  graph_.update(id, *facts, *this);
+  graph_.update(id, *input, *this);
 }
 
 std::optional<DependencyInput> Replica::dependencyInputOf(const JobId& id) const {
@@ -237,23 +163,22 @@
   if (it == jobs_.end()) return std::nullopt;
   const JobState& job = it->second;
   const JobSpec& spec = *job.record.spec;
-  DependencyInput facts;
-  facts.phase = job.phase();
-  facts.acceptedAtMs = job.record.acceptedAtMs;
-  facts.endedAtMs = job.record.endedAtMs;
-  facts.priority = spec.priority;
-  facts.estimate = spec.estimate;
-  if (spec.deadline) facts.dueMs = job.record.acceptedAtMs + spec.deadline->count();
-  facts.dependsOn = spec.dependsOn;
-  if (job.record.dependencyParts == 0 || job.record.phase != JobPhase::active) return facts;
+  DependencyInput input;
+  input.phase = job.phase();
+  input.endedAtMs = job.record.endedAtMs;
+  input.priority = spec.priority;
+  input.estimate = spec.estimate;
+  if (spec.deadline) input.dueMs = job.record.acceptedAtMs + spec.deadline->count();
+  input.dependsOn = spec.dependsOn;
+  if (job.record.dependencyParts == 0 || job.record.phase != JobPhase::active) return input;
   auto parts = dependencyParts_.find(id);
   if (parts == dependencyParts_.end()) return std::nullopt;
   for (std::uint32_t part = 0; part < job.record.dependencyParts; ++part) {
     auto jobs = parts->second.find(part);
     if (jobs == parts->second.end()) return std::nullopt;
-    facts.dependsOn.insert(facts.dependsOn.end(), jobs->second.begin(), jobs->second.end());
+    input.dependsOn.insert(input.dependsOn.end(), jobs->second.begin(), jobs->second.end());
   }
-  return facts;
+  return input;
 }
 
 void Replica::dependenciesChanged(const JobId& id, const DependencyState& state) {
@@ -274,190 +199,120 @@
 
 TaskChunkRecord Replica::tasksOf(const JobState& job, std::uint32_t first, std::uint32_t last,
                                  bool whole) const {
-  TaskChunkRecord r;
-  std::uint32_t chunk = first / job.record.chunkSize;
-  if (auto bits = job.finished.find(chunk); bits != job.finished.end()) {
-    if (whole) r.finished = bits->second;
-    for (std::uint32_t i = first; i < last && !whole; ++i) {
-      if (bits->second.test(i % job.record.chunkSize)) r.finished.set(i - first);
-    }
-  }
-  r.placed.insert(job.placed.lower_bound(first), job.placed.lower_bound(last));
-  if (!job.flow) return r;
-  if (auto s = job.flow->chunks.find(chunk); s != job.flow->chunks.end()) {
-    const auto& failures = s->second.failures;
-    r.failures.insert(failures.lower_bound(first), failures.lower_bound(last));
-    if (whole) r.use = s->second.use;
-  }
-  if (auto part = job.flow->subChunks.find(first); !whole && part != job.flow->subChunks.end()) {
-    r.use = part->second;
-  }
-  return r;
+  return job.tasksOf({first, last}, whole);
 }
 
 void Replica::addPlacement(const JobId& id, JobState& job, std::uint32_t index,
                            const TaskPlacement& placed) {
   job.placed.insert_or_assign(index, placed);
-  auto [it, isNew] = machines_.try_emplace(placed.machine);
-  // On no rental (yet): nobody can tell where it is, so it gets no work.
-  if (isNew) it->second.draining = true;
-  it->second.tasks.push_back({{{id, index}, placed.attempt}, placed.workerEpoch, &job});
-}
-
-void Replica::removePlacement(const JobId& id, std::uint32_t index, const TaskPlacement& placed) {
-  auto it = machines_.find(placed.machine);
-  if (it == machines_.end()) return;
-  AttemptId attempt{{id, index}, placed.attempt};
-  std::erase_if(it->second.tasks, [&](const PlacedTask& t) { return t.id == attempt; });
-  eraseIfUnused(it);
+  machines_.addTask({id, index}, placed, job);
 }
 
-// Machines that are on no rental and have no task on record.
-void Replica::eraseIfUnused(std::map<MachineId, MachineState>::iterator it) {
-  if (it->second.rental.empty() && it->second.tasks.empty()) machines_.erase(it);
+// By value: the placement may be an element of the map that is changed here.
+void Replica::removePlacement(const JobId& id, JobState& job, std::uint32_t index,
+                              TaskPlacement placed) {
+  job.placed.erase(index);
+  machines_.removeTask({id, index}, placed);
 }
 
-void Replica::setTasks(const std::string& rest, const Json* value, Revision modRevision) {
-  auto slash = rest.find('/');
-  std::uint32_t chunk = 0;
-  if (slash == std::string::npos ||
-      std::from_chars(rest.data() + slash + 1, rest.data() + rest.size(), chunk).ec !=
-          std::errc{}) {
-    return;
-  }
+void Replica::setTasks(const std::string& key, const Json* value, Revision modRevision) {
+  auto parsed = keys::parseTasks(key);
+  if (!parsed) return;
+  const JobId& id = parsed->job;
   auto record = value ? taskChunkRecordFrom(*value) : std::optional(TaskChunkRecord{});
-  JobId id{rest.substr(0, slash)};
   if (!record) {
-    logError("tasks record can't be read", "tasks", rest);
+    logError("task chunk record can't be read", "key", key);
     return;
   }
   auto it = jobs_.find(id);
   // A job's record is written, and read, before those of its tasks.
   if (it == jobs_.end() && !value) return;  // dropped together with its job
   if (it == jobs_.end() || it->second.record.chunkSize == 0) {
-    logError("tasks of no job", "tasks", rest);
+    logError("task chunk record of an unknown job", "key", key);
     return;
   }
   JobState& job = it->second;
-  std::uint32_t first = chunk * job.record.chunkSize;
+  std::uint32_t first = parsed->chunk * job.record.chunkSize;
+  TaskRange range{first, first + job.record.chunkSize};
   if (value) {
-    applyTaskChunk(id, job, first, first + job.record.chunkSize, true, std::move(*record));
+    applyTaskChunk(id, job, range, true, std::move(*record));
     if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
   } else {
-    for (const auto& [index, placed] :
-         tasksOf(job, first, first + job.record.chunkSize, true).placed) {
-      if (job.subChunkOf(index)) continue;
-      job.placed.erase(index);
-      removePlacement(id, index, placed);
+    for (const auto& [index, placed] : job.tasksOf(range, true).placed) {
+      if (!job.subChunkOf(index)) removePlacement(id, job, index, placed);
     }
   }
   settle(job, id);
 }
 
-void Replica::applyTaskChunk(const JobId& id, JobState& job, std::uint32_t first,
-                             std::uint32_t last, bool whole, TaskChunkRecord record) {
-  const std::uint32_t chunk = first / job.record.chunkSize;
-  auto told = [&](std::uint32_t index) { return !whole || !job.subChunkOf(index); };
-  for (const auto& [index, placed] : tasksOf(job, first, last, whole).placed) {
-    auto now = record.placed.find(index);
-    if (!told(index) || (now != record.placed.end() && now->second == placed)) continue;
-    job.placed.erase(index);
-    removePlacement(id, index, placed);
-  }
-  for (const auto& [index, placed] : record.placed) {
-    auto was = job.placed.find(index);
-    if (told(index) && (was == job.placed.end() || was->second != placed)) {
-      addPlacement(id, job, index, placed);
-    }
-  }
-  TaskBits& bits = job.finished[chunk];
+void Replica::applyTaskChunk(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
+                             TaskChunkRecord record) {
+  // The record of a chunk is out of date for tasks that are in a sub-chunk.
+  auto covers = [&](std::uint32_t index) { return !wholeChunk || !job.subChunkOf(index); };
+  applyPlacements(id, job, range, wholeChunk, record.placed);
+  const std::uint32_t number = range.first / job.record.chunkSize;
+  TaskBits& bits = job.finished[number];
   const std::uint32_t before = bits.count();
-  if (whole && !job.subChunks) {
+  if (wholeChunk && !job.subChunks) {
     bits = std::move(record.finished);
   } else {
-    for (std::uint32_t i = first; i < last; ++i) {
-      if (told(i)) bits.set(i % job.record.chunkSize, record.finished.test(i - first));
+    for (std::uint32_t index = range.first; index < range.end; ++index) {
+      if (!covers(index)) continue;
+      bits.set(index % job.record.chunkSize, record.finished.test(index - range.first));
     }
   }
   job.finishedCount += bits.count() - before;
   if (!job.flow) return;
-  FlowJobState::Chunk& s = job.flow->chunks[chunk];
-  std::erase_if(s.failures,
-                [&](const auto& f) { return f.first >= first && f.first < last && told(f.first); });
+  FlowJobState::Chunk& chunk = job.flow->chunks[number];
+  std::erase_if(chunk.failures, [&](const auto& failure) {
+    return failure.first >= range.first && failure.first < range.end && covers(failure.first);
+  });
   for (const auto& [index, count] : record.failures) {
-    if (told(index)) s.failures[index] = count;
+    if (covers(index)) chunk.failures[index] = count;
   }
-  (whole ? s.use : job.flow->subChunks[first]) = record.use;
+  (wholeChunk ? chunk.use : job.flow->subChunks[range.first]) = record.use;
   flows_.touch(job.record.flow->flow, id);
 }
 
+void Replica::applyPlacements(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
+                              const std::map<std::uint32_t, TaskPlacement>& placements) {
+  auto covers = [&](std::uint32_t index) { return !wholeChunk || !job.subChunkOf(index); };
+  for (const auto& [index, placed] : job.tasksOf(range, wholeChunk).placed) {
+    auto now = placements.find(index);
+    if (!covers(index) || (now != placements.end() && now->second == placed)) continue;
+    removePlacement(id, job, index, placed);
+  }
+  for (const auto& [index, placed] : placements) {
+    auto previous = job.placed.find(index);
+    if (covers(index) && (previous == job.placed.end() || previous->second != placed)) {
+      addPlacement(id, job, index, placed);
+    }
+  }
+}
+
 void Replica::setSubChunk(const std::string& key, const Json* value, Revision modRevision) {
-  auto rest = key.substr(keys::kSubChunk.size());
-  auto slash = rest.find('/');
-  std::uint32_t first = 0, last = 0;
-  if (slash == std::string::npos) return;
-  const char* end = rest.data() + rest.size();
-  auto [at, error] = std::from_chars(rest.data() + slash + 1, end, first);
-  if (error != std::errc{} || at == end || *at != '-') return;
-  if (std::from_chars(at + 1, end, last).ec != std::errc{}) return;
-  JobId id{rest.substr(0, slash)};
+  auto parsed = keys::parseSubChunk(key);
+  if (!parsed) return;
+  const auto& [id, range] = *parsed;
   auto it = jobs_.find(id);
   orphanSubChunks_.erase(key);
   // Dropped only after its job.
   if (it == jobs_.end() || !value) return;
   JobState& job = it->second;
   auto record = taskChunkRecordFrom(*value);
-  const std::uint32_t chunk = job.record.chunkSize;
-  if (!record || chunk == 0 || first >= last || first / chunk != (last - 1) / chunk) {
-    logError("part of a job's tasks can't be read", "key", key);
+  const std::uint32_t chunkSize = job.record.chunkSize;
+  if (!record || chunkSize == 0 || range.first >= range.end ||
+      range.first / chunkSize != (range.end - 1) / chunkSize) {
+    logError("sub-chunk record can't be read", "key", key);
     return;
   }
   if (!job.subChunks) job.subChunks = std::make_unique<std::map<std::uint32_t, std::uint32_t>>();
-  (*job.subChunks)[first] = last;
-  applyTaskChunk(id, job, first, last, false, std::move(*record));
+  (*job.subChunks)[range.first] = range.end;
+  applyTaskChunk(id, job, range, false, std::move(*record));
   if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
   settle(job, id);
 }
 
-void Replica::setRental(const RentalId& id, const Json* value) {
-  auto record = value ? rentalRecordFrom(id, *value) : std::nullopt;
-  if (value && !record) {
-    logError("rental record can't be read", "rental", id);
-    return;
-  }
-  std::vector<MachineId> before;
-  if (auto it = rentals_.find(id); it != rentals_.end()) {
-    for (const auto& m : it->second.machines) before.push_back(m.id);
-  }
-  if (record) {
-    for (const auto& m : record->machines) {
-      MachineState& state = machines_[m.id];
-      state.rental = id;
-      state.type = record->type;
-      state.zone = record->zone;
-      state.spot = record->spot;
-      state.rentedAtMs = record->atMs;
-      state.draining = m.draining;
-    }
-  }
-  for (const auto& m : before) {
-    if (record && std::any_of(record->machines.begin(), record->machines.end(),
-                              [&](const auto& r) { return r.id == m; })) {
-      continue;
-    }
-    auto it = machines_.find(m);
-    if (it == machines_.end() || it->second.rental != id) continue;
-    it->second.rental = RentalId{};
-    it->second.draining = true;
-    eraseIfUnused(it);
-  }
-  if (record) {
-    rentals_.insert_or_assign(id, std::move(*record));
-  } else {
-    rentals_.erase(id);
-  }
-}
-
 // Jobs that are over and off every machine keep only what users may still ask for.
 void Replica::settle(JobState& job, const JobId& id) {
   bool live = job.active() || !job.placed.empty();
