--- a/src/placement/placement_transaction.cpp
+++ b/src/placement/placement_transaction.cpp
@@ -151,7 +151,7 @@
                                                               std::uint32_t index) const {
   const std::uint32_t chunkSize = job.record.chunkSize;
   const std::uint32_t begin = index / chunkSize * chunkSize;
-  if (auto recorded = job.subChunkOf(index)) return {recorded->first, recorded->second, true};
+  if (auto recorded = job.subChunkOf(index)) return {recorded->first, recorded->end, true};
   if (!job.subChunks && (chunkSize <= maxChunkSize_ || !mayWriteFormat2_)) {
     return {begin, begin + chunkSize, false};
   }
