--- a/tests/concurrent_reads.hpp
+++ b/tests/concurrent_reads.hpp
@@ -1,5 +1,6 @@
-// Users that look closely: at all controllers within milliseconds, and with requests that are odd.
-// What they were told is compared in the order in which requests were sent and answers came.
+/// Users that read at all controllers within milliseconds (ConcurrentReads), and users that send
+/// malformed requests (OddRequests). What they were told is compared in the order in which requests
+/// were sent and answers came.
 #pragma once
 
 #include "sim/world.hpp"
@@ -27,60 +28,11 @@
     world_.clock.in(drawn(kClose), [this, node = drawnNode()] { askUnknown(node); });
   }
 
-  void ask(Kind kind, const std::string& id, int node, int follow = kFollow) {
-    const JobPlan* plan = world_.plan(id);
-    if (!plan) return;
-    Request q{"GET", "/v2/runs/" + id, ""};
-    if (kind == Kind::submit) q = {"POST", "/v2/runs", encodeBody(world_.spec(*plan))};
-    if (kind == Kind::abort) {
-      q = {"POST", "/v2/runs/" + id + "/abort", ""};
-      world_.askedToCancel(id);
-    }
-    auto sent = ++order_;
-    world_.network.send("users", world_.nodeApi(node), q, kind == Kind::poll ? 2000 : 5000,
-                        [this, kind, id, node, sent, follow,
-                         at = world_.clock.now()](const std::optional<Response>& r) {
-                          if (r) answered(kind, id, node, sent, at, *r, follow);
-                        });
-  }
+  void ask(Kind kind, const std::string& id, int node, int follow = kFollow);
 
   // Asks every controller for every job until each has answered: all tell the same, and of every
   // job that it is over.
-  void expectAgreement() {
-    std::map<std::string, std::map<int, std::string>> told;
-    constexpr int kRounds = 5;
-    for (int round = 0; round < kRounds; ++round) {
-      for (const auto& [id, job] : jobs_) {
-        if (!job.accepted) continue;
-        for (int node = 0; node < nodes_; ++node) {
-          if (told[id].contains(node)) continue;
-          world_.network.send("users", world_.nodeApi(node), {"GET", "/v2/runs/" + id, ""}, 2000,
-                              [&told, id = id, node](const std::optional<Response>& r) {
-                                if (r && r->status == 200)
-                                  told[id][node] = phaseIn(*r).value_or("malformed");
-                                if (r && r->status == 404) told[id][node] = "unknown";
-                              });
-        }
-      }
-      world_.runFor(3);
-    }
-    std::map<std::string, int> ends;
-    for (const auto& [id, byNode] : told) {
-      if (byNode.size() != static_cast<std::size_t>(nodes_)) {
-        world_.fail("unanswered", id + " at some controller");
-      }
-      for (const auto& [node, phase] : byNode) {
-        if (phase != byNode.begin()->second || (phase != "done" && phase != "withdrawn")) {
-          world_.fail("disagree", id + " is " + byNode.begin()->second + ", at node " +
-                                      std::to_string(node) + " " + phase);
-        }
-      }
-      if (!byNode.empty()) ++ends[byNode.begin()->second];
-    }
-    std::cout << "looks " << order_ << ", answered " << answers_ << ", jobs done " << ends["done"]
-              << ", withdrawn " << ends["withdrawn"] << "\n";
-    if (told.empty()) world_.fail("nothing_met", "no job was looked at");
-  }
+  void expectAgreement();
 
  private:
   static constexpr std::int64_t kClose = 51;  // ms
@@ -101,20 +53,7 @@
     world_.clock.in(drawn(kClose), [this, kind, id, node, follow] { ask(kind, id, node, follow); });
   }
 
-  void told(const std::string& id, const std::string& what) {
-    Job& job = jobs_[id];
-    if (!job.accepted) job.accepted = ++order_;
-    if (what != "accepted") noteEnd(id, what);
-    burst(id);
-    bool over = what != "accepted";
-    if (!over && static_cast<double>(drawn(1000)) >= cancelledAtOnce_ * 1000) return;
-    auto at = drawn(kClose);
-    int node = drawnNode(), count = over ? nodes_ : 1 + static_cast<int>(drawn(2));
-    for (int n = 0; n < count; ++n) {
-      world_.clock.in(over ? drawn(kClose) : at,
-                      [this, id, to = (node + n) % nodes_] { ask(Kind::abort, id, to); });
-    }
-  }
+  void told(const std::string& id, const std::string& what);
 
   void noteEnd(const std::string& id, const std::string& phase) {
     Job& job = jobs_[id];
@@ -131,33 +70,7 @@
   }
 
   void answered(Kind kind, const std::string& id, int node, std::uint64_t sent, std::int64_t at,
-                const Response& r, int follow) {
-    ++answers_;
-    Job& job = jobs_[id];
-    bool knewAccepted = job.accepted && *job.accepted < sent;
-    bool knewEnd = job.ended && *job.ended < sent;
-    std::string where = id + " at node " + std::to_string(node);
-    if (r.status == 404 && (knewAccepted || kind == Kind::submit)) {
-      return world_.fail("forgotten", where + " got 404");
-    }
-    if (kind == Kind::submit && (r.status == 400 || r.status == 422)) {
-      return world_.fail("forgotten", where + " got " + std::to_string(r.status));
-    }
-    if (r.status == 201 && knewAccepted) {
-      return world_.fail("forgotten", where + " was accepted a second time");
-    }
-    if (r.status != 200 && r.status != 201) return;
-    auto phase = phaseIn(r);
-    if (!phase) return world_.fail("malformed", where);
-    bool over = *phase == "done" || *phase == "withdrawn";
-    if (!over && knewEnd) return world_.fail("went_back", where + " is " + *phase + " again");
-    if (!over && kind == Kind::abort) return world_.fail("malformed", where + " not cancelled");
-    if (!job.accepted) job.accepted = ++order_;
-    world_.note(id, r, at);
-    if (over) noteEnd(id, *phase);
-    if (follow == 0) return;
-    soon(drawn(2) ? Kind::poll : Kind::submit, id, drawnNode(), follow - 1);
-  }
+                const Response& r, int follow);
 
   void askUnknown(int node) {
     std::string id = "j-99" + std::to_string(drawn(100000));
@@ -220,74 +133,10 @@
   std::string freshId() { return "j-861" + std::to_string(10000 + next_++); }
 
   // A field is missing or of a kind that it can't be; or it is no map, or cut off.
-  void malformed(int node) {
-    std::string id = freshId();
-    Json body = soundBody(id);
-    static const std::vector<std::string> kNeeded{
-        "lane",   "owner",   "shape",    "rank",  "shards",  "cpus",    "gpus",       "ram_gb",
-        "bundle", "size_gb", "together", "apart", "loaners", "guess_s", "snapshot_s", "flush_s"};
-    const std::string& name =
-        kNeeded[static_cast<std::size_t>(drawn(static_cast<std::int64_t>(kNeeded.size())))];
-    std::string bytes;
-    switch (drawn(5)) {
-      case 0:
-        body.erase(name);
-        break;
-      case 1:
-        body[name] = nullptr;
-        break;
-      case 2:
-        body[name] = Json::array({1});
-        break;
-      case 3: {
-        const std::pair<const char*, Json> wrong[] = {
-            {"shards", 0},     {"shards", 100001}, {"shards", -1},        {"cpus", -1.0},
-            {"rank", "first"}, {"shape", "heap"},  {"rigs", "box"},       {"rigs", Json::array()},
-            {"site", 7},       {"due_s", "soon"},  {"shards", 1.5},       {"loaners", "yes"},
-            {"ref", "j-x"},    {"ref", nullptr},   {"gpus", std::nan("")}};
-        const auto& [field, value] = wrong[static_cast<std::size_t>(drawn(std::size(wrong)))];
-        body[field] = value;
-        break;
-      }
-      default:
-        bytes = encodeBody(body);
-        bytes.resize(bytes.size() - 1 - static_cast<std::size_t>(drawn(40)));
-    }
-    if (bytes.empty()) bytes = encodeBody(body);
-    expect(node, {"POST", "/v2/runs", bytes}, {400}, id + " malformed");
-    isNobodys(node, id);
-  }
+  void malformed(int node);
 
   // Well-formed, and never to be run: 422, or 503 while nobody knows the machine types.
-  void neverRuns(int node) {
-    std::string id = freshId();
-    Json body = soundBody(id);
-    switch (drawn(7)) {
-      case 0:
-        body["owner"] = "nobody";
-        break;
-      case 1:
-        body["cpus"] = world_.settings.cpus + 1;
-        break;
-      case 2:
-        body["ram_gb"] = world_.settings.ram * 2;
-        break;
-      case 3:
-        body["rigs"] = Json::array({"none"});
-        break;
-      case 4:
-        body["site"] = "nowhere";
-        break;
-      case 5:  // over the team's limit: all tasks of a service
-        body["shape"] = "daemon";
-        body["shards"] = static_cast<int>(world_.settings.gpusMax) + 1;
-        break;
-      default:  // one task of an array
-        body["gpus"] = world_.settings.gpusMax + 1;
-    }
-    refusedFor(node, id, body);
-    isNobodys(node, id);
-  }
+  void neverRuns(int node);
 
   void refusedFor(int node, const std::string& id, const Json& body) {
     world_.network.send("users", world_.nodeApi(node), {"POST", "/v2/runs", encodeBody(body)}, 5000,
@@ -301,43 +150,11 @@
   }
 
   // A sound one while the types may not be known: then 503.
-  void early(int node) {
-    if (typesKnown()) return;
-    std::string id = freshId();
-    world_.network.send("users", world_.nodeApi(node),
-                        {"POST", "/v2/runs", encodeBody(soundBody(id))}, 5000,
-                        [this, id](const std::optional<Response>& r) {
-                          if (r && !mayAlways(r->status) && !typesKnown()) {
-                            world_.fail("odd_request", id + " got " + std::to_string(r->status) +
-                                                           " while no machine type is known");
-                          }
-                        });
-  }
+  void early(int node);
 
   // The job that was accepted, handed in again: as it was, incomplete, or as it could never run;
   // and cancelled once it is done.
-  void againOddly(int node) {
-    if (!world_.isAccepted(kSound)) return;
-    Json body = world_.spec(*world_.plan(kSound));
-    switch (drawn(4)) {
-      case 0:
-        body.erase("cpus");
-        break;
-      case 1:
-        body["owner"] = "nobody";
-        break;
-      case 2:
-        body["cpus"] = 1e6;
-        break;
-      default:
-        break;
-    }
-    expect(node, {"POST", "/v2/runs", encodeBody(body)}, {200}, std::string(kSound) + " again");
-    if (world_.phaseOf(kSound) != "done") return;
-    std::string path = std::string("/v2/runs/") + kSound;
-    expect(node, {"POST", path + "/abort", ""}, {200}, std::string(kSound) + " cancelled", "done");
-    expect(node, {"GET", path, ""}, {200}, std::string(kSound) + " asked for", "done");
-  }
+  void againOddly(int node);
 
   // Neither asked for nor cancelled: nobody has accepted it.
   void isNobodys(int node, const std::string& id) {
@@ -351,21 +168,7 @@
   static bool mayAlways(int status) { return status == 429 || status == 503; }
 
   void expect(int node, const Request& q, const std::set<int>& statuses, const std::string& what,
-              const std::string& phase = "") {
-    world_.network.send("users", world_.nodeApi(node), q, 5000,
-                        [this, statuses, what, phase](const std::optional<Response>& r) {
-                          if (!r || mayAlways(r->status)) return;
-                          ++judged_;
-                          if (!statuses.contains(r->status)) {
-                            return world_.fail("odd_request",
-                                               what + " got " + std::to_string(r->status));
-                          }
-                          if (phase.empty()) return;
-                          auto body = decodeBody(r->body);
-                          if (!body || textField(*body, "phase") != phase)
-                            world_.fail("went_back", what);
-                        });
-  }
+              const std::string& phase = "");
 
   World& world_;
   int nodes_;
--- a/tests/scenario_fault_combinations.hpp
+++ b/tests/scenario_fault_combinations.hpp
@@ -1,5 +1,5 @@
-// Meetings of troubles, as the users' page names them: what each does to a world. What is drawn,
-// the world's seed decides.
+/// Combinations of faults that the users named, and what each does to a world. What is drawn is
+/// decided by the seed of the world.
 #pragma once
 
 #include "scenario_faults.hpp"
@@ -13,104 +13,10 @@
   // while the workers report as ever. With it, drawn: which jobs, through whom, a machine that
   // hangs, a controller that ends and is back within 500 ms, a second refusal before the outage is
   // over.
-  void gap(int times) {
-    auto cancel = static_cast<std::int64_t>(settings_.cancelS * 1000);
-    for (int i = 0; i < times; ++i) {
-      std::int64_t refused = 200 + pick(13800), outage = cancel / 2 + pick(cancel * 3 / 2);
-      refuseThenAll(refused, outage);
-      for (int n = 0; n < 4; ++n) {
-        cancelThroughOthers(pick(2) ? pick(refused)
-                                    : refused - pick(100) - 1);  // in the last moment
-      }
-      if (pick(2)) {
-        std::int64_t at = std::max<std::int64_t>(0, refused + pick(3000) - 1500);
-        std::string who = pick(3) == 0 ? "leader" : std::to_string(pick(settings_.nodes));
-        crashAt(at, who, pick(500));
-      }
-      if (pick(2)) hangOne(refused + pick(cancel));
-      bool early = pick(4) == 0;  // the next begins before this one is over
-      world_->runFor(static_cast<double>(refused + (early ? outage / 2 : outage + pick(30000))) /
-                     1000);
-      if (!world_->broken.empty()) return;
-    }
-  }
+  void gap(int times);
 
   // meet WHAT SECONDS: begins now, and what it takes away is back after so long.
-  void meet(const std::string& what, std::int64_t ms) {
-    World& w = *world_;
-    if (what == "apart") {  // jobs of two or three tasks end far apart while leaders end
-      for (int i = 0; i < 6; ++i) {
-        JobPlan p;
-        p.id = "j-70000" + std::to_string(i);
-        p.tasks = 2 + i % 2;
-        p.spot = i % 3 == 0;
-        p.runS = static_cast<double>(1 + pick(8));
-        p.staggerS = static_cast<double>(ms / 2 / 1000 + pick(8));
-        p.jobClass = "apart";
-        w.submit(p);
-      }
-      for (int i = 0; i < 3; ++i) crashAt(pick(ms), "leader", pick(2) ? pick(900) : kRestartMs);
-    } else if (what == "late_writes") {  // without an answer, and done after newer ones
-      w.network.lateWrites = 0.3;
-      w.clock.in(ms, [&w] { w.network.lateWrites = 0; });
-      for (int i = 0; i < 4; ++i) submitAt(pick(ms));
-      for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
-      if (pick(2)) crashAt(pick(ms), "leader", pick(900));
-    } else if (what == "alone") {  // the leader has neither state service nor peers, but workers
-      alone("leader", pick(2) ? "hold" : "reset", ms);
-      for (int i = 0; i < 3; ++i) cancelThroughOthers(pick(ms));
-    } else if (what == "over") {  // hand over and back, all end, one returns, also within a second
-      for (int i = 0; i < 3; ++i) crashAt(pick(ms), "leader", pick(1000));
-      w.clock.in(pick(ms), [this, first = pick(settings_.nodes), back = pick(900)] {
-        for (int n = 0; n < settings_.nodes; ++n) world_->crash(n, n == first ? back : kRestartMs);
-      });
-      cancelThroughOthers(pick(ms));
-    } else if (what ==
-               "unreached") {  // machines with tasks are out of reach or deaf; the leader ends
-      auto busy = w.machinesWithTasks();
-      for (const auto& host : busy) {
-        if (pick(3) != 0) continue;
-        w.network.cut(host, {}, CutMode::hold, ms, pick(2) ? CutWay::in : CutWay::both);
-      }
-      crashAt(pick(ms / 2), "leader", pick(2) ? pick(900) : kRestartMs);
-      cancelThroughOthers(pick(ms));
-    } else if (what == "held") {  // commands and answers are held up, and machines go on after that
-      w.network.held = {0.3, 200, 8000};
-      w.clock.in(ms, [&w] { w.network.held = {}; });
-      for (int i = 0; i < 3; ++i) w.clock.in(pick(ms), [this] { hangOne(1000 + pick(12000)); });
-      for (int i = 0; i < 3; ++i) submitAt(pick(ms));
-      for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
-    } else if (what ==
-               "refused") {  // slowly, then the leader alone, then nobody, for over cancel_s
-      w.network.slowState = 300 + pick(1500);
-      w.clock.in(ms, [&w] { w.network.slowState = 0; });
-      std::int64_t refused = 200 + pick(13800);
-      refuseThenAll(refused, static_cast<std::int64_t>(settings_.cancelS * 1000) + pick(10000));
-      for (int i = 0; i < 3; ++i) cancelThroughOthers(pick(refused));
-    } else if (what == "old") {  // old reports after newer ones, of earlier sessions and attempts
-      w.network.copies = {0.5, 1000, 60000};
-      w.clock.in(ms, [&w] { w.network.copies = {}; });
-      deafZone(settings_.zones[static_cast<std::size_t>(pick(2))], CutMode::hold,
-               static_cast<std::int64_t>(settings_.leaseS * 1000) + pick(8000));
-      cancelThroughOthers(pick(ms));
-      if (pick(2)) crashAt(pick(ms), "leader", pick(900));
-    } else if (what ==
-               "launch") {  // with the next placement: its direct launches are held up on the way
-      w.state.onCommit = [this, &w, ms, before = w.state.onCommit,
-                          begun = false](const Json& writes) mutable {
-        before(writes);
-        bool places = std::any_of(writes.begin(), writes.end(), [](const Json& write) {
-          return write.value("set", std::string()).starts_with("kh/tasks/");
-        });
-        if (!places || std::exchange(begun, true)) return;
-        int leader = w.nodeFrom("leader");
-        w.region.cloudOutageUntil = w.clock.now() + ms;
-        for (const char* to : {"peers", "zone-a", "zone-b"}) link(leader, to, "hold", ms);
-      };
-    } else {
-      FAIL() << "unknown meeting " << what;
-    }
-  }
+  void meet(const std::string& what, std::int64_t ms);
 
  private:
   std::int64_t pick(std::int64_t n) {
