--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -49,14 +49,14 @@
 
 }  // namespace
 
-std::map<TypeId, std::pair<double, double>> demandInMachines(
-    const Catalogue& catalogue, const std::vector<ProjectedDemand>& ahead) {
-  std::map<TypeId, std::pair<double, double>> out;
-  for (const auto& a : ahead) {
-    const MachineType* best = cheapest(catalogue, a.perTask, nullptr);
+std::map<TypeId, MachineDemand> demandInMachines(const Catalogue& catalogue,
+                                                 const std::vector<ProjectedDemand>& projected) {
+  std::map<TypeId, MachineDemand> out;
+  for (const auto& demand : projected) {
+    const MachineType* best = cheapest(catalogue, demand.perTask, nullptr);
     if (!best) continue;
-    auto& [firm, flexible] = out[best->id];
-    (a.spot ? flexible : firm) += machinesFor(*best, a.perTask, a.tasks);
+    MachineDemand& total = out[best->id];
+    (demand.spot ? total.flexible : total.firm) += machinesFor(*best, demand.perTask, demand.tasks);
   }
   return out;
 }
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -6,262 +6,172 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kRetry{1000};
-constexpr Duration kRefusedPause{15000};  // before the same offer is tried again
-constexpr double kLateBoot = 1.7;         // times the boot time: no longer counted on
+constexpr Duration kCheckInterval{1000};
+constexpr Duration kRefusedPause{15000};  // before the same offering is tried again
+constexpr double kLateBootFactor = 1.7;   // times the boot time: no longer counted on
 }  // namespace
 
-// A rental is written down before it is asked for, and again with the machines that came of it.
-LoopStep ScalingLoop::next() {
-  const std::size_t limit = context_.platform.transactionOps;
-  Transaction t = context_.begin();
-  std::vector<RentalId> ended;
-  std::size_t bytes = 1024;
-  auto add = [&](const RentalId& id, std::optional<Json> value) {
-    std::string key = keys::rental(id);
-    t.compares.push_back({key, context_.replica.modRevisionOf(key)});
-    t.writes.push_back({key, std::move(value), std::nullopt});
-  };
-  auto full = [&] { return t.writes.size() >= limit || bytes > kMaxTransactionBytes; };
-  for (const auto& [id, result] : results_) {
-    if (full()) break;
-    ended.push_back(id);
-    auto rental = context_.replica.rentals().find(id);
-    if (rental == context_.replica.rentals().end()) continue;
-    RentalRecord record = rental->second;
-    record.answered = true;
-    for (const auto& machine : result.machines) {
-      bytes += machine.value.size() + 4;
-      const auto* known = context_.replica.machine(machine);
-      if ((known && !known->rental.empty()) || fleet_.isReleased(machine)) continue;
-      record.machines.push_back({machine, false});
+void ScalingLoop::decide(bool intervalEnds) {
+  const Instant now = context_.runtime.now();
+  nextCheck_ = now + kCheckInterval;
+  std::erase_if(refused_,
+                [&](const auto& entry) { return now - entry.second > kConstrainedMemory; });
+  auto demand = demandNow(context_, fleet_, planning_.unplaced());
+  wanted_.clear();
+  // Work that finds no room needs the machines that were cordoned.
+  if (!planning_.unplaced().empty()) fleet_.cordoned().clear();
+  for (const auto& type : context_.catalogue->types) {
+    ScalingInput input = inputFor(type, demand[type.id], intervalEnds);
+    ScalingDecision decision = decideScaling(input);
+    if (intervalEnds) {
+      logInterval(input, decision);
+      consolidateSurplus(input, decision);
     }
-    add(id, record.machines.empty() ? std::nullopt : std::optional(toJson(record)));
+    apply(input, decision);
   }
-  // Machines that nobody expected: on record before they can be used. While a rental of their
-  // kind has no answer on record yet, they are likely its own.
-  std::map<InstanceOffering, RentalRecord> adopted;
-  constexpr std::size_t kMostAdopted = 50;  // of a kind at a time, for the size of the value
-  auto adopt = [&](const MachineId& id, bool draining) {
-    const Machine* m = fleet_.find(id);
-    const auto* known = context_.replica.machine(id);
-    if (!m || m->type.empty() || (known && !known->rental.empty())) return;
-    InstanceOffering offering{m->type, m->zone, m->spot};
-    for (const auto& [rentalId, r] : context_.replica.rentals()) {
-      if (!r.answered && InstanceOffering{r.type, r.zone, r.spot} == offering) return;
+  if (!wanted_.empty()) context_.scheduleCycle();
+}
+
+// While machines are lost in masses nothing is given back or emptied: what competes with repair
+// waits.
+bool ScalingLoop::inMassFailure() const {
+  return context_.effectivePolicy && context_.effectivePolicy->massFailure();
+}
+
+ScalingInput ScalingLoop::inputFor(const MachineType& type, const TypeDemand& present,
+                                   bool intervalEnds) {
+  ScalingInput input;
+  input.type = &type;
+  input.demand = present;
+  addForecast(type, input.demand);
+  input.spreadMultiple = context_.settings.spreadMultiple;
+  input.useSpot = context_.settings.useSpot;
+  input.scaleIn = intervalEnds && !inMassFailure();
+  addRefusals(type, input);
+  addPendingRentals(input);
+  for (const auto& [id, machine] : fleet_.machines()) {
+    const auto* record = context_.replica.machine(id);
+    if (machine.type != type.id || machine.terminationRequested || (record && record->draining) ||
+        machine.terminationNoticeEnds || fleet_.faulty(machine)) {
+      continue;
     }
-    RentalRecord& record = adopted[offering];
-    if (record.machines.size() >= kMostAdopted) return;
-    record.machines.push_back({id, draining});
-  };
-  for (const auto& id : fleet_.unrecorded()) adopt(id, false);
-  for (const auto& id : fleet_.terminating()) adopt(id, true);
-  for (auto& [offering, record] : adopted) {
-    if (full()) break;
-    record.id =
-        RentalId{"a-" + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
-    record.type = offering.type;
-    record.zone = offering.zone;
-    record.spot = offering.spot;
-    record.count = static_cast<std::uint32_t>(record.machines.size());
-    record.atMs = context_.runtime.wallMillis();
-    record.answered = true;
-    logInfo("machines adopted", "count", record.count, "zone", offering.zone);
-    add(record.id, toJson(record));
+    input.machines.push_back(scalingMachineOf(machine, type));
   }
-  // No more than the cloud takes calls for in a second: what is still wanted later is decided
-  // anew until then, so that few calls carry many machines each.
-  constexpr std::uint32_t kMostAtOnce = 50;  // that the cloud rents in one call
-  std::size_t underWay = 0, written = 0;
-  for (const auto& [id, r] : context_.replica.rentals()) {
-    underWay += !r.answered && !results_.contains(id) ? 1 : 0;
+  return input;
+}
+
+void ScalingLoop::addForecast(const MachineType& type, TypeDemand& demand) {
+  if (auto series = forecasts_.series.find(type.id); series != forecasts_.series.end()) {
+    demand.firm = series->second.firm.predict(forecasts_.random);
+    demand.flexible = series->second.flexible.predict(forecasts_.random);
+  }
+  addProjectedDemand(type, demand);
+  if (context_.effectivePolicy) {
+    const double calendarDemand = context_.effectivePolicy->machinesAhead(type.boot * 3 / 2) /
+                                  static_cast<double>(context_.catalogue->types.size());
+    demand.firm.mean = std::max(demand.firm.mean, demand.firmBooked + calendarDemand);
   }
-  auto most = static_cast<std::size_t>(std::max(1.0, context_.platform.cloudRequestsPerS));
-  while (!wanted_.empty() && underWay + written < most && !full()) {
-    // Work that needs ordinary machines can use no others; then the most that one call brings.
-    auto next = std::max_element(wanted_.begin(), wanted_.end(), [](const auto& a, const auto& b) {
-      if (a.first.spot != b.first.spot) return a.first.spot;
-      return a.second < b.second;
-    });
-    std::uint32_t n = std::min(next->second, kMostAtOnce);
-    const InstanceOffering& offering = next->first;
-    // Unique for ever: tokens are, and the counter within one.
-    RentalId id{"r-" + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
-    RentalRecord record{
-        id, offering.type, offering.zone, offering.spot, n, context_.runtime.wallMillis(), false,
-        {}};
-    add(id, toJson(record));
-    ++written;
-    next->second -= n;
-    if (next->second == 0) wanted_.erase(next);
+}
+
+// DESIGN: waiting downstream jobs of a running upstream job add their room. Their upstream's room
+// is free by then.
+void ScalingLoop::addProjectedDemand(const MachineType& type, TypeDemand& demand) const {
+  if (!upcoming || !ending) return;
+  const Duration horizon = type.boot + type.boot / 2;
+  const MachineDemand more = demandInMachines(*context_.catalogue, upcoming(horizon))[type.id];
+  const MachineDemand less = demandInMachines(*context_.catalogue, ending(horizon))[type.id];
+  const double firm = demand.firmBooked + demand.firmWaiting;
+  const double flexible =
+      demand.flexibleOnSpot + demand.flexibleOnOrdinary + demand.flexibleWaiting;
+  if (more.firm > less.firm) {
+    demand.firm.mean = std::max(demand.firm.mean, firm + more.firm - less.firm);
   }
-  if (t.writes.empty()) {
-    for (const auto& id : ended) results_.erase(id);
-    return LoopStep::idle();
+  if (more.flexible > less.flexible) {
+    demand.flexible.mean = std::max(demand.flexible.mean, flexible + more.flexible - less.flexible);
   }
-  return LoopStep::committing(Commit{
-      std::move(t),
-      [this, ended] {
-        for (const auto& id : ended) {
-          results_.erase(id);
-          asked_.erase(id);
-        }
-        fleet_.adoptRecords(context_.runtime.now(), context_.runtime.wallMillis());
-        context_.planInvalidated = true;
-        startRentals();
-      },
-      std::to_string(written) + " rentals wanted, " + std::to_string(ended.size()) + " ended"});
 }
 
-void ScalingLoop::startRentals() {
-  for (const auto& [id, rental] : context_.replica.rentals()) {
-    if (rental.answered || results_.contains(id) || asked_.contains(id)) continue;
-    if (!context_.cloud.mayAsk()) return;
-    asked_.insert(id);
-    context_.cloud.requestMachines(rental, context_.whileLeading([this, rental](RentalResult r) {
-      onRentalAnswered(rental, r);
-    }));
+void ScalingLoop::addRefusals(const MachineType& type, ScalingInput& input) const {
+  const Instant now = context_.runtime.now();
+  for (const auto& [offering, at] : refused_) {
+    input.constrained.insert(offering);
+    if (now - at < kRefusedPause) input.refused.insert(offering);
+  }
+  // What is rented into a zone that is cut off can't be reached either.
+  for (const auto& zone : fleet_.unreachableZones()) {
+    input.refused.insert({type.id, zone, false});
+    input.refused.insert({type.id, zone, true});
   }
 }
 
-void ScalingLoop::onRentalAnswered(const RentalRecord& rental, const RentalResult& result) {
-  Instant now = context_.runtime.now();
-  InstanceOffering offering{rental.type, rental.zone, rental.spot};
-  if (result.kind == RentalResult::Kind::failed) {
-    // Trouble or no answer: the same name again, which rents nothing twice.
-    context_.runtime.after(kRetry, context_.whileLeading([this, id = rental.id] {
-      asked_.erase(id);
-      startRentals();
-    }));
-    return;
+void ScalingLoop::addPendingRentals(ScalingInput& input) const {
+  for (const auto& [id, rental] : context_.replica.rentals()) {
+    if (rental.answered) continue;
+    auto result = results_.find(id);
+    const auto count = result == results_.end()
+                           ? rental.count
+                           : static_cast<std::uint32_t>(result->second.machines.size());
+    input.pendingRentals[{rental.type, rental.zone, rental.spot}] += count;
   }
-  if (result.machines.size() < rental.count) {
-    refused_[offering] = now;
-  } else {
-    refused_.erase(offering);
+}
+
+ScalingMachine ScalingLoop::scalingMachineOf(const Machine& machine,
+                                             const MachineType& type) const {
+  const auto* record = context_.replica.machine(machine.id);
+  ScalingMachine out;
+  out.id = machine.id;
+  out.offering = {machine.type, machine.zone, machine.spot};
+  out.up = machine.hasReported();
+  out.age = context_.runtime.now() - machine.rentedAt;
+  // Only what the cloud lists as booting can be late: a new leader has no reports yet of machines
+  // that are up, and would rent them all a second time.
+  out.late = !out.up && machine.listed == Listed::booting &&
+             toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
+  out.idle = !record || record->tasks.empty();
+  out.keep = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
+  return out;
+}
+
+void ScalingLoop::logInterval(const ScalingInput& input, const ScalingDecision& decision) const {
+  const TypeDemand& demand = input.demand;
+  logInfo("forecast interval", "type", input.type->id, "firm", demand.firmBooked, "firm_waiting",
+          demand.firmWaiting, "firm_mean", demand.firm.mean, "firm_spread", demand.firm.spread,
+          "flexible", demand.flexibleOnSpot + demand.flexibleOnOrdinary, "flexible_waiting",
+          demand.flexibleWaiting, "flexible_mean", demand.flexible.mean, "flexible_spread",
+          demand.flexible.spread, "target_ordinary", decision.ordinaryTarget, "target_spot",
+          decision.spotTarget, "have", input.machines.size());
+}
+
+void ScalingLoop::consolidateSurplus(const ScalingInput& input, const ScalingDecision& decision) {
+  if (inMassFailure() || !planning_.unplaced().empty()) return;
+  const auto ordinary = static_cast<int>(std::count_if(
+      input.machines.begin(), input.machines.end(), [&](const ScalingMachine& machine) {
+        return !machine.offering.spot && !fleet_.cordoned().contains(machine.id);
+      }));
+  const int needed = decision.ordinaryNeeded + 1;
+  if (ordinary > needed) {
+    consolidateMachines(input.type->id, static_cast<std::size_t>(ordinary - needed));
   }
-  logInfo("rental answered", "rental", rental.id, "got", result.machines.size(), "wanted",
-          rental.count, "spot", rental.spot, "type", rental.type, "zone", rental.zone);
-  results_[rental.id] = result;
-  nextCheck_ = now;
-  context_.scheduleCycle();
 }
 
-void ScalingLoop::decide(bool turn) {
-  Instant now = context_.runtime.now();
-  nextCheck_ = now + Duration{1000};
-  std::erase_if(refused_, [&](const auto& r) { return now - r.second > kConstrainedMemory; });
-  auto demand = demandNow(context_, fleet_, planning_.unplaced());
-  wanted_.clear();
-  // Work that finds no room needs the machines that were to be emptied.
-  if (!planning_.unplaced().empty()) fleet_.cordoned().clear();
-  for (const auto& type : context_.catalogue->types) {
-    ScalingInput in;
-    in.type = &type;
-    in.demand = demand[type.id];
-    if (auto f = forecasts_.series.find(type.id); f != forecasts_.series.end()) {
-      in.demand.firm = f->second.firm.predict(forecasts_.random);
-      in.demand.flexible = f->second.flexible.predict(forecasts_.random);
-    }
-    // DESIGN: waiting downstream jobs of a running upstream job add their room. Their upstream's
-    // room is free by then.
-    if (upcoming && ending) {
-      Duration horizon = type.boot + type.boot / 2;
-      auto more = demandInMachines(*context_.catalogue, upcoming(horizon))[type.id];
-      auto less = demandInMachines(*context_.catalogue, ending(horizon))[type.id];
-      double firm = in.demand.firmBooked + in.demand.firmWaiting;
-      double flexible =
-          in.demand.flexibleOnSpot + in.demand.flexibleOnOrdinary + in.demand.flexibleWaiting;
-      if (more.first > less.first) {
-        in.demand.firm.mean = std::max(in.demand.firm.mean, firm + more.first - less.first);
-      }
-      if (more.second > less.second) {
-        in.demand.flexible.mean =
-            std::max(in.demand.flexible.mean, flexible + more.second - less.second);
-      }
-    }
-    in.spreadMultiple = context_.settings.spreadMultiple;
-    in.useSpot = context_.settings.useSpot;
-    // In a storm nothing is given back or emptied: what competes with repair waits.
-    const bool massFailure = context_.effectivePolicy && context_.effectivePolicy->massFailure();
-    in.scaleIn = turn && !massFailure;
-    if (context_.effectivePolicy) {
-      double day = context_.effectivePolicy->machinesAhead(type.boot * 3 / 2) /
-                   static_cast<double>(context_.catalogue->types.size());
-      in.demand.firm.mean = std::max(in.demand.firm.mean, in.demand.firmBooked + day);
-    }
-    for (const auto& [offering, at] : refused_) {
-      in.constrained.insert(offering);
-      if (now - at < kRefusedPause) in.refused.insert(offering);
+void ScalingLoop::apply(const ScalingInput& input, const ScalingDecision& decision) {
+  std::size_t have = input.machines.size();
+  for (const auto& [offering, count] : input.pendingRentals) have += count;
+  const std::size_t limit = context_.settings.maxMachines;  // 0: none
+  for (const auto& rental : decision.rentals) {
+    std::uint32_t count = rental.count;
+    if (limit > 0) {
+      const std::size_t left = limit > have ? limit - have : 0;
+      count = static_cast<std::uint32_t>(std::min<std::size_t>(count, left));
     }
-    // What is rented into a zone that is cut off can't be reached either.
-    for (const auto& zone : fleet_.unreachableZones()) {
-      in.refused.insert({type.id, zone, false});
-      in.refused.insert({type.id, zone, true});
-    }
-    for (const auto& [id, rental] : context_.replica.rentals()) {
-      if (rental.answered) continue;
-      auto result = results_.find(id);
-      auto n = result == results_.end()
-                   ? rental.count
-                   : static_cast<std::uint32_t>(result->second.machines.size());
-      in.pendingRentals[{rental.type, rental.zone, rental.spot}] += n;
-    }
-    for (auto& [id, m] : fleet_.machines()) {
-      const auto* record = context_.replica.machine(id);
-      if (m.type != type.id || m.terminationRequested || (record && record->draining) ||
-          m.terminationNoticeEnds || fleet_.faulty(m)) {
-        continue;
-      }
-      ScalingMachine r;
-      r.id = id;
-      r.offering = {m.type, m.zone, m.spot};
-      r.up = m.hasReported();
-      r.age = now - m.rentedAt;
-      // Only what the cloud lists as booting: a new leader has not heard the machines that are up,
-      // and would rent them all a second time.
-      r.late = !r.up && m.listed == Listed::booting &&
-               toSeconds(r.age) > kLateBoot * toSeconds(type.boot);
-      r.idle = !record || record->tasks.empty();
-      r.keep = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(id);
-      in.machines.push_back(std::move(r));
-    }
-    ScalingDecision out = decideScaling(in);
-    if (turn) {
-      logInfo("window", "type", type.id, "firm", in.demand.firmBooked, "firm_waiting",
-              in.demand.firmWaiting, "firm_mean", in.demand.firm.mean, "firm_spread",
-              in.demand.firm.spread, "flexible",
-              in.demand.flexibleOnSpot + in.demand.flexibleOnOrdinary, "flexible_waiting",
-              in.demand.flexibleWaiting, "flexible_mean", in.demand.flexible.mean,
-              "flexible_spread", in.demand.flexible.spread, "target_ordinary", out.ordinaryTarget,
-              "target_spot", out.spotTarget, "have", in.machines.size());
-    }
-    if (turn && !massFailure && planning_.unplaced().empty()) {
-      int ordinary = static_cast<int>(
-          std::count_if(in.machines.begin(), in.machines.end(), [&](const ScalingMachine& m) {
-            return !m.offering.spot && !fleet_.cordoned().contains(m.id);
-          }));
-      int needed = out.ordinaryNeeded + 1;
-      if (ordinary > needed) {
-        consolidateMachines(type.id, static_cast<std::size_t>(ordinary - needed));
-      }
-    }
-    std::size_t have = in.machines.size();
-    for (const auto& [offering, n] : in.pendingRentals) have += n;
-    for (const auto& rental : out.rentals) {
-      std::uint32_t count = rental.count;
-      if (context_.settings.maxMachines > 0) {
-        auto left = context_.settings.maxMachines > have ? context_.settings.maxMachines - have : 0;
-        count = static_cast<std::uint32_t>(std::min<std::size_t>(count, left));
-      }
-      have += count;
-      if (count > 0) wanted_[rental.offering] += count;
-    }
-    for (const auto& id : out.scaleIn) {
-      if (auto* m = fleet_.find(id)) fleet_.requestTermination(*m, "idle above the target");
+    have += count;
+    if (count > 0) wanted_[rental.offering] += count;
+  }
+  for (const auto& id : decision.scaleIn) {
+    if (auto* machine = fleet_.find(id)) {
+      fleet_.requestTermination(*machine, "idle above the target");
     }
   }
-  if (!wanted_.empty()) context_.scheduleCycle();
 }
 
 PendingReason ScalingLoop::resourcesReason(const JobSpec& spec) const {
--- a/src/cloud/scaling_loop.hpp
+++ b/src/cloud/scaling_loop.hpp
@@ -1,5 +1,5 @@
-// Rents machines by the forecast: decided anew until asked for, on record before it is asked for,
-// and again with the machines that came of it.
+/// \file
+/// Rents machines by the forecast and gives idle ones back.
 #pragma once
 
 #include "cloud/client.hpp"
@@ -9,6 +9,10 @@
 
 namespace kestrelhoist {
 
+class RentalTransaction;
+
+/// A rental is decided anew until it is asked for; it is on record before the cloud is asked for
+/// it, and again with the machines that came of it.
 class ScalingLoop : public ControlLoop {
  public:
   ScalingLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
@@ -19,22 +23,43 @@
         planning_(planning),
         forecasts_(forecasts) {}
 
+  /// Commits rental records: results, machines that were on no record, and new rentals.
   LoopStep next() override;
   void onTimer() override { startRentals(); }
-  // Decides what to rent and, at a window's turn, what to give back.
-  void decide(bool turn);
-  // The same between turns, once a second.
+  /// Decides what to rent and, when a forecast interval ends, what to give back.
+  void decide(bool intervalEnds);
+  /// Decides between the ends of intervals, once a second.
   void check();
-  // Room that will be asked for, and left, within a time; null if nobody tells.
+  /// Demand that will begin, and that will end, within a time; empty functions if nobody can tell.
   std::function<std::vector<ProjectedDemand>(Duration)> upcoming, ending;
-  // What stands between a job without room and machines that it may use.
+  /// What stands between a job without resources and machines that it may use.
   PendingReason resourcesReason(const JobSpec& spec) const;
-  // Offers that were refused, and when last.
+  /// Offerings that were refused, and when last.
   const std::map<InstanceOffering, Instant>& refused() const { return refused_; }
 
  private:
+  // Rental records (scaling_loop_rentals.cpp).
+  std::vector<RentalId> recordResults(RentalTransaction& transaction);
+  void recordAdoptedMachines(RentalTransaction& transaction);
+  void adoptMachine(const MachineId& id, bool draining,
+                    std::map<InstanceOffering, RentalRecord>& adopted) const;
+  std::size_t recordNewRentals(RentalTransaction& transaction);
+  RentalId nextRentalId(const std::string& prefix);
   void startRentals();
   void onRentalAnswered(const RentalRecord& rental, const RentalResult& result);
+
+  // Decisions (scaling_loop.cpp).
+  bool inMassFailure() const;
+  ScalingInput inputFor(const MachineType& type, const TypeDemand& present, bool intervalEnds);
+  void addForecast(const MachineType& type, TypeDemand& demand);
+  void addProjectedDemand(const MachineType& type, TypeDemand& demand) const;
+  void addRefusals(const MachineType& type, ScalingInput& input) const;
+  void addPendingRentals(ScalingInput& input) const;
+  ScalingMachine scalingMachineOf(const Machine& machine, const MachineType& type) const;
+  void logInterval(const ScalingInput& input, const ScalingDecision& decision) const;
+  void consolidateSurplus(const ScalingInput& input, const ScalingDecision& decision);
+  void apply(const ScalingInput& input, const ScalingDecision& decision);
+  // Consolidation (scaling_loop_consolidation.cpp).
   void consolidateMachines(const TypeId& type, std::size_t surplus);
 
   LeaderContext& context_;
--- a/src/cloud/scaling_loop_consolidation.cpp
+++ b/src/cloud/scaling_loop_consolidation.cpp
@@ -24,7 +24,7 @@
     if (context_.effectivePolicy && context_.effectivePolicy->keepsWarm(id)) continue;
     ConsolidationCandidate c{id, type, zones[record.zone], known->capacity, known->capacity,
                              {}, {}};
-    for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.cached});
+    for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.fetched});
     for (const auto& t : record.tasks) {
       const auto& spec = t.job->record.spec;
       if (!spec || m->session.outcomes.contains(t.id)) continue;
@@ -52,8 +52,8 @@
     dispatcher_.sendCommands(machine);
   }
   if (!decision.machines.empty()) {
-    logInfo("machines to be emptied", "machines", decision.machines.size(), "replicas_move",
-            decision.moves.size());
+    logInfo("machines cordoned for consolidation", "machines", decision.machines.size(),
+            "replicas_moved", decision.moves.size());
   }
 }
 
--- a/src/fleet/command_dispatcher.cpp
+++ b/src/fleet/command_dispatcher.cpp
@@ -30,21 +30,20 @@
     if (!m.hasReported() && !m.address.empty() && m.listed == Listed::running)
       probeQueue_.push_back(id);
   }
-  logInfo("asking for reports", "machines", probeQueue_.size());
-  struct Step {
-    static void go(CommandDispatcher& self) {
-      constexpr int kAtOnce = 24;
-      constexpr Duration kPause{25};
-      for (int i = 0; i < kAtOnce && !self.probeQueue_.empty(); ++i) {
-        Machine* m = self.fleet_.find(self.probeQueue_.front());
-        self.probeQueue_.pop_front();
-        if (m && !m->hasReported()) self.probe(*m);
-      }
-      if (self.probeQueue_.empty()) return;
-      self.context_.runtime.after(kPause, self.context_.whileLeading([&self] { go(self); }));
-    }
-  };
-  Step::go(*this);
+  logInfo("probing workers for reports", "machines", probeQueue_.size());
+  probeNextBatch();
+}
+
+void CommandDispatcher::probeNextBatch() {
+  constexpr int kBatch = 24;
+  constexpr Duration kPause{25};
+  for (int i = 0; i < kBatch && !probeQueue_.empty(); ++i) {
+    Machine* machine = fleet_.find(probeQueue_.front());
+    probeQueue_.pop_front();
+    if (machine && !machine->hasReported()) probe(*machine);
+  }
+  if (probeQueue_.empty()) return;
+  context_.runtime.after(kPause, context_.whileLeading([this] { probeNextBatch(); }));
 }
 
 // Machines that should have reported by now: dead, or on their way to another node.
--- a/src/fleet/command_dispatcher.hpp
+++ b/src/fleet/command_dispatcher.hpp
@@ -1,5 +1,6 @@
-// What the leader says to machines outside their reports: orders that should not wait, and
-// questions. Answers bring reports, from which only facts are taken.
+/// \file
+/// What the leader sends to workers outside the answers to their heartbeats: commands that should
+/// not wait, and probes. The responses are reports, of which only the state is applied.
 #pragma once
 
 #include <deque>
@@ -11,29 +12,33 @@
 
 namespace kestrelhoist {
 
+/// Sends direct commands and probes while this controller leads.
 class CommandDispatcher {
  public:
   CommandDispatcher(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
-  // Sends a machine its orders now rather than with its next report.
+  /// Sends a machine its commands now rather than in answer to its next heartbeat.
   void sendCommands(const MachineId& id);
-  // Asks all machines that this leader has not heard, once there is a list.
+  /// Probes all machines that this leader has no report of, once there is a list of them.
   void probeAll();
+  /// Probes machines that should have reported by now.
   void probeOverdue();
+  /// Whether each worker had the time to report to this leader or was probed in vain.
   bool initialRoundOver() const;
 
-  // A machine's newer report was taken in: it may have proven something.
+  /// Called after a newer report of a machine was applied: it may have proven an outcome.
   std::function<void(Machine&)> onReport;
 
  private:
+  void probeNextBatch();
   void probe(Machine& m);
 
   LeaderContext& context_;
   Fleet& fleet_;
-  bool probedAll_ = false;  // in place of waiting for the round
+  bool probedAll_ = false;  // instead of waiting for the initial round
   std::deque<MachineId> probeQueue_;
-  std::set<MachineId> probing_;                            // no answer yet
-  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;  // of machines in silent zones
+  std::set<MachineId> probing_;                            // no response yet
+  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;  // at a time, in unreachable zones
   static constexpr std::size_t kFewestZoneProbes = 2, kAtOnce = 32;
 };
 
--- a/src/fleet/heartbeat_messages.cpp
+++ b/src/fleet/heartbeat_messages.cpp
@@ -5,6 +5,47 @@
 namespace kestrelhoist {
 namespace {
 
+// The keys of the messages (PROTOCOL, "Workers").
+namespace key {
+constexpr auto kMachine = "host";
+constexpr auto kAddress = "addr";
+constexpr auto kType = "rig";
+constexpr auto kZone = "site";
+constexpr auto kSpot = "loaners";
+constexpr auto kWorkerEpoch = "tenure";
+constexpr auto kSequence = "tick";
+constexpr auto kToken = "baton";
+constexpr auto kNotice = "warning_s";
+constexpr auto kTasks = "shards";
+constexpr auto kTask = "shard";
+constexpr auto kAttempt = "try";
+constexpr auto kState = "phase";
+constexpr auto kCause = "cause";
+constexpr auto kRan = "ran_s";
+constexpr auto kOperation = "verb";
+constexpr auto kGrace = "wind_down_s";
+constexpr auto kCommands = "orders";
+}  // namespace key
+
+// The words that the messages have as values.
+namespace word {
+constexpr auto kFetching = "fetching";
+constexpr auto kRunning = "running";
+constexpr auto kGathering = "gathering";
+constexpr auto kSaving = "flushing";
+constexpr auto kEnded = "ended";
+constexpr auto kDone = "done";
+constexpr auto kStopped = "halted";
+constexpr auto kNoRoom = "no_room";
+constexpr auto kBusy = "in_use";
+constexpr auto kGangLost = "mates_gone";
+constexpr auto kGangIncomplete = "alone";
+constexpr auto kUnknown = "unknown";
+constexpr auto kLaunch = "launch";
+constexpr auto kStop = "stop";
+constexpr auto kClear = "clear";
+}  // namespace word
+
 std::optional<TaskId> taskFrom(const std::string& text) {
   auto slash = text.rfind('/');
   if (slash == std::string::npos || slash == 0) return std::nullopt;
@@ -16,20 +57,20 @@
 }
 
 std::optional<TaskState> stateFrom(const std::string& word) {
-  if (word == "fetching") return TaskState::fetching;
-  if (word == "running" || word == "gathering") return TaskState::running;
-  if (word == "flushing") return TaskState::saving;
-  if (word == "ended") return TaskState::ended;
+  if (word == word::kFetching) return TaskState::fetching;
+  if (word == word::kRunning || word == word::kGathering) return TaskState::running;
+  if (word == word::kSaving) return TaskState::saving;
+  if (word == word::kEnded) return TaskState::ended;
   return std::nullopt;
 }
 
 EndCause causeFrom(const std::string& word) {
-  if (word == "done") return EndCause::done;
-  if (word == "halted") return EndCause::stopped;
-  if (word == "no_room") return EndCause::noRoom;
-  if (word == "in_use") return EndCause::busy;
-  if (word == "mates_gone" || word == "alone") return EndCause::gang;
-  if (word == "unknown") return EndCause::unknown;
+  if (word == word::kDone) return EndCause::done;
+  if (word == word::kStopped) return EndCause::stopped;
+  if (word == word::kNoRoom) return EndCause::noRoom;
+  if (word == word::kBusy) return EndCause::busy;
+  if (word == word::kGangLost || word == word::kGangIncomplete) return EndCause::gang;
+  if (word == word::kUnknown) return EndCause::unknown;
   return EndCause::error;
 }
 
@@ -43,14 +84,14 @@
 }
 
 std::optional<Report> reportFrom(const Json& v) {
-  auto machine = textField(v, "host");
-  auto address = textField(v, "addr");
-  auto type = textField(v, "rig");
-  auto zone = textField(v, "site");
-  auto spot = boolField(v, "loaners");
-  auto workerEpoch = countField(v, "tenure");
-  auto sequence = countField(v, "tick");
-  auto token = countField(v, "baton");
+  auto machine = textField(v, key::kMachine);
+  auto address = textField(v, key::kAddress);
+  auto type = textField(v, key::kType);
+  auto zone = textField(v, key::kZone);
+  auto spot = boolField(v, key::kSpot);
+  auto workerEpoch = countField(v, key::kWorkerEpoch);
+  auto sequence = countField(v, key::kSequence);
+  auto token = countField(v, key::kToken);
   if (!machine || machine->empty() || machine->size() > 150 ||
       machine->find_first_of(" /?&#%") != std::string::npos || !address || !type || !zone ||
       !workerEpoch || !sequence) {
@@ -65,23 +106,23 @@
   r.workerEpoch = WorkerEpoch{*workerEpoch};
   r.sequence = ReportSequence{*sequence};
   r.token = FencingToken{token.value_or(0)};
-  if (auto notice = numberField(v, "warning_s")) r.notice = fromSeconds(std::max(0.0, *notice));
-  if (const Json* tasks = field(v, "shards")) {
+  if (auto notice = numberField(v, key::kNotice)) r.notice = fromSeconds(std::max(0.0, *notice));
+  if (const Json* tasks = field(v, key::kTasks)) {
     if (!tasks->is_array()) return std::nullopt;
     r.tasks.reserve(tasks->size());
     for (const auto& t : *tasks) {
-      auto name = textField(t, "shard");
-      auto attempt = countField(t, "try");
-      auto phase = textField(t, "phase");
+      auto name = textField(t, key::kTask);
+      auto attempt = countField(t, key::kAttempt);
+      auto phase = textField(t, key::kState);
       auto id = name ? taskFrom(*name) : std::nullopt;
       auto state = phase ? stateFrom(*phase) : std::nullopt;
       // A list that can't be read whole proves nothing about what is missing from it.
       if (!id || !attempt || !state) return std::nullopt;
       r.tasks.push_back({{*id, Attempt{*attempt}},
                          *state,
-                         causeFrom(textField(t, "cause").value_or("")),
+                         causeFrom(textField(t, key::kCause).value_or("")),
                          std::nullopt});
-      if (auto ran = numberField(t, "ran_s"); ran && *ran >= 0 && *ran < 1e9) {
+      if (auto ran = numberField(t, key::kRan); ran && *ran >= 0 && *ran < 1e9) {
         r.tasks.back().ran = fromSeconds(*ran);
       }
     }
@@ -95,17 +136,17 @@
 Json commandList(const std::vector<WorkerCommand>& commands) {
   Json list = Json::array();
   for (const auto& o : commands) {
-    Json v = {{"shard", o.id.task.str()}, {"try", o.id.attempt.value}};
+    Json v = {{key::kTask, o.id.task.str()}, {key::kAttempt, o.id.attempt.value}};
     switch (o.operation) {
       case WorkerCommand::Operation::launch:
-        v["verb"] = "launch";
+        v[key::kOperation] = word::kLaunch;
         break;
       case WorkerCommand::Operation::stop:
-        v["verb"] = "stop";
-        v["wind_down_s"] = toSeconds(o.grace);
+        v[key::kOperation] = word::kStop;
+        v[key::kGrace] = toSeconds(o.grace);
         break;
       case WorkerCommand::Operation::clear:
-        v["verb"] = "clear";
+        v[key::kOperation] = word::kClear;
         break;
     }
     list.push_back(std::move(v));
@@ -115,12 +156,14 @@
 }  // namespace
 
 Json reportResponseToJson(FencingToken token, const std::vector<WorkerCommand>& commands) {
-  return {{"baton", token.value}, {"orders", commandList(commands)}};
+  return {{key::kToken, token.value}, {key::kCommands, commandList(commands)}};
 }
 
 Json commandRequestToJson(FencingToken token, WorkerEpoch workerEpoch,
                           const std::vector<WorkerCommand>& commands) {
-  return {{"baton", token.value}, {"tenure", workerEpoch.value}, {"orders", commandList(commands)}};
+  return {{key::kToken, token.value},
+          {key::kWorkerEpoch, workerEpoch.value},
+          {key::kCommands, commandList(commands)}};
 }
 
 }  // namespace kestrelhoist
--- a/src/placement/planning_loop.cpp
+++ b/src/placement/planning_loop.cpp
@@ -1,6 +1,7 @@
 #include "placement/planning_loop.hpp"
 
 #include <algorithm>
+#include <iterator>
 
 #include "base/log.hpp"
 #include "policy/policy_state.hpp"
@@ -133,8 +134,8 @@
     }
     p.free = p.soon = p.capacity;
     if (p.usable) {
-      p.images.reserve(m->images.size() + 1);
-      for (const auto& image : m->images) p.images.push_back({image.id, image.gb, image.cached});
+      p.images.reserve(static_cast<std::size_t>(std::ranges::distance(m->images)) + 1);
+      for (const auto& image : m->images) p.images.push_back({image.id, image.gb, image.fetched});
     }
     for (const auto& t : record.tasks) {
       if (m && m->session.outcomes.contains(t.id)) continue;
--- a/src/policy/policy_loop.cpp
+++ b/src/policy/policy_loop.cpp
@@ -159,7 +159,7 @@
     auto zone = zones.try_emplace(record.zone, static_cast<std::uint32_t>(zones.size())).first;
     CoverageMachine c{zone->second, record.spot ? 0.0 : 1.0, {}};
     for (const auto& image : m->images) {
-      if (image.cached) c.images.insert(image.id);
+      if (image.fetched) c.images.insert(image.id);
     }
     std::map<std::pair<std::uint32_t, double>, std::uint32_t> here;
     for (const auto& t : record.tasks) {
@@ -209,8 +209,8 @@
       };
       for (const auto& [id, m] : fleet_.machines()) {
         if (!fleet_.usable(m, now)) continue;
-        bool holds = std::any_of(m.images.begin(), m.images.end(), [&](const Machine::Image& i) {
-          bool it = i.cached && context_.replica.imageNumber(image) == i.id;
+        bool holds = std::any_of(m.images.begin(), m.images.end(), [&](const CachedImage& i) {
+          bool it = i.fetched && context_.replica.imageNumber(image) == i.id;
           if (it) warm.gb = i.gb;
           return it;
         });
