--- a/src/cloud/termination_loop.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -8,60 +8,95 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kRetry{1000};
-}  // namespace
 
-// First the mark that a machine gets no more work; after the cloud's 200, and once its tasks are
-// off the record, the end of its entry. One write for all machines of a rental.
-LoopStep TerminationLoop::next() {
-  std::map<RentalId, RentalRecord> drafts;
-  std::vector<MachineId> ended;
-  std::size_t marked = 0;
-  auto draftOf = [&](const RentalId& id) -> RentalRecord* {
+// The rental records that one commit changes: one write for all machines of a rental.
+class RentalDrafts {
+ public:
+  explicit RentalDrafts(const LeaderContext& context) : context_(context) {}
+
+  // Null if there is no such record, or no room for one more in the transaction.
+  RentalRecord* find(const RentalId& id) {
     auto rental = context_.replica.rentals().find(id);
     if (rental == context_.replica.rentals().end()) return nullptr;
-    if (!drafts.contains(id) && drafts.size() >= context_.platform.transactionOps) return nullptr;
-    return &drafts.try_emplace(id, rental->second).first->second;
-  };
-  for (const auto& id : terminated_) {
-    const auto* state = context_.replica.machine(id);
+    if (!drafts_.contains(id) && drafts_.size() >= context_.platform.transactionOps) return nullptr;
+    return &drafts_.try_emplace(id, rental->second).first->second;
+  }
+  bool empty() const { return drafts_.empty(); }
+  void addTo(Transaction& transaction) const {
+    for (const auto& [id, draft] : drafts_) {
+      std::string key = keys::rental(id);
+      transaction.compares.push_back({key, context_.replica.modRevisionOf(key)});
+      transaction.writes.push_back(
+          {key, draft.machines.empty() ? std::nullopt : std::optional(toJson(draft)),
+           std::nullopt});
+    }
+  }
+
+ private:
+  const LeaderContext& context_;
+  std::map<RentalId, RentalRecord> drafts_;
+};
+
+// Removes terminated machines whose tasks are off the record. Returns those that have no entry now.
+std::vector<MachineId> removeTerminated(const LeaderContext& context,
+                                        const std::set<MachineId>& terminated,
+                                        RentalDrafts& drafts) {
+  std::vector<MachineId> removed;
+  for (const auto& id : terminated) {
+    const auto* state = context.replica.machine(id);
     if (!state) {
-      ended.push_back(id);
+      removed.push_back(id);
     } else if (state->tasks.empty()) {
-      if (auto* draft = draftOf(state->rental)) {
-        std::erase_if(draft->machines, [&](const auto& m) { return m.id == id; });
-        ended.push_back(id);
+      if (auto* draft = drafts.find(state->rental)) {
+        std::erase_if(draft->machines, [&](const auto& machine) { return machine.id == id; });
+        removed.push_back(id);
       }
     }
   }
-  for (const auto& id : fleet_.terminating()) {
-    const auto* state = context_.replica.machine(id);
-    if (!state || state->draining || terminated_.contains(id)) continue;
-    if (auto* draft = draftOf(state->rental)) {
-      for (auto& m : draft->machines) m.draining = m.draining || m.id == id;
+  return removed;
+}
+
+// Marks machines as draining, so that they get no more work. Returns how many.
+std::size_t markDraining(const LeaderContext& context, const Fleet& fleet,
+                         const std::set<MachineId>& terminated, RentalDrafts& drafts) {
+  std::size_t marked = 0;
+  for (const auto& id : fleet.terminating()) {
+    const auto* state = context.replica.machine(id);
+    if (!state || state->draining || terminated.contains(id)) continue;
+    if (auto* draft = drafts.find(state->rental)) {
+      for (auto& machine : draft->machines) {
+        machine.draining = machine.draining || machine.id == id;
+      }
       ++marked;
     }
   }
-  auto settle = [this, ended] {
-    for (const auto& id : ended) terminated_.erase(id);
+  return marked;
+}
+
+}  // namespace
+
+// A machine is first marked as draining; after the cloud's 200, and once its tasks are off the
+// record, its entry is removed.
+LoopStep TerminationLoop::next() {
+  RentalDrafts drafts(context_);
+  std::vector<MachineId> removed = removeTerminated(context_, terminated_, drafts);
+  const std::size_t marked = markDraining(context_, fleet_, terminated_, drafts);
+  auto forget = [this, removed] {
+    for (const auto& id : removed) terminated_.erase(id);
   };
   if (drafts.empty()) {
-    settle();
+    forget();
     return LoopStep::idle();
   }
-  Transaction t = context_.begin();
-  for (const auto& [id, draft] : drafts) {
-    std::string key = keys::rental(id);
-    t.compares.push_back({key, context_.replica.modRevisionOf(key)});
-    t.writes.push_back(
-        {key, draft.machines.empty() ? std::nullopt : std::optional(toJson(draft)), std::nullopt});
-  }
+  Transaction transaction = context_.begin();
+  drafts.addTo(transaction);
   return LoopStep::committing(Commit{
-      std::move(t),
-      [this, settle] {
-        settle();
+      std::move(transaction),
+      [this, forget] {
+        forget();
         start();
       },
-      std::to_string(marked) + " machines leaving, " + std::to_string(ended.size()) + " gone"});
+      std::to_string(marked) + " machines leaving, " + std::to_string(removed.size()) + " gone"});
 }
 
 // Asks for the release of machines whose mark is on record. The answer 200 is the one fence for
