--- a/src/placement/plan_input_builder.cpp
+++ b/src/placement/plan_input_builder.cpp
@@ -1,6 +1,7 @@
 #include "placement/plan_input_builder.hpp"
 
 #include <algorithm>
+#include <iterator>
 
 namespace kestrelhoist {
 namespace {
@@ -167,9 +168,9 @@
   }
   result.free = result.soon = result.capacity;
   if (result.usable) {
-    result.images.reserve(machine->images.size() + 1);
+    result.images.reserve(static_cast<std::size_t>(std::ranges::distance(machine->images)) + 1);
     for (const auto& image : machine->images) {
-      result.images.push_back({image.id, image.gb, image.cached});
+      result.images.push_back({image.id, image.gb, image.fetched});
     }
   }
   return result;
