--- a/cli/commands.hpp
+++ b/cli/commands.hpp
@@ -1,4 +1,5 @@
-// What hoist's subcommands do.
+/// \file
+/// What hoist's subcommands do.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -32,13 +33,13 @@
 };
 
 int plan(const Options& options);
-// From the settings file, the environment and the command line.
+/// From the settings file, the environment and the command line.
 ClientSettings clientSettings(const Options& options);
-// Prints why a call failed; the exit code.
+/// Prints why a call failed; the exit code.
 int told(const client::Error& error, bool json);
 int printCompletion(const CLI::App& app);
 
-// A conversation with the service: one call after the other on an event loop of its own.
+/// A conversation with the service: one call after the other on an event loop of its own.
 class Session {
  public:
   explicit Session(const Options& options);
@@ -52,7 +53,7 @@
   int list();
   int why(const std::string& job);
   int replan();
-  // The policy, at the address at which controllers speak to each other. `file` empty: cleared.
+  /// The policy, at the address at which controllers speak to each other. `file` empty: cleared.
   int policySet(const std::string& file, std::optional<std::uint64_t> base, bool check);
   int policyShow(bool history);
   int pools();
@@ -61,10 +62,10 @@
  private:
   FlowClient::Result wait(const std::function<void(FlowClient::Done)>& call);
   FlowClient::Result get(const std::string& path);
-  int ended(const FlowClient::Result& r) const;  // prints why not; the exit code
+  int ended(const FlowClient::Result& r) const;  ///< prints why not; the exit code
   int follow(const FlowId& id);
   FlowOrder order(const PlannedFile& file) const;
-  // Copies sources and rule files to where the flow's machines find them.
+  /// Copies sources and rule files to where the flow's machines find them.
   void stage(const PlannedFile& file, const FlowId& id, const Options& options) const;
   std::string directoryOf(const FlowId& id) const;
   void print(const Json& value, const std::string& text) const;
--- a/cli/job_commands.hpp
+++ b/cli/job_commands.hpp
@@ -1,4 +1,5 @@
-// hoist's commands about jobs and keys, on the client library.
+/// \file
+/// hoist's commands about jobs and keys, on the client library.
 #pragma once
 
 #include "client/src/settings.hpp"
@@ -13,16 +14,16 @@
 
   client::Job job;
   std::string shape = "array", priority = "best_effort";
-  std::string batch;                 // idempotency key
-  std::string id;                    // chosen by the user
-  std::vector<std::string> command;  // what each task runs
-  std::string directory;             // below the member's files
+  std::string batch;                 ///< idempotency key
+  std::string id;                    ///< chosen by the user
+  std::vector<std::string> command;  ///< what each task runs
+  std::string directory;             ///< below the member's files
   bool wait = false;
 
   std::vector<std::string> ids;
   std::string phase, since;
   std::size_t limit = 100;
-  bool all = false;  // every page
+  bool all = false;  ///< every page
 
   std::uint32_t task = 0;
   bool follow = false;
--- a/cli/job_main.hpp
+++ b/cli/job_main.hpp
@@ -1,4 +1,5 @@
-// The command lines of `hoist job` and of hoist-admin.
+/// \file
+/// The command lines of `hoist job` and of hoist-admin.
 #pragma once
 
 #include "cli/commands.hpp"
@@ -6,11 +7,11 @@
 
 namespace kestrelhoist::hoist {
 
-// `hoist job ...`, as subcommands of an application.
+/// `hoist job ...`, as subcommands of an application.
 class JobCommands {
  public:
   explicit JobCommands(CLI::App& app);
-  // The exit code, if one of them was given.
+  /// The exit code, if one of them was given.
   std::optional<int> run(const Options& common);
 
  private:
--- a/client/src/caller.hpp
+++ b/client/src/caller.hpp
@@ -1,6 +1,7 @@
-// One request to the service, asked again until there is an answer that ends it, or the time is
-// over. Everything that the client sends goes through here: routing, retries, their budget, hedged
-// reads, and what an outcome is called. Callbacks come on the event loop.
+/// \file
+/// One request to the service, asked again until there is an answer that ends it, or the time is
+/// over. Everything that the client sends goes through here: routing, retries, their budget, hedged
+/// reads, and what an outcome is called. Callbacks come on the event loop.
 #pragma once
 
 #include <functional>
@@ -20,21 +21,21 @@
   std::string agent = "client";
 };
 
-// An answer that ended a call: 200 or 201.
+/// An answer that ended a call: 200 or 201.
 struct Answer {
   int status{};
   Json body = Json::object();
-  bool first{};  // it came to the only request that was sent
+  bool first{};  ///< it came to the only request that was sent
 };
 
-// What a call is for: how it may be repeated, and what no answer means.
+/// What a call is for: how it may be repeated, and what no answer means.
 struct Ask {
   Request request;
-  std::string tried;   // for people
-  Duration within{};   // all tries together
-  bool changes{};      // carried out or not, if there is no answer
-  Duration oneTry{0};  // 0: what a user waits for an answer (PROTOCOL)
-  bool held{};         // the service may take its time: not hedged
+  std::string tried;   ///< for people
+  Duration within{};   ///< all tries together
+  bool changes{};      ///< carried out or not, if there is no answer
+  Duration oneTry{0};  ///< 0: what a user waits for an answer (PROTOCOL)
+  bool held{};         ///< the service may take its time: not hedged
 };
 
 class Caller {
@@ -46,12 +47,12 @@
   Caller(const Caller&) = delete;
   Caller& operator=(const Caller&) = delete;
 
-  // `done` is called once, never from within this call. The handle ends the call early: `done` is
-  // then called with the kind `cancelled`.
+  /// `done` is called once, never from within this call. The handle ends the call early: `done` is
+  /// then called with the kind `cancelled`.
   using Handle = std::function<void()>;
   Handle call(Ask ask, Done done);
 
-  // Of all calls so far.
+  /// Of all calls so far.
   struct Counts {
     std::uint64_t calls{}, requests{}, retries{}, hedges{};
   };
@@ -68,7 +69,7 @@
                std::optional<Response> reply);
   void again(const std::shared_ptr<Call>& call, Duration pause);
   void finish(const std::shared_ptr<Call>& call, Result<Answer> result);
-  // Why nothing came of it, when the time is over or it was given up.
+  /// Why nothing came of it, when the time is over or it was given up.
   Error outOfTime(const Call& call) const;
   Error errorOf(const Call& call, ErrorKind kind, const std::string& why) const;
 
@@ -80,7 +81,7 @@
   RateBudget budget_;
   Counts counts_;
   std::uint64_t lastId_ = 0;
-  std::set<std::shared_ptr<Call>> open_;  // each until it has ended, whatever it waits for
+  std::set<std::shared_ptr<Call>> open_;  ///< each until it has ended, whatever it waits for
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/client/src/flow_client.hpp
+++ b/client/src/flow_client.hpp
@@ -1,5 +1,6 @@
-// Flows on a user's behalf. Callbacks come on the event loop. Every request may be repeated: ids
-// and versions are chosen by the client, so nothing is begun twice.
+/// \file
+/// Flows on a user's behalf. Callbacks come on the event loop. Every request may be repeated: ids
+/// and versions are chosen by the client, so nothing is begun twice.
 #pragma once
 
 #include <functional>
@@ -10,7 +11,7 @@
 
 namespace kestrelhoist {
 
-// Whose flow it is and how it is to be run.
+/// Whose flow it is and how it is to be run.
 struct FlowOrder {
   FlowId id;
   std::string team, member, name;
@@ -25,10 +26,10 @@
   using Done = client::Caller::Done;
   explicit FlowClient(client::Caller& caller) : caller_(caller) {}
 
-  // `within`: for how long it is tried.
+  /// `within`: for how long it is tried.
   void call(Request request, Duration within, Done done);
-  // Hands over a version: base 0 begins the flow, otherwise it is changed from version `base`.
-  // `within`: for how long each of its steps is tried.
+  /// Hands over a version: base 0 begins the flow, otherwise it is changed from version `base`.
+  /// `within`: for how long each of its steps is tried.
   void submit(const FlowOrder& order, const rules::Bundle& bundle, std::uint64_t base,
               Duration within, Done done);
   void status(const FlowId& id, Duration within, Done done) {
@@ -40,7 +41,7 @@
   void cancel(const FlowId& id, Duration within, Done done) {
     call({"POST", "/v2/flows/" + id.value + "/cancel", ""}, within, std::move(done));
   }
-  // 53 bits, so that two are never the same.
+  /// 53 bits, so that two are never the same.
   FlowId drawId();
 
  private:
--- a/client/src/job_calls.hpp
+++ b/client/src/job_calls.hpp
@@ -1,5 +1,6 @@
-// Calls of more than one request: who asks, submissions that can't become two jobs, keys. On one
-// event loop; the public client runs them on its thread, tests in virtual time.
+/// \file
+/// Calls of more than one request: who asks, submissions that can't become two jobs, keys. On one
+/// event loop; the public client runs them on its thread, tests in virtual time.
 #pragma once
 
 #include "client/src/caller.hpp"
@@ -8,10 +9,10 @@
 
 namespace kestrelhoist::client {
 
-// A call of several requests, one after the other, that can be given up.
+/// A call of several requests, one after the other, that can be given up.
 class Steps {
  public:
-  // The request under way, or, once given up, none any more.
+  /// The request under way, or, once given up, none any more.
   void now(const Caller::Handle& handle) {
     current_ = handle;
     if (stopped_ && current_) current_();
@@ -33,16 +34,16 @@
   template <class T>
   using Done = std::function<void(Result<T>)>;
 
-  // `team`: of those who come without a key.
+  /// `team`: of those who come without a key.
   JobCalls(Caller& caller, std::string team, bool hasKey)
       : caller_(caller), team_(std::move(team)), hasKey_(hasKey) {}
 
-  // `key`: of idempotency; `id`: chosen by the caller; both empty: drawn.
+  /// `key`: of idempotency; `id`: chosen by the caller; both empty: drawn.
   StepsPtr submit(Job job, const std::string& key, const std::string& id, Duration within,
                   Done<JobState> done);
   StepsPtr get(const std::string& id, Duration within, Done<JobState> done);
   StepsPtr cancel(const std::string& id, Duration within, Done<JobState> done);
-  // `wait`: how long the service may hold an empty answer open.
+  /// `wait`: how long the service may hold an empty answer open.
   StepsPtr list(const JobQuery& query, Duration wait, Duration within, Done<JobPage> done);
   StepsPtr whoAmI(Duration within, Done<Identity> done);
   StepsPtr idFor(const std::string& key, Duration within, Done<std::string> done);
@@ -54,13 +55,13 @@
   StepsPtr revokeKey(const std::string& id, Duration after, Duration within, Done<KeyInfo> done);
   StepsPtr rotateKey(const std::string& id, Duration grace, Duration within, Done<KeyInfo> done);
 
-  // Whether the service has members and this client a key: lists and watches are to be had.
+  /// Whether the service has members and this client a key: lists and watches are to be had.
   bool hasMembers() const { return hasKey_ && !noMembers_; }
   Caller& caller() { return caller_; }
 
  private:
   struct Submitting;
-  // Who asks: told by the service once, or by the settings where it has no members.
+  /// Who asks: told by the service once, or by the settings where it has no members.
   void identity(const StepsPtr& steps, Duration within, Done<Identity> done);
   void send(const std::shared_ptr<Submitting>& s);
   void accepted(const std::shared_ptr<Submitting>& s, const Answer& answer, const JobState& state);
--- a/client/src/job_codec.hpp
+++ b/client/src/job_codec.hpp
@@ -1,4 +1,5 @@
-// Jobs in the service's words: bodies of requests and answers (PROTOCOL, docs/members.md).
+/// \file
+/// Jobs in the service's words: bodies of requests and answers (PROTOCOL, docs/members.md).
 #pragma once
 
 #include "base/runtime.hpp"
@@ -8,13 +9,13 @@
 namespace kestrelhoist::client {
 
 Json toBody(const Job& job, const std::string& id);
-// What the service will say of the same description; empty if it would not accept it.
+/// What the service will say of the same description; empty if it would not accept it.
 std::string digestFor(const Job& job);
 std::optional<JobState> jobStateFrom(const Json& body);
 std::optional<JobPage> jobPageFrom(const Json& body);
 std::optional<Identity> identityFrom(const Json& body);
 std::optional<KeyInfo> keyInfoFrom(const Json& body);
-// The query of a list or a watch.
+/// The query of a list or a watch.
 std::string queryOf(const JobQuery& query, Duration wait);
 
 }  // namespace kestrelhoist::client
--- a/simulator/host/link_proxy.hpp
+++ b/simulator/host/link_proxy.hpp
@@ -1,6 +1,7 @@
-// One link of a controller, on loopback: passes bytes on between whoever connects and one address,
-// and can be cut. Held, what is under way waits and nothing fails; reset, connections break and new
-// ones are closed at once.
+/// \file
+/// One link of a controller, on loopback: passes bytes on between whoever connects and one address,
+/// and can be cut. Held, what is under way waits and nothing fails; reset, connections break and
+/// new ones are closed at once.
 #pragma once
 
 #include <list>
@@ -19,7 +20,7 @@
  public:
   enum class Mode { up, hold, reset };
 
-  // Listens on a free port of 127.0.0.1. Throws std::runtime_error if there is none.
+  /// Listens on a free port of 127.0.0.1. Throws std::runtime_error if there is none.
   LinkProxy(EventLoop& loop, std::string name, const std::string& target);
   ~LinkProxy();
   LinkProxy(const LinkProxy&) = delete;
--- a/simulator/host/process_tasks.hpp
+++ b/simulator/host/process_tasks.hpp
@@ -1,5 +1,6 @@
-// Tasks as real processes: what to run is asked from the controllers (a flow's task) or read from
-// the depot (a user's job), and runs in a directory of its team, member and flow.
+/// \file
+/// Tasks as real processes: what to run is asked from the controllers (a flow's task) or read from
+/// the depot (a user's job), and runs in a directory of its team, member and flow.
 #pragma once
 
 #include <sys/types.h>
@@ -15,10 +16,10 @@
 namespace kestrelhoist::simulator {
 
 struct ProcessSettings {
-  std::string files;                 // root of the files that all machines share
-  std::string depot;                 // descriptions of users' jobs: <ref>.json
-  std::vector<std::string> servers;  // controllers, as tasks are told of them
-  std::string hoist;                 // the users' command, for tasks that need it
+  std::string files;                 ///< root of the files that all machines share
+  std::string depot;                 ///< descriptions of users' jobs: <ref>.json
+  std::vector<std::string> servers;  ///< controllers, as tasks are told of them
+  std::string hoist;                 ///< the users' command, for tasks that need it
 };
 
 class ProcessTasks : public TaskHost {
@@ -32,11 +33,11 @@
   void save(Worker& worker, const Worker::Task& task) override;
   void end(Worker& worker, const Worker::Task& task) override;
 
-  std::function<void()> onBegin;  // after each start
+  std::function<void()> onBegin;  ///< after each start
   std::size_t begun() const { return begun_; }
 
  private:
-  using Key = std::pair<std::string, std::uint64_t>;  // machine and life
+  using Key = std::pair<std::string, std::uint64_t>;  ///< machine and life
   struct Known {
     rules::PlannedInstance instance;
     std::string directory, log;
@@ -63,7 +64,7 @@
   std::map<Key, Known> known_;
   std::map<pid_t, Running> running_;
   std::size_t begun_ = 0;
-  std::size_t next_ = 0;  // server to ask
+  std::size_t next_ = 0;  ///< server to ask
 };
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/model/simulated_region.hpp
+++ b/simulator/model/simulated_region.hpp
@@ -1,6 +1,7 @@
-// One model of the region: state service, cloud and workers, written from PROTOCOL. Used in
-// virtual time by the scenarios and over sockets by hoist-region. What tasks are and how they run
-// is the TaskHost's, so that the same workers run made-up tasks or real processes.
+/// \file
+/// One model of the region: state service, cloud and workers, written from PROTOCOL. Used in
+/// virtual time by the scenarios and over sockets by hoist-region. What tasks are and how they run
+/// is the TaskHost's, so that the same workers run made-up tasks or real processes.
 #pragma once
 
 #include <map>
@@ -13,24 +14,24 @@
 
 struct RegionSettings {
   std::vector<std::string> zones{"a", "b", "c"};
-  std::vector<std::string> nodes;       // addresses at which workers report
-  double cpus = 8, gpus = 8, ram = 64;  // of the one machine type
+  std::vector<std::string> nodes;       ///< addresses at which workers report
+  double cpus = 8, gpus = 8, ram = 64;  ///< of the one machine type
   double bootS = 20;
   double fetchS = 2;
   int ordinaryPerZone = 4, spotPerZone = 4;
   double reportS = 1, leaseS = 11;
   double listLagS = 3;
   double bootFail = 0;
-  double failedAfterS = 0;  // a machine that has died is listed as failed then; 0: never
-  double soon = 0;          // share of machines that are up within 0.2 to 2 s
+  double failedAfterS = 0;  ///< a machine that has died is listed as failed then; 0: never
+  double soon = 0;          ///< share of machines that are up within 0.2 to 2 s
 };
 
-// What one task takes; the rest is known to its TaskHost.
+/// What one task takes; the rest is known to its TaskHost.
 struct TaskNeeds {
   double cpus{}, gpus{};
-  bool saves{};            // takes a checkpoint when it is stopped with time to do so
-  std::string image = {};  // kept on the machine once it was fetched; empty: fetched each time
-  double gb = 1;           // of it, fetchS each
+  bool saves{};            ///< takes a checkpoint when it is stopped with time to do so
+  std::string image = {};  ///< kept on the machine once it was fetched; empty: fetched each time
+  double gb = 1;           ///< of it, fetchS each
 };
 
 class SimulatedRegion;
@@ -44,9 +45,9 @@
   void die();
   void hang(std::int64_t ms);
   void notice(std::int64_t ms);
-  // Hangs beyond its lease: its tasks end before it does anything else.
+  /// Hangs beyond its lease: its tasks end before it does anything else.
   bool leaseOver() const;
-  // Neither hangs nor is about to be taken.
+  /// Neither hangs nor is about to be taken.
   bool takesWork() const { return !gone && !frozen() && noticeEnds_ == 0; }
   bool gone = false;
   std::int64_t goneAt = -1;
@@ -60,16 +61,16 @@
     std::string state, cause;
     std::int64_t startedAt{};
     std::int64_t ranMs = -1;
-    std::uint64_t life{};  // guards its timers
+    std::uint64_t life{};  ///< guards its timers
     TaskNeeds needs;
-    bool known{};  // its description has come
+    bool known{};  ///< its description has come
     bool kept{};
   };
-  // On its machine: has its image and has not exited.
+  /// On its machine: has its image and has not exited.
   static bool on(const Task& t) { return t.state == "running" || t.state == "flushing"; }
   std::vector<Task> tasks;
 
-  // From the TaskHost: a running task has ended by itself, or has saved.
+  /// From the TaskHost: a running task has ended by itself, or has saved.
   void exited(std::uint64_t life, const std::string& cause);
   Task* byLife(std::uint64_t life);
   void whenAwake(std::function<void()> f);
@@ -98,18 +99,18 @@
   std::set<std::string> cached_;
 };
 
-// What tasks are.
+/// What tasks are.
 class TaskHost {
  public:
   virtual ~TaskHost() = default;
-  // Calls back once, at once or later; empty: there is no such task.
+  /// Calls back once, at once or later; empty: there is no such task.
   virtual void describe(Worker& worker, const Worker::Task& task,
                         std::function<void(std::optional<TaskNeeds>)> done) = 0;
-  // It has its image: runs until Worker::exited is called or it is ended.
+  /// It has its image: runs until Worker::exited is called or it is ended.
   virtual void begin(Worker& worker, const Worker::Task& task) = 0;
-  // Is to save; calls Worker::exited with "halted" when it has.
+  /// Is to save; calls Worker::exited with "halted" when it has.
   virtual void save(Worker& worker, const Worker::Task& task) = 0;
-  // Ends it now, whatever it does.
+  /// Ends it now, whatever it does.
   virtual void end(Worker& worker, const Worker::Task& task) = 0;
 };
 
@@ -123,7 +124,7 @@
   bool isRented(const std::string& host) const;
   std::vector<std::string> rentedMachines() const;
   void setCapacity(bool spot, int perZone);
-  // Rented so far, all machines together.
+  /// Rented so far, all machines together.
   double machineSeconds() const;
   Response cloud(const Request& q);
 
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -47,61 +47,61 @@
   const MemberVersions& versions() const { return versions_; }
 
  private:
-  // controller.cpp
+  /// controller.cpp
   void enableMembers(const std::string& incarnation);
   void onTimer();
   void trackUnreachableLeader(Instant now);
   void expireWorkers(Instant now);
   void onRecordsChanged();
 
-  // controller_leadership.cpp
+  /// controller_leadership.cpp
   void runElection();
   bool defersCandidacy(const Election::View& view);
-  // How long the candidacy is deferred in favour of controllers that receive heartbeats.
+  /// How long the candidacy is deferred in favour of controllers that receive heartbeats.
   Duration candidacyDelay() const;
   void claimLeadership();
   void renewLeadership();
   void beginLeadership();
   void startLeader();
-  // Asks peers for the acknowledgement times of workers that this new leader has not heard from.
+  /// Asks peers for the acknowledgement times of workers that this new leader has not heard from.
   void requestAckTimesFromPeers();
   void stepDown(const std::string& why, bool dropLease, Duration backOff);
   void watchLeadership();
   void watchWorkers();
-  // Until when worker leases may be renewed; empty if not at all. Checked for every 200 to a
-  // worker.
+  /// Until when worker leases may be renewed; empty if not at all. Checked for every 200 to a
+  /// worker.
   std::optional<Instant> renewUntil() const;
   bool mayRenew() const;
-  // How many machines have reported to this leader.
+  /// How many machines have reported to this leader.
   std::size_t reportingMachines() const;
 
-  // controller_user_api.cpp
+  /// controller_user_api.cpp
   void onUserRequest(const std::string& path, const Request& request, const Respond& respond,
                      bool secure);
   bool isUserPath(const std::string& path) const;
   void forwardToPeer(const MemberId& peer, const Request& request, const Respond& respond);
-  // Answers a user's request from this node's own records; false if the path is not a user path.
+  /// Answers a user's request from this node's own records; false if the path is not a user path.
   bool answerUser(const Request& request, const Respond& respond, bool hold);
-  // Wraps a response callback so that it adds the leader's explanation of why tasks wait.
+  /// Wraps a response callback so that it adds the leader's explanation of why tasks wait.
   Respond withReasons(const Respond& respond);
   Response ready();
 
-  // controller_heartbeats.cpp
+  /// controller_heartbeats.cpp
   void onHeartbeat(const Request& request, const Respond& respond);
   Instant noteHeartbeat(const Report& report);
   HeartbeatView heartbeatView(const Report& report) const;
   void addUnreachableLeader(const Report& report, HeartbeatView& v) const;
-  // Answers as the leader. `via` is the peer that forwarded the heartbeat.
+  /// Answers as the leader. `via` is the peer that forwarded the heartbeat.
   Response serveReport(const Report& report, const std::optional<MemberId>& via);
   Response answerUnforwarded(const Report& report);
   Response answerLocally(const Report& report, const Route& route);
   Response leaseOnlyResponse(const Report& report) const;
   Response redirect(const Report& report, const std::optional<MemberId>& to);
 
-  // controller_peer_api.cpp
+  /// controller_peer_api.cpp
   bool onMeshService(const Request& request, const Respond& respond);
   PeerStatus status() const;
-  // The median time of day of this controller and its peers, in milliseconds since 1970.
+  /// The median time of day of this controller and its peers, in milliseconds since 1970.
   std::int64_t timeOfDay() const;
 
   Runtime& runtime_;
@@ -127,19 +127,19 @@
   JobService jobs_;
   FlowService flows_;
   PolicyService policy_;
-  std::unique_ptr<Metrics> metrics_;        // null if members are disabled
-  std::unique_ptr<MemberService> members_;  // null if members are disabled
+  std::unique_ptr<Metrics> metrics_;        ///< null if members are disabled
+  std::unique_ptr<MemberService> members_;  ///< null if members are disabled
   Instant lastTimer_{};
   Instant expiredAt_{};
   Election election_;
   std::unique_ptr<Leader> leader_;
   bool beginningLeadership_ = false;
-  FencingToken lastToken_;       // of the newest known leader
-  Instant lastWorker_{};         // last heartbeat from any worker
-  Instant lastForeignWorker_{};  // last heartbeat from a worker of another zone
-  Instant lastPeer_{};           // last time that any peer was reachable
+  FencingToken lastToken_;       ///< of the newest known leader
+  Instant lastWorker_{};         ///< last heartbeat from any worker
+  Instant lastForeignWorker_{};  ///< last heartbeat from a worker of another zone
+  Instant lastPeer_{};           ///< last time that any peer was reachable
   RedirectCanary canary_;
-  std::map<MachineId, Instant> redirectedAt_;  // when each worker was last redirected
+  std::map<MachineId, Instant> redirectedAt_;  ///< when each worker was last redirected
   std::optional<Instant> leaderUnreachableSince_;
   Instant started_{};
   std::optional<Instant> leaderMissingSince_;
--- a/src/app/controller_constants.hpp
+++ b/src/app/controller_constants.hpp
@@ -5,16 +5,16 @@
 
 namespace kestrelhoist {
 
-// How often the records are read.
+/// How often the records are read.
 inline constexpr Duration kFollowerRead{500};
 inline constexpr Duration kLeaderRead{250};
 inline constexpr Duration kStoreTimeout{1000};
 inline constexpr Duration kStoreSilent{
     2000};  // without contact for so long, the service counts as unreachable
-// Of the leader's lease.
+/// Of the leader's lease.
 inline constexpr Duration kLeaseLife{3000};
 inline constexpr Duration kLeaseRenew{700};
-inline constexpr Duration kPeerPresence{2000};    // a peer with a status this recent is reachable
-inline constexpr Duration kForwardTimeout{1800};  // of requests forwarded to a peer
+inline constexpr Duration kPeerPresence{2000};    ///< a peer with a status this recent is reachable
+inline constexpr Duration kForwardTimeout{1800};  ///< of requests forwarded to a peer
 
 }  // namespace kestrelhoist
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -31,7 +31,7 @@
 
  private:
   void connectLoops();
-  // Reads what the previous leader stored with the forecast.
+  /// Reads what the previous leader stored with the forecast.
   void restoreSuspectedZones(const Json& forecast);
   void restoreFailureAttribution(const Json& forecast);
   void detectFailures(Instant now);
@@ -61,11 +61,11 @@
   ForecastLoop forecast_;
   FlowLoop flows_;
   PolicyLoop policy_;
-  std::vector<ControlLoop*> loops_;  // in the order in which they take turns
+  std::vector<ControlLoop*> loops_;  ///< in the order in which they take turns
   RateBudget writes_;
-  bool stepUnderWay_ = false;  // a commit or an asynchronous step is under way
+  bool stepUnderWay_ = false;  ///< a commit or an asynchronous step is under way
   bool cycleScheduled_ = false;
-  std::size_t nextLoop_ = 0;  // index of the loop that comes first in the next cycle
+  std::size_t nextLoop_ = 0;  ///< index of the loop that comes first in the next cycle
   std::int64_t timerCount_ = 0;
 };
 
--- a/src/app/servers.hpp
+++ b/src/app/servers.hpp
@@ -23,7 +23,7 @@
   void secureMesh(TlsFiles files);
   void serveMetrics(int portOffset);
   void closeIdleConnections();
-  // Reloads changed certificates every two seconds.
+  /// Reloads changed certificates every two seconds.
   void watchCertificates();
 
   EventLoop& loop_;
--- a/src/base/event_loop.hpp
+++ b/src/base/event_loop.hpp
@@ -1,4 +1,5 @@
-// The one I/O thread: libevent's loop. HTTP on it is in base/http.hpp.
+/// \file
+/// The one I/O thread: libevent's loop. HTTP on it is in base/http.hpp.
 #pragma once
 
 #include <event2/event.h>
@@ -24,12 +25,12 @@
   std::int64_t wallMillis() override;
   void after(Duration delay, std::function<void()> f) override;
 
-  // From any thread: runs `f` on the loop's thread.
+  /// From any thread: runs `f` on the loop's thread.
   void post(std::function<void()> f);
   void run();
   void stop();
   event_base* base() { return base_; }
-  // Calls `f`; exceptions stop at the event loop's edge: logged, the process goes on.
+  /// Calls `f`; exceptions stop at the event loop's edge: logged, the process goes on.
   static void guarded(const char* where, const std::function<void()>& f);
 
  private:
--- a/src/base/guarded.hpp
+++ b/src/base/guarded.hpp
@@ -1,4 +1,5 @@
-// Shared state behind a short lock: no I/O and no callback while it is held.
+/// \file
+/// Shared state behind a short lock: no I/O and no callback while it is held.
 #pragma once
 
 #include <mutex>
--- a/src/base/interned.hpp
+++ b/src/base/interned.hpp
@@ -1,4 +1,5 @@
-// Small numbers for names that repeat, so that hot paths compare numbers. For one process only.
+/// \file
+/// Small numbers for names that repeat, so that hot paths compare numbers. For one process only.
 #pragma once
 
 #include <cstdint>
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,5 @@
-// Logs: an event's name and keys with values, one line each, to standard error.
+/// \file
+/// Logs: an event's name and keys with values, one line each, to standard error.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -12,11 +13,11 @@
 
 enum class LogFormat { text, json };
 
-// The level comes from LOG_LEVEL (error, info, debug). False if it is unknown (info is used then).
+/// The level comes from LOG_LEVEL (error, info, debug). False if it is unknown (info is used then).
 bool setupLogging(const std::string& member, LogFormat format = LogFormat::text);
 
 namespace log_detail {
-// One line being put together, in the form that was set up.
+/// One line being put together, in the form that was set up.
 class Line {
  public:
   explicit Line(std::string_view event);
@@ -66,8 +67,8 @@
 }
 }  // namespace log_detail
 
-// logInfo("job accepted", "job", id, "tasks", n). Durations are milliseconds. Never a key's secret,
-// and of a member's job only the name that the service gave it.
+/// logInfo("job accepted", "job", id, "tasks", n). Durations are milliseconds. Never a key's
+/// secret, and of a member's job only the name that the service gave it.
 template <class... Fields>
 void logInfo(std::string_view event, const Fields&... fields) {
   log_detail::write(spdlog::level::info, event, fields...);
--- a/src/base/rate.hpp
+++ b/src/base/rate.hpp
@@ -1,4 +1,5 @@
-// A token bucket, so that our side paces itself instead of running into 429.
+/// \file
+/// A token bucket, so that our side paces itself instead of running into 429.
 #pragma once
 
 #include <algorithm>
@@ -19,13 +20,13 @@
     return true;
   }
 
-  // Takes it in any case; what is not there is a debt.
+  /// Takes it in any case; what is not there is a debt.
   void charge(Instant now, double amount) {
     refill(now);
     level_ -= amount;
   }
 
-  // Time until `amount` can be taken.
+  /// Time until `amount` can be taken.
   Duration waitFor(Instant now, double amount) {
     refill(now);
     double missing = std::min(amount, burst_) - level_;
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -1,4 +1,5 @@
-// Small types of their own for ids, versions and times.
+/// \file
+/// Small types of their own for ids, versions and times.
 #pragma once
 
 #include <chrono>
@@ -37,18 +38,18 @@
 using ImageId = Name<struct ImageIdTag>;
 using RentalId = Name<struct RentalIdTag>;
 
-using Revision = Number<struct RevisionTag>;  // the state service's counter; a key's version
+using Revision = Number<struct RevisionTag>;  ///< the state service's counter; a key's version
 using FencingToken =
-    Number<struct FencingTokenTag>;  // stamp of the leader key: who may command workers
+    Number<struct FencingTokenTag>;  ///< stamp of the leader key: who may command workers
 using LeaseId = Number<struct LeaseIdTag>;
 using Attempt = Number<struct AttemptTag>;
-using WorkerEpoch = Number<struct WorkerEpochTag>;  // a worker's session
+using WorkerEpoch = Number<struct WorkerEpochTag>;  ///< a worker's session
 using ReportSequence =
-    Number<struct ReportSequenceTag>;  // counts a worker's messages within a session
+    Number<struct ReportSequenceTag>;  ///< counts a worker's messages within a session
 
 using Duration = std::chrono::milliseconds;
 
-// A point on this process's steady clock.
+/// A point on this process's steady clock.
 struct Instant {
   std::int64_t ms{};
   auto operator<=>(const Instant&) const = default;
@@ -69,7 +70,7 @@
   std::string str() const { return job.value + "/" + std::to_string(index); }
 };
 
-// One placement of a task on a machine.
+/// One placement of a task on a machine.
 struct AttemptId {
   TaskId task;
   Attempt attempt;
@@ -77,7 +78,7 @@
   std::string str() const { return task.str() + "#" + std::to_string(attempt.value); }
 };
 
-// What a task takes or a machine has.
+/// What a task takes or a machine has.
 struct Resources {
   double cpus{}, gpus{}, ramGb{};
   Resources& operator+=(const Resources& o) {
@@ -101,7 +102,7 @@
     constexpr double kSlack = 1e-6;
     return cpus <= o.cpus + kSlack && gpus <= o.gpus + kSlack && ramGb <= o.ramGb + kSlack;
   }
-  // The largest share this takes of any dimension of `whole`.
+  /// The largest share this takes of any dimension of `whole`.
   double shareOf(const Resources& whole) const {
     double s = 0;
     if (whole.cpus > 0) s = std::max(s, cpus / whole.cpus);
--- a/src/cloud/catalogue.hpp
+++ b/src/cloud/catalogue.hpp
@@ -1,4 +1,5 @@
-// Machine types as the cloud offers them.
+/// \file
+/// Machine types as the cloud offers them.
 #pragma once
 
 #include <optional>
@@ -25,7 +26,7 @@
   const MachineType* find(const TypeId& id) const;
 };
 
-// From the cloud's answer, and from the record, which keeps the same form.
+/// From the cloud's answer, and from the record, which keeps the same form.
 std::optional<Catalogue> catalogueFrom(const Json& body);
 Json toJson(const Catalogue& c);
 
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,4 +1,5 @@
-// Typed client of the cloud.
+/// \file
+/// Typed client of the cloud.
 #pragma once
 
 #include <functional>
@@ -31,7 +32,7 @@
   bool mayAsk() { return budget_.take(runtime_.now(), 1); }
   void types(std::function<void(std::optional<Catalogue>)> done);
   void requestMachines(const RentalRecord& rental, std::function<void(RentalResult)> done);
-  // True: the machines and all that was on them are gone.
+  /// True: the machines and all that was on them are gone.
   void release(const std::vector<MachineId>& machines, std::function<void(bool)> done);
   void list(std::function<void(std::optional<std::vector<ListedMachine>>)> done);
 
--- a/src/cloud/forecast_loop.hpp
+++ b/src/cloud/forecast_loop.hpp
@@ -1,4 +1,6 @@
-// The forecast's windows: demand is recorded at each turn, kept in one state value, and rented for.
+/// \file
+/// The forecast's windows: demand is recorded at each turn, kept in one state value, and rented
+/// for.
 #pragma once
 
 #include "cloud/scaling_loop.hpp"
@@ -19,7 +21,7 @@
 
   LoopStep next() override;
   void onTimer() override;
-  // Takes over the windows that an earlier leader left.
+  /// Takes over the windows that an earlier leader left.
   void load();
 
  private:
--- a/src/cloud/machine_list_loop.hpp
+++ b/src/cloud/machine_list_loop.hpp
@@ -1,4 +1,5 @@
-// Reads the cloud's machine types and its list of machines.
+/// \file
+/// Reads the cloud's machine types and its list of machines.
 #pragma once
 
 #include "cloud/client.hpp"
@@ -21,7 +22,7 @@
   LeaderContext& context_;
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
-  bool asked_ = false;  // the types
+  bool asked_ = false;  ///< the types
   Instant nextList_{};
   bool listing_ = false;
 };
--- a/src/cloud/scaling_decision.hpp
+++ b/src/cloud/scaling_decision.hpp
@@ -1,5 +1,6 @@
-// How many machines to rent and which idle ones to give back, after DESIGN: toward mean +
-// k * spread of the forecast, never below present demand, counting booting machines. Pure.
+/// \file
+/// How many machines to rent and which idle ones to give back, after DESIGN: toward mean +
+/// k * spread of the forecast, never below present demand, counting booting machines. Pure.
 #pragma once
 
 #include <map>
@@ -11,7 +12,7 @@
 
 namespace kestrelhoist {
 
-// A thing that can be refused: a type in a zone, spot or ordinary.
+/// A thing that can be refused: a type in a zone, spot or ordinary.
 struct InstanceOffering {
   TypeId type;
   ZoneId zone;
@@ -22,32 +23,32 @@
 struct ScalingMachine {
   MachineId id;
   InstanceOffering offering;
-  bool up{};    // has reported
-  bool late{};  // booting for so long that it no longer counts
-  bool idle{};  // nothing on it or meant for it
-  bool keep{};  // for what it holds (pools)
+  bool up{};    ///< has reported
+  bool late{};  ///< booting for so long that it no longer counts
+  bool idle{};  ///< nothing on it or meant for it
+  bool keep{};  ///< for what it holds (pools)
   Duration age{};
 };
 
-// Demand in machines. Firm work needs ordinary machines; flexible work may use spot.
+/// Demand in machines. Firm work needs ordinary machines; flexible work may use spot.
 struct TypeDemand {
-  Prediction firm, flexible;  // of the horizon
+  Prediction firm, flexible;  ///< of the horizon
   double firmBooked{}, firmWaiting{};
   double flexibleOnSpot{}, flexibleOnOrdinary{}, flexibleWaiting{};
-  // Part of the waiting that only machines in one of these zones help.
+  /// Part of the waiting that only machines in one of these zones help.
   std::map<std::set<ZoneId>, double> pinnedWaiting;
 };
 
 struct ScalingInput {
   const MachineType* type{};
-  std::vector<ScalingMachine> machines;                      // of this type, not leaving
-  std::map<InstanceOffering, std::uint32_t> pendingRentals;  // rentals asked for, not answered
-  std::set<InstanceOffering> refused;                        // not to be asked now
-  std::set<InstanceOffering> constrained;  // refused lately: asked for one at a time
+  std::vector<ScalingMachine> machines;                      ///< of this type, not leaving
+  std::map<InstanceOffering, std::uint32_t> pendingRentals;  ///< rentals asked for, not answered
+  std::set<InstanceOffering> refused;                        ///< not to be asked now
+  std::set<InstanceOffering> constrained;  ///< refused lately: asked for one at a time
   TypeDemand demand;
   double spreadMultiple = 1.0;
   bool useSpot = true;
-  bool scaleIn{};  // the window turns
+  bool scaleIn{};  ///< the window turns
   Duration minimumCharge{60000};
 };
 
@@ -60,7 +61,7 @@
   std::vector<ScaleOut> rentals;
   std::vector<MachineId> scaleIn;
   int ordinaryTarget{}, spotTarget{};
-  int ordinaryNeeded{};  // if all work were packed as tightly as it goes
+  int ordinaryNeeded{};  ///< if all work were packed as tightly as it goes
 };
 
 ScalingDecision decideScaling(const ScalingInput& in);
--- a/src/cloud/scaling_loop.hpp
+++ b/src/cloud/scaling_loop.hpp
@@ -38,7 +38,7 @@
   const std::map<InstanceOffering, Instant>& refused() const { return refused_; }
 
  private:
-  // Rental records (scaling_loop_rentals.cpp).
+  /// Rental records (scaling_loop_rentals.cpp).
   std::vector<RentalId> recordResults(RentalTransaction& transaction);
   void recordAdoptedMachines(RentalTransaction& transaction);
   void adoptMachine(const MachineId& id, bool draining,
@@ -48,7 +48,7 @@
   void startRentals();
   void onRentalAnswered(const RentalRecord& rental, const RentalResult& result);
 
-  // Decisions (scaling_loop.cpp).
+  /// Decisions (scaling_loop.cpp).
   bool inMassFailure() const;
   ScalingInput inputFor(const MachineType& type, const TypeDemand& present, bool intervalEnds);
   void addForecast(const MachineType& type, TypeDemand& demand);
@@ -59,7 +59,7 @@
   void logInterval(const ScalingInput& input, const ScalingDecision& decision) const;
   void consolidateSurplus(const ScalingInput& input, const ScalingDecision& decision);
   void apply(const ScalingInput& input, const ScalingDecision& decision);
-  // Consolidation (scaling_loop_consolidation.cpp).
+  /// Consolidation (scaling_loop_consolidation.cpp).
   void consolidateMachines(const TypeId& type, std::size_t surplus);
 
   LeaderContext& context_;
@@ -67,10 +67,11 @@
   CommandDispatcher& dispatcher_;
   PlanningLoop& planning_;
   DemandForecasts& forecasts_;
-  std::map<InstanceOffering, std::uint32_t> wanted_;  // machines to be rented, by the last decision
+  std::map<InstanceOffering, std::uint32_t>
+      wanted_;  ///< machines to be rented, by the last decision
   std::set<RentalId> asked_;
-  std::map<RentalId, RentalResult> results_;     // to be committed
-  std::map<InstanceOffering, Instant> refused_;  // when last
+  std::map<RentalId, RentalResult> results_;     ///< to be committed
+  std::map<InstanceOffering, Instant> refused_;  ///< when last
   std::uint64_t count_ = 0;
   Instant nextCheck_{};
 };
--- a/src/cloud/termination_loop.hpp
+++ b/src/cloud/termination_loop.hpp
@@ -1,5 +1,6 @@
-// Gives machines up: first the mark on record that a machine gets no more work, then the cloud's
-// 200, then the end of its entry.
+/// \file
+/// Gives machines up: first the mark on record that a machine gets no more work, then the cloud's
+/// 200, then the end of its entry.
 #pragma once
 
 #include "placement/confirmed_outcomes.hpp"
@@ -20,8 +21,8 @@
   LeaderContext& context_;
   Fleet& fleet_;
   ConfirmedOutcomes& outcomes_;
-  std::set<MachineId> terminationUnderWay_;  // asked, no answer yet
-  std::set<MachineId> terminated_;           // 200, still on record
+  std::set<MachineId> terminationUnderWay_;  ///< asked, no answer yet
+  std::set<MachineId> terminated_;           ///< 200, still on record
 };
 
 }  // namespace kestrelhoist
--- a/src/config/platform.hpp
+++ b/src/config/platform.hpp
@@ -1,4 +1,5 @@
-// The platform's settings file (TOML). Unknown fields are ignored, the rest is checked.
+/// \file
+/// The platform's settings file (TOML). Unknown fields are ignored, the rest is checked.
 #pragma once
 
 #include <map>
@@ -15,13 +16,13 @@
   std::string address;
 };
 
-// What a team is guaranteed and may use; 0 means none.
+/// What a team is guaranteed and may use; 0 means none.
 struct Team {
   Resources guaranteed;
   Resources limit;
 };
 
-// An aim on a class of jobs: "wait" (start within) or "finished" (done within).
+/// An aim on a class of jobs: "wait" (start within) or "finished" (done within).
 struct Objective {
   std::string kind;
   std::string jobClass;
@@ -46,12 +47,12 @@
   Duration cancelWithin{};
 
   double stateRequestsPerS{};
-  // Of the state service: the smaller of its present limits and of those that it will have from
-  // some moment on (`state.next`), so that what is written is taken before and after.
+  /// Of the state service: the smaller of its present limits and of those that it will have from
+  /// some moment on (`state.next`), so that what is written is taken before and after.
   double stateWritesPerS{};
   std::size_t valueBytes{};
   std::size_t transactionOps{};
-  // Its present limit alone: of what an older version, which knows no other, may have written.
+  /// Its present limit alone: of what an older version, which knows no other, may have written.
   std::size_t valueBytesNow{};
 
   double cloudRequestsPerS{};
@@ -63,7 +64,7 @@
   std::size_t nodes() const { return peers.size() + 1; }
 };
 
-// Throws std::runtime_error with one line that names the file and the field.
+/// Throws std::runtime_error with one line that names the file and the field.
 Platform loadPlatform(const std::string& file);
 Platform parsePlatform(const std::string& text, const std::string& file);
 
--- a/src/connectivity/heartbeat_forwarder.hpp
+++ b/src/connectivity/heartbeat_forwarder.hpp
@@ -87,16 +87,17 @@
   void probeDirectLink(const std::string& address);
   std::optional<MemberId> peerFor(const std::string& address) const;
   Instant probedAt_{};
-  std::map<MemberId, Instant> throughPeer_;  // send time of the newest request answered through it
-  // When workers failed to answer directly. The next request to them goes through a peer, since the
-  // path to some workers alone may be cut.
+  std::map<MemberId, Instant>
+      throughPeer_;  ///< send time of the newest request answered through it
+  /// When workers failed to answer directly. The next request to them goes through a peer, since
+  /// the path to some workers alone may be cut.
   std::map<std::string, Instant> failedDirectly_;
   std::map<MemberId, Instant> failedThrough_;
   struct NextHop {
     MemberId peer;
     Instant at;
   };
-  std::map<std::string, NextHop> nextHops_;  // by the worker's address
+  std::map<std::string, NextHop> nextHops_;  ///< by the worker's address
 };
 
 }  // namespace kestrelhoist
--- a/src/connectivity/peer_proxy.hpp
+++ b/src/connectivity/peer_proxy.hpp
@@ -15,12 +15,12 @@
 struct PeerProxyView {
   struct PeerView {
     MemberId member;
-    bool supportsForwarding{};  // its version can proxy requests
-    Instant reachedAt{};        // when its own link last reached the service
+    bool supportsForwarding{};  ///< its version can proxy requests
+    Instant reachedAt{};        ///< when its own link last reached the service
     bool recentlyReachable{};
-    bool blocked{};  // a proxied request through it failed a moment ago
+    bool blocked{};  ///< a proxied request through it failed a moment ago
   };
-  std::optional<Instant> failingSince;  // of the direct link
+  std::optional<Instant> failingSince;  ///< of the direct link
   std::vector<PeerView> peers;
 };
 
@@ -32,9 +32,9 @@
 class PeerProxy : public HttpClient {
  public:
   struct Settings {
-    std::string name;     // as in the mesh paths: "state", "cloud"
-    std::string address;  // of the service
-    Request probe;        // sent over the direct link while proxying, to detect recovery
+    std::string name;     ///< as in the mesh paths: "state", "cloud"
+    std::string address;  ///< of the service
+    Request probe;        ///< sent over the direct link while proxying, to detect recovery
     Duration probeEvery{1000};
   };
   /// @param ageAt How long ago a peer's own link reached the service, according to its status.
--- a/src/connectivity/redirect_canary.hpp
+++ b/src/connectivity/redirect_canary.hpp
@@ -34,10 +34,10 @@
 
  private:
   Duration failoverCycle_, lease_;
-  bool leaseOutlastsCycle_;  // a worker with tasks survives a whole failover cycle
-  MemberId leader_;          // the current redirect target
+  bool leaseOutlastsCycle_;  ///< a worker with tasks survives a whole failover cycle
+  MemberId leader_;          ///< the current redirect target
   Instant firstRedirectAt_{};
-  std::optional<Instant> returnedAt_;  // when a canary last came back
+  std::optional<Instant> returnedAt_;  ///< when a canary last came back
   std::map<MachineId, Instant> redirected_;
 };
 
--- a/src/fleet/command_dispatcher.hpp
+++ b/src/fleet/command_dispatcher.hpp
@@ -35,10 +35,10 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  bool probedAll_ = false;  // instead of waiting for the initial round
+  bool probedAll_ = false;  ///< instead of waiting for the initial round
   std::deque<MachineId> probeQueue_;
-  std::set<MachineId> probing_;                            // no response yet
-  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;  // at a time, in unreachable zones
+  std::set<MachineId> probing_;                            ///< no response yet
+  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;  ///< at a time, in unreachable zones
   static constexpr std::size_t kFewestZoneProbes = 2, kAtOnce = 32;
 };
 
--- a/src/fleet/failure_detector.hpp
+++ b/src/fleet/failure_detector.hpp
@@ -87,7 +87,7 @@
   std::set<ZoneId> unreachableZones_;
   std::map<ZoneId, Instant> zoneLastUnreachableAt_;
 
-  // The state of the present pass.
+  /// The state of the present pass.
   Instant now_{};
   const Catalogue* catalogue_ = nullptr;
   std::function<bool(const ZoneId&)> mayHaveActingLeader_;
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -54,7 +54,7 @@
 class Fleet {
  public:
   Fleet(const Platform& platform, const Replica& replica, FencingToken token, Instant now);
-  Fleet(const Fleet&) = delete;  // The failure detector refers to it.
+  Fleet(const Fleet&) = delete;  ///< The failure detector refers to it.
   Fleet& operator=(const Fleet&) = delete;
 
   /// Applies a worker's heartbeat and returns the commands that answer it. `mayLaunch`: the leader
@@ -159,7 +159,7 @@
   std::set<MachineId> terminating_;
   std::set<MachineId> unrecorded_;
   std::set<MachineId> cordoned_;
-  std::map<ZoneId, Instant> suspectedSince_;  // as an earlier leader recorded it
+  std::map<ZoneId, Instant> suspectedSince_;  ///< as an earlier leader recorded it
   FailureAttribution failureAttribution_;
   std::uint32_t lost_ = 0;
   std::uint32_t neverBooted_ = 0;
--- a/src/flows/admission.hpp
+++ b/src/flows/admission.hpp
@@ -1,4 +1,5 @@
-// Whether a version of a flow can be run.
+/// \file
+/// Whether a version of a flow can be run.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +13,13 @@
 
 namespace kestrelhoist {
 
-// What an admission depends on. `types`: null if the machine types aren't known yet.
+/// What an admission depends on. `types`: null if the machine types aren't known yet.
 struct FlowAdmission {
   const Replica& replica;
   const Platform& platform;
   const Catalogue* types;
 
-  // Why this version can't be run, as the answer to the user; empty: it can.
+  /// Why this version can't be run, as the answer to the user; empty: it can.
   std::optional<Response> refusal(const FlowId& id, const FlowVersion& version,
                                   const FlowHead& head) const;
 
--- a/src/flows/batching.hpp
+++ b/src/flows/batching.hpp
@@ -1,5 +1,6 @@
-// When ready instances are made into jobs. The state service's changes are the scarce thing, so
-// instances gather into arrays while the flow has other work in hand. Pure.
+/// \file
+/// When ready instances are made into jobs. The state service's changes are the scarce thing, so
+/// instances gather into arrays while the flow has other work in hand. Pure.
 #pragma once
 
 #include "base/types.hpp"
@@ -7,13 +8,13 @@
 namespace kestrelhoist {
 
 struct ReleaseView {
-  std::size_t ready{};    // instances that could be made into jobs now
-  std::size_t batch{};    // of how many one array is filled
-  Duration oldest{};      // for how long the first of them has been ready
-  std::size_t queued{};   // tasks of this flow that wait for room
-  std::size_t running{};  // tasks of this flow that may be on machines
-  std::size_t ended{};    // instances that have ended
-  std::size_t changes{};  // that this flow's advance has cost in this leadership
+  std::size_t ready{};    ///< instances that could be made into jobs now
+  std::size_t batch{};    ///< of how many one array is filled
+  Duration oldest{};      ///< for how long the first of them has been ready
+  std::size_t queued{};   ///< tasks of this flow that wait for room
+  std::size_t running{};  ///< tasks of this flow that may be on machines
+  std::size_t ended{};    ///< instances that have ended
+  std::size_t changes{};  ///< that this flow's advance has cost in this leadership
 };
 
 inline bool releaseNow(const ReleaseView& v) {
--- a/src/flows/flow_transaction.hpp
+++ b/src/flows/flow_transaction.hpp
@@ -1,5 +1,6 @@
-// Puts together one transaction of a flow: jobs, pages of instances, accounts, the head. Copied to
-// try out whether one more thing fits.
+/// \file
+/// Puts together one transaction of a flow: jobs, pages of instances, accounts, the head. Copied to
+/// try out whether one more thing fits.
 #pragma once
 
 #include "flows/flow_loop.hpp"
@@ -39,7 +40,7 @@
     page->second[i % kPageSize] = letter;
   }
 
-  // Counts for a rule: in the entry that it has, or in a new one of the last value with room.
+  /// Counts for a rule: in the entry that it has, or in a new one of the last value with room.
   void use(const FlowRule& rule, const Use& use) {
     if (use.empty()) return;
     auto same = [&](const AccountEntry& e) {
@@ -79,7 +80,7 @@
     accounts_[last].push_back({rule.name, rule.perTask, use});
   }
 
-  // Over: the head says so, and the flow leaves its member's list, which frees its outputs' names.
+  /// Over: the head says so, and the flow leaves its member's list, which frees its outputs' names.
   void endFlow(const FlowHead& head) {
     head_ = head;
     std::vector<FlowId> open = context_->replica.flows().openOf(head.team, head.member);
@@ -101,7 +102,7 @@
   }
   std::vector<JobId> droppedJobs() const { return dropped_; }
 
-  // Within the limits of a transaction.
+  /// Within the limits of a transaction.
   bool fits() const {
     std::size_t bytes = bytes_ + 1024;
     for (const auto& [number, letters] : pages_) {
--- a/src/flows/routes.hpp
+++ b/src/flows/routes.hpp
@@ -1,4 +1,5 @@
-// The paths of the flows' interface; docs/flows.md describes what they take and answer.
+/// \file
+/// The paths of the flows' interface; docs/flows.md describes what they take and answer.
 #pragma once
 
 #include <optional>
@@ -7,7 +8,7 @@
 
 namespace kestrelhoist {
 
-// What a path below /v2/flows asks for.
+/// What a path below /v2/flows asks for.
 enum class FlowRoute {
   list,
   account,
@@ -22,18 +23,18 @@
   cancel,
 };
 
-// Whether the route changes something: those take POST, the others GET.
+/// Whether the route changes something: those take POST, the others GET.
 bool writes(FlowRoute route);
 
-// A path below /v2/flows.
+/// A path below /v2/flows.
 struct FlowPath {
   std::vector<std::string> segments;
   std::string query;
 };
 
-// Empty: not a path of flows.
+/// Empty: not a path of flows.
 std::optional<FlowPath> flowPathFrom(const std::string& path);
-// Empty: no such path.
+/// Empty: no such path.
 std::optional<FlowRoute> routeOf(const FlowPath& path);
 
 }  // namespace kestrelhoist
--- a/src/forecast/demand_series.hpp
+++ b/src/forecast/demand_series.hpp
@@ -1,4 +1,5 @@
-// The forecasts of one leadership: two series a machine type (docs/design.md).
+/// \file
+/// The forecasts of one leadership: two series a machine type (docs/design.md).
 #pragma once
 
 #include <map>
--- a/src/jobs/service.hpp
+++ b/src/jobs/service.hpp
@@ -35,17 +35,17 @@
   static Json view(const JobId& id, const JobState& job, bool withDigest = true);
 
  private:
-  static constexpr std::size_t kMaxInProgress = 256;  // user requests; above it: 429 at once
+  static constexpr std::size_t kMaxInProgress = 256;  ///< user requests; above it: 429 at once
   static constexpr Duration kCommitTimeout{1500};
-  static constexpr Duration kRetryDelay{150};  // after the state service refused a transaction
+  static constexpr Duration kRetryDelay{150};  ///< after the state service refused a transaction
 
   static JobId jobIdOf(const std::string& ref, const Owner* member);
   static Response stateResponse(const JobId& id, const JobState& job, int status);
   const JobState* known(const JobId& id) const;
   bool knowsAll(const std::vector<JobId>& jobs) const;
-  // Answers with the job's state if it is known after a read that begins now, else as `otherwise`.
+  /// Answers with the job's state if it is known after a read that begins now, else as `otherwise`.
   void answerAfterRead(const JobId& id, const Respond& respond, std::function<void()> otherwise);
-  // Calls `next` once a slot of the write rate is free; refuses when that takes too long.
+  /// Calls `next` once a slot of the write rate is free; refuses when that takes too long.
   void withWriteSlot(const Respond& respond, std::function<void()> next, int triesLeft = 10);
 
   void poll(const JobId& id, const Respond& respond);
@@ -56,11 +56,11 @@
   void cancelled(const JobId& id, const Transaction& transaction, Revision revision,
                  const Respond& respond);
 
-  // Submission, in submission.cpp; the steps in their order.
+  /// Submission, in submission.cpp; the steps in their order.
   void submit(const Request& request, const Owner* member, const Respond& respond);
   std::optional<Response> refusalOf(const std::variant<JobSpec, Invalid>& parsed,
                                     const Owner* member) const;
-  // Why a job with these dependencies must not be accepted, as far as the replica knows.
+  /// Why a job with these dependencies must not be accepted, as far as the replica knows.
   std::optional<Response> refusalOfDependencies(const std::vector<JobId>& dependsOn) const;
   void accept(std::shared_ptr<const Submission> submission, const Respond& respond);
   void createParts(std::shared_ptr<const Submission> submission, std::uint32_t from,
--- a/src/leadership/control_loop.hpp
+++ b/src/leadership/control_loop.hpp
@@ -15,8 +15,8 @@
 /// writes at least one key that it conditions on.
 struct Commit {
   Transaction transaction;
-  std::function<void()> onApplied;  // called once the replica has applied it; may be null
-  std::string what;                 // for the log
+  std::function<void()> onApplied;  ///< called once the replica has applied it; may be null
+  std::string what;                 ///< for the log
 };
 
 /// What a control loop does when it is scheduled: nothing, a commit, or an asynchronous step that
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -16,13 +16,13 @@
  public:
   struct Settings {
     MemberId self;
-    std::string incarnation;  // unique per start of the process
-    Duration life{3000};      // of the lease
+    std::string incarnation;  ///< unique per start of the process
+    Duration life{3000};      ///< of the lease
     Duration renewEvery{750};
   };
   /// The leader key according to the newest read.
   struct View {
-    bool fresh{};  // the read is recent
+    bool fresh{};  ///< the read is recent
     std::optional<LeaderRecord> leader;
     FencingToken token;
   };
--- a/src/leadership/leader_context.hpp
+++ b/src/leadership/leader_context.hpp
@@ -27,11 +27,11 @@
 
   FencingToken token;
   Instant electedAt{};
-  bool initialRoundOver = false;          // the initial heartbeat round is complete
-  std::optional<Catalogue> catalogue{};   // machine types; empty until read
-  Revision latestRevision{};              // newest known, from the change feed or own commits
-  bool planInvalidated = true;            // the inputs of the plan have changed
-  std::function<void()> scheduleCycle{};  // a control loop may have work to do
+  bool initialRoundOver = false;          ///< the initial heartbeat round is complete
+  std::optional<Catalogue> catalogue{};   ///< machine types; empty until read
+  Revision latestRevision{};              ///< newest known, from the change feed or own commits
+  bool planInvalidated = true;            ///< the inputs of the plan have changed
+  std::function<void()> scheduleCycle{};  ///< a control loop may have work to do
   /// Whether anything sent at this time or later reached a worker. A null function means always.
   std::function<bool(Instant)> workersReachedSince{};
   /// The policy in force now; null if there is none.
@@ -41,7 +41,7 @@
   /// The time of day that the controllers agree on, in milliseconds since 1970.
   std::function<std::int64_t()> timeOfDay{};
   std::function<void(std::optional<Commit>)>
-      finishStep{};  // ends an asynchronous step, with or without a commit
+      finishStep{};  ///< ends an asynchronous step, with or without a commit
 
   /// Wraps a callback so that it becomes a no-op once this leader has stepped down.
   template <class F>
--- a/src/leadership/peer_membership.hpp
+++ b/src/leadership/peer_membership.hpp
@@ -17,20 +17,20 @@
 /// What one controller reports about itself. Ages are as of the moment of sending.
 struct PeerStatus {
   MemberId member;
-  FencingToken token;  // the highest that it knows
+  FencingToken token;  ///< the highest that it knows
   bool leading{};
-  Duration storeAge{};    // since its own link last reached the state service
-  Duration workersAge{};  // since the last heartbeat from any worker
+  Duration storeAge{};    ///< since its own link last reached the state service
+  Duration workersAge{};  ///< since the last heartbeat from any worker
   bool ready{};
-  bool hasLostWorkers{};       // it leads and received heartbeats before, but none lately
-  bool supportsForwarding{};   // proxies requests for peers and accepts forwarded heartbeats;
-                               // the previous version did not
-  Duration cloudAge{3600000};  // since its own link last reached the cloud
-  std::int64_t wallMs{};       // its time of day when it sent this; 0 if not included
-  // `wallMs` minus the local steady clock, which never steps, at the moment of receipt.
+  bool hasLostWorkers{};       ///< it leads and received heartbeats before, but none lately
+  bool supportsForwarding{};   ///< proxies requests for peers and accepts forwarded heartbeats;
+                               ///< the previous version did not
+  Duration cloudAge{3600000};  ///< since its own link last reached the cloud
+  std::int64_t wallMs{};       ///< its time of day when it sent this; 0 if not included
+  /// `wallMs` minus the local steady clock, which never steps, at the moment of receipt.
   std::optional<std::int64_t> wallClockOffset = std::nullopt;
-  // The newest revision of any cancellation in its records (CancellationBarrier); empty while its
-  // records are incomplete.
+  /// The newest revision of any cancellation in its records (CancellationBarrier); empty while its
+  /// records are incomplete.
   std::optional<Revision> newestCancellation = std::nullopt;
 };
 
@@ -83,7 +83,7 @@
   struct Refusals {
     Instant first, last;
   };
-  std::map<MemberId, Refusals> refusals_;  // since the peer's last status
+  std::map<MemberId, Refusals> refusals_;  ///< since the peer's last status
   std::function<PeerStatus()> own_;
   Duration every_{1000};
 };
--- a/src/members/admission.hpp
+++ b/src/members/admission.hpp
@@ -1,6 +1,7 @@
-// How much at once: each member's rates, turns among members when not everything can be taken, and
-// what is given up first when the controller falls behind. Pure: time and requests in, decisions
-// out. Nothing is held back to keep a client quiet: what is not taken is refused at once.
+/// \file
+/// How much at once: each member's rates, turns among members when not everything can be taken, and
+/// what is given up first when the controller falls behind. Pure: time and requests in, decisions
+/// out. Nothing is held back to keep a client quiet: what is not taken is refused at once.
 #pragma once
 
 #include <deque>
@@ -13,39 +14,39 @@
 
 namespace kestrelhoist {
 
-// In the order in which they are served under overload. Workers' reports come before all of them
-// and never pass here.
+/// In the order in which they are served under overload. Workers' reports come before all of them
+/// and never pass here.
 enum class Work { cancel, submit, poll, list };
 const char* wordOf(Work work);
 
 struct MemberLimits {
-  double submitsPerS = 10, submitBurst = 200;                   // submissions and cancellations
-  double readsPerS = 50, readBurst = 400;                       // polls, lists, watches
-  double bytesPerS = 256 * 1024, bytesBurst = 4 * 1024 * 1024;  // of bodies, both ways
-  std::size_t watches = 64;  // held open at a time, on one controller
-  std::size_t queued = 64;   // submissions that wait for their turn
+  double submitsPerS = 10, submitBurst = 200;                   ///< submissions and cancellations
+  double readsPerS = 50, readBurst = 400;                       ///< polls, lists, watches
+  double bytesPerS = 256 * 1024, bytesBurst = 4 * 1024 * 1024;  ///< of bodies, both ways
+  std::size_t watches = 64;  ///< held open at a time, on one controller
+  std::size_t queued = 64;   ///< submissions that wait for their turn
 };
 
-// By how much the controller's timers are late: what it should no longer take.
+/// By how much the controller's timers are late: what it should no longer take.
 class LoadGauge {
  public:
-  // A timer that was due after `due` came after `took`.
+  /// A timer that was due after `due` came after `took`.
   void note(Duration due, Duration took);
   bool takes(Work work) const;
   Duration lateness() const { return late_; }
 
  private:
-  Duration late_{0};  // rises at once, falls by half with each timely tick
+  Duration late_{0};  ///< rises at once, falls by half with each timely tick
 };
 
-// Rates of the members, as token buckets.
+/// Rates of the members, as token buckets.
 class MemberRates {
  public:
   MemberRates(MemberLimits limits, std::uint64_t seed) : limits_(limits), random_(seed) {}
-  // Takes a request of this size. Otherwise: seconds after which to come back, spread so that those
-  // who were refused together do not come back together.
+  /// Takes a request of this size. Otherwise: seconds after which to come back, spread so that
+  /// those who were refused together do not come back together.
   std::optional<int> refuse(Instant now, const Owner& owner, Work work, std::size_t bytes);
-  // Bytes of an answer: a debt that later requests wait for.
+  /// Bytes of an answer: a debt that later requests wait for.
   void charge(Instant now, const Owner& owner, std::size_t bytes);
   int spread(Duration atLeast);
   std::size_t known() const { return buckets_.size(); }
@@ -63,19 +64,19 @@
   Instant tidied_{};
 };
 
-// At most so many writes of members are in work at a time. The others wait, and members take
-// turns, whatever each of them has waiting; cancellations go before submissions.
+/// At most so many writes of members are in work at a time. The others wait, and members take
+/// turns, whatever each of them has waiting; cancellations go before submissions.
 class FairTurns {
  public:
-  // `room`: takes what one more costs, if it is there now; null: no such bound.
+  /// `room`: takes what one more costs, if it is there now; null: no such bound.
   FairTurns(std::size_t inWork, std::size_t perMember, std::size_t all,
             std::function<bool()> room = nullptr)
       : inWork_(inWork), perMember_(perMember), all_(all), room_(std::move(room)) {}
-  // Calls `start`, now or in its turn. False: too many wait.
+  /// Calls `start`, now or in its turn. False: too many wait.
   bool offer(const Owner& owner, Work work, std::function<void()> start);
-  // One that was started has its answer.
+  /// One that was started has its answer.
   void finished();
-  // There may be room again.
+  /// There may be room again.
   void pump();
   std::size_t waiting() const { return waiting_; }
   std::size_t working() const { return working_; }
@@ -83,7 +84,7 @@
  private:
   struct Lane {
     std::map<Owner, std::deque<std::function<void()>>> queues;
-    Owner last;  // who had a turn last
+    Owner last;  ///< who had a turn last
     std::function<void()> take();
   };
   std::size_t inWork_, perMember_, all_;
--- a/src/members/key_ring.hpp
+++ b/src/members/key_ring.hpp
@@ -1,4 +1,5 @@
-// A controller's copy of the keys, part of the replica.
+/// \file
+/// A controller's copy of the keys, part of the replica.
 #pragma once
 
 #include <unordered_map>
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -1,6 +1,7 @@
-// The users' interface with keys on: every request is asked for its key, checked against what the
-// key may do, the member's rates and turns, and answered within the member's own space of names.
-// Paths, fields and statuses are in docs/members.md.
+/// \file
+/// The users' interface with keys on: every request is asked for its key, checked against what the
+/// key may do, the member's rates and turns, and answered within the member's own space of names.
+/// Paths, fields and statuses are in docs/members.md.
 #pragma once
 
 #include <functional>
@@ -16,17 +17,17 @@
 
 class MemberService {
  public:
-  // `metrics` may be null.
+  /// `metrics` may be null.
   MemberService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
                 const Platform& platform, const MemberSettings& settings, JobService& jobs,
                 FlowService& flows, Metrics* metrics, std::uint64_t seed);
 
-  // Answers all users' paths; false if the path is not one of these. `hold`: whether a watch may be
-  // held open; not if another controller passed it on and waits.
+  /// Answers all users' paths; false if the path is not one of these. `hold`: whether a watch may
+  /// be held open; not if another controller passed it on and waits.
   bool handle(const Request& request, const Respond& respond, bool hold = true);
-  // The records have changed: watches may have something to tell.
+  /// The records have changed: watches may have something to tell.
   void onRecordsChanged();
-  // Ten times a second; `took` since the last one.
+  /// Ten times a second; `took` since the last one.
   void onTimer(Duration due, Duration took);
   void fill(MetricGauges& gauges) const;
 
@@ -38,16 +39,16 @@
     bool root{};
   };
   using Checked = std::variant<Caller, Response>;
-  // What the key in the request says now; `sure`: after a read that was sent after the request.
+  /// What the key in the request says now; `sure`: after a read that was sent after the request.
   std::optional<Checked> check(const std::string& credential, bool sure) const;
   std::optional<Caller> callerOf(const KeyId& key) const;
   void admitted(const Caller& caller, const Request& request, const Respond& respond, bool hold);
   void write(const Caller& caller, Work work, const Respond& respond,
              std::function<void(const Respond&)> start);
-  // Answers and counts.
+  /// Answers and counts.
   Respond counted(const Owner& owner, const char* kind, const Respond& respond);
 
-  // members/job_lists.cpp
+  /// members/job_lists.cpp
   struct Page {
     Json jobs = Json::array();
     ChangePlace next;
@@ -59,7 +60,7 @@
   void park(Watch watch, Duration wait);
   void serve(const Owner& owner);
 
-  // members/key_service.cpp
+  /// members/key_service.cpp
   bool handleKeys(const Caller& caller, const Request& request, const std::string& path,
                   const Respond& respond);
   void makeKey(const Caller& caller, const Request& request, const Respond& respond);
@@ -69,7 +70,7 @@
   Json viewOf(const KeyId& id, const KeyRecord& record) const;
   void makeCursorKey();
 
-  // A member's flows; a flow of another member is answered like none.
+  /// A member's flows; a flow of another member is answered like none.
   void flows(const Caller& caller, const Request& request, const std::string& path,
              const Respond& respond);
 
--- a/src/members/watches.hpp
+++ b/src/members/watches.hpp
@@ -1,5 +1,6 @@
-// Requests that are held open until something of their member changes, or their time is over. What
-// one holds is bounded: a place in the order, its filter and its answer.
+/// \file
+/// Requests that are held open until something of their member changes, or their time is over. What
+/// one holds is bounded: a place in the order, its filter and its answer.
 #pragma once
 
 #include <functional>
@@ -11,10 +12,10 @@
 
 namespace kestrelhoist {
 
-// Which jobs of the member are asked for.
+/// Which jobs of the member are asked for.
 struct JobFilter {
-  std::string phase;     // pending, running, done, withdrawn; empty: any
-  std::string jobClass;  // empty: any
+  std::string phase;     ///< pending, running, done, withdrawn; empty: any
+  std::string jobClass;  ///< empty: any
   std::size_t limit = 100;
 };
 
@@ -33,16 +34,16 @@
 
   bool full(const Owner& owner) const;
   Number add(Watch watch);
-  // Back, under the number that it had.
+  /// Back, under the number that it had.
   void put(Number number, Watch watch);
-  // Takes it out, if it is still there.
+  /// Takes it out, if it is still there.
   std::optional<Watch> take(Number number);
-  // Numbers of a member's watches.
+  /// Numbers of a member's watches.
   std::vector<Number> of(const Owner& owner) const;
   std::size_t size() const { return watches_.size(); }
-  // A member whose newest change is not to be shown yet: this copy may miss older ones of others.
+  /// A member whose newest change is not to be shown yet: this copy may miss older ones of others.
   void defer(const Owner& owner) { early_.insert(owner); }
-  // Those that were put off, once.
+  /// Those that were put off, once.
   std::set<Owner> takeDeferred() { return std::exchange(early_, {}); }
 
  private:
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -1,5 +1,6 @@
-// What a controller counts, in the Prometheus text form (docs/members.md lists the names). Labels
-// come from small fixed sets: never a member, a key or a job.
+/// \file
+/// What a controller counts, in the Prometheus text form (docs/members.md lists the names). Labels
+/// come from small fixed sets: never a member, a key or a job.
 #pragma once
 
 #include <functional>
@@ -10,7 +11,7 @@
 
 namespace kestrelhoist {
 
-// What is read when somebody asks.
+/// What is read when somebody asks.
 struct MetricGauges {
   double watches{}, waiting{}, working{}, lateS{}, liveJobs{}, memberJobs{}, keys{}, machines{};
   double leading{}, storeAgeS{};
@@ -23,13 +24,13 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  // A member's request was answered.
+  /// A member's request was answered.
   void answered(const char* kind, int status, Duration took);
-  // It was refused before any work: "load", "rate", "queue", "key", "watches".
+  /// It was refused before any work: "load", "rate", "queue", "key", "watches".
   void shed(const char* kind, const char* why);
-  // How long a write waited for its turn.
+  /// How long a write waited for its turn.
   void queued(Duration waited);
-  // A transaction of this node: "applied", "conflict", "refused", "unknown", ...
+  /// A transaction of this node: "applied", "conflict", "refused", "unknown", ...
   void committed(const char* outcome, bool leading);
 
   std::function<MetricGauges()> gauges;
--- a/src/placement/job_placement.hpp
+++ b/src/placement/job_placement.hpp
@@ -1,5 +1,6 @@
-// Where the tasks of one job may go: its team's quota, its constraints and the images that it
-// needs.
+/// \file
+/// Where the tasks of one job may go: its team's quota, its constraints and the images that it
+/// needs.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +12,16 @@
 
 namespace kestrelhoist {
 
-// Slack in comparisons of sums of rooms.
+/// Slack in comparisons of sums of rooms.
 inline constexpr double kRoomTolerance = 1e-6;
 
-// How many of a job's tasks each zone and, of a service, each machine has.
+/// How many of a job's tasks each zone and, of a service, each machine has.
 struct TaskSpread {
   std::vector<std::uint32_t> perZone;
-  std::map<std::size_t, std::uint32_t> siblings;  // by machine
+  std::map<std::size_t, std::uint32_t> siblings;  ///< by machine
 };
 
-// The job whose tasks are being placed. Machines go by their index in PlanInput::machines.
+/// The job whose tasks are being placed. Machines go by their index in PlanInput::machines.
 class JobPlacement {
  public:
   JobPlacement(const PlanInput& input, PlanState& state, const Reservations& reservations,
@@ -30,22 +31,22 @@
   const JobSpec& spec() const { return *job_.spec; }
   const TaskSpread& spread() const { return spread_; }
 
-  // Whether one more task stays within the limit of the job's team.
+  /// Whether one more task stays within the limit of the job's team.
   bool withinLimit() const;
-  // Whether one more task stays within what the job's team is guaranteed.
+  /// Whether one more task stays within what the job's team is guaranteed.
   bool withinGuarantee() const;
-  // Whether a task may be on this machine at all, given the job's other tasks.
+  /// Whether a task may be on this machine at all, given the job's other tasks.
   bool allowed(std::size_t machine) const;
-  // Whether the machine has free room for a task.
+  /// Whether the machine has free room for a task.
   bool fits(std::size_t machine) const;
 
   bool holdsImage(std::size_t machine) const;
-  // How long fetching the job's image there takes by itself.
+  /// How long fetching the job's image there takes by itself.
   double fetchSeconds(std::size_t machine) const;
-  // How long a task would wait for its image there; fetches of several images share the rate.
+  /// How long a task would wait for its image there; fetches of several images share the rate.
   double startDelaySeconds(std::size_t machine) const;
 
-  // Books free room for a task.
+  /// Books free room for a task.
   void book(std::size_t machine);
 
  private:
@@ -59,7 +60,7 @@
   TaskSpread spread_;
 };
 
-// Whether a team uses more than it is guaranteed.
+/// Whether a team uses more than it is guaranteed.
 bool exceedsGuarantee(const Resources& used, const Resources& guaranteed);
 
 }  // namespace kestrelhoist
--- a/src/placement/machine_candidate.hpp
+++ b/src/placement/machine_candidate.hpp
@@ -1,4 +1,5 @@
-// Machines that a task may go to, the best first.
+/// \file
+/// Machines that a task may go to, the best first.
 #pragma once
 
 #include <cstddef>
@@ -6,10 +7,10 @@
 
 namespace kestrelhoist {
 
-// A machine with its value for a task. Of equal ones, the first machine of the input is preferred.
+/// A machine with its value for a task. Of equal ones, the first machine of the input is preferred.
 struct MachineCandidate {
-  double value{};         // higher is better
-  std::size_t machine{};  // index in PlanInput::machines
+  double value{};         ///< higher is better
+  std::size_t machine{};  ///< index in PlanInput::machines
 
   bool operator<(const MachineCandidate& other) const {
     return value != other.value ? value < other.value : machine > other.machine;
--- a/src/placement/machine_score.hpp
+++ b/src/placement/machine_score.hpp
@@ -1,4 +1,5 @@
-// Which of the machines with free room is the best for a task.
+/// \file
+/// Which of the machines with free room is the best for a task.
 #pragma once
 
 #include <vector>
@@ -7,15 +8,15 @@
 
 namespace kestrelhoist {
 
-// Scores machines for the tasks of one job, with what is booked at the moment of asking. Machines
-// go by their index in PlanInput::machines.
+/// Scores machines for the tasks of one job, with what is booked at the moment of asking. Machines
+/// go by their index in PlanInput::machines.
 class MachineScore {
  public:
-  // `open`: the machines with some free room.
+  /// `open`: the machines with some free room.
   MachineScore(const PlanInput& input, const PlanState& state, const JobPlacement& placement,
                const std::vector<std::size_t>& open);
 
-  // Higher is better.
+  /// Higher is better.
   double of(std::size_t machine) const;
 
  private:
@@ -32,7 +33,7 @@
   const PlanInput& input_;
   const PlanState& state_;
   const JobPlacement& placement_;
-  std::vector<double> freeInZone_;  // whole machines; measured for jobs that go to one zone
+  std::vector<double> freeInZone_;  ///< whole machines; measured for jobs that go to one zone
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/placement_transaction.hpp
+++ b/src/placement/placement_transaction.hpp
@@ -49,7 +49,7 @@
   void writeTo(Transaction& transaction) const;
 
  private:
-  // The tasks [first, last) that share a record: a task chunk, or a sub-chunk of one.
+  /// The tasks [first, last) that share a record: a task chunk, or a sub-chunk of one.
   struct TaskRange {
     std::uint32_t first, last;
     bool isSubChunk;
@@ -58,11 +58,11 @@
     const JobState* job;
     TaskRange range;
     TaskChunkRecord record;
-    std::size_t bytes;            // estimated size of the record's value
-    std::uint32_t newlyFinished;  // tasks that this transaction marks as finished
-    bool hasPlacements;           // the transaction places tasks of this record
+    std::size_t bytes;            ///< estimated size of the record's value
+    std::uint32_t newlyFinished;  ///< tasks that this transaction marks as finished
+    bool hasPlacements;           ///< the transaction places tasks of this record
   };
-  // What the transaction holds already, so that nothing is written twice.
+  /// What the transaction holds already, so that nothing is written twice.
   struct Written {
     std::set<JobId> comparedJobs, endedJobs;
     std::set<std::string> comparedChunks;
@@ -84,14 +84,14 @@
   LeaderContext& context_;
   ConfirmedOutcomes& outcomes_;
   std::size_t maxOperations_;
-  std::uint32_t maxChunkSize_;  // tasks of a record under the present limit of a value's size
-  bool mayWriteFormat2_;        // records may be split into sub-chunks
-  std::map<std::pair<JobId, std::uint32_t>, Draft> drafts_;  // by the record's first task
-  std::map<JobId, std::uint32_t> newlyFinished_;             // tasks, not of flows' jobs
+  std::uint32_t maxChunkSize_;  ///< tasks of a record under the present limit of a value's size
+  bool mayWriteFormat2_;        ///< records may be split into sub-chunks
+  std::map<std::pair<JobId, std::uint32_t>, Draft> drafts_;  ///< by the record's first task
+  std::map<JobId, std::uint32_t> newlyFinished_;             ///< tasks, not of flows' jobs
   std::vector<EndedAttempt> endedAttempts_;
   std::size_t endingJobs_ = 0;
   bool full_ = false;
-  std::size_t bytes_;  // estimated size of the whole transaction
+  std::size_t bytes_;  ///< estimated size of the whole transaction
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_input_builder.hpp
+++ b/src/placement/plan_input_builder.hpp
@@ -28,9 +28,9 @@
 
  private:
   struct WaitingTasks {
-    std::uint32_t toPlace = 0;   // tasks that this plan may place
-    std::uint32_t requeued = 0;  // tasks still on record that ended and must run again
-    bool suspect = false;        // the job fails wherever it runs
+    std::uint32_t toPlace = 0;   ///< tasks that this plan may place
+    std::uint32_t requeued = 0;  ///< tasks still on record that ended and must run again
+    bool suspect = false;        ///< the job fails wherever it runs
   };
 
   std::uint32_t zoneNumber(const ZoneId& zone);
@@ -58,12 +58,12 @@
   PendingReasons& pendingReasons_;
   Instant now_;
   PlanInput input_;
-  std::vector<const JobState*> states_;            // of input_.jobs, in the same order
-  std::map<ZoneId, std::uint32_t> zoneNumbers_;    // in the order of first use
-  std::map<MachineId, std::size_t> machineIndex_;  // index in input_.machines
-  Priority highestPriority_ = Priority::low;       // of the waiting jobs
-  bool hasGuarantees_ = false;                     // a team with jobs has a guaranteed share
-  bool mayReserve_ = false;  // some job has waited so long that resources may be reserved for it
+  std::vector<const JobState*> states_;            ///< of input_.jobs, in the same order
+  std::map<ZoneId, std::uint32_t> zoneNumbers_;    ///< in the order of first use
+  std::map<MachineId, std::size_t> machineIndex_;  ///< index in input_.machines
+  Priority highestPriority_ = Priority::low;       ///< of the waiting jobs
+  bool hasGuarantees_ = false;                     ///< a team with jobs has a guaranteed share
+  bool mayReserve_ = false;  ///< some job has waited so long that resources may be reserved for it
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_queue.hpp
+++ b/src/placement/plan_queue.hpp
@@ -1,4 +1,5 @@
-// The order in which the waiting jobs of a plan are served.
+/// \file
+/// The order in which the waiting jobs of a plan are served.
 #pragma once
 
 #include <vector>
@@ -8,7 +9,7 @@
 
 namespace kestrelhoist {
 
-// Jobs by their index in PlanInput::jobs.
+/// Jobs by their index in PlanInput::jobs.
 std::vector<QueueEntry> queueOf(const PlanInput& input);
 
 }  // namespace kestrelhoist
--- a/src/placement/planning_loop.hpp
+++ b/src/placement/planning_loop.hpp
@@ -52,7 +52,7 @@
   ConfirmedOutcomes& outcomes_;
   TaskLoop& tasks_;
   PlanRunner& planner_;
-  Instant nextPlan_{};  // the earliest start of the next plan
+  Instant nextPlan_{};  ///< the earliest start of the next plan
   std::map<JobId, std::uint32_t> unplaced_;
   PendingReasons pendingReasons_;
 };
--- a/src/placement/preemption.hpp
+++ b/src/placement/preemption.hpp
@@ -1,4 +1,5 @@
-// Making room for a task by stopping others.
+/// \file
+/// Making room for a task by stopping others.
 #pragma once
 
 #include <array>
@@ -10,28 +11,28 @@
 
 namespace kestrelhoist {
 
-// Where room is made for a task.
+/// Where room is made for a task.
 enum class PreemptionTarget {
   anyMachine,
-  imageHeld,  // only where the job's image is, and only if that costs less than the fetch
+  imageHeld,  ///< only where the job's image is, and only if that costs less than the fetch
 };
 
-// Makes room for the tasks of one job. Machines go by their index in PlanInput::machines.
+/// Makes room for the tasks of one job. Machines go by their index in PlanInput::machines.
 class Preemption {
  public:
-  // `clearable`: the machines with something that may be stopped or is stopping.
+  /// `clearable`: the machines with something that may be stopped or is stopping.
   Preemption(const PlanInput& input, PlanState& state, JobPlacement& placement,
              const std::vector<std::size_t>& clearable);
 
-  // Takes room that is about to be free, or stops less important work for it; false: there is none.
-  // The task is placed by a later plan, once the room is free.
+  /// Takes room that is about to be free, or stops less important work for it; false: there is
+  /// none. The task is placed by a later plan, once the room is free.
   bool makeRoom(PreemptionTarget target);
 
  private:
   using Victims = std::vector<const PlanTask*>;
-  // What it takes to make room for a task on a machine.
+  /// What it takes to make room for a task on a machine.
   struct Clearing {
-    double cost{};  // about in seconds
+    double cost{};  ///< about in seconds
     Victims victims;
   };
 
@@ -46,7 +47,7 @@
   PlanState& state_;
   JobPlacement& placement_;
   const std::vector<std::size_t>& clearable_;
-  std::array<std::optional<CandidateQueue>, 2> candidates_;  // by target
+  std::array<std::optional<CandidateQueue>, 2> candidates_;  ///< by target
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/runner.hpp
+++ b/src/placement/runner.hpp
@@ -1,4 +1,5 @@
-// Runs plans beside the event loop: one planner thread, or in place for tests.
+/// \file
+/// Runs plans beside the event loop: one planner thread, or in place for tests.
 #pragma once
 
 #include <functional>
@@ -13,13 +14,13 @@
 class PlanRunner {
  public:
   virtual ~PlanRunner() = default;
-  // Calls `done` on the event loop, never from within this call.
+  /// Calls `done` on the event loop, never from within this call.
   virtual void run(PlanInput input, std::function<void(PlanInput, Plan)> done) = 0;
 };
 
 class ThreadPlanRunner : public PlanRunner {
  public:
-  // `post` hands a call to the event loop from any thread.
+  /// `post` hands a call to the event loop from any thread.
   explicit ThreadPlanRunner(std::function<void(std::function<void()>)> post);
   ~ThreadPlanRunner() override;
   ThreadPlanRunner(const ThreadPlanRunner&) = delete;
--- a/src/placement/task_loop.hpp
+++ b/src/placement/task_loop.hpp
@@ -35,7 +35,7 @@
   [[nodiscard]] std::optional<Commit> commit(const PlanInput* input, const Plan* plan);
 
  private:
-  using UrgentChunk = std::pair<Instant, ConfirmedOutcomes::ChunkKey>;  // since when, and which
+  using UrgentChunk = std::pair<Instant, ConfirmedOutcomes::ChunkKey>;  ///< since when, and which
   struct PlacedMachines {
     std::size_t placements = 0;
     std::set<MachineId> machines;
@@ -51,7 +51,7 @@
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
   ConfirmedOutcomes& outcomes_;
-  std::set<AttemptId> stopsSent_;  // stops of cancelled jobs that were sent directly once
+  std::set<AttemptId> stopsSent_;  ///< stops of cancelled jobs that were sent directly once
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/document.hpp
+++ b/src/policy/document.hpp
@@ -1,6 +1,7 @@
-// The operators' policy: who goes first at which hours, which services are kept whatever happens,
-// which models are held ahead of a burst. One document, in the shared state; the form:
-// docs/policy.md.
+/// \file
+/// The operators' policy: who goes first at which hours, which services are kept whatever happens,
+/// which models are held ahead of a burst. One document, in the shared state; the form:
+/// docs/policy.md.
 #pragma once
 
 #include <memory>
@@ -12,7 +13,7 @@
 
 namespace kestrelhoist {
 
-// Which jobs are meant: all that is given must match.
+/// Which jobs are meant: all that is given must match.
 struct Selector {
   std::string jobClass;
   TeamId team;
@@ -24,30 +25,30 @@
 
 struct Period {
   std::string name;
-  std::vector<bool> days;        // Monday first, by the local date on which it opens
-  int fromMinute{}, toMinute{};  // local time; to <= from: on the next day
+  std::vector<bool> days;        ///< Monday first, by the local date on which it opens
+  int fromMinute{}, toMinute{};  ///< local time; to <= from: on the next day
   std::vector<Selector> first, yields;
-  double floor = 0.05;  // of the machines, what those that yield may hold at least
+  double floor = 0.05;  ///< of the machines, what those that yield may hold at least
 };
 
 struct Calendar {
-  std::string zone = "UTC";           // IANA
-  std::vector<std::string> holidays;  // YYYY-MM-DD, on which no period opens
-  std::vector<Period> periods;        // none overlaps another
+  std::string zone = "UTC";           ///< IANA
+  std::vector<std::string> holidays;  ///< YYYY-MM-DD, on which no period opens
+  std::vector<Period> periods;        ///< none overlaps another
 };
 
 struct Continuity {
   std::vector<Selector> services;
-  int machines = 0;  // cover for the loss of any so many at once, beside any one zone
+  int machines = 0;  ///< cover for the loss of any so many at once, beside any one zone
 };
 
 struct Pool {
   std::string name;
   std::vector<ImageId> images;
-  TeamId team;                    // pays
-  std::uint32_t least{}, most{};  // machines that hold each image
+  TeamId team;                    ///< pays
+  std::uint32_t least{}, most{};  ///< machines that hold each image
   Duration ahead{120000};
-  double budgetPerHour{};  // money for machines that only hold; 0: no bound
+  double budgetPerHour{};  ///< money for machines that only hold; 0: no bound
 };
 
 struct Policy {
@@ -58,8 +59,8 @@
 
 extern const char* const kPolicySchema;
 
-// Throws std::runtime_error with one line: what is wrong and where, as a JSON pointer.
+/// Throws std::runtime_error with one line: what is wrong and where, as a JSON pointer.
 std::shared_ptr<const Policy> parsePolicy(const Json& document);
-Json jsonFrom(const std::string& text);  // the same for what is no JSON
+Json jsonFrom(const std::string& text);  ///< the same for what is no JSON
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_loop.hpp
+++ b/src/policy/policy_loop.hpp
@@ -1,5 +1,6 @@
-// The leader's part of the policy: at each window and boundary it decides what is in force, and
-// commits it with what the machines cost since, before anything follows from it.
+/// \file
+/// The leader's part of the policy: at each window and boundary it decides what is in force, and
+/// commits it with what the machines cost since, before anything follows from it.
 #pragma once
 
 #include "fleet/fleet.hpp"
--- a/src/policy/policy_replica.hpp
+++ b/src/policy/policy_replica.hpp
@@ -1,4 +1,5 @@
-// A controller's copy of the policy, of what of it is in force, and of who paid.
+/// \file
+/// A controller's copy of the policy, of what of it is in force, and of who paid.
 #pragma once
 
 #include "policy/charges.hpp"
@@ -11,7 +12,7 @@
 namespace keys {
 inline const std::string kPolicy = "kh/policy/now";
 inline const std::string kPolicyPast =
-    "kh/policy/past/";  // by the version's last digit, so bounded
+    "kh/policy/past/";  ///< by the version's last digit, so bounded
 inline const std::string kPolicyState = "kh/policy/standing";
 inline const std::string kChargesOfHour = "kh/paid/hour/";
 inline const std::string kChargesOfDay = "kh/paid/day/";
@@ -23,9 +24,9 @@
 
 struct PolicyVersion {
   std::uint64_t version{};
-  std::int64_t atMs{};  // time of day
-  std::string by;       // the controller that wrote it
-  Json document;        // null: cleared
+  std::int64_t atMs{};  ///< time of day
+  std::string by;       ///< the controller that wrote it
+  Json document;        ///< null: cleared
 };
 Json toJson(const PolicyVersion& v);
 std::optional<PolicyVersion> policyVersionFrom(const Json& v);
@@ -40,16 +41,16 @@
 
   const std::optional<PolicyVersion>& current() const { return current_; }
   const std::map<std::uint64_t, PolicyVersion>& past() const { return past_; }
-  // Null: none is set, or it can't be read by this version of the program.
+  /// Null: none is set, or it can't be read by this version of the program.
   const std::shared_ptr<const Policy>& policy() const { return policy_; }
   std::uint64_t version() const { return current_ ? current_->version : 0; }
   const PolicyState& state() const { return state_; }
   bool active() const { return current_.has_value(); }
-  // Whether a period has opened by then, if none is open.
+  /// Whether a period has opened by then, if none is open.
   bool opensBy(std::int64_t atMs) const;
   const std::map<std::int64_t, ChargeRecord>& hours() const { return hours_; }
   const std::map<std::int64_t, ChargeRecord>& days() const { return days_; }
-  // How time of day is told; for what is to come.
+  /// How time of day is told; for what is to come.
   std::function<std::int64_t()> timeOfDay;
 
   bool protects(const JobSpec& spec) const override;
@@ -74,7 +75,7 @@
   std::set<MachineId> warmMachines_;
   std::map<std::int64_t, ChargeRecord> hours_, days_;
   mutable std::optional<Occurrence> next_;
-  mutable std::int64_t nextOf_ = -1;  // for which standing it was computed
+  mutable std::int64_t nextOf_ = -1;  ///< for which standing it was computed
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/service.hpp
+++ b/src/policy/service.hpp
@@ -1,5 +1,6 @@
-// Operators read and set the policy, at the address that controllers speak to each other at: only
-// controllers and operators reach it (docs/members.md), and no user's key permits any of it.
+/// \file
+/// Operators read and set the policy, at the address that controllers speak to each other at: only
+/// controllers and operators reach it (docs/members.md), and no user's key permits any of it.
 #pragma once
 
 #include "config/platform.hpp"
@@ -19,16 +20,16 @@
         policyReplica_(policyReplica),
         platform_(platform) {}
 
-  // GET or POST /mesh/policy; GET /mesh/paid. False: not its path.
+  /// GET or POST /mesh/policy; GET /mesh/paid. False: not its path.
   bool handle(const Request& request, const Respond& respond);
 
  private:
   Json view() const;
   Json paid() const;
-  // What setting it would change now, in jobs.
+  /// What setting it would change now, in jobs.
   Json effectOf(const Policy& policy) const;
   void set(const Json& body, const Respond& respond);
-  // Which version this request has made, of those that are kept.
+  /// Which version this request has made, of those that are kept.
   std::optional<std::uint64_t> versionOf(const std::string& request) const;
 
   Runtime& runtime_;
--- a/src/rules/make_expr.hpp
+++ b/src/rules/make_expr.hpp
@@ -1,4 +1,5 @@
-// Variables and functions of Makefiles.
+/// \file
+/// Variables and functions of Makefiles.
 #pragma once
 
 #include <functional>
@@ -11,11 +12,11 @@
 
 struct MakeVariable {
   std::string text;
-  bool simple = false;  // expanded when it was set (:=)
-  bool fixed = false;   // set from outside: assignments in the file do not change it
+  bool simple = false;  ///< expanded when it was set (:=)
+  bool fixed = false;   ///< set from outside: assignments in the file do not change it
 };
 
-// One layer of variables over another: of a target over those of who needs it, over the file's.
+/// One layer of variables over another: of a target over those of who needs it, over the file's.
 struct MakeScope {
   std::map<std::string, MakeVariable> variables;
   std::shared_ptr<const MakeScope> outer;
@@ -27,7 +28,7 @@
   MakeExpander(const Limits& limits, std::vector<std::string> sources)
       : limits_(limits), sources_(std::move(sources)) {}
 
-  // Expands references and calls. Throws RuleError.
+  /// Expands references and calls. Throws RuleError.
   std::string expand(const std::string& text, const MakeScope& scope, const Place& place);
   void spend(std::size_t steps, std::size_t bytes, const Place& place);
   const std::vector<std::string>& sources() const { return sources_; }
@@ -39,11 +40,11 @@
   std::size_t steps_ = 0, bytes_ = 0, depth_ = 0;
 };
 
-// Without the blanks around it.
+/// Without the blanks around it.
 std::string makeStrip(const std::string& s);
 std::vector<std::string> makeWords(const std::string& text);
 std::string makeJoin(const std::vector<std::string>& words);
-// Matches a pattern with at most one %; gives the stem.
+/// Matches a pattern with at most one %; gives the stem.
 bool makeMatch(const std::string& pattern, const std::string& word, std::string* stem);
 std::string makeSubstitute(const std::string& pattern, const std::string& stem);
 
--- a/src/rules/shell.hpp
+++ b/src/rules/shell.hpp
@@ -1,4 +1,5 @@
-// Texts as one word of a shell.
+/// \file
+/// Texts as one word of a shell.
 #pragma once
 
 #include <string>
--- a/src/rules/snake_grammar.hpp
+++ b/src/rules/snake_grammar.hpp
@@ -1,4 +1,5 @@
-// The grammar of expressions in Snakemake files; only snake_expr.cpp includes it.
+/// \file
+/// The grammar of expressions in Snakemake files; only snake_expr.cpp includes it.
 #pragma once
 
 #include <tao/pegtl.hpp>
@@ -9,7 +10,7 @@
 namespace peg = tao::pegtl;
 
 namespace g {
-using namespace tao::pegtl;  // NOLINT: a grammar reads as such
+using namespace tao::pegtl;  ///< NOLINT: a grammar reads as such
 struct comment : seq<one<'#'>, star<not_one<'\n'>>> {};
 struct ws : star<sor<one<' ', '\t', '\r', '\n'>, comment, seq<one<'\\'>, eol>>> {};
 template <char Q>
--- a/src/rules/value.hpp
+++ b/src/rules/value.hpp
@@ -1,4 +1,5 @@
-// Values of rule files: what literals, configuration files and the supported functions give.
+/// \file
+/// Values of rule files: what literals, configuration files and the supported functions give.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +17,9 @@
   std::int64_t n{};
   double d{};
   std::string s;
-  OutputFlags flags;  // of a text that names a file
+  OutputFlags flags;  ///< of a text that names a file
   std::vector<Value> items;
-  std::vector<std::pair<std::string, Value>> fields;  // in their order
+  std::vector<std::pair<std::string, Value>> fields;  ///< in their order
 
   static Value of(std::string text) {
     Value v;
@@ -70,19 +71,19 @@
     }
     fields.emplace_back(name, std::move(value));
   }
-  // As it stands in a text; lists separated by blanks.
+  /// As it stands in a text; lists separated by blanks.
   std::string str() const;
   const char* kindName() const;
 };
 
-// Positional and named arguments.
+/// Positional and named arguments.
 struct Args {
   std::vector<Value> positional;
   std::vector<std::pair<std::string, Value>> named;
-  std::vector<Place> places;  // of the positional ones, then of the named ones
+  std::vector<Place> places;  ///< of the positional ones, then of the named ones
 };
 
-// Reads a YAML file's text; throws RuleError.
+/// Reads a YAML file's text; throws RuleError.
 Value valueFromYaml(const std::string& text, const std::string& file, const Limits& limits);
 
 }  // namespace kestrelhoist::rules
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -1,4 +1,5 @@
-// Typed client of the state service.
+/// \file
+/// Typed client of the state service.
 #pragma once
 
 #include <functional>
@@ -11,33 +12,33 @@
 
 namespace kestrelhoist {
 
-// A transaction may be 64 KiB altogether, in text form.
+/// A transaction may be 64 KiB altogether, in text form.
 inline constexpr std::size_t kMaxTransactionBytes = 56 * 1024;
 
 struct Compare {
   std::string key;
-  Revision modRevision;  // 0: the key must not exist
+  Revision modRevision;  ///< 0: the key must not exist
 };
 
 struct Write {
   std::string key;
-  std::optional<Json> value;  // empty: drop
+  std::optional<Json> value;  ///< empty: drop
   std::optional<LeaseId> lease;
 };
 
 struct Transaction {
   std::vector<Compare> compares;
   std::vector<Write> writes;
-  std::string requestId{};  // of the user's request that it is for, if it is for one
+  std::string requestId{};  ///< of the user's request that it is for, if it is for one
 };
 
 enum class CommitOutcome {
-  applied,   // 200
-  conflict,  // 409: nothing was changed
-  refused,   // 429, 503: not carried out
-  noLease,   // 400 no such lease: not carried out
-  rejected,  // any other definite refusal: a fault of ours
-  unknown    // no answer: carried out, or not, or later
+  applied,   ///< 200
+  conflict,  ///< 409: nothing was changed
+  refused,   ///< 429, 503: not carried out
+  noLease,   ///< 400 no such lease: not carried out
+  rejected,  ///< any other definite refusal: a fault of ours
+  unknown    ///< no answer: carried out, or not, or later
 };
 
 struct CommitResult {
@@ -47,7 +48,7 @@
 
 struct Change {
   std::string key;
-  std::optional<Json> value;  // empty: dropped
+  std::optional<Json> value;  ///< empty: dropped
   Revision modRevision;
 };
 
@@ -66,7 +67,7 @@
 
 struct GetResult {
   bool ok = false;
-  std::optional<Json> value;  // empty: no such key
+  std::optional<Json> value;  ///< empty: no such key
 };
 
 const char* toString(CommitOutcome outcome);
@@ -88,9 +89,9 @@
   void renewLease(LeaseId id, Duration timeout, std::function<void(LeaseOutcome)> done);
   void dropLease(LeaseId id);
 
-  std::function<void(CommitOutcome)> onCommitted;  // of each transaction; may be null
+  std::function<void(CommitOutcome)> onCommitted;  ///< of each transaction; may be null
 
-  // Whether a request may be sent now within this node's share of the rate.
+  /// Whether a request may be sent now within this node's share of the rate.
   bool mayAsk() { return budget_.take(runtime_.now(), 1); }
 
  private:
--- a/src/store/job_state.hpp
+++ b/src/store/job_state.hpp
@@ -83,7 +83,7 @@
   TaskChunkRecord tasksOf(TaskRange range, bool wholeChunk) const;
 
  private:
-  // Tasks of flows that are neither finished nor on a machine, but will not be tried again.
+  /// Tasks of flows that are neither finished nor on a machine, but will not be tried again.
   std::uint32_t abandonedCount() const;
 };
 
--- a/src/store/machine_index.hpp
+++ b/src/store/machine_index.hpp
@@ -51,7 +51,7 @@
  private:
   using Machines = std::map<MachineId, MachineState>;
   void addMachinesOf(const RentalRecord& record);
-  // Machines that were on the previous record of the rental and are not on `record` (null: none).
+  /// Machines that were on the previous record of the rental and are not on `record` (null: none).
   void detachMissing(const RentalId& id, const RentalRecord* record);
   void eraseIfUnused(Machines::iterator machine);
 
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -77,8 +77,8 @@
   void setJob(const JobId& id, const Json* value, Revision modRevision);
   void setTasks(const std::string& key, const Json* value, Revision modRevision);
   void setSubChunk(const std::string& key, const Json* value, Revision modRevision);
-  // Takes in what a record says of these tasks: of a chunk, except for those in sub-chunks, or of a
-  // sub-chunk.
+  /// Takes in what a record says of these tasks: of a chunk, except for those in sub-chunks, or of
+  /// a sub-chunk.
   void applyTaskChunk(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
                       TaskChunkRecord record);
   void applyPlacements(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
@@ -98,11 +98,11 @@
   Revision cursor_;
   Revision newestCancelledJob_;
   std::unordered_map<std::string, Revision> modRevisions_;
-  std::unordered_map<std::string, Revision> drops_;  // newer than the cursor
+  std::unordered_map<std::string, Revision> drops_;  ///< newer than the cursor
   std::map<JobId, JobState> jobs_;
   std::map<JobId, JobState*> live_;
   JobGraph graph_;
-  // Parts of dependency lists, until the job is over.
+  /// Parts of dependency lists, until the job is over.
   std::map<JobId, std::map<std::uint32_t, std::vector<JobId>>> dependencyParts_;
   std::map<std::string, Revision> orphanSubChunks_;
   MachineIndex machines_;
--- a/src/versions/versions.hpp
+++ b/src/versions/versions.hpp
@@ -1,5 +1,6 @@
-// Which format of records each controller's version of the program knows. While two versions serve
-// side by side, forms that the older one can't read are not written.
+/// \file
+/// Which format of records each controller's version of the program knows. While two versions serve
+/// side by side, forms that the older one can't read are not written.
 #pragma once
 
 #include <map>
@@ -17,10 +18,10 @@
 inline std::string version(const MemberId& member) { return kVersion + member.value; }
 }  // namespace keys
 
-// What this version of the program reads and writes. Versions that write no record know 1.
+/// What this version of the program reads and writes. Versions that write no record know 1.
 inline constexpr unsigned kRecordFormat = 2;
 
-// A controller's copy of what is on record of all members of the settings.
+/// A controller's copy of what is on record of all members of the settings.
 class MemberVersions : public RecordHandler {
  public:
   explicit MemberVersions(const Platform& platform);
@@ -29,8 +30,8 @@
   void apply(const std::string& key, const Json* value, Revision modRevision) override;
   void clear() override { formats_.clear(); }
 
-  // Whether each member, this one included, has told that it knows this format. What it once told
-  // holds: a process that ends comes back with the same version or a newer one.
+  /// Whether each member, this one included, has told that it knows this format. What it once told
+  /// holds: a process that ends comes back with the same version or a newer one.
   bool allAtLeast(unsigned format) const;
   std::optional<unsigned> formatOf(const MemberId& member) const;
 
@@ -39,14 +40,14 @@
   std::map<MemberId, unsigned> formats_;
 };
 
-// Puts this controller's own format on record, once it has read the records and only if another or
-// none is there.
+/// Puts this controller's own format on record, once it has read the records and only if another or
+/// none is there.
 class VersionWriter {
  public:
   VersionWriter(Runtime& runtime, StoreClient& store, Replica& replica,
                 const MemberVersions& versions, const MemberId& member);
 
-  // Of a controller whose copy is loaded.
+  /// Of a controller whose copy is loaded.
   void onTimer();
 
  private:
--- a/tests/sim/balancer.hpp
+++ b/tests/sim/balancer.hpp
@@ -1,7 +1,8 @@
-// Stand-in of the users' load balancer, written from PROTOCOL: probes `/ready`, takes nodes out and
-// back in with pauses that double. Each request is a connection of its own, so shares and the reset
-// of open connections have no counterpart here; a node that hangs costs the user its patience
-// (harsher).
+/// \file
+/// Stand-in of the users' load balancer, written from PROTOCOL: probes `/ready`, takes nodes out
+/// and back in with pauses that double. Each request is a connection of its own, so shares and the
+/// reset of open connections have no counterpart here; a node that hangs costs the user its
+/// patience (harsher).
 #pragma once
 
 #include <deque>
@@ -28,7 +29,7 @@
   struct Node {
     std::string address;
     bool healthy = false, everHealthy = false;
-    int inARow = 0;  // successes, or failures if negative
+    int inARow = 0;  ///< successes, or failures if negative
     std::deque<bool> last;
     std::int64_t notBefore = 0, pause = kPause, removedAt = -kRemembered, skippedUntil = 0;
     int refused = 0;
--- a/tests/sim/traffic_digest.hpp
+++ b/tests/sim/traffic_digest.hpp
@@ -1,4 +1,5 @@
-// A hash over all traffic of a simulated world, to show that two builds behave alike.
+/// \file
+/// A hash over all traffic of a simulated world, to show that two builds behave alike.
 #pragma once
 
 #include <sodium.h>
@@ -12,18 +13,18 @@
 
 namespace kestrelhoist::sim {
 
-// Hashes every message with its virtual time, its hosts and its bytes, in the order of the events.
+/// Hashes every message with its virtual time, its hosts and its bytes, in the order of the events.
 class TrafficDigest {
  public:
-  // Null unless the environment variable KESTRELHOIST_DIGEST names the file that collects digests.
-  // Also makes the random bytes of keys repeatable, as they are part of the messages.
+  /// Null unless the environment variable KESTRELHOIST_DIGEST names the file that collects digests.
+  /// Also makes the random bytes of keys repeatable, as they are part of the messages.
   static std::unique_ptr<TrafficDigest> fromEnvironment();
 
   void onRequest(std::string_view event, std::int64_t atMs, const std::string& from,
                  const std::string& to, const Request& request);
   void onResponse(std::int64_t atMs, const std::string& from, const std::string& to,
                   const Response& response);
-  // Appends one line to the file: the running test, the hash and the number of messages.
+  /// Appends one line to the file: the running test, the hash and the number of messages.
   void report();
 
  private:
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -1,4 +1,5 @@
-// Virtual time and a network that delays, loses, holds and resets messages.
+/// \file
+/// Virtual time and a network that delays, loses, holds and resets messages.
 #pragma once
 
 #include <map>
@@ -17,7 +18,7 @@
   void at(std::int64_t ms, std::function<void()> f) override {
     queue_.push({std::max(ms, now_), next_++, std::move(f)});
   }
-  // Runs everything up to `ms`.
+  /// Runs everything up to `ms`.
   void runUntil(std::int64_t ms) {
     while (!queue_.empty() && queue_.top().at <= ms) {
       auto event = queue_.top();
@@ -40,12 +41,12 @@
   std::uint64_t next_ = 0;
 };
 
-// slow: messages take a second and a half longer.
+/// slow: messages take a second and a half longer.
 enum class CutMode { hold, drop, reset, slow };
-// Which way a cut works, seen from its host.
+/// Which way a cut works, seen from its host.
 enum class CutWay { both, in, out };
 
-// Hosts by name; an address is "host:port". A cut separates two groups of hosts.
+/// Hosts by name; an address is "host:port". A cut separates two groups of hosts.
 class Network : public simulator::Wire {
  public:
   Network(Clockwork& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
@@ -57,55 +58,56 @@
     servers_[address] = std::move(server);
   }
   void close(const std::string& address) override { servers_.erase(address); }
-  // A host without power: says nothing.
+  /// A host without power: says nothing.
   void silence(const std::string& host) override { silent_.insert(host); }
 
-  // Cuts host from every host in `others` (all if empty) for `ms`.
+  /// Cuts host from every host in `others` (all if empty) for `ms`.
   void cut(const std::string& host, const std::set<std::string>& others, CutMode mode,
            std::int64_t ms, CutWay way = CutWay::both) {
     cuts_.push_back({host, others, {}, mode, clock_.now() + ms, way});
   }
-  // This host opens no connections to controllers for `ms`: refused or without any answer. What
-  // others send it arrives, and so do its answers.
+  /// This host opens no connections to controllers for `ms`: refused or without any answer. What
+  /// others send it arrives, and so do its answers.
   void mute(const std::string& host, bool refused, std::int64_t ms) {
     mutes_[host] = {clock_.now() + ms, refused};
   }
-  // Between these hosts and all others.
+  /// Between these hosts and all others.
   void cutOff(const std::set<std::string>& inside, CutMode mode, std::int64_t ms) {
     cuts_.push_back({"", {}, inside, mode, clock_.now() + ms, CutWay::both});
   }
-  // Requests between hosts so far, with the bytes of both bodies, by the first two parts of the
-  // path.
+  /// Requests between hosts so far, with the bytes of both bodies, by the first two parts of the
+  /// path.
   struct Traffic {
     std::size_t requests{}, bytes{};
   };
   std::map<std::string, Traffic> traffic;
-  double lossOfAnswers = 0;  // share of requests whose answer is lost
-  double lateRequests = 0;   // share that arrives up to two minutes late
-  // Of this share of the workers' reports a copy comes so much later (ms), at whoever listens at
-  // that address then; nobody hears its answer.
+  double lossOfAnswers = 0;  ///< share of requests whose answer is lost
+  double lateRequests = 0;   ///< share that arrives up to two minutes late
+  /// Of this share of the workers' reports a copy comes so much later (ms), at whoever listens at
+  /// that address then; nobody hears its answer.
   struct Copies {
     double share = 0;
     std::int64_t from = 0, to = 0;
   };
   Copies copies;
-  // This share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones.
+  /// This share of transactions gets no answer and is carried out 2 to 12 s later, after newer
+  /// ones.
   double lateWrites = 0;
-  // This share of direct commands, and of answers to them and to reports, is held up for so long
-  // (ms).
+  /// This share of direct commands, and of answers to them and to reports, is held up for so long
+  /// (ms).
   Copies held;
-  // What becomes of a request besides: held up for so long (ms), and nobody hears its answer.
+  /// What becomes of a request besides: held up for so long (ms), and nobody hears its answer.
   struct Fate {
     std::int64_t laterMs = 0;
     bool unanswered = false;
   };
   std::function<Fate(const std::string& from, const Request& request)> fateOf;
-  // Each request as it is sent, and with the answer that it was given.
+  /// Each request as it is sent, and with the answer that it was given.
   std::function<void(const std::string& from, const Request& request)> onSent;
   std::function<void(const Request& request, const Response& answer)> onAnswered;
-  std::int64_t slowState = 0;  // longer until an answer of the state service comes (ms)
+  std::int64_t slowState = 0;  ///< longer until an answer of the state service comes (ms)
 
-  // A copy of a request comes there; nobody hears its answer.
+  /// A copy of a request comes there; nobody hears its answer.
   void deliver(const std::string& from, const std::string& address, const Request& request,
                std::int64_t laterMs) {
     std::string to = address.substr(0, address.find(':'));
@@ -185,7 +187,7 @@
     std::int64_t until;
     CutWay way;
   };
-  // Copied, as a server may close its address while it serves.
+  /// Copied, as a server may close its address while it serves.
   void serve(Server server, const std::string& from, const std::string& address,
              const Request& request, const Respond& respond) {
     if (!digest_) return server(from, request, respond);
@@ -241,7 +243,7 @@
   std::unique_ptr<TrafficDigest> digest_ = TrafficDigest::fromEnvironment();
 };
 
-// One life of one process: its timers and answers end with it. The clock may run fast.
+/// One life of one process: its timers and answers end with it. The clock may run fast.
 class HostRuntime : public Runtime, public HttpClient {
  public:
   HostRuntime(Clockwork& clock, Network& network, std::string host, double clockRate)
@@ -253,8 +255,8 @@
   std::int64_t wallMillis() override {
     return 1700000000000 + clock_.now() + clockOff;
   }                           // 22:13:20 UTC
-  std::int64_t clockOff = 0;  // its time of day is wrong by so much
-  // Stands still: timers, answers and what `whenAwake` is given wait; its clock runs on.
+  std::int64_t clockOff = 0;  ///< its time of day is wrong by so much
+  /// Stands still: timers, answers and what `whenAwake` is given wait; its clock runs on.
   void freeze(std::int64_t ms) { frozenUntil_ = clock_.now() + ms; }
   void whenAwake(std::function<void()> f) {
     if (clock_.now() >= frozenUntil_) return f();
