--- a/src/placement/confirmed_outcomes.cpp
+++ b/src/placement/confirmed_outcomes.cpp
@@ -7,8 +7,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr std::size_t kMaxPauseS = 60;
-// Facts that nobody waits for are written together: their tasks stay on record a little longer,
-// and the worker goes on reporting them until then.
+// Outcomes that are not urgent wait this long, so that one transaction writes many of them. Until
+// then, their tasks stay on record and the worker keeps reporting them.
 constexpr Duration kOutcomesWait{1500};
 constexpr Duration kFlowOutcomesWait{3000};
 }  // namespace
@@ -19,8 +19,9 @@
   PendingOutcomes& pending = pending_[{job, task.id.task.index / task.job->record.chunkSize}];
   if (pending.outcomes.empty()) pending.since = context_.runtime.now();
   const JobState& state = *task.job;
-  // Only an array's task can be done; a service's that ended by itself is started again. A flow's
-  // task may be given up, or no longer be wanted.
+  // A task of an array or a gang that is done does not run again, but a service replica that exits
+  // by itself is started again. A flow's task does not run again if it has no retries left or is
+  // dropped.
   bool isFinal = how == AttemptOutcome::done && state.record.spec->kind != JobKind::service;
   if (state.record.flow) {
     std::uint32_t index = task.id.task.index;
@@ -34,21 +35,22 @@
   ++(isFinal ? finished_ : requeued_)[job];
   context_.planInvalidated = true;
   if (how == AttemptOutcome::done) pauses_.erase(job);
-  // Errors of users' jobs are weighed against those of their machines (Evidence).
+  // FailureAttribution handles the failures of jobs that are not part of a flow, because it decides
+  // whether the job or the machine is at fault.
   if (how != AttemptOutcome::refused && (how != AttemptOutcome::failed || !state.record.flow))
     return;
   Pause& pause = pauses_[job];
-  // A flow's rule is tried a few times anyway: what fails in one round counts once.
+  // Failures of a flow's job during its pause do not extend the pause, so several tasks that fail
+  // together count once. Each flow task has a limited number of retries anyway.
   if (state.record.flow && context_.runtime.now() < pause.until) return;
   pause.failures = std::min(pause.failures + 1, 16);
   auto seconds = std::min<std::size_t>(kMaxPauseS, 1UL << std::min(pause.failures - 1, 6));
   Duration length{static_cast<std::int64_t>(how == AttemptOutcome::failed ? seconds : 1) * 1000};
   pause.until = context_.runtime.now() + length;
-  logInfo("task's job pauses", "task", task.id.str(), "cause",
+  logInfo("job paused after a failed or refused task", "task", task.id.str(), "cause",
           how == AttemptOutcome::failed ? "failed" : "refused", "ms", length);
 }
 
-// Off the record, or no longer what is on it.
 void ConfirmedOutcomes::forget(const AttemptId& id, const JobState& job) {
   auto pending = pending_.find({id.task.job, id.task.index / job.record.chunkSize});
   if (pending == pending_.end()) return;
@@ -67,7 +69,9 @@
   pauses_.erase(job);
 }
 
-// A replica that has run for a while is a service's success.
+// Returns whether a replica of the service has run for a while on a machine other than `except`,
+// and stores that machine in `where`. Such a replica counts as a success, because a service never
+// ends.
 bool ConfirmedOutcomes::runsWell(const JobState& job, const MachineId& except,
                                  MachineId& where) const {
   constexpr Duration kWell{30000};
@@ -95,11 +99,13 @@
   auto pause = attribution.pausedUntil(id);
   attribution.failed(id, machine, context_.runtime.now(), job.record.flow != nullptr);
   if (!before && attribution.suspect(id)) {
-    logInfo("job is suspect: fails wherever it goes", "job", id);
+    logInfo("job failed on several machines and is now suspect", "job", id);
+  }
+  if (!faulty && attribution.faulty(machine)) {
+    logInfo("machine classified as faulty after task failures", "machine", machine);
   }
-  if (!faulty && attribution.faulty(machine)) logInfo("machine is faulty", "machine", machine);
   if (auto until = attribution.pausedUntil(id); until && until != pause) {
-    logInfo("job pauses after errors", "job", id, "ms", *until - context_.runtime.now());
+    logInfo("job paused after errors", "job", id, "ms", *until - context_.runtime.now());
   }
 }
 
@@ -164,13 +170,13 @@
              : nullptr;
 }
 
-// Somebody waits for these: a job that is complete, or a machine that can't go before its tasks.
 bool ConfirmedOutcomes::isUrgent(const ChunkKey& key, const PendingOutcomes& pending) const {
   const auto* job = context_.replica.job(key.first);
   if (!job || !job->active()) return true;
   auto done = finished_.find(key.first);
   if (job->record.flow) {
-    // Its dependents wait, but many ends at once are few writes.
+    // Dependent tasks of the flow wait for these outcomes, but a short delay combines many of them
+    // in few writes.
     if (context_.runtime.now() - pending.since >= kFlowOutcomesWait) return true;
     return done != finished_.end() && done->second >= job->placed.size() && job->waiting() == 0;
   }
--- a/src/placement/confirmed_outcomes.hpp
+++ b/src/placement/confirmed_outcomes.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What has been proven of tasks that are still on record, until it is committed; and the pauses of
-/// jobs whose tasks fail or are refused. State of one leadership.
+/// Holds the confirmed outcomes of task attempts that are still on record until they are committed,
+/// and the pauses of jobs whose tasks failed or were refused. The state belongs to one leader.
 #pragma once
 
 #include <map>
@@ -10,20 +10,26 @@
 
 namespace kestrelhoist {
 
+/// The confirmed outcomes that are not committed yet, and the pauses of jobs.
 class ConfirmedOutcomes {
  public:
+  /// The outcome of one task attempt.
   struct Outcome {
     Attempt attempt;
     AttemptOutcome how{};
-    bool isFinal{};  ///< the task is not to be run again
-    Duration ran{};  ///< as its worker told, or as it was seen
+    bool isFinal{};  ///< The task must not run again.
+    /// This is the run time that the worker reported, or else the time since the attempt was first
+    /// seen running.
+    Duration ran{};
   };
-  /// Facts of one stretch of a job's tasks, to be committed together.
+  /// The outcomes of one chunk of a job's tasks, which are committed together.
   struct PendingOutcomes {
-    Instant since{};
-    std::map<std::uint32_t, Outcome> outcomes;  ///< by the task's number
+    Instant since{};                            ///< This is the time of the first outcome.
+    std::map<std::uint32_t, Outcome> outcomes;  ///< Is indexed by the task's index in the job.
   };
+  /// Identifies a chunk by its job and by the chunk's number.
   using ChunkKey = std::pair<JobId, std::uint32_t>;
+  /// A back-off during which no task of a job is placed.
   struct Pause {
     int failures{};
     Instant until{};
@@ -31,24 +37,33 @@
 
   ConfirmedOutcomes(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
-  /// Takes in what a machine's reports have proven.
+  /// Adds the outcomes that the reports of a machine have confirmed.
   void noteOutcomes(Machine& m);
+  /// Adds the outcome of a placed task, unless an outcome of the task is pending already, and
+  /// pauses its job if that is due.
   void note(const PlacedTask& task, AttemptOutcome how, Duration ran = Duration{0});
-  /// Off the record, or no longer what is on it.
+  /// Removes the outcome of an attempt that is no longer on record.
   void forget(const AttemptId& id, const JobState& job);
-  /// The job is on no record any more.
+  /// Removes all data of a job that is no longer on record.
   void forgetJob(const JobId& job);
+  /// Returns the pending outcome of an attempt, or null if it has none.
   const Outcome* find(const AttemptId& id) const;
-  /// Somebody waits for these: a job that is complete, or a machine that can't go before its tasks.
+  /// Returns whether the outcomes of a chunk must be committed now. That is so if they complete
+  /// their job, if they have waited long enough, or if their job is no longer active. In the last
+  /// case, a machine may wait for them that can't be terminated while its tasks are on record.
   bool isUrgent(const ChunkKey& key, const PendingOutcomes& pending) const;
+  /// Returns all outcomes that are not committed yet, by chunk.
   const std::map<ChunkKey, PendingOutcomes>& pending() const { return pending_; }
-  /// Tasks found gone that must run again, by job.
+  /// Counts, by job, the tasks with a pending outcome that must run again.
   const std::map<JobId, std::uint32_t>& requeued() const { return requeued_; }
-  /// Until when nothing of this job is to be placed, if so.
+  /// Returns the time until which no task of this job may be placed; empty if the job is not
+  /// paused.
   std::optional<Instant> pausedUntil(const JobId& job) const;
-  /// The newest pause is for a start that was refused.
+  /// Returns whether the pause that ends last was caused by a refused start or by a failed flow
+  /// task, and not by FailureAttribution.
   bool refused(const JobId& job) const;
-  /// Of a suspect job: how many more of its tasks may be placed now.
+  /// Returns how many more tasks of a suspect job may be placed now; empty if the job is not
+  /// suspect.
   std::optional<std::uint32_t> trialsLeft(const JobId& id, const JobState& job) const;
 
  private:
@@ -58,9 +73,9 @@
   LeaderContext& context_;
   Fleet& fleet_;
   std::map<ChunkKey, PendingOutcomes> pending_;
-  std::map<JobId, std::uint32_t> finished_;  ///< tasks found done, not committed yet
-  std::map<JobId, std::uint32_t> requeued_;  ///< tasks found gone that must run again
-  std::map<JobId, Pause> pauses_;            ///< flows' whose tasks failed, and refused starts
+  std::map<JobId, std::uint32_t> finished_;  ///< Counts tasks with a pending final outcome.
+  std::map<JobId, std::uint32_t> requeued_;  ///< Counts tasks with a pending outcome to run again.
+  std::map<JobId, Pause> pauses_;  ///< Holds pauses for failed flow tasks and for refused starts.
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/consolidate.cpp
+++ b/src/placement/consolidate.cpp
@@ -6,7 +6,8 @@
 namespace kestrelhoist {
 namespace {
 
-// A replica that has just come up is left alone: so no two turns move the same one.
+// A replica that has run for less than this is not moved, so that two consecutive runs don't move
+// the same replica.
 constexpr Duration kSettled{60000};
 
 double serviceShare(const ConsolidationCandidate& m) {
@@ -36,7 +37,7 @@
     const ConsolidationCandidate& source = in.machines[from];
     if (share[from] == 0 || share[from] > 0.5 || targets.contains(from)) continue;
     if (out.moves.size() + source.services.size() > in.maxMoves) continue;
-    // All of its replicas, or none.
+    // The machine is drained only if all of its replicas can move.
     auto perZone = in.perZone;
     std::vector<std::pair<std::size_t, Resources>> booked;
     bool all = true;
--- a/src/placement/consolidate_test.cpp
+++ b/src/placement/consolidate_test.cpp
@@ -5,7 +5,8 @@
 namespace kestrelhoist {
 namespace {
 
-// Machines of 4 places; each replica is of a service of its own and has image 1.
+// Builds an input of machines that hold 4 replicas each. Each replica belongs to its own service,
+// and all of them use image 1.
 struct Builder {
   ConsolidationInput in;
   int jobs = 0;
@@ -43,7 +44,7 @@
   b.machine("two", 0, 2);
   b.machine("three", 0, 3);
   auto d = chooseDrainCandidates(b.in);
-  ASSERT_EQ(d.machines.size(), 1U);  // then nothing is left that fits
+  ASSERT_EQ(d.machines.size(), 1U);  // After this move, no other machine's replicas fit elsewhere.
   EXPECT_EQ(d.machines[0], MachineId{"one"});
   EXPECT_EQ(d.moves.size(), 1U);
 }
@@ -69,7 +70,7 @@
   b.machine("one", 0, 1);
   b.machine("two", 1, 2);
   auto spec = std::make_shared<JobSpec>(*b.in.machines[0].services[0].spec);
-  spec->spread = true;  // one in a zone, and its sibling is in the other
+  spec->spread = true;  // Each zone may have one replica, and the other zone already has one.
   b.in.machines[0].services[0].spec = spec;
   b.in.perZone[spec->id] = {1, 1, 0};
   EXPECT_TRUE(chooseDrainCandidates(b.in).moves.empty());
--- a/src/placement/job_placement.cpp
+++ b/src/placement/job_placement.cpp
@@ -5,7 +5,7 @@
 namespace kestrelhoist {
 namespace {
 
-// Half of a fetch that is under way is over, on average.
+// On average, half of a running fetch is still to be done.
 constexpr double kLeftOfFetchUnderWay = 0.5;
 
 }  // namespace
@@ -49,14 +49,16 @@
   return !spec().oneZone || inOneZone(machine.zone);
 }
 
-// Whether the zone is that of the job's other tasks, if it has any.
+// Returns whether the job's other tasks are in this zone. It also returns true if the job has no
+// other tasks.
 bool JobPlacement::inOneZone(std::uint32_t zone) const {
   if (spread_.perZone[zone] > 0) return true;
   return std::all_of(spread_.perZone.begin(), spread_.perZone.end(),
                      [](std::uint32_t tasks) { return tasks == 0; });
 }
 
-// Whether a task may be placed there although the machine may be reserved for another job.
+// Returns whether the reservations allow a task on this machine. If the machine is reserved for
+// another job, the task must be expected to end before that job needs it.
 bool JobPlacement::endsBeforeReservation(std::size_t machine) const {
   if (reservations_.empty()) return true;
   auto neededInS = reservations_.neededIn(machine, job_);
--- a/src/placement/job_placement.hpp
+++ b/src/placement/job_placement.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Where the tasks of one job may go: its team's quota, its constraints and the images that it
-/// needs.
+/// Checks on which machines the tasks of one job may run, by its team's quota, its constraints and
+/// its image.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 namespace kestrelhoist {
 
-/// Slack in comparisons of sums of rooms.
+/// Comparisons of summed resources allow this rounding error.
 inline constexpr double kRoomTolerance = 1e-6;
 
-/// How many of a job's tasks each zone and, of a service, each machine has.
+/// Counts a job's placed tasks by zone and, for a service, also by machine.
 struct TaskSpread {
   std::vector<std::uint32_t> perZone;
-  std::map<std::size_t, std::uint32_t> siblings;  ///< by machine
+  std::map<std::size_t, std::uint32_t> siblings;  ///< Counts a service's tasks by machine.
 };
 
-/// The job whose tasks are being placed. Machines go by their index in PlanInput::machines.
+/// Checks and books machines for the tasks of one job. A machine is identified by its index in
+/// PlanInput::machines.
 class JobPlacement {
  public:
   JobPlacement(const PlanInput& input, PlanState& state, const Reservations& reservations,
@@ -31,22 +32,25 @@
   const JobSpec& spec() const { return *job_.spec; }
   const TaskSpread& spread() const { return spread_; }
 
-  /// Whether one more task stays within the limit of the job's team.
+  /// Returns whether one more task stays within the limit of the job's team.
   bool withinLimit() const;
-  /// Whether one more task stays within what the job's team is guaranteed.
+  /// Returns whether one more task stays within the guaranteed resources of the job's team.
   bool withinGuarantee() const;
-  /// Whether a task may be on this machine at all, given the job's other tasks.
+  /// Returns whether the job's constraints, its other tasks and the reservations allow a task on
+  /// this machine. Free resources are not checked; fits() checks them.
   bool allowed(std::size_t machine) const;
-  /// Whether the machine has free room for a task.
+  /// Returns whether a task fits into the free resources of the machine.
   bool fits(std::size_t machine) const;
 
+  /// Returns whether the job's image is in the cache of the machine.
   bool holdsImage(std::size_t machine) const;
-  /// How long fetching the job's image there takes by itself.
+  /// Returns how long a fetch of the job's image to the machine takes if no other fetch runs there.
   double fetchSeconds(std::size_t machine) const;
-  /// How long a task would wait for its image there; fetches of several images share the rate.
+  /// Returns how long a task would wait for its image on the machine. Concurrent fetches of several
+  /// images share the machine's fetch rate.
   double startDelaySeconds(std::size_t machine) const;
 
-  /// Books free room for a task.
+  /// Books free resources of the machine for a task.
   void book(std::size_t machine);
 
  private:
@@ -60,7 +64,7 @@
   TaskSpread spread_;
 };
 
-/// Whether a team uses more than it is guaranteed.
+/// Returns whether a team uses more resources than it is guaranteed.
 bool exceedsGuarantee(const Resources& used, const Resources& guaranteed);
 
 }  // namespace kestrelhoist
--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -10,7 +10,9 @@
 
 bool isBatch(const QueuedJob& j) { return j.spec->kind != JobKind::service; }
 
-// What never passes another's turn, whatever waits for how long.
+// Returns the job's level. Jobs are served level by level, and waiting does not raise a job's
+// level. Only the first task of a job that has waited for `beginWithin` may be served before jobs
+// of a higher level, if their priority is the same.
 auto levelOf(const QueuedJob& j) {
   return std::tuple(j.protectedService, j.spec->priority, j.priorityAdjustment);
 }
@@ -27,8 +29,8 @@
     const auto& x = jobs[a];
     const auto& y = jobs[b];
     if (auto l = levelOf(x), m = levelOf(y); l != m) return l > m;
-    // When there is not room for all, the least remaining work first ends the most jobs in time;
-    // services have none and go by age.
+    // When the machines do not suffice for all jobs, serving the least remaining work first
+    // finishes the most jobs in time. Services have no remaining work and are ordered by age.
     if (x.remainingS != y.remainingS) return x.remainingS < y.remainingS;
     if (x.acceptedAtMs != y.acceptedAtMs) return x.acceptedAtMs < y.acceptedAtMs;
     return x.spec->id < y.spec->id;
@@ -43,9 +45,10 @@
   for (auto from = order.begin(); from != order.end();) {
     auto to = std::find_if(from, order.end(),
                            [&](std::size_t j) { return levelOf(jobs[j]) != levelOf(jobs[*from]); });
-    // Each job begins: one task before its rank's others, the oldest first. Under a load that
-    // lasts, equal jobs go by age, and the newest would not begin before all before them have ended
-    // (18 of 60 had not after five minutes); what yields would be last for ever.
+    // Each batch job that has waited for `beginWithin` gets one task before the other jobs of its
+    // priority, the oldest job first. Otherwise, under a lasting load, jobs of equal size are
+    // served by age and the newest one starts only when all older ones are done (18 of 60 jobs had
+    // not started after five minutes), and a job that the calendar puts last never starts.
     std::pair<bool, Priority> now{jobs[*from].protectedService, jobs[*from].spec->priority};
     if (rank != now) {
       rank = now;
@@ -65,17 +68,18 @@
         turns.push_back({j, jobs[j].spec->kind == JobKind::gang ? left(j) : 1, true});
       }
     }
-    // Least remaining work alone starves the largest: small work that comes as fast as it ends goes
-    // first for ever (an array of 300 had started nothing after 300 s). So a job that has waited
-    // for long and that newer work would pass gets a part of its share first.
+    // Least remaining work alone starves the largest jobs: small jobs that arrive as fast as they
+    // finish are always served first (an array of 300 tasks had started none of them after 300 s).
+    // So a large job that has waited long and would be overtaken by newer jobs first gets a share
+    // of the machines.
     std::vector<double> remaining;
     for (auto at = from; at != to; ++at) {
       if (isBatch(jobs[*at])) remaining.push_back(jobs[*at].remainingS);
     }
-    // They come sorted by it.
+    // The jobs are sorted by remaining work, so the middle element is the median.
     double large = remaining.empty() ? 0 : settings.large * remaining[(remaining.size() - 1) / 2];
     std::vector<std::size_t> passed;
-    std::int64_t newest = 0;  // of those that go before
+    std::int64_t newest = 0;  // The latest acceptance time of the jobs served before this one.
     for (auto at = from; at != to; ++at) {
       const auto& job = jobs[*at];
       bool waited = nowMs - job.acceptedAtMs >= settings.agingThreshold.count();
@@ -88,15 +92,16 @@
     std::stable_sort(passed.begin(), passed.end(), [&](std::size_t a, std::size_t b) {
       return jobs[a].acceptedAtMs < jobs[b].acceptedAtMs;
     });
-    // One after the other: in equal parts none of many would end (a burst of four times the work on
-    // 1,500 machines: 10% fewer were done in time than by least remaining work alone).
-    double given = 0;  // machines
+    // Overtaken jobs are served one after the other. If many of them got equal parts, none would
+    // finish: in a burst of four times the work on 1,500 machines, 10% fewer jobs were done in time
+    // than by least remaining work alone.
+    double given = 0;  // The number of machines that overtaken jobs have got so far.
     for (auto j : passed) {
       double machines = settings.share * machinesFor[j] - given;
       if (machines <= 0) break;
       auto fair = static_cast<std::uint32_t>(
           std::max(1.0, std::floor(machines / std::max(1e-6, shareOf[j]) + 1e-6)));
-      // A gang runs whole or not at all.
+      // All tasks of a gang must run at once.
       if (jobs[j].spec->kind == JobKind::gang) fair = jobs[j].placed + jobs[j].waiting;
       std::uint32_t most = std::min(left(j), fair > jobs[j].placed ? fair - jobs[j].placed : 0);
       given += shareOf[j] * (most + std::min(jobs[j].placed, fair));
--- a/src/placement/job_queue.hpp
+++ b/src/placement/job_queue.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// In which order waiting work is served, and how much of it at a time: one decision for placing,
-/// stopping others, gathering room and renting. Pure; the ways weighed: docs/order.md.
+/// Orders the waiting jobs, and limits how many tasks of each job are served at a time. The same
+/// order is used for placing tasks, preempting others, reserving resources and renting machines.
+/// The functions here have no side effects. docs/order.md compares the alternatives.
 #pragma once
 
 #include <cstdint>
@@ -12,45 +13,53 @@
 
 namespace kestrelhoist {
 
+/// Settings of the job queue that keep long-waiting jobs from starving.
 struct QueueSettings {
-  /// A job that has waited so long is no longer passed by newer ones without getting its share.
+  /// A job that has waited this long is no longer overtaken by newer jobs unless it gets its share
+  /// of the machines first.
   Duration agingThreshold{60000};
-  /// One that has waited so long without a beginning gets its first task before others of its rank:
-  /// all begin within four minutes. Not sooner: under a load that lasts it ends fewer jobs.
+  /// A batch job that has waited this long without starting a task gets one task before the other
+  /// jobs of its priority, so that all jobs start within four minutes. With a shorter time, fewer
+  /// jobs finish under a lasting load.
   Duration beginWithin{180000};
-  /// Jobs that came within this time of each other don't pass one another.
+  /// Jobs that were accepted within this time of each other do not count as overtaking.
   Duration cohort{30000};
-  /// Of the machines that a job may use, what those that were passed get together, the oldest
-  /// first, before the rest goes by least remaining work.
+  /// Overtaken jobs together get this share of the machines that they may use, the oldest first,
+  /// before the other jobs are served by least remaining work.
   double share = 0.25;
-  /// Large is what is left of a job that has so many times as much left as the middle one that
-  /// waits: the rest is not starved by least remaining work, and serving the oldest first ends
-  /// fewer in time.
+  /// A job counts as large if its remaining work is at least this many times the median of the
+  /// waiting jobs. Only large jobs starve under least remaining work; if smaller jobs were served
+  /// by age as well, fewer jobs would finish in time.
   double large = 3;
 };
 
+/// A waiting job as the queue sees it.
 struct QueuedJob {
   std::shared_ptr<const JobSpec> spec;
-  std::int64_t acceptedAtMs{};  ///< time of day, as on record
-  double remainingS{};          ///< estimated run time of what is not done
-  std::uint32_t waiting{};
-  std::uint32_t
-      placed{};  ///< tasks that are on machines: with `acceptedAtMs`, its place in the order
-  bool begun{};  ///< some of its tasks are done
-  bool protectedService{};   ///< above all batch work, whatever its rank (policy)
-  int priorityAdjustment{};  ///< within its rank: 1 goes first, -1 yields (calendar)
-  std::optional<std::uint32_t>
-      maxTasks;  ///< that it may have placed at once (calendar, pools); empty: no bound
+  std::int64_t acceptedAtMs{};  ///< This is the time of day from the job's record.
+  double remainingS{};          ///< This is the estimated run time of all unfinished tasks.
+  std::uint32_t waiting{};      ///< This is the number of waiting tasks.
+  /// Counts the job's tasks that are on machines. The order depends on it and on `acceptedAtMs`,
+  /// and both are on record, so a new leader continues with the same order.
+  std::uint32_t placed{};
+  bool begun{};             ///< Some tasks of the job are done.
+  bool protectedService{};  ///< The policy serves the job before all others, whatever its priority.
+  int priorityAdjustment{};  ///< Within a priority, the calendar puts 1 first and -1 last.
+  /// Limits how many tasks of the job may be on machines at once. The policy's calendar and pools
+  /// set it; the job has no such limit if it is empty.
+  std::optional<std::uint32_t> maxTasks;
 };
 
-/// A turn: up to `maxTasks` tasks of this job. A job may have two.
+/// Allows a job to place up to `maxTasks` tasks. A job may have two entries in the queue.
 struct QueueEntry {
-  std::size_t job{};  ///< index in the input
+  std::size_t job{};  ///< Is an index into the jobs that orderQueue() was called with.
   std::uint32_t maxTasks{};
-  bool overdue{};  ///< room is gathered for it if there is none
+  bool overdue{};  ///< Resources are reserved for the job if none are free.
 };
 
-/// `machinesFor`: how many machines the job may use; `shareOf`: of one machine that a task takes.
+/// Returns the queue entries of all jobs in the order in which they are served. `machinesFor` holds
+/// by job how many machines the job may use, and `shareOf` which share of a machine one of its
+/// tasks takes.
 std::vector<QueueEntry> orderQueue(const std::vector<QueuedJob>& jobs, std::int64_t nowMs,
                                    const std::vector<double>& machinesFor,
                                    const std::vector<double>& shareOf,
--- a/src/placement/job_queue_test.cpp
+++ b/src/placement/job_queue_test.cpp
@@ -33,7 +33,8 @@
   EXPECT_FALSE(turns[0].overdue);
 }
 
-// 300 x 20 s had started nothing after 300 s beside a stream of 8 x 15 s.
+// Guards against starvation of a large job by newer, smaller ones. An array of 300 tasks of 20 s
+// had started none of them after 300 s beside a stream of arrays of 8 tasks of 15 s.
 TEST(Order, AJobThatNewerWorkPassesGetsAPartOfItsMachinesFirst) {
   std::vector<QueuedJob> jobs{job("j-1", 300, 0, 6000), job("j-2", 8, 58, 120)};
   auto turns = order(jobs, 60);
@@ -42,7 +43,8 @@
   EXPECT_EQ(turns[0].maxTasks, 24U);
   EXPECT_TRUE(turns[0].overdue);
   EXPECT_EQ(turns[1].job, 1U);
-  // What it holds already counts: a new leader goes on from the record.
+  // Tasks that are already placed count toward the share, so a new leader continues from the
+  // record.
   jobs[0].placed = 20;
   EXPECT_EQ(order(jobs, 60)[0].maxTasks, 4U);
   jobs[0].placed = 24;
@@ -76,7 +78,7 @@
   EXPECT_EQ(turns[1].job, 1U);
   EXPECT_EQ(turns[1].maxTasks, 4U);
   EXPECT_EQ(turns[2].job, 3U);
-  // Of much the same size: nobody is starved, the least remaining work goes first.
+  // If all jobs are of similar size, none starves, and the least remaining work is served first.
   for (auto& j : jobs) j.remainingS = std::max(j.remainingS, 1500.0);
   EXPECT_EQ(order(jobs, 115)[0].job, 3U);
 }
--- a/src/placement/machine_score.cpp
+++ b/src/placement/machine_score.cpp
@@ -5,29 +5,34 @@
 
 constexpr double kPerSecondOfFetch = 3.0;
 constexpr double kSpot = 30.0;
-// A machine on which the job failed: any other first.
+// A machine on which the job has failed is used only if no other machine has free resources.
 constexpr double kFailedHere = 500.0;
-// Where a replica costs as much, the machine and the zone with fewer of its siblings. Not more: a
-// machine that is lost takes as many replicas with it whoever they belong to, and replicas spread
-// over more machines than they fill leave half-empty machines to pay for.
+// Of otherwise equal machines, a service replica prefers the machine and the zone with fewer
+// replicas of the same service. The weights are small: a lost machine loses as many replicas in
+// any case, whichever services they belong to, and replicas that are spread over more machines than
+// they fill leave half-empty machines that cost money.
 constexpr double kSiblingHere = 2.0;
 constexpr double kSiblingInZone = 2.0;
-// Of a protected service, more: what a zone or a machine takes with it must stay little.
+// Protected services are spread more strongly, because the loss of a zone or a machine must cost
+// them few replicas.
 constexpr double kProtectedWeight = 4.0;
-// A machine that is kept for another image, which this one might evict.
+// Placing the task on a machine that is kept for another image might evict that image.
 constexpr double kKeepsAnother = 15.0;
-// More than half of a machine for protected services: what only lower ranks use beside them is
-// where those of a lost zone or machine find room with the image held.
+// Protected services should use at most half of a machine. Tasks of lower priority use the other
+// half and can be preempted, so that replicas from a lost zone or machine fit there and find their
+// image in the cache.
 constexpr double kMoreThanHalf = 20.0;
-// A machine whose worker may lose its tasks soon: about what is lost with them until they run
-// again, as seconds of fetching.
+// A worker whose lease is at risk may lose its tasks soon. The penalty equals about the time until
+// they run again, expressed in seconds of fetching.
 constexpr double kLeaseAtRisk = 5 * kPerSecondOfFetch;
-// A full machine is worth so much more than an empty one, so that whole machines fall idle.
+// A full machine scores this much higher than an empty one, so that other machines become idle as a
+// whole and can be terminated.
 constexpr double kFullMachine = 10.0;
-// All tasks must follow into the zone of the first: the one with the most room.
+// All tasks of a one-zone job must run in the zone of the first task, so the zone with the most
+// free resources is chosen.
 constexpr double kPerMachineFreeInZone = 1000.0;
 
-// Whether work is lost, and people notice, when a task is killed seconds after its start.
+// Returns whether killing a task of the job seconds after its start loses work or disturbs users.
 bool suffersFromRestart(const JobSpec& spec) {
   return spec.kind != JobKind::array || !spec.checkpoints();
 }
@@ -100,7 +105,8 @@
   return here == siblings.end() ? 0 : siblingWeight() * kSiblingHere * here->second;
 }
 
-// Fewer of its replicas go when a zone does.
+// Returns the penalty for replicas of the same service in the zone, so that the loss of a zone
+// takes fewer of them.
 double MachineScore::zonePenalty(std::uint32_t zone) const {
   if (!placement_.spec().spread && !placement_.job().protectedService) return 0;
   return siblingWeight() * kSiblingInZone * placement_.spread().perZone[zone];
--- a/src/placement/machine_score.hpp
+++ b/src/placement/machine_score.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which of the machines with free room is the best for a task.
+/// Rates machines with free resources, to choose the best machine for a task.
 #pragma once
 
 #include <vector>
@@ -8,15 +8,15 @@
 
 namespace kestrelhoist {
 
-/// Scores machines for the tasks of one job, with what is booked at the moment of asking. Machines
-/// go by their index in PlanInput::machines.
+/// Computes the scores of machines for the tasks of one job. A score takes into account the tasks
+/// that the plan has placed so far. A machine is identified by its index in PlanInput::machines.
 class MachineScore {
  public:
-  /// `open`: the machines with some free room.
+  /// Creates the scoring for the job of `placement`. `open` holds the machines with free resources.
   MachineScore(const PlanInput& input, const PlanState& state, const JobPlacement& placement,
                const std::vector<std::size_t>& open);
 
-  /// Higher is better.
+  /// Returns the score of a machine. A higher score is better.
   double of(std::size_t machine) const;
 
  private:
@@ -34,7 +34,7 @@
   const PlanInput& input_;
   const PlanState& state_;
   const JobPlacement& placement_;
-  std::vector<double> freeInZone_;  ///< whole machines; measured for jobs that go to one zone
+  std::vector<double> freeInZone_;  ///< Sums free shares of machines by zone, for one-zone jobs.
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/pending_reasons.cpp
+++ b/src/placement/pending_reasons.cpp
@@ -53,7 +53,8 @@
   next_.clear();
 }
 
-// What does not fit into the window's lines is told in the next one, if it still waits.
+// Logs the first reason of a job. If the limit of lines per window is reached, the job is logged in
+// a later window, provided that it still waits.
 void PendingReasons::log(const JobId& job, Entry& entry, Instant now) {
   if (now - windowAt_ >= kWindow) {
     windowAt_ = now;
--- a/src/placement/pending_reasons.hpp
+++ b/src/placement/pending_reasons.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Why a job's tasks wait: one reason for each group of them, noted by the decision that left them
-/// waiting. "Batches sat unmoved, and nobody could say who held them."
+/// Records why the tasks of a job are pending. The decision that leaves tasks waiting gives a
+/// reason for each group of them, so that users and operators can see what a job waits for.
 #pragma once
 
 #include <map>
@@ -11,39 +11,46 @@
 
 namespace kestrelhoist {
 
+/// The reason why a group of tasks of a job does not run.
 enum class PendingReason {
-  dependencies,  ///< jobs that it awaits are not done
-  quota,         ///< the team uses all that it may
-  capacity,      ///< the cloud refuses machines for it in every zone it may go to
-  boot,          ///< machines for it are rented and not up yet
-  resources,     ///< nothing is free that it may use, and nothing is rented for it yet
-  policy,        ///< the policy holds it back now
-  preemption,    ///< less important work is stopping for it
-  writeQueue,  ///< there is room; the changes that the state service takes are used by others first
-  errors,      ///< its tasks failed wherever they went: tried again after a pause
-  refused,     ///< workers refused its start: tried again after a pause
-  image,       ///< on its machine, which fetches the image
-  start,       ///< on record, the worker has not confirmed it yet
-  unreachable  ///< on a machine that is not heard
+  dependencies,  ///< The jobs that the job depends on are not done.
+  quota,         ///< The team has used up its limit.
+  capacity,      ///< The cloud refuses machines for the job in all zones that it may use.
+  boot,          ///< Machines for the job are rented but still boot.
+  resources,     ///< No resources that the job may use are free, and none are rented for it yet.
+  policy,        ///< The policy does not let the tasks start now.
+  preemption,    ///< Less important tasks are being stopped for the job.
+  writeQueue,    ///< Resources are free, but other placements use up the transaction's operations.
+  errors,        ///< The job's tasks failed, and it is retried after a pause.
+  refused,       ///< Workers refused to start the job's tasks, and it is retried after a pause.
+  image,         ///< The task is on a machine that is fetching its image.
+  start,         ///< The placement is on record, but the worker has not confirmed the start.
+  unreachable    ///< The task is on a machine that sends no reports.
 };
+/// Returns the text that users and operators get for a reason.
 const char* toString(PendingReason why);
 
+/// A number of tasks of a job that wait for the same reason.
 struct PendingGroup {
   PendingReason why{};
   std::uint32_t tasks{};
   auto operator<=>(const PendingGroup&) const = default;
 };
 
-/// By the newest decision of this leadership, and for the log: a line when the first reason of a
-/// job changes, few lines in a window.
+/// Holds the pending reasons of all jobs from the newest plan of this leader. It also logs a job
+/// when the first of its reasons changes, with a limited rate of log lines.
 class PendingReasons {
  public:
-  /// A decision about all jobs begins and ends; jobs that it does not name wait for nothing.
+  /// Starts collecting the reasons of a new plan.
   void begin() { next_.clear(); }
+  /// Adds a reason for this number of tasks of the job. Does nothing if the number is 0.
   void note(const JobId& job, PendingReason why, std::uint32_t tasks);
+  /// Replaces the reasons of the previous plan by those added since begin(). A job without any has
+  /// no pending tasks.
   void end(Instant now);
+  /// Returns the pending groups of a job; empty if it has none.
   std::vector<PendingGroup> of(const JobId& job) const;
-  /// Since when its first reason is this one.
+  /// Returns since when the first reason of the job has been the same.
   Instant since(const JobId& job) const;
 
  private:
@@ -53,9 +60,9 @@
     bool logged{};
   };
   void log(const JobId& job, Entry& entry, Instant now);
-  static constexpr int kLines = 20;  ///< in kWindow
+  static constexpr int kLines = 20;  ///< At most this many lines are logged per kWindow.
   static constexpr Duration kWindow{10000};
-  static constexpr Duration kWorthLogging{5000};  ///< shorter waits are told nobody
+  static constexpr Duration kWorthLogging{5000};  ///< Shorter waits are not logged.
 
   std::map<JobId, std::vector<PendingGroup>> next_;
   std::map<JobId, Entry> entries_;
--- a/src/placement/placement_transaction.cpp
+++ b/src/placement/placement_transaction.cpp
@@ -8,10 +8,10 @@
 namespace kestrelhoist {
 namespace {
 
-// Estimated sizes in a transaction.
-constexpr std::size_t kTransactionBytes = 1024;  // the transaction without its writes
-constexpr std::size_t kBytesPerWrite = 400;      // keys, compares and a job's end
-constexpr std::size_t kBytesPerPlacement = 46;   // without the machine's name
+// These sizes are estimates of the encoded transaction.
+constexpr std::size_t kTransactionBytes = 1024;  // The size excludes the writes.
+constexpr std::size_t kBytesPerWrite = 400;     // The size includes keys, compares and a job's end.
+constexpr std::size_t kBytesPerPlacement = 46;  // The size excludes the machine's id.
 
 }  // namespace
 
@@ -26,14 +26,14 @@
 bool PlacementTransaction::addRecord(const JobId& id, const JobState& job, std::uint32_t index) {
   const TaskRange range = rangeOf(job, index);
   if (drafts_.contains({id, range.first})) return true;
-  // There must be space for this record and for its job's end.
+  // The operation limit must allow for this record and for the end of its job.
   if (full_ || drafts_.size() + endingJobs_ + 2 > maxOperations_) return false;
   Draft draft{
       &job, range, context_.replica.tasksOf(job, range.first, range.last, !range.isSubChunk),
       0,    0,     false};
   std::size_t size = draft.record.bytes() + (range.last - range.first) / 4 + 2;
   if (bytes_ + size + kBytesPerWrite > kMaxTransactionBytes && !drafts_.empty()) {
-    // The flag keeps the refusal cheap: thousands of placements may ask again.
+    // The flag makes later refusals cheap, because thousands of placements may still be tried.
     full_ = true;
     return false;
   }
@@ -53,7 +53,7 @@
       removeEnded(id, draft, task, outcome);
     }
   }
-  // A flow's job ends in its flow's own transaction.
+  // The end of a flow's job is written by the flow's own transaction.
   if (draft.newlyFinished == 0 || job.record.flow) return;
   newlyFinished_[id] += draft.newlyFinished;
   if (endsJob(id, job)) ++endingJobs_;
@@ -109,15 +109,17 @@
   std::string chunkKey = keys::tasks(id, range.first / draft.job->record.chunkSize);
   std::string key = range.isSubChunk ? keys::subChunk(id, range.first, range.last) : chunkKey;
   transaction.compares.push_back({key, context_.replica.modRevisionOf(key)});
-  // The first write of a sub-chunk takes its tasks over from the record of the whole chunk.
+  // The first write of a sub-chunk copies the state of its tasks from the record of the whole
+  // chunk, so it also compares that record's revision.
   if (range.isSubChunk && written.comparedChunks.insert(chunkKey).second) {
     transaction.compares.push_back({chunkKey, context_.replica.modRevisionOf(chunkKey)});
   }
-  // When all tasks are done, the job's end is in the same transaction, with a compare of the job's
-  // modRevision, and the records of its tasks are deleted. A cancellation changes the modRevision,
-  // so it and a placement can't both succeed, and a delayed duplicate of the write that created
-  // the key can't create it again. A sub-chunk stays: without it the record of the whole chunk,
-  // which is out of date, would count.
+  // When all tasks are done, this transaction also writes the job's end, compares the job's
+  // modRevision, and deletes the records of the job's tasks. A cancellation changes the
+  // modRevision, so a cancellation and a placement can't both succeed. The same compare keeps a
+  // delayed duplicate of the write that created this record from creating it again. The record of a
+  // sub-chunk is not deleted, because the outdated record of the whole chunk would then apply to
+  // its tasks.
   bool isDeleted = endsJob(id, *draft.job) && !range.isSubChunk && draft.record.placed.empty() &&
                    context_.replica.modRevisionOf(key) != Revision{};
   transaction.writes.push_back(
@@ -128,7 +130,7 @@
                                        const JobState& job) const {
   JobRecord record = job.record;
   record.phase = JobPhase::done;
-  // The times of the jobs that depend on this one count from here on.
+  // Jobs that depend on this one count their waiting time from this time on.
   record.endedAtMs = context_.runtime.wallMillis();
   transaction.writes.push_back({keys::job(id), toJson(record), std::nullopt});
   logInfo("job done", "job", id, "tasks", job.tasks);
@@ -140,13 +142,15 @@
   return finished != newlyFinished_.end() && job.finishedCount + finished->second >= job.tasks;
 }
 
-// A whole chunk that was made for a larger limit of a value's size.
+// Returns whether the draft covers a whole chunk that was created under a larger limit for the size
+// of a value.
 bool PlacementTransaction::isOversized(const Draft& draft) const {
   return !draft.range.isSubChunk && draft.job->record.chunkSize > maxChunkSize_;
 }
 
-// Sub-chunks that are on record stay as they are. The rest of a chunk that was made for a larger
-// limit is split for the present one.
+// Returns the range of tasks that shares a record with the task `index`. Sub-chunks that are on
+// record keep their range. The rest of a chunk that was created under a larger limit for the size
+// of a value is split into sub-chunks that fit the current limit.
 PlacementTransaction::TaskRange PlacementTransaction::rangeOf(const JobState& job,
                                                               std::uint32_t index) const {
   const std::uint32_t chunkSize = job.record.chunkSize;
@@ -158,7 +162,7 @@
   std::uint32_t first = begin + (index - begin) / maxChunkSize_ * maxChunkSize_;
   std::uint32_t last = std::min(first + maxChunkSize_, begin + chunkSize);
   if (job.subChunks) {
-    // The neighbours have another size if the limit has been lowered more than once.
+    // The neighbouring sub-chunks have other sizes if the limit has been lowered more than once.
     auto after = job.subChunks->upper_bound(index);
     if (after != job.subChunks->end()) last = std::min(last, after->first);
     if (after != job.subChunks->begin()) first = std::max(first, std::prev(after)->second);
@@ -171,8 +175,8 @@
   return it == draft.record.failures.end() ? 0 : it->second;
 }
 
-// The attempt's usage is added in the write that takes the attempt off the record, so it is counted
-// once, however often the leader changes.
+// Adds the attempt's resource usage to the record. The same write removes the attempt from the
+// record, so the usage is counted exactly once even if the leader changes.
 void PlacementTransaction::addUsage(Draft& draft, std::uint32_t index,
                                     const ConfirmedOutcomes::Outcome& outcome) {
   TaskChunkRecord& record = draft.record;
--- a/src/placement/placement_transaction.hpp
+++ b/src/placement/placement_transaction.hpp
@@ -12,7 +12,7 @@
 
 namespace kestrelhoist {
 
-/// An attempt that a transaction takes off its machine, and how the attempt ended.
+/// An attempt that a transaction removes from the records because it ended, and its outcome.
 struct EndedAttempt {
   AttemptId id;
   AttemptOutcome outcome{};
@@ -20,15 +20,16 @@
 
 /// Builds one transaction over task records, each of which covers a chunk of a job's tasks.
 ///
-/// Every confirmed outcome that is due for a record is written with any change of the record, so a
-/// task that is lost leaves its machine and gets its next one in the same write. A builder serves
-/// one transaction. It keeps references to the leader's state, which must not change before
-/// writeTo() has been called.
+/// Each change of a record also writes all confirmed outcomes that are pending for that record. So
+/// a lost task is removed from its old machine and placed on its next one in the same write. A
+/// builder is used for one transaction. It keeps references to the leader's state, which must not
+/// change before writeTo() has been called.
 class PlacementTransaction {
  public:
+  /// Creates an empty transaction.
   PlacementTransaction(LeaderContext& context, ConfirmedOutcomes& outcomes);
 
-  /// Adds the record of this task, with the outcomes that are due for it. Returns false if the
+  /// Adds the record of this task, with the outcomes that are pending for it. Returns false if the
   /// transaction is full.
   [[nodiscard]] bool addRecord(const JobId& id, const JobState& job, std::uint32_t index);
 
@@ -36,33 +37,36 @@
   [[nodiscard]] bool place(const JobId& id, const JobState& job, std::uint32_t index,
                            const TaskPlacement& placement);
 
-  /// Returns whether the task is neither settled nor on a machine once this transaction is applied,
-  /// and may run again.
+  /// Returns whether the task may be placed once this transaction is applied: it is then neither
+  /// finished nor dropped nor on a machine, and has retries left.
   bool mayPlace(const JobId& id, const JobState& job, std::uint32_t index) const;
 
+  /// Returns whether the transaction has no records.
   bool empty() const { return drafts_.empty(); }
 
-  /// The attempts that this transaction takes off their machines.
+  /// Returns the attempts that this transaction removes from the records because they ended.
   const std::vector<EndedAttempt>& endedAttempts() const { return endedAttempts_; }
 
-  /// Appends all compares and writes, including the end of each job whose last task is done.
+  /// Appends all compares and writes. The job record of each job whose last task is done is written
+  /// with the phase `done`.
   void writeTo(Transaction& transaction) const;
 
  private:
-  /// The tasks [first, last) that share a record: a task chunk, or a sub-chunk of one.
+  /// The tasks [first, last) that share a record, which covers a task chunk or a sub-chunk of one.
   struct TaskRange {
     std::uint32_t first, last;
     bool isSubChunk;
   };
+  /// A record as this transaction will write it.
   struct Draft {
     const JobState* job;
     TaskRange range;
     TaskChunkRecord record;
-    std::size_t bytes;            ///< estimated size of the record's value
-    std::uint32_t newlyFinished;  ///< tasks that this transaction marks as finished
-    bool hasPlacements;           ///< the transaction places tasks of this record
+    std::size_t bytes;            ///< This is the estimated size of the record's value.
+    std::uint32_t newlyFinished;  ///< Counts the tasks that this transaction marks as finished.
+    bool hasPlacements;           ///< The transaction places tasks of this record.
   };
-  /// What the transaction holds already, so that nothing is written twice.
+  /// The keys that writeTo() has already appended, so that no compare or write is added twice.
   struct Written {
     std::set<JobId> comparedJobs, endedJobs;
     std::set<std::string> comparedChunks;
@@ -84,14 +88,16 @@
   LeaderContext& context_;
   ConfirmedOutcomes& outcomes_;
   std::size_t maxOperations_;
-  std::uint32_t maxChunkSize_;  ///< tasks of a record under the present limit of a value's size
-  bool mayWriteFormat2_;        ///< records may be split into sub-chunks
-  std::map<std::pair<JobId, std::uint32_t>, Draft> drafts_;  ///< by the record's first task
-  std::map<JobId, std::uint32_t> newlyFinished_;             ///< tasks, not of flows' jobs
+  std::uint32_t maxChunkSize_;  ///< A new record covers at most this many tasks, by the size limit.
+  bool mayWriteFormat2_;        ///< Records may be split into sub-chunks.
+  std::map<std::pair<JobId, std::uint32_t>, Draft>
+      drafts_;  ///< The key has the first task's index.
+  std::map<JobId, std::uint32_t>
+      newlyFinished_;  ///< Counts finished tasks, but not of flows' jobs.
   std::vector<EndedAttempt> endedAttempts_;
   std::size_t endingJobs_ = 0;
   bool full_ = false;
-  std::size_t bytes_;  ///< estimated size of the whole transaction
+  std::size_t bytes_;  ///< This is the estimated size of the whole transaction.
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_input_builder.cpp
+++ b/src/placement/plan_input_builder.cpp
@@ -6,15 +6,15 @@
 namespace kestrelhoist {
 namespace {
 
-// How long the task has been seen to run; empty if it has not been seen yet.
+// Returns the time since the task was first seen running; empty if it has not been seen running.
 std::optional<Duration> observedRunTime(const Machine& machine, const AttemptId& id, Instant now) {
   auto seen = machine.firstSeenRunning.find(id);
   if (seen == machine.firstSeenRunning.end()) return std::nullopt;
   return now - seen->second;
 }
 
-// Estimated seconds until the task ends. A task that runs for longer than its owner's estimate is
-// taken to need half of the estimate again.
+// Returns the estimated seconds until the task ends. A task that has run for longer than its
+// owner's estimate is assumed to need half of the estimate in addition.
 double remainingSeconds(const JobSpec& spec, std::optional<Duration> runTime) {
   double ran = runTime ? toSeconds(*runTime) : 0;
   double estimate = toSeconds(spec.estimate);
@@ -56,8 +56,8 @@
 void PlanInputBuilder::addWaitingJobs() {
   for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec) continue;
-    // A job that is blocked has no part of its team's limit or guarantee, and is no demand: only
-    // work that is ready counts.
+    // A job that is blocked on its dependencies uses nothing of its team's limit or guarantee and
+    // does not count as demand.
     if (job->blockedOnDependencies()) {
       pendingReasons_.note(id, PendingReason::dependencies, job->tasks);
       continue;
@@ -67,8 +67,9 @@
   }
 }
 
-// Counts the job's tasks that this plan may place. ConfirmedOutcomes::trialsLeft clears a service
-// that runs well from suspicion, so it is asked once only.
+// Counts the job's tasks that this plan may place. ConfirmedOutcomes::trialsLeft() has a side
+// effect, because it no longer treats a service as suspect if a replica runs well. It is therefore
+// called only once per job.
 PlanInputBuilder::WaitingTasks PlanInputBuilder::waitingTasks(const JobId& id,
                                                               const JobState& job) {
   WaitingTasks result;
@@ -82,7 +83,8 @@
                          waiting);
     return result;
   }
-  // A job that fails wherever it runs gets few tasks at a time, and is no demand beyond these.
+  // A job that fails on every machine may run only a few tasks at a time, and its other tasks do
+  // not count as demand.
   auto trials = outcomes_.trialsLeft(id, job);
   result.suspect = trials.has_value();
   result.toPlace = trials ? std::min(*trials, waiting) : waiting;
@@ -123,15 +125,15 @@
   input_.used.resize(input_.teams.size());
   for (const auto& [id, team] : context_.platform.teams) {
     auto number = context_.replica.teamNumber(id);
-    if (number >= input_.teams.size()) continue;  // has no jobs
+    if (number >= input_.teams.size()) continue;  // The team has no jobs.
     input_.teams[number] = team;
     input_.teamKnown[number] = true;
     hasGuarantees_ = hasGuarantees_ || team.guaranteed.cpus > 0 || team.guaranteed.gpus > 0;
   }
 }
 
-// The planner may reserve resources for a job that has waited for long, and then needs to know when
-// running tasks end.
+// Determines whether the planner may reserve resources for a job that has waited long. Only then
+// does it need the expected ends of running tasks.
 void PlanInputBuilder::decideReservations() {
   mayReserve_ = std::any_of(input_.jobs.begin(), input_.jobs.end(), [&](const PlanJob& job) {
     return job.spec->kind != JobKind::service &&
@@ -150,7 +152,8 @@
   }
 }
 
-// The machine without its tasks. `machine` is null if it has not registered with this leader.
+// Returns the machine without its tasks. `machine` is null if the worker has not registered with
+// this leader.
 PlanMachine PlanInputBuilder::describeMachine(const MachineId& id, const MachineState& record,
                                               const Machine* machine) {
   const MachineType* type = context_.catalogue->find(record.type);
@@ -180,7 +183,7 @@
 void PlanInputBuilder::addTasks(PlanMachine& planMachine, const MachineState& record,
                                 const Machine* machine) {
   for (const auto& task : record.tasks) {
-    if (machine && machine->session.outcomes.contains(task.id)) continue;  // proven to have ended
+    if (machine && machine->session.outcomes.contains(task.id)) continue;  // The attempt has ended.
     const auto& spec = task.job->orderedSpec();
     if (!spec) continue;
     input_.used[task.job->team] += spec->perTask;
@@ -192,8 +195,8 @@
   }
 }
 
-// Adds what matters of a task only on a machine that may get new work: when it ends, its image, and
-// whether it may be stopped.
+// Adds the data of a task that the planner needs only on a machine that may get new tasks: the
+// expected end of the task, its image, and whether it may be preempted.
 void PlanInputBuilder::addUsableTask(PlanMachine& planMachine, const Machine& machine,
                                      const PlacedTask& task, bool stopping) const {
   const auto& spec = task.job->orderedSpec();
@@ -205,7 +208,7 @@
                    [&](const PlanImage& image) { return image.id == task.job->image; })) {
     planMachine.images.push_back({task.job->image, spec->imageGb, false});
   }
-  // A protected service is never stopped for other work, though its priority would allow it.
+  // A protected service is never preempted, even if its priority is lower.
   bool isProtected = context_.effectivePolicy && context_.effectivePolicy->protects(*spec);
   if (isProtected) {
     planMachine.protectedShare += spec->perTask.shareOf(planMachine.capacity);
@@ -229,9 +232,9 @@
   }
 }
 
-// Jobs that yield get the machines that jobs with precedence leave. Before a period opens in which
-// a job will yield, none of its tasks is begun that would run into the period, unless the job saves
-// checkpoints.
+// Limits the tasks of jobs that yield to the machines that jobs with precedence do not use. Before
+// a calendar period in which a job will yield, a task of it that would still run in that period is
+// not started, unless the job saves checkpoints.
 void PlanInputBuilder::limitYieldingJobs() {
   double usableMachines = 0;
   Resources largest;
@@ -250,18 +253,18 @@
       shares.push_back({share, job.waiting, job.placed});
     } else if (auto until = context_.effectivePolicy->untilYielding(*job.spec);
                until && !job.spec->checkpoints() && job.spec->estimate > *until) {
-      job.maxTasks = std::max(job.placed, 1U);  // every job may begin
+      job.maxTasks = std::max(job.placed, 1U);  // Every job may run at least one task.
     }
   }
   if (!yielding.empty()) capYieldingJobs(yielding, shares, usableMachines, largest);
 }
 
-// Divides the machines that the policy leaves to yielding jobs among those that wait. `yielding`
-// are indices in input_.jobs, `shares` is in the same order.
+// Divides the machines that the policy leaves to yielding jobs among those with waiting tasks.
+// `yielding` holds indices into input_.jobs, and `shares` has the same order.
 void PlanInputBuilder::capYieldingJobs(const std::vector<std::size_t>& yielding,
                                        const std::vector<YieldingJob>& shares,
                                        double usableMachines, const Resources& largest) {
-  // Yielding jobs with no waiting tasks use their part of the bound, too.
+  // Yielding jobs without waiting tasks also use a part of the allowed machines.
   double usedByOthers = 0;
   double demandOfPreferred = 0;
   for (const auto& [id, job] : context_.replica.live()) {
@@ -282,7 +285,8 @@
   }
 }
 
-// Counts where the tasks of jobs with a constraint on zones, and of services, are.
+// Counts the placed tasks by zone, and by machine for services. Only services and jobs with a
+// constraint on zones need these counts.
 void PlanInputBuilder::addSpread() {
   input_.zones = zoneNumbers_.size();
   for (std::size_t j = 0; j < input_.jobs.size(); ++j) {
--- a/src/placement/plan_input_builder.hpp
+++ b/src/placement/plan_input_builder.hpp
@@ -12,25 +12,26 @@
 
 namespace kestrelhoist {
 
-/// Builds one PlanInput: the cluster as it is on record, less the tasks that are proven to have
-/// ended since.
+/// Builds one PlanInput. It describes the cluster as it is on record, without the tasks that are
+/// proven to have ended since.
 ///
-/// A builder serves one plan and is then dropped. It runs on the controller's thread and keeps
-/// references, so what it is given must outlive it; the input that it returns is independent.
+/// A builder is used for one plan. It runs on the controller's thread and keeps references to its
+/// arguments, which must outlive it. The input that it returns holds no references to them.
 class PlanInputBuilder {
  public:
   PlanInputBuilder(LeaderContext& context, Fleet& fleet, const ConfirmedOutcomes& outcomes,
                    PendingReasons& pendingReasons);
 
-  /// Returns the input, and notes why the jobs that are left out of it wait. The input has no
-  /// machines if it has no jobs, as there is nothing to plan then.
+  /// Returns the input, and adds the pending reasons of the jobs that are left out of it to
+  /// PendingReasons. The input has no machines if it has no jobs, because nothing is planned then.
   [[nodiscard]] PlanInput build();
 
  private:
   struct WaitingTasks {
-    std::uint32_t toPlace = 0;   ///< tasks that this plan may place
-    std::uint32_t requeued = 0;  ///< tasks still on record that ended and must run again
-    bool suspect = false;        ///< the job fails wherever it runs
+    std::uint32_t toPlace = 0;  ///< Counts the tasks that this plan may place.
+    /// Counts the tasks whose attempt has ended but is still on record, and that must run again.
+    std::uint32_t requeued = 0;
+    bool suspect = false;  ///< The job fails on every machine.
   };
 
   std::uint32_t zoneNumber(const ZoneId& zone);
@@ -58,12 +59,12 @@
   PendingReasons& pendingReasons_;
   Instant now_;
   PlanInput input_;
-  std::vector<const JobState*> states_;            ///< of input_.jobs, in the same order
-  std::map<ZoneId, std::uint32_t> zoneNumbers_;    ///< in the order of first use
-  std::map<MachineId, std::size_t> machineIndex_;  ///< index in input_.machines
-  Priority highestPriority_ = Priority::low;       ///< of the waiting jobs
-  bool hasGuarantees_ = false;                     ///< a team with jobs has a guaranteed share
-  bool mayReserve_ = false;  ///< some job has waited so long that resources may be reserved for it
+  std::vector<const JobState*> states_;          ///< Has the same order as input_.jobs.
+  std::map<ZoneId, std::uint32_t> zoneNumbers_;  ///< Zones are numbered in the order of first use.
+  std::map<MachineId, std::size_t> machineIndex_;  ///< Holds indices into input_.machines.
+  Priority highestPriority_ = Priority::low;  ///< This is the highest priority of a waiting job.
+  bool hasGuarantees_ = false;                ///< A team with jobs has guaranteed resources.
+  bool mayReserve_ = false;  ///< A job has waited so long that resources may be reserved for it.
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_queue.cpp
+++ b/src/placement/plan_queue.cpp
@@ -8,7 +8,7 @@
 namespace kestrelhoist {
 namespace {
 
-// The largest room in each dimension that a usable machine has.
+// Returns the largest capacity of all usable machines, separately for CPUs, GPUs and RAM.
 Resources largestRoom(const PlanInput& input) {
   Resources largest;
   for (const auto& machine : input.machines) {
@@ -20,7 +20,8 @@
   return largest;
 }
 
-// How many machines a job may use, counted once for all jobs with the same constraints.
+// Counts the machines that a job may use. The count is computed once for all jobs with the same
+// constraints.
 class MachineCounts {
  public:
   explicit MachineCounts(const PlanInput& input) : input_(input) {}
--- a/src/placement/plan_queue.hpp
+++ b/src/placement/plan_queue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The order in which the waiting jobs of a plan are served.
+/// Orders the waiting jobs of a plan's input.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,8 @@
 
 namespace kestrelhoist {
 
-/// Jobs by their index in PlanInput::jobs.
+/// Returns the queue entries of the input's jobs in the order in which they are served. An entry
+/// identifies its job by the index in PlanInput::jobs.
 std::vector<QueueEntry> queueOf(const PlanInput& input);
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_state.hpp
+++ b/src/placement/plan_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The decisions of a plan that is being made.
+/// Holds the intermediate state of a plan while the planner works on it.
 #pragma once
 
 #include <set>
@@ -9,18 +9,23 @@
 
 namespace kestrelhoist {
 
-/// What has been decided so far. Copied before a gang is tried, and restored if it doesn't fit
-/// whole. Machines go by their index in PlanInput::machines.
+/// The decisions made so far, and the resources that they leave. The planner copies the state
+/// before it places a gang, and restores it if not all tasks of the gang fit. A machine is
+/// identified by its index in PlanInput::machines.
 struct PlanState {
   explicit PlanState(const PlanInput& input);
 
   Plan plan;
-  std::vector<Resources> free;                 ///< by machine: now, less what this plan books
-  std::vector<Resources> soon;                 ///< by machine: once everything stopping has gone
-  std::vector<double> protectedShare;          ///< by machine: what protected services take of it
-  std::vector<std::vector<PlanImage>> images;  ///< by machine
-  std::vector<Resources> used;                 ///< by team
-  std::set<AttemptId> stopped;                 ///< tasks that this plan stops
+  /// Holds, by machine, the resources that are free now and that this plan has not allocated.
+  std::vector<Resources> free;
+  /// Holds, by machine, the resources that are free once all stopping tasks have ended, less those
+  /// that this plan has allocated.
+  std::vector<Resources> soon;
+  std::vector<double>
+      protectedShare;  ///< Holds, by machine, the share that protected services use.
+  std::vector<std::vector<PlanImage>> images;  ///< Holds the images of each machine.
+  std::vector<Resources> used;                 ///< Holds the resources that each team uses.
+  std::set<AttemptId> stopped;                 ///< Holds the tasks that this plan stops.
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -16,31 +16,32 @@
 namespace kestrelhoist {
 namespace {
 
-// A little more than asked for, so that rounding does not cost the save.
+// A task gets a little more time than its spec asks for, so that rounding does not cut off its
+// save.
 constexpr Duration kSaveMargin{500};
 
-// Seconds of fetching from which it is worth stopping less important work on a machine that has
-// the image: about what a stop and a launch take.
+// If fetching the image takes longer than this many seconds, the planner rather preempts less
+// important tasks on a machine that has the image. A stop and a launch take about as long.
 constexpr double kWorthStopping = 3.0;
 
 bool hasFreeRoom(const PlanMachine& machine) {
   return machine.free.cpus > 0 && machine.free.ramGb > 0;
 }
 
-// Whether something on the machine may be stopped or is stopping.
+// Returns whether a task on the machine may be preempted or is stopping.
 bool isClearable(const PlanMachine& machine) {
   return !machine.stoppable.empty() || machine.soon.gpus > machine.free.gpus ||
          machine.soon.cpus > machine.free.cpus || machine.soon.ramGb > machine.free.ramGb;
 }
 
-// Waiting tasks of the job that may not begin now, by policy.
+// Returns how many waiting tasks of the job the policy does not let start now.
 std::uint32_t withheldTasks(const PlanJob& job) {
   if (!job.maxTasks) return 0;
   std::uint32_t allowed = *job.maxTasks > job.placed ? *job.maxTasks - job.placed : 0;
   return job.waiting - std::min(job.waiting, allowed);
 }
 
-// The free machines for one job's tasks, the best first.
+// Holds the machines with free resources for one job's tasks, the best machine first.
 class FreeMachines {
  public:
   FreeMachines(const MachineScore& score, const JobPlacement& placement,
@@ -53,7 +54,7 @@
     candidates_ = CandidateQueue({}, std::move(candidates));
   }
 
-  // The best machine with room, which stays in the queue until it is found full.
+  // Returns the best machine with free resources. The machine stays in the queue until it is full.
   std::optional<std::size_t> best() {
     while (!candidates_.empty()) {
       MachineCandidate best = candidates_.top();
@@ -61,7 +62,7 @@
       if (!usable(best.machine)) continue;
       MachineCandidate now{score_.of(best.machine), best.machine};
       candidates_.push(now);
-      // Scores change as tasks are placed: only if it is still the best.
+      // Scores change as tasks are placed, so the machine is returned only if it is still the best.
       if (now.value >= best.value || candidates_.top().machine == best.machine) {
         return best.machine;
       }
@@ -99,9 +100,9 @@
   }
 
  private:
-  // Of a job that had one turn and gets another, which goes on where the first one ended.
+  // The result of a job's first queue entry. The job's second entry continues from it.
   struct FirstTurn {
-    bool emitted{};  // placed tasks
+    bool emitted{};  // The first entry placed tasks.
     TaskSpread spread;
   };
 
@@ -137,7 +138,8 @@
     return JobPlacement(input_, state_, reservations_, job, std::move(spread));
   }
 
-  // Its turn comes with a later plan; until then, what finds no room counts as demand.
+  // Leaves the entry to a later plan. The tasks that find no free resources count as demand already
+  // in this plan.
   void defer(const QueueEntry& turn, JobPlacement& placement, std::uint32_t wanted) {
     std::uint32_t fitting = bookAnywhere(placement, wanted);
     if (fitting > 0) state_.plan.deferred = true;
@@ -145,7 +147,8 @@
     record(turn, placement, fitting, false);
   }
 
-  // How many tasks find room, without looking for the best place. Books the room.
+  // Allocates free resources for up to `wanted` tasks on any allowed machines, without choosing the
+  // best ones, and returns for how many tasks it found some.
   std::uint32_t bookAnywhere(JobPlacement& placement, std::uint32_t wanted) {
     std::uint32_t booked = 0;
     for (auto m : open_) {
@@ -159,7 +162,8 @@
     return booked;
   }
 
-  // A gang only runs whole: if it does not fit, nothing of it is placed.
+  // Serves one queue entry. All tasks of a gang must run at once, so if some of them do not fit,
+  // none is placed.
   std::uint32_t placeTurn(std::size_t j, JobPlacement& placement, std::uint32_t wanted) {
     if (placement.spec().kind != JobKind::gang) return placeTasks(j, placement, wanted);
     PlanState before = state_;
@@ -169,7 +173,7 @@
     return 0;
   }
 
-  // Places tasks or makes room for them; for how many of them.
+  // Places tasks or frees resources for them by preemption. Returns the number of these tasks.
   std::uint32_t placeTasks(std::size_t j, JobPlacement& placement, std::uint32_t wanted) {
     MachineScore score(input_, state_, placement, open_);
     FreeMachines freeMachines(score, placement, open_);
@@ -180,7 +184,8 @@
       bool cleared = machine ? slowToFetch(placement, *machine) &&
                                    preemption.makeRoom(PreemptionTarget::imageHeld)
                              : preemption.makeRoom(PreemptionTarget::anyMachine);
-      if (!machine && !cleared) break;  // the next task of this job is no smaller
+      // All tasks of a job have the same size, so the next task does not fit either.
+      if (!machine && !cleared) break;
       if (cleared) {
         ++state_.plan.clearing[j];
       } else {
@@ -197,7 +202,8 @@
     state_.soon[machine] -= placement.spec().perTask;
   }
 
-  // Whether fetching the image there takes longer than stopping less important work elsewhere.
+  // Returns whether fetching the job's image to the machine takes longer than preempting less
+  // important tasks on another machine.
   static bool slowToFetch(const JobPlacement& placement, std::size_t machine) {
     return placement.spec().priority > Priority::low && !placement.holdsImage(machine) &&
            placement.fetchSeconds(machine) > kWorthStopping;
@@ -211,7 +217,8 @@
         settled_[turn.job] < placement.job().waiting && !placement.withinLimit();
   }
 
-  // What may not begin now is no demand.
+  // Splits the job's remaining tasks into withheld and unplaced ones. Tasks that the policy does
+  // not let start now do not count as demand for machines.
   void countUnplaced(std::size_t j) {
     std::uint32_t left = input_.jobs[j].waiting - settled_[j];
     state_.plan.withheld[j] = std::min(left, withheldTasks(input_.jobs[j]));
@@ -221,11 +228,13 @@
   const PlanInput& input_;
   PlanState state_;
   Reservations reservations_;
-  std::vector<std::size_t> open_;                // machines with some free room
-  std::vector<std::size_t> clearable_;           // machines with something that may go or is going
-  std::vector<std::uint32_t> settled_;           // by job: tasks that this plan has found room for
-  std::size_t emittedJobs_ = 0;                  // of which tasks are placed
-  std::map<std::size_t, FirstTurn> firstTurns_;  // by job
+  std::vector<std::size_t> open_;  // Holds the machines with free resources.
+  // Holds the machines on which a task may be preempted or is stopping.
+  std::vector<std::size_t> clearable_;
+  std::vector<std::uint32_t>
+      settled_;                  // Counts, by job, the tasks that got resources in this plan.
+  std::size_t emittedJobs_ = 0;  // Counts the jobs of which this plan places tasks.
+  std::map<std::size_t, FirstTurn> firstTurns_;  // Is indexed by job.
 };
 
 }  // namespace
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -1,8 +1,10 @@
 /// \file
-/// Plans which waiting tasks go to which machines, and what is stopped to make room. Pure: works on
-/// a compact copy of the records; its cost follows the machines with room and the tasks that wait.
-/// Its parts: plan_turns (whose turn it is), job_placement (where a job may go), machine_score (the
-/// best place), preemption (room that others leave) and reservations (room that is gathered).
+/// Plans which waiting tasks are placed on which machines, and which running tasks are stopped to
+/// free resources for them. The planner has no side effects: it reads a compact copy of the
+/// records, and its running time grows with the number of machines that have free resources and
+/// with the number of waiting tasks. plan_queue orders the jobs, job_placement checks where the
+/// tasks of a job may run, machine_score rates the machines, preemption chooses tasks to stop, and
+/// reservations keeps resources for jobs that have waited long.
 #pragma once
 
 #include <map>
@@ -23,20 +25,20 @@
   AttemptId id;
   std::shared_ptr<const JobSpec> spec;
   std::uint32_t team{};
-  Duration age{};  ///< since it was seen to run, as far as known
+  Duration age{};  ///< This is the time since the task was first seen running, or 0 if it was not.
 };
 
-/// An image on a machine, or on its way there.
+/// An image that a machine has in its cache, or that its tasks need.
 struct PlanImage {
   std::uint32_t id{};
   double gb{};
-  bool cached{};  ///< needs no fetch any more
+  bool cached{};  ///< The image is on the machine and needs no fetch.
 };
 
-/// Room that comes free as a task ends, by its owner's estimate.
+/// Resources that are expected to become free when a running task ends, by its owner's estimate.
 struct PlanEnd {
-  double inS{};
-  Resources capacity;
+  double inS{};        ///< This is the estimated number of seconds until the task ends.
+  Resources capacity;  ///< These are the resources of the task.
 };
 
 /// A machine as the planner sees it.
@@ -45,16 +47,16 @@
   TypeId type;
   std::uint32_t zone{};
   bool spot{};
-  bool usable{};                    ///< may get new work now
-  bool keptForImage{};              ///< kept for the image that it holds
-  bool leaseAtRisk{};               ///< its worker may lose its tasks within seconds
-  double protectedShare{};          ///< share of it that protected services take
-  Resources capacity;               ///< of the whole machine
-  Resources free;                   ///< now
-  Resources soon;                   ///< once everything that is stopping has gone
-  std::vector<PlanImage> images;    ///< cached, being fetched or needed by what is placed there
-  std::vector<PlanTask> stoppable;  ///< if something that waits may stop others
-  std::vector<PlanEnd> ends;        ///< if room may have to be gathered
+  bool usable{};        ///< New tasks may be placed on the machine now.
+  bool keptForImage{};  ///< The policy keeps the machine because of an image in its cache.
+  bool leaseAtRisk{};   ///< The worker's lease may expire within seconds, which kills its tasks.
+  double protectedShare{};        ///< This is the share of the machine that protected services use.
+  Resources capacity;             ///< This is the capacity of the whole machine.
+  Resources free;                 ///< These resources are free now.
+  Resources soon;                 ///< These resources are free once all stopping tasks have ended.
+  std::vector<PlanImage> images;  ///< Holds the cached images and those that placed tasks need.
+  std::vector<PlanTask> stoppable;  ///< Holds the running tasks that a waiting task may preempt.
+  std::vector<PlanEnd> ends;  ///< Is filled only if the planner may have to make reservations.
   double fetchGbPerS{};
 };
 
@@ -62,70 +64,78 @@
 struct PlanJob {
   std::shared_ptr<const JobSpec> spec;
   std::int64_t acceptedAtMs{};
-  double remainingS{};  ///< estimated run time of all its tasks that are not done, together
-  std::uint32_t waiting{};
-  std::uint32_t placed{};  ///< tasks that are on machines
-  bool begun{};            ///< some of its tasks are done
+  double remainingS{};      ///< This is the estimated run time of all unfinished tasks together.
+  std::uint32_t waiting{};  ///< This is the number of waiting tasks.
+  std::uint32_t placed{};   ///< This is the number of tasks that are on machines.
+  bool begun{};             ///< Some tasks of the job are done.
   bool protectedService{};
   int priorityAdjustment{};
-  std::optional<std::uint32_t>
-      maxTasks;  ///< that it may have placed at once (calendar, pools); empty: no bound
+  /// Limits how many tasks of the job may be on machines at once. The policy's calendar and pools
+  /// set it; the job has no such limit if it is empty.
+  std::optional<std::uint32_t> maxTasks;
   std::uint32_t image{};
   std::uint32_t team{};
-  std::optional<std::uint32_t> zone;              ///< the only allowed one
-  std::vector<std::uint32_t> perZone;             ///< tasks that may be on machines
-  std::map<std::size_t, std::uint32_t> siblings;  ///< of a service: tasks by machine
+  std::optional<std::uint32_t> zone;  ///< All tasks must run in this zone, if it is set.
+  /// Holds the number of placed tasks by zone. It is counted only for services and for jobs with a
+  /// constraint on zones.
+  std::vector<std::uint32_t> perZone;
+  std::map<std::size_t, std::uint32_t> siblings;  ///< Counts a service's placed tasks by machine.
   Revision modRevision;
-  bool suspect{};                              ///< fails wherever it goes: nobody is stopped for it
-  std::set<std::size_t> failedOn;              ///< machines: others tell more
-  std::optional<std::size_t> excludedMachine;  ///< see FailureAttribution::excludes()
+  bool suspect{};  ///< The job fails on every machine, so no task is preempted for it.
+  /// Holds the machines on which the job has failed. Other machines are preferred, because a result
+  /// from them says more about whether the job or the machine is at fault.
+  std::set<std::size_t> failedOn;
+  std::optional<std::size_t> excludedMachine;  ///< FailureAttribution::excludes() explains it.
 };
 
-/// All that a plan depends on.
+/// All data that a plan depends on.
 struct PlanInput {
   std::vector<PlanMachine> machines;
   std::vector<PlanJob> jobs;
-  std::vector<Team> teams;  ///< guarantee and limit, by number; those of unknown teams are zero
-  std::vector<bool> teamKnown;
-  std::vector<Resources> used;  ///< by team
+  /// Holds guarantee and limit of each team by team number; both are zero for an unknown team.
+  std::vector<Team> teams;
+  std::vector<bool> teamKnown;  ///< The team with this number is configured.
+  std::vector<Resources> used;  ///< Holds the resources that each team uses, by team number.
   std::size_t zones{};
-  std::int64_t nowMs{};  ///< time of day
+  std::int64_t nowMs{};  ///< This is the time of day.
   QueueSettings queue;
-  std::size_t
-      maxJobs{};  ///< of how many jobs tasks may be placed: the rest waits for the next plan
+  /// Limits the number of jobs whose tasks one plan may place. The tasks of further jobs are placed
+  /// by the next plan.
+  std::size_t maxJobs{};
 };
 
-/// A task of a job goes to a machine.
+/// Places one task of a job on a machine.
 struct Placement {
-  std::size_t job{};      ///< index in the input
-  std::size_t machine{};  ///< index in the input
+  std::size_t job{};      ///< Is an index into PlanInput::jobs.
+  std::size_t machine{};  ///< Is an index into PlanInput::machines.
 };
 
-/// A running task is stopped to make room.
+/// Stops a running task to free its resources.
 struct Stop {
   AttemptId id;
   MachineId machine;
-  Duration grace{};
+  Duration grace{};  ///< The task gets this time to save its state.
 };
 
-/// What to do now, and what is left for later.
+/// The decisions of one planner run. Vectors described as "by job" have an entry for each job of
+/// PlanInput::jobs.
 struct Plan {
-  std::vector<Placement> placements;  ///< one for each task, the most important first
-  std::vector<Stop> stops;
-  std::vector<std::uint32_t> unplaced;  ///< per job of the input: tasks that found no room
-  std::vector<std::uint32_t> clearing;  ///< per job: tasks for which room is being made
-  std::vector<std::uint32_t> later;     ///< per job: tasks with room, for a later plan
-  std::vector<std::uint32_t> withheld;  ///< per job: tasks that may not begin now (policy)
-  std::vector<MachineId>
-      reservedMachines;         ///< machines whose room is kept for work that waited long
-  std::vector<bool> overLimit;  ///< per job: its team's limit left tasks unplaced
-  bool deferred{};              ///< there was room for more jobs than maxJobs
+  std::vector<Placement> placements;    ///< Has one entry per task, in the order of the job queue.
+  std::vector<Stop> stops;              ///< Holds the tasks to preempt.
+  std::vector<std::uint32_t> unplaced;  ///< Counts, by job, the tasks that found no resources.
+  std::vector<std::uint32_t> clearing;  ///< Counts, by job, the tasks that wait for stopping tasks.
+  /// Counts, by job, the tasks that found resources but are placed by a later plan.
+  std::vector<std::uint32_t> later;
+  std::vector<std::uint32_t> withheld;      ///< Counts, by job, the tasks that the policy delays.
+  std::vector<MachineId> reservedMachines;  ///< These are reserved for jobs that have waited long.
+  std::vector<bool> overLimit;  ///< Is set, by job, if the team's limit left tasks unplaced.
+  bool deferred{};              ///< Resources were free for tasks of more than maxJobs jobs.
 };
 
-/// The same input gives the same plan.
+/// Makes a plan. The same input always gives the same plan.
 Plan makePlan(const PlanInput& input);
 
-/// Time to save that a stopped task is given.
+/// Returns the time that a preempted task gets to save its state.
 Duration graceFor(const JobSpec& spec);
 
 }  // namespace kestrelhoist
--- a/src/placement/planner_test.cpp
+++ b/src/placement/planner_test.cpp
@@ -46,7 +46,7 @@
   return in;
 }
 
-// With running tasks until it is full.
+// Fills the machine with two running tasks of the job.
 void fill(PlanMachine& m, const std::shared_ptr<const JobSpec>& job) {
   for (std::uint32_t i = 0; i < 2; ++i) {
     m.stoppable.push_back({{{job->id, i}, Attempt{1}}, job, 0, Duration{2000}});
@@ -55,8 +55,9 @@
   }
 }
 
-// Found on a drawn day: the third replica waited 23 s, since the room beside its sibling on a warm
-// machine was set aside for it in every plan and never used.
+// Guards against a replica that waits although another machine is free. In every plan, resources on
+// a machine with the cached image, beside another replica of its service, were set aside for the
+// replica but not used, so it waited for 23 s.
 TEST(Planner, AReplicaIsPlacedColdRatherThanLeftWaitingForRoomBesideItsSibling) {
   auto in = inputWith(spec("j-000001", JobKind::service, Priority::production, 2));
   in.machines.push_back(machine("warm", 0, true));
@@ -66,8 +67,9 @@
   EXPECT_EQ(plan.unplaced[0], 0U);
 }
 
-// A replica went to a machine whose last two answers were lost and was gone with its lease 2 s
-// later (limits-fall-faults with cache 1, seed 563).
+// Guards against placing a replica on a machine whose lease is about to expire. The last two
+// answers to the worker had been lost, and 2 s after the placement the lease expired and the
+// replica was killed (limits-fall-faults with cache 1, seed 563).
 TEST(Planner, AReplicaGoesToAMachineWhoseLeaseIsAtRiskOnlyIfNoOtherHasRoom) {
   auto in = inputWith(spec("j-000001", JobKind::service, Priority::production, 3));
   in.machines.push_back(machine("at-risk", 0, true));
@@ -111,8 +113,9 @@
   EXPECT_TRUE(makePlan(in).placements.empty());
 }
 
-// At size: what there is no turn for in this plan still takes its room, so that only work that
-// finds none counts as demand for machines.
+// Guards against renting too many machines. A plan places tasks of at most maxJobs jobs, but the
+// tasks of the other jobs must still take free resources in the plan, so that only tasks that find
+// none count as demand for machines.
 TEST(Planner, JobsBeyondTheTurnCountTheRoomThatIsThere) {
   auto in = inputWith(spec("j-000001", JobKind::array, Priority::low, 2));
   auto second = inputWith(spec("j-000002", JobKind::array, Priority::low, 3));
@@ -127,7 +130,8 @@
   EXPECT_EQ(plan.unplaced[1], 1U);
 }
 
-// Found at the grown sites: a zone that is cut off should take as few replicas as possible.
+// Guards against uneven spreading of a service over zones, as a zone that is cut off should take as
+// few replicas as possible.
 TEST(Planner, ReplicasThatAreSpreadGoEvenlyOverTheZones) {
   auto s = std::make_shared<JobSpec>(*spec("j-000001", JobKind::service, Priority::production, 6));
   s->spread = true;
--- a/src/placement/planning_loop.cpp
+++ b/src/placement/planning_loop.cpp
@@ -7,13 +7,13 @@
 
 namespace kestrelhoist {
 namespace {
-// The pause between a plan's end and the next plan: at least the minimum, and a multiple of what
-// the last plan took.
+// The pause between a plan's end and the next plan is a multiple of the last plan's running time,
+// and at least kMinPause.
 constexpr Duration kMinPause{50};
 constexpr int kPausePerPlanTime = 4;
 }  // namespace
 
-// The longest time that a machine of any type may take to boot, with a margin of a half.
+// Returns the longest boot time of all machine types, plus a margin of 50%.
 Duration PlanningLoop::maxBootTime() const {
   Duration longest{0};
   for (const auto& type : context_.catalogue->types) {
@@ -34,8 +34,8 @@
   }
   planner_.run(std::move(input),
                context_.whileLeading([this, now](const PlanInput& planned, const Plan& plan) {
-                 // Answers to workers and users come first, so planning gets a bounded share of the
-                 // time.
+                 // Requests of workers and users take precedence, so planning gets only a bounded
+                 // share of the time.
                  Instant end = context_.runtime.now();
                  nextPlan_ = end + std::max(kMinPause, kPausePerPlanTime * (end - now));
                  context_.runtime.after(
@@ -59,9 +59,9 @@
 
 void PlanningLoop::noteDemand(const PlanJob& job, const Plan& plan, std::size_t index) {
   std::uint32_t demand = plan.unplaced[index];
-  // A job that yields is demand like any other: where machines can be had, they are rented for it
-  // beside those for the jobs with precedence. A job that only waits for a period to pass is no
-  // demand until shortly before the period closes.
+  // The withheld tasks of a job that yields always count as demand: if machines are available, they
+  // are rented for these tasks in addition to those for jobs with precedence. The withheld tasks of
+  // other jobs wait for a calendar period, and count as demand only shortly before it closes.
   bool yields = job.priorityAdjustment < 0;
   if (plan.withheld[index] > 0 &&
       (yields || context_.effectivePolicy->returnsWithin(maxBootTime()))) {
--- a/src/placement/planning_loop.hpp
+++ b/src/placement/planning_loop.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The control loop that plans where waiting tasks go and commits the placements.
+/// The control loop that plans on which machines waiting tasks are placed, and commits the
+/// placements.
 #pragma once
 
 #include "placement/pending_reasons.hpp"
@@ -10,7 +11,7 @@
 
 /// Plans on an independent copy of the cluster's state, one plan at a time, and commits a plan's
 /// placements in the same loop step. It runs on the controller's thread; the planner may run on
-/// another. One object serves one leader and must not outlive what it is given.
+/// another. One object serves one leader and must not outlive its constructor arguments.
 class PlanningLoop : public ControlLoop {
  public:
   PlanningLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
@@ -24,17 +25,16 @@
 
   LoopStep next() override { return start() ? LoopStep::asynchronous() : LoopStep::idle(); }
   void onRecordsChanged(bool) override { context_.planInvalidated = true; }
-  void onTimer() override {
-    context_.planInvalidated = true;
-  }  // pauses and aging thresholds end with time
+  /// Invalidates the plan at each timer tick, because pauses and aging thresholds end with time.
+  void onTimer() override { context_.planInvalidated = true; }
   /// The number of tasks, by job, for which the last plan found no resources. It is the demand for
   /// which machines are rented.
   const std::map<JobId, std::uint32_t>& unplaced() const { return unplaced_; }
 
-  /// Why tasks wait, according to the last plan.
+  /// Returns why tasks wait, according to the last plan.
   const PendingReasons& pendingReasons() const { return pendingReasons_; }
-  /// Says why no machine that the job may use is available. Without it the reason is always
-  /// PendingReason::resources.
+  /// Returns why no machine that the job may use is available. If this function is not set, the
+  /// reason is always PendingReason::resources.
   std::function<PendingReason(const JobSpec&)> resourcesReason;
 
  private:
@@ -52,7 +52,7 @@
   ConfirmedOutcomes& outcomes_;
   TaskLoop& tasks_;
   PlanRunner& planner_;
-  Instant nextPlan_{};  ///< the earliest start of the next plan
+  Instant nextPlan_{};  ///< The next plan starts at this time at the earliest.
   std::map<JobId, std::uint32_t> unplaced_;
   PendingReasons pendingReasons_;
 };
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -5,11 +5,14 @@
 namespace kestrelhoist {
 namespace {
 
-// Costs, about in seconds.
-constexpr double kFetchOverhead = 20.0;  // of a machine without the image, beside the fetch
+// The unit of these costs is roughly a second.
+// A machine without the image costs this much in addition to the time of the fetch.
+constexpr double kFetchOverhead = 20.0;
 constexpr double kStopOverhead = 10.0;
-constexpr double kMostLostWork = 300.0;  // that is counted of one stopped task
-// Making room where the image is must cost less than so many fetches of it and one stop.
+// At most this much lost work is counted for one stopped task.
+constexpr double kMostLostWork = 300.0;
+// Preempting tasks on a machine that has the image must not cost more than this many fetches of
+// the image plus one stop.
 constexpr double kWorthOfFetches = 2.0;
 
 double stopCost(const PlanTask& task) {
@@ -17,7 +20,8 @@
   return kStopOverhead + std::min(kMostLostWork, lostS);
 }
 
-// The least important and, among equals, the youngest, which loses the least.
+// Orders tasks for stopping: the lowest priority first and, within a priority, the youngest first,
+// because it loses the least work.
 bool stoppedBefore(const PlanTask* a, const PlanTask* b) {
   if (a->spec->priority != b->spec->priority) return a->spec->priority < b->spec->priority;
   return a->age < b->age;
@@ -37,7 +41,8 @@
     candidates.pop();
     auto clearing = clearingOf(best.machine, target);
     if (!clearing) continue;
-    // Costs change as room is taken: only if it is still the cheapest.
+    // Costs change as resources are allocated, so the machine is taken only if it is still the
+    // cheapest one.
     MachineCandidate now{-clearing->cost, best.machine};
     bool dearer =
         now.value < best.value && !candidates.empty() && now.value < candidates.top().value;
@@ -48,7 +53,8 @@
   return false;
 }
 
-// The machines where room can be made, the cheapest first; found at the first call.
+// Returns the machines on which resources can be freed, the cheapest first. The first call for a
+// target collects them.
 CandidateQueue& Preemption::candidatesFor(PreemptionTarget target) {
   auto& candidates = candidates_[target == PreemptionTarget::imageHeld ? 1 : 0];
   if (candidates) return *candidates;
@@ -59,8 +65,9 @@
   return *candidates;
 }
 
-// Where the image is wanted, not where there is room already: another machine was preferred to it,
-// and room that is only set aside would keep the task waiting.
+// Returns whether tasks may be stopped on the machine for this job. If the target requires the
+// image, a machine with enough free resources is excluded: the planner has preferred another
+// machine to it, and resources that are only set aside on it would keep the task waiting.
 bool Preemption::considered(std::size_t machine, PreemptionTarget target) const {
   if (!placement_.allowed(machine)) return false;
   if (placement_.job().failedOn.contains(machine)) return false;
@@ -91,7 +98,7 @@
   return clearing;
 }
 
-// The tasks there that may be stopped for this job, in the order of stopping.
+// Returns the tasks on the machine that may be stopped for this job, in the order of stopping.
 Preemption::Victims Preemption::stoppableOn(std::size_t machine) const {
   bool guaranteed = placement_.withinGuarantee();
   Victims out;
@@ -102,8 +109,8 @@
   return out;
 }
 
-// The two cases in which a task may be stopped for another's sake: a lower priority, or a team that
-// is over its guarantee while the other's is within its own.
+// Returns whether `task` may be stopped for this job: either its priority is lower, or its team
+// uses more than its guarantee while this job's team stays within its own (`guaranteed`).
 bool Preemption::mayStop(bool guaranteed, const PlanTask& task) const {
   if (task.spec->priority < placement_.spec().priority) return true;
   if (!guaranteed || task.team == placement_.job().team) return false;
--- a/src/placement/preemption.hpp
+++ b/src/placement/preemption.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Making room for a task by stopping others.
+/// Frees resources for a waiting task by stopping less important tasks.
 #pragma once
 
 #include <array>
@@ -11,28 +11,33 @@
 
 namespace kestrelhoist {
 
-/// Where room is made for a task.
+/// Selects the machines on which tasks may be stopped for a waiting task.
 enum class PreemptionTarget {
-  anyMachine,
-  imageHeld,  ///< only where the job's image is, and only if that costs less than the fetch
+  anyMachine,  ///< All machines that the job may use are considered.
+  /// Only machines that have the job's image are considered, and only if stopping tasks there costs
+  /// less than fetching the image elsewhere.
+  imageHeld,
 };
 
-/// Makes room for the tasks of one job. Machines go by their index in PlanInput::machines.
+/// Frees resources for the tasks of one job. A machine is identified by its index in
+/// PlanInput::machines.
 class Preemption {
  public:
-  /// `clearable`: the machines with something that may be stopped or is stopping.
+  /// Creates the preemption for the job of `placement`. `clearable` holds the machines on which a
+  /// task may be stopped or is stopping.
   Preemption(const PlanInput& input, PlanState& state, JobPlacement& placement,
              const std::vector<std::size_t>& clearable);
 
-  /// Takes room that is about to be free, or stops less important work for it; false: there is
-  /// none. The task is placed by a later plan, once the room is free.
+  /// Allocates resources for one task on a machine where stopping tasks will free them, and stops
+  /// less important tasks if that is not enough. Returns false if no machine qualifies. A later
+  /// plan places the task, once the resources are free.
   bool makeRoom(PreemptionTarget target);
 
  private:
   using Victims = std::vector<const PlanTask*>;
-  /// What it takes to make room for a task on a machine.
+  /// The tasks to stop on a machine so that one task of the job fits, and the cost of that.
   struct Clearing {
-    double cost{};  ///< about in seconds
+    double cost{};  ///< The cost is roughly a number of seconds.
     Victims victims;
   };
 
@@ -47,7 +52,7 @@
   PlanState& state_;
   JobPlacement& placement_;
   const std::vector<std::size_t>& clearable_;
-  std::array<std::optional<CandidateQueue>, 2> candidates_;  ///< by target
+  std::array<std::optional<CandidateQueue>, 2> candidates_;  ///< Is indexed by PreemptionTarget.
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/reservations.cpp
+++ b/src/placement/reservations.cpp
@@ -8,8 +8,9 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr int kMaxJobs = 4;  // with reservations at a time
-// Where the slots of all zones count together.
+// At most this many jobs have reservations at a time.
+constexpr int kMaxJobs = 4;
+// Slots of all zones are collected under this key if the job is not bound to one zone.
 constexpr std::uint32_t kAnyZone = 0;
 
 }  // namespace
@@ -26,7 +27,7 @@
   if (slots.empty()) return;
   ++jobs_;
   for (const auto& slot : slots) {
-    // A gang begins when its last place is free.
+    // A gang starts when its last slot is free.
     double neededInS = gang ? slots.back().freeInS : slot.freeInS;
     auto [entry, isNew] =
         byMachine_.try_emplace(slot.machine, Reservation{neededInS, &placement.job()});
@@ -34,7 +35,8 @@
   }
 }
 
-// All room for tasks of the job, now and as running tasks end; by zone if they must be in one.
+// Returns all slots for tasks of the job, those that are free now and those that become free as
+// running tasks end. The slots are grouped by zone if all tasks must run in one zone.
 Reservations::SlotsByZone Reservations::findSlots(const PlanInput& input, const PlanState& state,
                                                   const JobPlacement& placement) const {
   const JobSpec& spec = placement.spec();
@@ -68,7 +70,8 @@
   }
 }
 
-// As many as there are tasks, in the zone where the last of them is free first.
+// Returns up to `tasks` slots from the zone in which the last of these slots is free earliest. For
+// a gang, only zones with a slot for each task count.
 std::vector<Reservations::Slot> Reservations::earliestSlots(SlotsByZone byZone, std::uint32_t tasks,
                                                             bool gang) {
   std::vector<Slot> best;
--- a/src/placement/reservations.hpp
+++ b/src/placement/reservations.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Machines whose room is gathered for jobs that waited long and find none at once.
+/// Reserves machines for jobs that have waited long and do not fit into the free resources.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,23 @@
 
 class JobPlacement;
 
-/// Small work fills each piece of room as it comes free, so a gang or a task that needs most of a
-/// machine would never find enough: the machines where it comes first are reserved for it, and
-/// until that moment take only what ends before. Nothing is stored: a later plan, or leader, finds
-/// the same machines, since nothing that lasts longer was placed there.
+/// The machines that a plan reserves, with backfill. Small tasks fill resources as soon as they
+/// become free, so a gang, or a task that needs most of a machine, would never find enough. The
+/// machines on which it fits earliest are therefore reserved for it, and until then accept only
+/// tasks that end before. Reservations are not stored: a later plan, or a new leader, selects the
+/// same machines again, because no task that runs longer was placed on them.
 class Reservations {
  public:
-  /// Reserves the machines where so many tasks of the job find room first. No more than a few jobs
-  /// at a time get any.
+  /// Reserves the machines on which `tasks` tasks of the job fit earliest. Only a few jobs have
+  /// reservations at a time; for further jobs, the call does nothing.
   void reserve(const PlanInput& input, const PlanState& state, const JobPlacement& placement,
                std::uint32_t tasks);
 
   bool empty() const { return byMachine_.empty(); }
-  /// In how many seconds a job other than this one needs the machine; empty: none does.
+  /// Returns in how many seconds another job than `job` needs the machine; empty if no other job
+  /// has reserved it.
   std::optional<double> neededIn(std::size_t machine, const PlanJob& job) const;
-  /// The reserved machines, in the order of the input.
+  /// Returns the reserved machines, in the order of PlanInput::machines.
   std::vector<MachineId> machines(const PlanInput& input) const;
 
  private:
@@ -35,7 +37,7 @@
     double neededInS{};
     const PlanJob* job{};
   };
-  /// Room for one task.
+  /// Resources for one task on a machine, and when they become free.
   struct Slot {
     double freeInS{};
     std::size_t machine{};
@@ -50,7 +52,7 @@
   static std::vector<Slot> earliestSlots(SlotsByZone byZone, std::uint32_t tasks, bool gang);
 
   std::map<std::size_t, Reservation> byMachine_;
-  int jobs_ = 0;  ///< that have reserved something
+  int jobs_ = 0;  ///< Counts the jobs that have reserved a machine.
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/runner.cpp
+++ b/src/placement/runner.cpp
@@ -32,8 +32,8 @@
       try {
         plan = makePlan(w.input);
       } catch (const std::exception& e) {
-        // An empty plan; the event loop goes on and asks again.
-        logError("planner: exception", "what", e.what());
+        // The result is an empty plan, and the event loop will request another plan.
+        logError("exception in the planner; using an empty plan", "what", e.what());
         plan.unplaced.assign(w.input.jobs.size(), 0);
       }
       post_([w = std::move(w), plan = std::move(plan)]() mutable {
--- a/src/placement/runner.hpp
+++ b/src/placement/runner.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Runs plans beside the event loop: one planner thread, or in place for tests.
+/// Runs the planner outside the event loop. The controller uses one planner thread; tests may run
+/// the planner on the calling thread.
 #pragma once
 
 #include <functional>
@@ -11,16 +12,19 @@
 
 namespace kestrelhoist {
 
+/// Runs makePlan() for the event loop.
 class PlanRunner {
  public:
   virtual ~PlanRunner() = default;
-  /// Calls `done` on the event loop, never from within this call.
+  /// Makes a plan from `input`, then calls `done` on the event loop, never before run() returns.
   virtual void run(PlanInput input, std::function<void(PlanInput, Plan)> done) = 0;
 };
 
+/// Runs the planner on a thread of its own.
 class ThreadPlanRunner : public PlanRunner {
  public:
-  /// `post` hands a call to the event loop from any thread.
+  /// Starts the thread. `post` queues a function for the event loop and may be called from any
+  /// thread.
   explicit ThreadPlanRunner(std::function<void(std::function<void()>)> post);
   ~ThreadPlanRunner() override;
   ThreadPlanRunner(const ThreadPlanRunner&) = delete;
--- a/src/placement/task_loop.cpp
+++ b/src/placement/task_loop.cpp
@@ -18,7 +18,7 @@
   for (const auto& machine : machines) dispatcher_.sendCommands(machine);
 }
 
-// A launch command is sent only after its placement has been committed.
+// Launch commands are sent by onCommitted(), so no task starts before its placement is committed.
 std::optional<Commit> TaskLoop::commit(const PlanInput* input, const Plan* plan) {
   PlacementTransaction builder(context_, outcomes_);
   PlacedMachines placed;
@@ -37,13 +37,14 @@
       std::move(description)};
 }
 
-// Adds the plan's placements that still hold, as the plan's input may be older than the replica.
+// Adds the placements that are still valid. Some may not be, because the plan's input may be older
+// than the replica.
 TaskLoop::PlacedMachines TaskLoop::addPlacements(PlacementTransaction& builder,
                                                  const PlanInput& input, const Plan& plan) {
   PlacedMachines result;
   Instant now = context_.runtime.now();
   context_.latestRevision = std::max(context_.latestRevision, context_.replica.cursor());
-  std::map<std::size_t, std::uint32_t> nextTask;  // by job: the first task that may be free
+  std::map<std::size_t, std::uint32_t> nextTask;  // Holds, by job, the first task to try.
   for (const auto& placement : plan.placements) {
     const PlanJob& planned = input.jobs[placement.job];
     const JobId& id = planned.spec->id;
@@ -57,7 +58,7 @@
     std::uint32_t& index = nextTask[placement.job];
     while (index < job->tasks && !builder.mayPlace(id, *job, index)) ++index;
     if (index >= job->tasks) continue;
-    // The attempt's number is larger than that of any earlier attempt of this task: each earlier
+    // The attempt number exceeds that of each earlier attempt of this task, because each earlier
     // placement and its end were committed at revisions up to `latestRevision`.
     TaskPlacement record{machine->id, machine->session.lastReport->workerEpoch,
                          Attempt{context_.latestRevision.value}};
@@ -65,8 +66,8 @@
       context_.planInvalidated = true;
       continue;
     }
-    logDebug("placing task", "job", id, "task", index, "machine", machine->id, "silent_ms",
-             now - machine->session.lastReportAt);
+    logDebug("task placement added to transaction", "job", id, "task", index, "machine",
+             machine->id, "silent_ms", now - machine->session.lastReportAt);
     ++index;
     ++result.placements;
     result.machines.insert(machine->id);
@@ -74,7 +75,7 @@
   return result;
 }
 
-// Adds the records with urgent outcomes, the oldest first, so that none is starved by others.
+// Adds the records with urgent outcomes, the oldest first, so that no record waits indefinitely.
 void TaskLoop::addUrgentOutcomes(PlacementTransaction& builder) {
   auto urgent = collectUrgentOutcomes();
   std::sort(urgent.begin(), urgent.end());
@@ -90,14 +91,14 @@
   }
 }
 
-// Returns the chunks with urgent outcomes, and forgets outcomes of attempts that are no longer on
-// record.
+// Returns the chunks with urgent outcomes, and removes the outcomes of attempts that are no longer
+// on record.
 std::vector<TaskLoop::UrgentChunk> TaskLoop::collectUrgentOutcomes() {
   std::vector<UrgentChunk> urgent;
   std::vector<AttemptId> stale;
   for (const auto& [key, pending] : outcomes_.pending()) {
     const auto* job = context_.replica.job(key.first);
-    if (!job) continue;  // a flow's job that a later leader has dropped
+    if (!job) continue;  // A newer leader has removed this flow's job.
     if (!outcomes_.isUrgent(key, pending)) continue;
     urgent.emplace_back(pending.since, key);
     for (const auto& [index, outcome] : pending.outcomes) {
@@ -114,7 +115,7 @@
 void TaskLoop::onCommitted(const std::vector<EndedAttempt>& ended,
                            const std::set<MachineId>& machines) {
   for (const auto& [attempt, outcome] : ended) {
-    logDebug("attempt ended", "task", attempt.str(), "outcome", static_cast<int>(outcome));
+    logDebug("task attempt ended", "task", attempt.str(), "outcome", static_cast<int>(outcome));
     stopsSent_.erase(attempt);
     if (const auto* job = context_.replica.job(attempt.task.job)) {
       outcomes_.forget(attempt, *job);
--- a/src/placement/task_loop.hpp
+++ b/src/placement/task_loop.hpp
@@ -14,9 +14,9 @@
 
 namespace kestrelhoist {
 
-/// Commits confirmed task outcomes and the placements of a plan; launch commands follow the commit.
-/// It runs on the controller's thread. One object serves one leader and must not outlive what it is
-/// given.
+/// Commits confirmed task outcomes and the placements of a plan, and sends the launch commands
+/// after the commit. It runs on the controller's thread. One object serves one leader and must not
+/// outlive its constructor arguments.
 class TaskLoop : public ControlLoop {
  public:
   TaskLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
@@ -28,14 +28,17 @@
     if (byOthers) sendStops();
   }
   /// Sends stop commands for the tasks of cancelled jobs and for dropped tasks at once, without
-  /// waiting for the next report of their machines; every report repeats them.
+  /// waiting for the next reports of their machines. The answer to each report repeats the
+  /// commands.
   void sendStops();
-  /// Returns the commit of the outcomes that are due and, with a plan, of its placements that still
-  /// hold; empty if there is nothing to write. `input` is the plan's input; both may be null.
+  /// Returns the commit of the urgent outcomes and, with a plan, of its placements that are still
+  /// valid; empty if there is nothing to write. `input` is the plan's input. Both may be null.
   [[nodiscard]] std::optional<Commit> commit(const PlanInput* input, const Plan* plan);
 
  private:
-  using UrgentChunk = std::pair<Instant, ConfirmedOutcomes::ChunkKey>;  ///< since when, and which
+  /// A chunk with urgent outcomes, and the time of its oldest outcome.
+  using UrgentChunk = std::pair<Instant, ConfirmedOutcomes::ChunkKey>;
+  /// The number of placements in a transaction, and their machines.
   struct PlacedMachines {
     std::size_t placements = 0;
     std::set<MachineId> machines;
@@ -51,7 +54,7 @@
   Fleet& fleet_;
   CommandDispatcher& dispatcher_;
   ConfirmedOutcomes& outcomes_;
-  std::set<AttemptId> stopsSent_;  ///< stops of cancelled jobs that were sent directly once
+  std::set<AttemptId> stopsSent_;  ///< Holds the attempts whose stop command sendStops() has sent.
 };
 
 }  // namespace kestrelhoist
