--- a/src/placement/confirmed_outcomes.cpp
+++ b/src/placement/confirmed_outcomes.cpp
@@ -6,14 +6,14 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr std::size_t kMaxPauseS = 60;
+constexpr std::size_t kMaxPauseSeconds = 60;
 // Outcomes that are not urgent wait this long, so that one transaction writes many of them. Until
 // then, their tasks stay on record and the worker keeps reporting them.
-constexpr Duration kOutcomesWait{1500};
-constexpr Duration kFlowOutcomesWait{3000};
+constexpr Duration kMaxOutcomeDelay{1500};
+constexpr Duration kMaxFlowOutcomeDelay{3000};
 }  // namespace
 
-void ConfirmedOutcomes::note(const PlacedTask& task, AttemptOutcome how, Duration ran) {
+void ConfirmedOutcomes::note(const PlacedTask& task, AttemptOutcome attemptOutcome, Duration ran) {
   const JobId& job = task.id.task.job;
   if (!task.job || task.job->record.chunkSize == 0) return;
   PendingOutcomes& pending = pending_[{job, task.id.task.index / task.job->record.chunkSize}];
@@ -22,33 +22,36 @@
   // A task of an array or a gang that is done does not run again, but a service replica that exits
   // by itself is started again. A flow's task does not run again if it has no retries left or is
   // dropped.
-  bool isFinal = how == AttemptOutcome::done && state.record.spec->kind != JobKind::service;
+  bool isFinal =
+      attemptOutcome == AttemptOutcome::done && state.record.spec->kind != JobKind::service;
   if (state.record.flow) {
     std::uint32_t index = task.id.task.index;
-    bool last =
-        how == AttemptOutcome::failed && state.failuresOf(index) + 1 > state.record.flow->retries;
+    bool last = attemptOutcome == AttemptOutcome::failed &&
+                state.failuresOf(index) + 1 > state.record.flow->retries;
     isFinal = isFinal || last || state.isDropped(index);
   }
-  auto [it, isNew] =
-      pending.outcomes.try_emplace(task.id.task.index, Outcome{task.id.attempt, how, isFinal, ran});
+  auto [it, isNew] = pending.outcomes.try_emplace(
+      task.id.task.index, Outcome{task.id.attempt, attemptOutcome, isFinal, ran});
   if (!isNew) return;
   ++(isFinal ? finished_ : requeued_)[job];
   context_.planInvalidated = true;
-  if (how == AttemptOutcome::done) pauses_.erase(job);
+  if (attemptOutcome == AttemptOutcome::done) pauses_.erase(job);
   // FailureAttribution handles the failures of jobs that are not part of a flow, because it decides
   // whether the job or the machine is at fault.
-  if (how != AttemptOutcome::refused && (how != AttemptOutcome::failed || !state.record.flow))
+  if (attemptOutcome != AttemptOutcome::refused &&
+      (attemptOutcome != AttemptOutcome::failed || !state.record.flow))
     return;
   Pause& pause = pauses_[job];
   // Failures of a flow's job during its pause do not extend the pause, so several tasks that fail
   // together count once. Each flow task has a limited number of retries anyway.
   if (state.record.flow && context_.runtime.now() < pause.until) return;
   pause.failures = std::min(pause.failures + 1, 16);
-  auto seconds = std::min<std::size_t>(kMaxPauseS, 1UL << std::min(pause.failures - 1, 6));
-  Duration length{static_cast<std::int64_t>(how == AttemptOutcome::failed ? seconds : 1) * 1000};
+  auto seconds = std::min<std::size_t>(kMaxPauseSeconds, 1UL << std::min(pause.failures - 1, 6));
+  Duration length{
+      static_cast<std::int64_t>(attemptOutcome == AttemptOutcome::failed ? seconds : 1) * 1000};
   pause.until = context_.runtime.now() + length;
   logInfo("job paused after a failed or refused task", "task", task.id.str(), "cause",
-          how == AttemptOutcome::failed ? "failed" : "refused", "ms", length);
+          attemptOutcome == AttemptOutcome::failed ? "failed" : "refused", "ms", length);
 }
 
 void ConfirmedOutcomes::forget(const AttemptId& id, const JobState& job) {
@@ -72,17 +75,17 @@
 // Returns whether a replica of the service has run for a while on a machine other than `except`,
 // and stores that machine in `where`. Such a replica counts as a success, because a service never
 // ends.
-bool ConfirmedOutcomes::runsWell(const JobState& job, const MachineId& except,
-                                 MachineId& where) const {
-  constexpr Duration kWell{30000};
+bool ConfirmedOutcomes::hasStableReplica(const JobState& job, const MachineId& except,
+                                         MachineId& stableMachine) const {
+  constexpr Duration kStableRunTime{30000};
   for (const auto& [index, placed] : job.placed) {
     if (placed.machine == except) continue;
     const Machine* m = fleet_.find(placed.machine);
     if (!m) continue;
     auto seen = m->firstSeenRunning.find({{job.record.spec->id, index}, placed.attempt});
-    if (seen == m->firstSeenRunning.end() || context_.runtime.now() - seen->second < kWell)
+    if (seen == m->firstSeenRunning.end() || context_.runtime.now() - seen->second < kStableRunTime)
       continue;
-    where = placed.machine;
+    stableMachine = placed.machine;
     return true;
   }
   return false;
@@ -91,9 +94,9 @@
 void ConfirmedOutcomes::noteFailure(const JobId& id, const JobState& job,
                                     const MachineId& machine) {
   FailureAttribution& attribution = fleet_.failureAttribution();
-  MachineId well;
-  if (job.record.spec->kind == JobKind::service && runsWell(job, machine, well)) {
-    attribution.succeeded(id, well);
+  MachineId stableMachine;
+  if (job.record.spec->kind == JobKind::service && hasStableReplica(job, machine, stableMachine)) {
+    attribution.succeeded(id, stableMachine);
   }
   bool before = attribution.suspect(id), faulty = attribution.faulty(machine);
   auto pause = attribution.pausedUntil(id);
@@ -124,37 +127,39 @@
 
 std::optional<std::uint32_t> ConfirmedOutcomes::trialsLeft(const JobId& id,
                                                            const JobState& job) const {
-  auto most = fleet_.failureAttribution().mostAtOnce(id);
-  if (!most) return std::nullopt;
-  MachineId well;
-  if (job.record.spec->kind == JobKind::service && runsWell(job, {}, well)) {
-    fleet_.failureAttribution().succeeded(id, well);
+  auto maxTasks = fleet_.failureAttribution().mostAtOnce(id);
+  if (!maxTasks) return std::nullopt;
+  MachineId stableMachine;
+  if (job.record.spec->kind == JobKind::service && hasStableReplica(job, {}, stableMachine)) {
+    fleet_.failureAttribution().succeeded(id, stableMachine);
     return std::nullopt;
   }
-  auto on = static_cast<std::uint32_t>(job.placed.size());
+  auto placedTasks = static_cast<std::uint32_t>(job.placed.size());
   if (auto requeued = requeued_.find(id); requeued != requeued_.end())
-    on -= std::min(on, requeued->second);
-  return *most > on ? *most - on : 0;
+    placedTasks -= std::min(placedTasks, requeued->second);
+  return *maxTasks > placedTasks ? *maxTasks - placedTasks : 0;
 }
 
 void ConfirmedOutcomes::noteOutcomes(Machine& m) {
   if (m.session.outcomes.empty()) return;
   const auto* record = context_.replica.machine(m.id);
   if (!record) return;
-  for (const auto& [attempt, how] : m.session.outcomes) {
+  for (const auto& [attempt, attemptOutcome] : m.session.outcomes) {
     const auto* task = record->find(attempt);
     if (!task || find(attempt)) continue;
-    const ReportedTask* told = m.session.lastReport ? m.session.lastReport->find(attempt) : nullptr;
+    const ReportedTask* reported =
+        m.session.lastReport ? m.session.lastReport->find(attempt) : nullptr;
     auto seen = m.firstSeenRunning.find(attempt);
     Duration ran{0};
-    if (told && told->ran) {
-      ran = *told->ran;
+    if (reported && reported->ran) {
+      ran = *reported->ran;
     } else if (seen != m.firstSeenRunning.end()) {
       ran = context_.runtime.now() - seen->second;
     }
-    note(*task, how, ran);
-    if (how == AttemptOutcome::failed) noteFailure(attempt.task.job, *task->job, m.id);
-    if (how == AttemptOutcome::done) fleet_.failureAttribution().succeeded(attempt.task.job, m.id);
+    note(*task, attemptOutcome, ran);
+    if (attemptOutcome == AttemptOutcome::failed) noteFailure(attempt.task.job, *task->job, m.id);
+    if (attemptOutcome == AttemptOutcome::done)
+      fleet_.failureAttribution().succeeded(attempt.task.job, m.id);
   }
   context_.scheduleCycle();
 }
@@ -177,10 +182,10 @@
   if (job->record.flow) {
     // Dependent tasks of the flow wait for these outcomes, but a short delay combines many of them
     // in few writes.
-    if (context_.runtime.now() - pending.since >= kFlowOutcomesWait) return true;
+    if (context_.runtime.now() - pending.since >= kMaxFlowOutcomeDelay) return true;
     return done != finished_.end() && done->second >= job->placed.size() && job->waiting() == 0;
   }
-  if (context_.runtime.now() - pending.since >= kOutcomesWait) return true;
+  if (context_.runtime.now() - pending.since >= kMaxOutcomeDelay) return true;
   return done != finished_.end() && job->finishedCount + done->second >= job->tasks;
 }
 
--- a/src/placement/confirmed_outcomes.hpp
+++ b/src/placement/confirmed_outcomes.hpp
@@ -16,7 +16,7 @@
   /// The outcome of one task attempt.
   struct Outcome {
     Attempt attempt;
-    AttemptOutcome how{};
+    AttemptOutcome attemptOutcome{};
     bool isFinal{};  ///< The task must not run again.
     /// This is the run time that the worker reported, or else the time since the attempt was first
     /// seen running.
@@ -41,7 +41,7 @@
   void noteOutcomes(Machine& m);
   /// Adds the outcome of a placed task, unless an outcome of the task is pending already, and
   /// pauses its job if that is due.
-  void note(const PlacedTask& task, AttemptOutcome how, Duration ran = Duration{0});
+  void note(const PlacedTask& task, AttemptOutcome attemptOutcome, Duration ran = Duration{0});
   /// Removes the outcome of an attempt that is no longer on record.
   void forget(const AttemptId& id, const JobState& job);
   /// Removes all data of a job that is no longer on record.
@@ -68,7 +68,8 @@
 
  private:
   void noteFailure(const JobId& id, const JobState& job, const MachineId& machine);
-  bool runsWell(const JobState& job, const MachineId& except, MachineId& where) const;
+  bool hasStableReplica(const JobState& job, const MachineId& except,
+                        MachineId& stableMachine) const;
 
   LeaderContext& context_;
   Fleet& fleet_;
--- a/src/placement/job_placement.cpp
+++ b/src/placement/job_placement.cpp
@@ -6,13 +6,13 @@
 namespace {
 
 // On average, half of a running fetch is still to be done.
-constexpr double kLeftOfFetchUnderWay = 0.5;
+constexpr double kRunningFetchRemainder = 0.5;
 
 }  // namespace
 
 bool exceedsGuarantee(const Resources& used, const Resources& guaranteed) {
-  return used.cpus > guaranteed.cpus + kRoomTolerance ||
-         used.gpus > guaranteed.gpus + kRoomTolerance;
+  return used.cpus > guaranteed.cpus + kResourceTolerance ||
+         used.gpus > guaranteed.gpus + kResourceTolerance;
 }
 
 JobPlacement::JobPlacement(const PlanInput& input, PlanState& state,
@@ -27,8 +27,8 @@
   if (!input_.teamKnown[job_.team]) return false;
   Resources total = spec().perTask + state_.used[job_.team];
   const Resources& limit = input_.teams[job_.team].limit;
-  return (limit.cpus <= 0 || total.cpus <= limit.cpus + kRoomTolerance) &&
-         (limit.gpus <= 0 || total.gpus <= limit.gpus + kRoomTolerance);
+  return (limit.cpus <= 0 || total.cpus <= limit.cpus + kResourceTolerance) &&
+         (limit.gpus <= 0 || total.gpus <= limit.gpus + kResourceTolerance);
 }
 
 bool JobPlacement::withinGuarantee() const {
@@ -87,16 +87,16 @@
   double rate = input_.machines[machine].fetchGbPerS;
   if (rate <= 0) return 0;
   double othersGb = 0;
-  double leftOfFetch = 1.0;
+  double fetchRemainder = 1.0;
   for (const auto& image : state_.images[machine]) {
     if (image.id == job_.image) {
       if (image.cached) return 0;
-      leftOfFetch = kLeftOfFetchUnderWay;
+      fetchRemainder = kRunningFetchRemainder;
     } else if (!image.cached) {
       othersGb += image.gb;
     }
   }
-  return (leftOfFetch * spec().imageGb + othersGb) / rate;
+  return (fetchRemainder * spec().imageGb + othersGb) / rate;
 }
 
 void JobPlacement::book(std::size_t machine) {
--- a/src/placement/job_placement.hpp
+++ b/src/placement/job_placement.hpp
@@ -13,7 +13,7 @@
 namespace kestrelhoist {
 
 /// Comparisons of summed resources allow this rounding error.
-inline constexpr double kRoomTolerance = 1e-6;
+inline constexpr double kResourceTolerance = 1e-6;
 
 /// Counts a job's placed tasks by zone and, for a service, also by machine.
 struct TaskSpread {
--- a/src/placement/job_queue.hpp
+++ b/src/placement/job_queue.hpp
@@ -21,16 +21,16 @@
   /// A batch job that has waited this long without starting a task gets one task before the other
   /// jobs of its priority, so that all jobs start within four minutes. With a shorter time, fewer
   /// jobs finish under a lasting load.
-  Duration beginWithin{180000};
+  Duration firstTaskThreshold{180000};
   /// Jobs that were accepted within this time of each other do not count as overtaking.
-  Duration cohort{30000};
+  Duration acceptanceTolerance{30000};
   /// Overtaken jobs together get this share of the machines that they may use, the oldest first,
   /// before the other jobs are served by least remaining work.
-  double share = 0.25;
+  double overtakenShare = 0.25;
   /// A job counts as large if its remaining work is at least this many times the median of the
   /// waiting jobs. Only large jobs starve under least remaining work; if smaller jobs were served
   /// by age as well, fewer jobs would finish in time.
-  double large = 3;
+  double largeJobFactor = 3;
 };
 
 /// A waiting job as the queue sees it.
@@ -42,7 +42,7 @@
   /// Counts the job's tasks that are on machines. The order depends on it and on `acceptedAtMs`,
   /// and both are on record, so a new leader continues with the same order.
   std::uint32_t placed{};
-  bool begun{};             ///< Some tasks of the job are done.
+  bool hasFinishedTasks{};  ///< Some tasks of the job are done.
   bool protectedService{};  ///< The policy serves the job before all others, whatever its priority.
   int priorityAdjustment{};  ///< Within a priority, the calendar puts 1 first and -1 last.
   /// Limits how many tasks of the job may be on machines at once. The policy's calendar and pools
--- a/src/placement/machine_score.hpp
+++ b/src/placement/machine_score.hpp
@@ -12,9 +12,10 @@
 /// that the plan has placed so far. A machine is identified by its index in PlanInput::machines.
 class MachineScore {
  public:
-  /// Creates the scoring for the job of `placement`. `open` holds the machines with free resources.
+  /// Creates the scoring for the job of `placement`. `machinesWithFreeResources` holds the machines
+  /// with free resources.
   MachineScore(const PlanInput& input, const PlanState& state, const JobPlacement& placement,
-               const std::vector<std::size_t>& open);
+               const std::vector<std::size_t>& machinesWithFreeResources);
 
   /// Returns the score of a machine. A higher score is better.
   double of(std::size_t machine) const;
@@ -29,12 +30,13 @@
   double zonePenalty(std::uint32_t zone) const;
   double usedShare(std::size_t machine) const;
   double siblingWeight() const;
-  void measureZones(const std::vector<std::size_t>& open);
+  void countFreeMachinesByZone(const std::vector<std::size_t>& machinesWithFreeResources);
 
   const PlanInput& input_;
   const PlanState& state_;
   const JobPlacement& placement_;
-  std::vector<double> freeInZone_;  ///< Sums free shares of machines by zone, for one-zone jobs.
+  /// Sums free shares of machines by zone, for one-zone jobs.
+  std::vector<double> freeMachinesInZone_;
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/pending_reasons.cpp
+++ b/src/placement/pending_reasons.cpp
@@ -36,32 +36,32 @@
 }
 
 void PendingReasons::note(const JobId& job, PendingReason why, std::uint32_t tasks) {
-  if (tasks > 0) next_[job].push_back({why, tasks});
+  if (tasks > 0) collected_[job].push_back({why, tasks});
 }
 
 void PendingReasons::end(Instant now) {
-  std::erase_if(entries_, [&](const auto& e) { return !next_.contains(e.first); });
-  for (auto& [job, groups] : next_) {
+  std::erase_if(entries_, [&](const auto& e) { return !collected_.contains(e.first); });
+  for (auto& [job, groups] : collected_) {
     Entry& entry = entries_[job];
     if (entry.groups.empty() || entry.groups.front().why != groups.front().why) {
       entry.since = now;
       entry.logged = false;
     }
     entry.groups = std::move(groups);
-    if (!entry.logged && now - entry.since >= kWorthLogging) log(job, entry, now);
+    if (!entry.logged && now - entry.since >= kMinWaitToLog) log(job, entry, now);
   }
-  next_.clear();
+  collected_.clear();
 }
 
 // Logs the first reason of a job. If the limit of lines per window is reached, the job is logged in
 // a later window, provided that it still waits.
 void PendingReasons::log(const JobId& job, Entry& entry, Instant now) {
-  if (now - windowAt_ >= kWindow) {
-    windowAt_ = now;
-    lines_ = 0;
+  if (now - windowStart_ >= kLogWindow) {
+    windowStart_ = now;
+    linesInWindow_ = 0;
   }
-  if (lines_ >= kLines) return;
-  ++lines_;
+  if (linesInWindow_ >= kMaxLinesPerWindow) return;
+  ++linesInWindow_;
   entry.logged = true;
   logInfo("job waits", "job", job, "tasks", entry.groups.front().tasks, "why",
           toString(entry.groups.front().why));
--- a/src/placement/pending_reasons.hpp
+++ b/src/placement/pending_reasons.hpp
@@ -42,7 +42,7 @@
 class PendingReasons {
  public:
   /// Starts collecting the reasons of a new plan.
-  void begin() { next_.clear(); }
+  void begin() { collected_.clear(); }
   /// Adds a reason for this number of tasks of the job. Does nothing if the number is 0.
   void note(const JobId& job, PendingReason why, std::uint32_t tasks);
   /// Replaces the reasons of the previous plan by those added since begin(). A job without any has
@@ -60,14 +60,15 @@
     bool logged{};
   };
   void log(const JobId& job, Entry& entry, Instant now);
-  static constexpr int kLines = 20;  ///< At most this many lines are logged per kWindow.
-  static constexpr Duration kWindow{10000};
-  static constexpr Duration kWorthLogging{5000};  ///< Shorter waits are not logged.
+  /// At most this many lines are logged per kLogWindow.
+  static constexpr int kMaxLinesPerWindow = 20;
+  static constexpr Duration kLogWindow{10000};
+  static constexpr Duration kMinWaitToLog{5000};  ///< Shorter waits are not logged.
 
-  std::map<JobId, std::vector<PendingGroup>> next_;
+  std::map<JobId, std::vector<PendingGroup>> collected_;
   std::map<JobId, Entry> entries_;
-  Instant windowAt_{};
-  int lines_ = 0;
+  Instant windowStart_{};
+  int linesInWindow_ = 0;
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/placement_transaction.cpp
+++ b/src/placement/placement_transaction.cpp
@@ -182,13 +182,14 @@
   TaskChunkRecord& record = draft.record;
   const JobState& job = *draft.job;
   auto ranMs = static_cast<std::uint64_t>(std::max<std::int64_t>(0, outcome.ran.count()));
-  if (outcome.how != AttemptOutcome::refused) ++record.use.attempts;
-  bool done = outcome.how == AttemptOutcome::done && job.active() && !job.isDropped(index);
+  if (outcome.attemptOutcome != AttemptOutcome::refused) ++record.use.attempts;
+  bool done =
+      outcome.attemptOutcome == AttemptOutcome::done && job.active() && !job.isDropped(index);
   (done ? record.use.ranMs : record.use.lostMs) += ranMs;
   if (done) {
     ++record.use.tasks;
     record.failures.erase(index);
-  } else if (outcome.how == AttemptOutcome::failed &&
+  } else if (outcome.attemptOutcome == AttemptOutcome::failed &&
              ++record.failures[index] > job.record.flow->retries && !job.isDropped(index)) {
     ++record.use.failed;
   }
@@ -202,13 +203,13 @@
   draft.record.placed.erase(placed);
   const JobState& job = *draft.job;
   std::uint32_t offset = index - draft.range.first;
-  if (outcome.how == AttemptOutcome::done && job.active() &&
+  if (outcome.attemptOutcome == AttemptOutcome::done && job.active() &&
       job.record.spec->kind != JobKind::service && !draft.record.finished.test(offset)) {
     draft.record.finished.set(offset);
     ++draft.newlyFinished;
   }
   if (job.record.flow) addUsage(draft, index, outcome);
-  endedAttempts_.push_back({{{id, index}, outcome.attempt}, outcome.how});
+  endedAttempts_.push_back({{{id, index}, outcome.attempt}, outcome.attemptOutcome});
 }
 
 }  // namespace kestrelhoist
--- a/src/placement/placement_transaction.hpp
+++ b/src/placement/placement_transaction.hpp
@@ -90,10 +90,10 @@
   std::size_t maxOperations_;
   std::uint32_t maxChunkSize_;  ///< A new record covers at most this many tasks, by the size limit.
   bool mayWriteFormat2_;        ///< Records may be split into sub-chunks.
-  std::map<std::pair<JobId, std::uint32_t>, Draft>
-      drafts_;  ///< The key has the first task's index.
-  std::map<JobId, std::uint32_t>
-      newlyFinished_;  ///< Counts finished tasks, but not of flows' jobs.
+  /// The key has the first task's index.
+  std::map<std::pair<JobId, std::uint32_t>, Draft> drafts_;
+  /// Counts finished tasks, but not of flows' jobs.
+  std::map<JobId, std::uint32_t> newlyFinished_;
   std::vector<EndedAttempt> endedAttempts_;
   std::size_t endingJobs_ = 0;
   bool full_ = false;
--- a/src/placement/plan_input_builder.cpp
+++ b/src/placement/plan_input_builder.cpp
@@ -107,7 +107,7 @@
   auto onRecord = static_cast<std::uint32_t>(job.placed.size());
   planJob.placed = onRecord - std::min(onRecord, tasks.requeued);
   planJob.suspect = tasks.suspect;
-  planJob.begun = job.finishedCount > 0;
+  planJob.hasFinishedTasks = job.finishedCount > 0;
   planJob.image = job.image;
   planJob.team = job.team;
   planJob.modRevision = job.modRevision;
@@ -116,7 +116,7 @@
   if (spec.zone) planJob.zone = zoneNumber(*spec.zone);
   highestPriority_ = std::max(highestPriority_, spec.priority);
   input_.jobs.push_back(std::move(planJob));
-  states_.push_back(&job);
+  jobStates_.push_back(&job);
 }
 
 void PlanInputBuilder::addTeams() {
@@ -170,7 +170,7 @@
     result.capacity = type->capacity;
     result.fetchGbPerS = type->fetchGbPerS;
   }
-  result.free = result.soon = result.capacity;
+  result.free = result.freeAfterStops = result.capacity;
   if (result.usable) {
     result.images.reserve(static_cast<std::size_t>(std::ranges::distance(machine->images)) + 1);
     for (const auto& image : machine->images) {
@@ -190,7 +190,7 @@
     planMachine.free -= spec->perTask;
     bool stopping =
         (machine && machine->session.stopRequests.contains(task.id)) || !task.job->active();
-    if (!stopping) planMachine.soon -= spec->perTask;
+    if (!stopping) planMachine.freeAfterStops -= spec->perTask;
     if (planMachine.usable) addUsableTask(planMachine, *machine, task, stopping);
   }
 }
@@ -202,7 +202,7 @@
   const auto& spec = task.job->orderedSpec();
   auto runTime = observedRunTime(machine, task.id, now_);
   if (mayReserve_ && spec->kind != JobKind::service) {
-    planMachine.ends.push_back({remainingSeconds(*spec, runTime), spec->perTask});
+    planMachine.expectedEnds.push_back({remainingSeconds(*spec, runTime), spec->perTask});
   }
   if (std::none_of(planMachine.images.begin(), planMachine.images.end(),
                    [&](const PlanImage& image) { return image.id == task.job->image; })) {
@@ -294,7 +294,7 @@
     job.perZone.resize(input_.zones);
     const JobSpec& spec = *job.spec;
     if (!spec.spread && !spec.oneZone && spec.kind != JobKind::service) continue;
-    for (const auto& [task, placed] : states_[j]->placed) {
+    for (const auto& [task, placed] : jobStates_[j]->placed) {
       auto at = machineIndex_.find(placed.machine);
       if (at == machineIndex_.end() || outcomes_.find({{spec.id, task}, placed.attempt})) continue;
       ++job.perZone[input_.machines[at->second].zone];
--- a/src/placement/plan_input_builder.hpp
+++ b/src/placement/plan_input_builder.hpp
@@ -59,7 +59,7 @@
   PendingReasons& pendingReasons_;
   Instant now_;
   PlanInput input_;
-  std::vector<const JobState*> states_;          ///< Has the same order as input_.jobs.
+  std::vector<const JobState*> jobStates_;       ///< Has the same order as input_.jobs.
   std::map<ZoneId, std::uint32_t> zoneNumbers_;  ///< Zones are numbered in the order of first use.
   std::map<MachineId, std::size_t> machineIndex_;  ///< Holds indices into input_.machines.
   Priority highestPriority_ = Priority::low;  ///< This is the highest priority of a waiting job.
--- a/src/placement/plan_queue.cpp
+++ b/src/placement/plan_queue.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Returns the largest capacity of all usable machines, separately for CPUs, GPUs and RAM.
-Resources largestRoom(const PlanInput& input) {
+Resources largestCapacity(const PlanInput& input) {
   Resources largest;
   for (const auto& machine : input.machines) {
     if (!machine.usable) continue;
@@ -53,7 +53,7 @@
   out.remainingS = job.remainingS;
   out.waiting = job.waiting;
   out.placed = job.placed;
-  out.begun = job.begun;
+  out.hasFinishedTasks = job.hasFinishedTasks;
   out.protectedService = job.protectedService;
   out.priorityAdjustment = job.priorityAdjustment;
   out.maxTasks = job.maxTasks;
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-std::vector<QueueEntry> queueOf(const PlanInput& input) {
+std::vector<QueueEntry> buildQueue(const PlanInput& input) {
   std::vector<QueuedJob> jobs;
   std::vector<double> machinesFor;
   std::vector<double> shares;
@@ -70,7 +70,7 @@
   machinesFor.reserve(input.jobs.size());
   shares.reserve(input.jobs.size());
   MachineCounts counts(input);
-  Resources largest = largestRoom(input);
+  Resources largest = largestCapacity(input);
   for (const auto& job : input.jobs) {
     jobs.push_back(queuedJobOf(job));
     machinesFor.push_back(counts.of(job));
--- a/src/placement/plan_queue.hpp
+++ b/src/placement/plan_queue.hpp
@@ -11,6 +11,6 @@
 
 /// Returns the queue entries of the input's jobs in the order in which they are served. An entry
 /// identifies its job by the index in PlanInput::jobs.
-std::vector<QueueEntry> queueOf(const PlanInput& input);
+std::vector<QueueEntry> buildQueue(const PlanInput& input);
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_state.hpp
+++ b/src/placement/plan_state.hpp
@@ -20,9 +20,9 @@
   std::vector<Resources> free;
   /// Holds, by machine, the resources that are free once all stopping tasks have ended, less those
   /// that this plan has allocated.
-  std::vector<Resources> soon;
-  std::vector<double>
-      protectedShare;  ///< Holds, by machine, the share that protected services use.
+  std::vector<Resources> freeAfterStops;
+  /// Holds, by machine, the share that protected services use.
+  std::vector<double> protectedShare;
   std::vector<std::vector<PlanImage>> images;  ///< Holds the images of each machine.
   std::vector<Resources> used;                 ///< Holds the resources that each team uses.
   std::set<AttemptId> stopped;                 ///< Holds the tasks that this plan stops.
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -18,20 +18,21 @@
 
 // A task gets a little more time than its spec asks for, so that rounding does not cut off its
 // save.
-constexpr Duration kSaveMargin{500};
+constexpr Duration kSaveTimeMargin{500};
 
 // If fetching the image takes longer than this many seconds, the planner rather preempts less
 // important tasks on a machine that has the image. A stop and a launch take about as long.
-constexpr double kWorthStopping = 3.0;
+constexpr double kMinFetchSecondsToPreempt = 3.0;
 
-bool hasFreeRoom(const PlanMachine& machine) {
+bool hasFreeResources(const PlanMachine& machine) {
   return machine.free.cpus > 0 && machine.free.ramGb > 0;
 }
 
 // Returns whether a task on the machine may be preempted or is stopping.
-bool isClearable(const PlanMachine& machine) {
-  return !machine.stoppable.empty() || machine.soon.gpus > machine.free.gpus ||
-         machine.soon.cpus > machine.free.cpus || machine.soon.ramGb > machine.free.ramGb;
+bool hasStoppableTasks(const PlanMachine& machine) {
+  return !machine.stoppable.empty() || machine.freeAfterStops.gpus > machine.free.gpus ||
+         machine.freeAfterStops.cpus > machine.free.cpus ||
+         machine.freeAfterStops.ramGb > machine.free.ramGb;
 }
 
 // Returns how many waiting tasks of the job the policy does not let start now.
@@ -45,10 +46,10 @@
 class FreeMachines {
  public:
   FreeMachines(const MachineScore& score, const JobPlacement& placement,
-               const std::vector<std::size_t>& open)
+               const std::vector<std::size_t>& machinesWithFreeResources)
       : score_(score), placement_(placement) {
     std::vector<MachineCandidate> candidates;
-    for (auto m : open) {
+    for (auto m : machinesWithFreeResources) {
       if (usable(m)) candidates.push_back({score.of(m), m});
     }
     candidates_ = CandidateQueue({}, std::move(candidates));
@@ -83,17 +84,17 @@
 class Planner {
  public:
   explicit Planner(const PlanInput& input)
-      : input_(input), state_(input), settled_(input.jobs.size()) {
+      : input_(input), state_(input), allocatedTasks_(input.jobs.size()) {
     for (std::size_t m = 0; m < input.machines.size(); ++m) {
       const auto& machine = input.machines[m];
       if (!machine.usable) continue;
-      if (hasFreeRoom(machine)) open_.push_back(m);
-      if (isClearable(machine)) clearable_.push_back(m);
+      if (hasFreeResources(machine)) machinesWithFreeResources_.push_back(m);
+      if (hasStoppableTasks(machine)) machinesWithStoppableTasks_.push_back(m);
     }
   }
 
   Plan run() {
-    for (const auto& turn : queueOf(input_)) serve(turn);
+    for (const auto& entry : buildQueue(input_)) processEntry(entry);
     for (std::size_t j = 0; j < input_.jobs.size(); ++j) countUnplaced(j);
     state_.plan.reservedMachines = reservations_.machines(input_);
     return std::move(state_.plan);
@@ -101,57 +102,58 @@
 
  private:
   // The result of a job's first queue entry. The job's second entry continues from it.
-  struct FirstTurn {
-    bool emitted{};  // The first entry placed tasks.
+  struct FirstEntryResult {
+    bool hasPlacements{};  // The first entry placed tasks.
     TaskSpread spread;
   };
 
-  void serve(const QueueEntry& turn) {
-    std::uint32_t wanted = wantedTasks(turn);
+  void processEntry(const QueueEntry& entry) {
+    std::uint32_t wanted = wantedTasks(entry);
     if (wanted == 0) return;
-    JobPlacement placement = placementOf(turn.job);
-    auto first = firstTurns_.find(turn.job);
-    bool counted = first != firstTurns_.end() && first->second.emitted;
-    if (emittedJobs_ >= input_.maxJobs && !counted) return defer(turn, placement, wanted);
+    JobPlacement placement = placementOf(entry.job);
+    auto firstResult = firstEntryResults_.find(entry.job);
+    bool counted = firstResult != firstEntryResults_.end() && firstResult->second.hasPlacements;
+    if (jobsWithPlacements_ >= input_.maxJobs && !counted) return defer(entry, placement, wanted);
     std::size_t placementsBefore = state_.plan.placements.size();
-    std::uint32_t placed = placeTurn(turn.job, placement, wanted);
-    bool emits = state_.plan.placements.size() > placementsBefore;
-    if (emits && !counted) ++emittedJobs_;
-    record(turn, placement, placed, counted || emits);
-    if (turn.overdue && placed < wanted && placement.withinLimit()) {
+    std::uint32_t placed = placeEntry(entry.job, placement, wanted);
+    bool addsPlacements = state_.plan.placements.size() > placementsBefore;
+    if (addsPlacements && !counted) ++jobsWithPlacements_;
+    record(entry, placement, placed, counted || addsPlacements);
+    if (entry.overdue && placed < wanted && placement.withinLimit()) {
       reservations_.reserve(input_, state_, placement, wanted - placed);
     }
   }
 
-  std::uint32_t wantedTasks(const QueueEntry& turn) const {
-    const PlanJob& job = input_.jobs[turn.job];
+  std::uint32_t wantedTasks(const QueueEntry& entry) const {
+    const PlanJob& job = input_.jobs[entry.job];
     std::uint32_t mayBegin = job.waiting - withheldTasks(job);
-    std::uint32_t settled = settled_[turn.job];
-    return std::min(turn.maxTasks, mayBegin > settled ? mayBegin - settled : 0);
+    std::uint32_t allocated = allocatedTasks_[entry.job];
+    return std::min(entry.maxTasks, mayBegin > allocated ? mayBegin - allocated : 0);
   }
 
   JobPlacement placementOf(std::size_t j) {
     const PlanJob& job = input_.jobs[j];
-    auto first = firstTurns_.find(j);
-    TaskSpread spread =
-        first == firstTurns_.end() ? TaskSpread{job.perZone, job.siblings} : first->second.spread;
+    auto firstResult = firstEntryResults_.find(j);
+    TaskSpread spread = firstResult == firstEntryResults_.end()
+                            ? TaskSpread{job.perZone, job.siblings}
+                            : firstResult->second.spread;
     return JobPlacement(input_, state_, reservations_, job, std::move(spread));
   }
 
   // Leaves the entry to a later plan. The tasks that find no free resources count as demand already
   // in this plan.
-  void defer(const QueueEntry& turn, JobPlacement& placement, std::uint32_t wanted) {
-    std::uint32_t fitting = bookAnywhere(placement, wanted);
-    if (fitting > 0) state_.plan.deferred = true;
-    state_.plan.later[turn.job] += fitting;
-    record(turn, placement, fitting, false);
+  void defer(const QueueEntry& entry, JobPlacement& placement, std::uint32_t wanted) {
+    std::uint32_t fitting = allocateAnywhere(placement, wanted);
+    if (fitting > 0) state_.plan.hasLaterTasks = true;
+    state_.plan.laterTasks[entry.job] += fitting;
+    record(entry, placement, fitting, false);
   }
 
   // Allocates free resources for up to `wanted` tasks on any allowed machines, without choosing the
   // best ones, and returns for how many tasks it found some.
-  std::uint32_t bookAnywhere(JobPlacement& placement, std::uint32_t wanted) {
+  std::uint32_t allocateAnywhere(JobPlacement& placement, std::uint32_t wanted) {
     std::uint32_t booked = 0;
-    for (auto m : open_) {
+    for (auto m : machinesWithFreeResources_) {
       while (booked < wanted && placement.fits(m) && placement.allowed(m) &&
              placement.withinLimit()) {
         bookFree(placement, m);
@@ -164,7 +166,7 @@
 
   // Serves one queue entry. All tasks of a gang must run at once, so if some of them do not fit,
   // none is placed.
-  std::uint32_t placeTurn(std::size_t j, JobPlacement& placement, std::uint32_t wanted) {
+  std::uint32_t placeEntry(std::size_t j, JobPlacement& placement, std::uint32_t wanted) {
     if (placement.spec().kind != JobKind::gang) return placeTasks(j, placement, wanted);
     PlanState before = state_;
     std::uint32_t placed = placeTasks(j, placement, wanted);
@@ -175,19 +177,19 @@
 
   // Places tasks or frees resources for them by preemption. Returns the number of these tasks.
   std::uint32_t placeTasks(std::size_t j, JobPlacement& placement, std::uint32_t wanted) {
-    MachineScore score(input_, state_, placement, open_);
-    FreeMachines freeMachines(score, placement, open_);
-    Preemption preemption(input_, state_, placement, clearable_);
+    MachineScore score(input_, state_, placement, machinesWithFreeResources_);
+    FreeMachines freeMachines(score, placement, machinesWithFreeResources_);
+    Preemption preemption(input_, state_, placement, machinesWithStoppableTasks_);
     std::uint32_t placed = 0;
     while (placed < wanted && placement.withinLimit()) {
       auto machine = freeMachines.best();
-      bool cleared = machine ? slowToFetch(placement, *machine) &&
-                                   preemption.makeRoom(PreemptionTarget::imageHeld)
-                             : preemption.makeRoom(PreemptionTarget::anyMachine);
+      bool freed = machine ? prefersPreemption(placement, *machine) &&
+                                 preemption.freeResources(PreemptionTarget::machinesWithImage)
+                           : preemption.freeResources(PreemptionTarget::anyMachine);
       // All tasks of a job have the same size, so the next task does not fit either.
-      if (!machine && !cleared) break;
-      if (cleared) {
-        ++state_.plan.clearing[j];
+      if (!machine && !freed) break;
+      if (freed) {
+        ++state_.plan.awaitingStops[j];
       } else {
         bookFree(placement, *machine);
         state_.plan.placements.push_back({j, *machine});
@@ -199,28 +201,28 @@
 
   void bookFree(JobPlacement& placement, std::size_t machine) {
     placement.book(machine);
-    state_.soon[machine] -= placement.spec().perTask;
+    state_.freeAfterStops[machine] -= placement.spec().perTask;
   }
 
   // Returns whether fetching the job's image to the machine takes longer than preempting less
   // important tasks on another machine.
-  static bool slowToFetch(const JobPlacement& placement, std::size_t machine) {
+  static bool prefersPreemption(const JobPlacement& placement, std::size_t machine) {
     return placement.spec().priority > Priority::low && !placement.holdsImage(machine) &&
-           placement.fetchSeconds(machine) > kWorthStopping;
+           placement.fetchSeconds(machine) > kMinFetchSecondsToPreempt;
   }
 
-  void record(const QueueEntry& turn, const JobPlacement& placement, std::uint32_t settled,
-              bool emitted) {
-    settled_[turn.job] += settled;
-    if (turn.overdue) firstTurns_[turn.job] = {emitted, placement.spread()};
-    state_.plan.overLimit[turn.job] =
-        settled_[turn.job] < placement.job().waiting && !placement.withinLimit();
+  void record(const QueueEntry& entry, const JobPlacement& placement, std::uint32_t allocated,
+              bool hasPlacements) {
+    allocatedTasks_[entry.job] += allocated;
+    if (entry.overdue) firstEntryResults_[entry.job] = {hasPlacements, placement.spread()};
+    state_.plan.overLimit[entry.job] =
+        allocatedTasks_[entry.job] < placement.job().waiting && !placement.withinLimit();
   }
 
   // Splits the job's remaining tasks into withheld and unplaced ones. Tasks that the policy does
   // not let start now do not count as demand for machines.
   void countUnplaced(std::size_t j) {
-    std::uint32_t left = input_.jobs[j].waiting - settled_[j];
+    std::uint32_t left = input_.jobs[j].waiting - allocatedTasks_[j];
     state_.plan.withheld[j] = std::min(left, withheldTasks(input_.jobs[j]));
     state_.plan.unplaced[j] = left - state_.plan.withheld[j];
   }
@@ -228,19 +230,19 @@
   const PlanInput& input_;
   PlanState state_;
   Reservations reservations_;
-  std::vector<std::size_t> open_;  // Holds the machines with free resources.
+  std::vector<std::size_t> machinesWithFreeResources_;  // Holds the machines with free resources.
   // Holds the machines on which a task may be preempted or is stopping.
-  std::vector<std::size_t> clearable_;
-  std::vector<std::uint32_t>
-      settled_;                  // Counts, by job, the tasks that got resources in this plan.
-  std::size_t emittedJobs_ = 0;  // Counts the jobs of which this plan places tasks.
-  std::map<std::size_t, FirstTurn> firstTurns_;  // Is indexed by job.
+  std::vector<std::size_t> machinesWithStoppableTasks_;
+  // Counts, by job, the tasks that got resources in this plan.
+  std::vector<std::uint32_t> allocatedTasks_;
+  std::size_t jobsWithPlacements_ = 0;  // Counts the jobs of which this plan places tasks.
+  std::map<std::size_t, FirstEntryResult> firstEntryResults_;  // Is indexed by job.
 };
 
 }  // namespace
 
 Duration graceFor(const JobSpec& spec) {
-  return spec.checkpoints() ? spec.saveTime + kSaveMargin : Duration{0};
+  return spec.checkpoints() ? spec.saveTime + kSaveTimeMargin : Duration{0};
 }
 
 Plan makePlan(const PlanInput& input) { return Planner(input).run(); }
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -36,8 +36,8 @@
 };
 
 /// Resources that are expected to become free when a running task ends, by its owner's estimate.
-struct PlanEnd {
-  double inS{};        ///< This is the estimated number of seconds until the task ends.
+struct ExpectedTaskEnd {
+  double inSeconds{};  ///< This is the estimated number of seconds until the task ends.
   Resources capacity;  ///< These are the resources of the task.
 };
 
@@ -53,10 +53,11 @@
   double protectedShare{};        ///< This is the share of the machine that protected services use.
   Resources capacity;             ///< This is the capacity of the whole machine.
   Resources free;                 ///< These resources are free now.
-  Resources soon;                 ///< These resources are free once all stopping tasks have ended.
+  Resources freeAfterStops;       ///< These resources are free once all stopping tasks have ended.
   std::vector<PlanImage> images;  ///< Holds the cached images and those that placed tasks need.
   std::vector<PlanTask> stoppable;  ///< Holds the running tasks that a waiting task may preempt.
-  std::vector<PlanEnd> ends;  ///< Is filled only if the planner may have to make reservations.
+  /// Is filled only if the planner may have to make reservations.
+  std::vector<ExpectedTaskEnd> expectedEnds;
   double fetchGbPerS{};
 };
 
@@ -67,7 +68,7 @@
   double remainingS{};      ///< This is the estimated run time of all unfinished tasks together.
   std::uint32_t waiting{};  ///< This is the number of waiting tasks.
   std::uint32_t placed{};   ///< This is the number of tasks that are on machines.
-  bool begun{};             ///< Some tasks of the job are done.
+  bool hasFinishedTasks{};  ///< Some tasks of the job are done.
   bool protectedService{};
   int priorityAdjustment{};
   /// Limits how many tasks of the job may be on machines at once. The policy's calendar and pools
@@ -123,13 +124,14 @@
   std::vector<Placement> placements;    ///< Has one entry per task, in the order of the job queue.
   std::vector<Stop> stops;              ///< Holds the tasks to preempt.
   std::vector<std::uint32_t> unplaced;  ///< Counts, by job, the tasks that found no resources.
-  std::vector<std::uint32_t> clearing;  ///< Counts, by job, the tasks that wait for stopping tasks.
+  /// Counts, by job, the tasks that wait for stopping tasks.
+  std::vector<std::uint32_t> awaitingStops;
   /// Counts, by job, the tasks that found resources but are placed by a later plan.
-  std::vector<std::uint32_t> later;
+  std::vector<std::uint32_t> laterTasks;
   std::vector<std::uint32_t> withheld;      ///< Counts, by job, the tasks that the policy delays.
   std::vector<MachineId> reservedMachines;  ///< These are reserved for jobs that have waited long.
   std::vector<bool> overLimit;  ///< Is set, by job, if the team's limit left tasks unplaced.
-  bool deferred{};              ///< Resources were free for tasks of more than maxJobs jobs.
+  bool hasLaterTasks{};         ///< Resources were free for tasks of more than maxJobs jobs.
 };
 
 /// Makes a plan. The same input always gives the same plan.
--- a/src/placement/planner_test.cpp
+++ b/src/placement/planner_test.cpp
@@ -25,7 +25,7 @@
   m.type = TypeId{"box"};
   m.zone = zone;
   m.usable = true;
-  m.capacity = m.free = m.soon = {2, 2, 2};
+  m.capacity = m.free = m.freeAfterStops = {2, 2, 2};
   m.fetchGbPerS = 0.25;
   if (held) m.images = {{0, 10, true}};
   return m;
@@ -51,7 +51,7 @@
   for (std::uint32_t i = 0; i < 2; ++i) {
     m.stoppable.push_back({{{job->id, i}, Attempt{1}}, job, 0, Duration{2000}});
     m.free -= job->perTask;
-    m.soon -= job->perTask;
+    m.freeAfterStops -= job->perTask;
   }
 }
 
@@ -125,7 +125,7 @@
   in.machines.push_back(machine("two", 1, false));
   auto plan = makePlan(in);
   EXPECT_EQ(plan.placements.size(), 2U);
-  EXPECT_TRUE(plan.deferred);
+  EXPECT_TRUE(plan.hasLaterTasks);
   EXPECT_EQ(plan.unplaced[0], 0U);
   EXPECT_EQ(plan.unplaced[1], 1U);
 }
--- a/src/placement/planning_loop.cpp
+++ b/src/placement/planning_loop.cpp
@@ -53,7 +53,7 @@
   }
   pendingReasons_.end(context_.runtime.now());
   requestStops(plan);
-  if (plan.deferred) context_.planInvalidated = true;
+  if (plan.hasLaterTasks) context_.planInvalidated = true;
   context_.finishStep(plan.placements.empty() ? std::nullopt : tasks_.commit(&input, &plan));
 }
 
@@ -71,8 +71,8 @@
 }
 
 void PlanningLoop::notePendingReasons(const JobSpec& spec, const Plan& plan, std::size_t index) {
-  pendingReasons_.note(spec.id, PendingReason::preemption, plan.clearing[index]);
-  pendingReasons_.note(spec.id, PendingReason::writeQueue, plan.later[index]);
+  pendingReasons_.note(spec.id, PendingReason::preemption, plan.awaitingStops[index]);
+  pendingReasons_.note(spec.id, PendingReason::writeQueue, plan.laterTasks[index]);
   pendingReasons_.note(spec.id, PendingReason::policy, plan.withheld[index]);
   if (plan.unplaced[index] == 0) return;
   PendingReason reason = PendingReason::resources;
--- a/src/placement/preemption.cpp
+++ b/src/placement/preemption.cpp
@@ -10,14 +10,14 @@
 constexpr double kFetchOverhead = 20.0;
 constexpr double kStopOverhead = 10.0;
 // At most this much lost work is counted for one stopped task.
-constexpr double kMostLostWork = 300.0;
+constexpr double kMaxLostWork = 300.0;
 // Preempting tasks on a machine that has the image must not cost more than this many fetches of
 // the image plus one stop.
-constexpr double kWorthOfFetches = 2.0;
+constexpr double kMaxCostInFetches = 2.0;
 
 double stopCost(const PlanTask& task) {
   double lostS = task.spec->checkpoints() ? toSeconds(task.spec->saveTime) : toSeconds(task.age);
-  return kStopOverhead + std::min(kMostLostWork, lostS);
+  return kStopOverhead + std::min(kMaxLostWork, lostS);
 }
 
 // Orders tasks for stopping: the lowest priority first and, within a priority, the youngest first,
@@ -30,25 +30,28 @@
 }  // namespace
 
 Preemption::Preemption(const PlanInput& input, PlanState& state, JobPlacement& placement,
-                       const std::vector<std::size_t>& clearable)
-    : input_(input), state_(state), placement_(placement), clearable_(clearable) {}
+                       const std::vector<std::size_t>& machinesWithStoppableTasks)
+    : input_(input),
+      state_(state),
+      placement_(placement),
+      machinesWithStoppableTasks_(machinesWithStoppableTasks) {}
 
-bool Preemption::makeRoom(PreemptionTarget target) {
+bool Preemption::freeResources(PreemptionTarget target) {
   if (placement_.job().suspect) return false;
   CandidateQueue& candidates = candidatesFor(target);
   while (!candidates.empty()) {
     MachineCandidate best = candidates.top();
     candidates.pop();
-    auto clearing = clearingOf(best.machine, target);
-    if (!clearing) continue;
+    auto option = preemptionOptionFor(best.machine, target);
+    if (!option) continue;
     // Costs change as resources are allocated, so the machine is taken only if it is still the
     // cheapest one.
-    MachineCandidate now{-clearing->cost, best.machine};
-    bool dearer =
+    MachineCandidate now{-option->cost, best.machine};
+    bool costsMore =
         now.value < best.value && !candidates.empty() && now.value < candidates.top().value;
-    if (!dearer) apply(best.machine, clearing->victims);
+    if (!costsMore) apply(best.machine, option->victims);
     candidates.push(now);
-    if (!dearer) return true;
+    if (!costsMore) return true;
   }
   return false;
 }
@@ -56,11 +59,11 @@
 // Returns the machines on which resources can be freed, the cheapest first. The first call for a
 // target collects them.
 CandidateQueue& Preemption::candidatesFor(PreemptionTarget target) {
-  auto& candidates = candidates_[target == PreemptionTarget::imageHeld ? 1 : 0];
+  auto& candidates = candidates_[target == PreemptionTarget::machinesWithImage ? 1 : 0];
   if (candidates) return *candidates;
   candidates.emplace();
-  for (auto m : clearable_) {
-    if (auto clearing = clearingOf(m, target)) candidates->push({-clearing->cost, m});
+  for (auto m : machinesWithStoppableTasks_) {
+    if (auto option = preemptionOptionFor(m, target)) candidates->push({-option->cost, m});
   }
   return *candidates;
 }
@@ -68,34 +71,34 @@
 // Returns whether tasks may be stopped on the machine for this job. If the target requires the
 // image, a machine with enough free resources is excluded: the planner has preferred another
 // machine to it, and resources that are only set aside on it would keep the task waiting.
-bool Preemption::considered(std::size_t machine, PreemptionTarget target) const {
+bool Preemption::isCandidate(std::size_t machine, PreemptionTarget target) const {
   if (!placement_.allowed(machine)) return false;
   if (placement_.job().failedOn.contains(machine)) return false;
   if (target == PreemptionTarget::anyMachine) return true;
   return placement_.holdsImage(machine) && !placement_.fits(machine);
 }
 
-std::optional<Preemption::Clearing> Preemption::clearingOf(std::size_t machine,
-                                                           PreemptionTarget target) const {
-  if (!considered(machine, target)) return std::nullopt;
+std::optional<Preemption::PreemptionOption> Preemption::preemptionOptionFor(
+    std::size_t machine, PreemptionTarget target) const {
+  if (!isCandidate(machine, target)) return std::nullopt;
   const Resources& needed = placement_.spec().perTask;
-  Resources room = state_.soon[machine];
-  Clearing clearing;
+  Resources available = state_.freeAfterStops[machine];
+  PreemptionOption option;
   if (!placement_.holdsImage(machine)) {
-    clearing.cost = kFetchOverhead + placement_.fetchSeconds(machine);
+    option.cost = kFetchOverhead + placement_.fetchSeconds(machine);
   }
-  if (!needed.fitsIn(room)) {
+  if (!needed.fitsIn(available)) {
     for (const PlanTask* task : stoppableOn(machine)) {
-      if (needed.fitsIn(room)) break;
-      room += task->spec->perTask;
-      clearing.victims.push_back(task);
-      clearing.cost += stopCost(*task);
+      if (needed.fitsIn(available)) break;
+      available += task->spec->perTask;
+      option.victims.push_back(task);
+      option.cost += stopCost(*task);
     }
-    if (!needed.fitsIn(room)) return std::nullopt;
+    if (!needed.fitsIn(available)) return std::nullopt;
   }
-  double worth = kStopOverhead + kWorthOfFetches * placement_.fetchSeconds(machine);
-  if (target == PreemptionTarget::imageHeld && clearing.cost > worth) return std::nullopt;
-  return clearing;
+  double maxCost = kStopOverhead + kMaxCostInFetches * placement_.fetchSeconds(machine);
+  if (target == PreemptionTarget::machinesWithImage && option.cost > maxCost) return std::nullopt;
+  return option;
 }
 
 // Returns the tasks on the machine that may be stopped for this job, in the order of stopping.
@@ -121,9 +124,9 @@
   for (const PlanTask* task : victims) {
     state_.plan.stops.push_back({task->id, input_.machines[machine].id, graceFor(*task->spec)});
     state_.stopped.insert(task->id);
-    state_.soon[machine] += task->spec->perTask;
+    state_.freeAfterStops[machine] += task->spec->perTask;
   }
-  state_.soon[machine] -= placement_.spec().perTask;
+  state_.freeAfterStops[machine] -= placement_.spec().perTask;
   placement_.book(machine);
 }
 
--- a/src/placement/reservations.cpp
+++ b/src/placement/reservations.cpp
@@ -58,13 +58,14 @@
       free -= perTask;
     }
   };
-  auto ends = machine.ends;
-  std::sort(ends.begin(), ends.end(),
-            [](const PlanEnd& a, const PlanEnd& b) { return a.inS < b.inS; });
+  auto expectedEnds = machine.expectedEnds;
+  std::sort(
+      expectedEnds.begin(), expectedEnds.end(),
+      [](const ExpectedTaskEnd& a, const ExpectedTaskEnd& b) { return a.inSeconds < b.inSeconds; });
   double atS = 0;
   fill(atS);
-  for (const auto& end : ends) {
-    atS = std::max(atS, end.inS);
+  for (const auto& end : expectedEnds) {
+    atS = std::max(atS, end.inSeconds);
     free += end.capacity;
     fill(atS);
   }
--- a/src/placement/runner.cpp
+++ b/src/placement/runner.cpp
@@ -8,13 +8,13 @@
     : post_(std::move(post)), thread_([this] { loop(); }) {}
 
 ThreadPlanRunner::~ThreadPlanRunner() {
-  inbox_.with([](Inbox& inbox) { inbox.stop = true; });
+  queue_.with([](WorkQueue& queue) { queue.stop = true; });
   wake_.release();
   thread_.join();
 }
 
 void ThreadPlanRunner::run(PlanInput input, std::function<void(PlanInput, Plan)> done) {
-  inbox_.with([&](Inbox& inbox) { inbox.work.push_back({std::move(input), std::move(done)}); });
+  queue_.with([&](WorkQueue& queue) { queue.work.push_back({std::move(input), std::move(done)}); });
   wake_.release();
 }
 
@@ -22,9 +22,9 @@
   for (;;) {
     wake_.acquire();
     std::vector<Work> work;
-    bool stop = inbox_.with([&](Inbox& inbox) {
-      work.swap(inbox.work);
-      return inbox.stop;
+    bool stop = queue_.with([&](WorkQueue& queue) {
+      work.swap(queue.work);
+      return queue.stop;
     });
     if (stop) return;
     for (auto& w : work) {
--- a/src/placement/runner.hpp
+++ b/src/placement/runner.hpp
@@ -36,13 +36,13 @@
     PlanInput input;
     std::function<void(PlanInput, Plan)> done;
   };
-  struct Inbox {
+  struct WorkQueue {
     std::vector<Work> work;
     bool stop = false;
   };
   void loop();
   std::function<void(std::function<void()>)> post_;
-  Guarded<Inbox> inbox_;
+  Guarded<WorkQueue> queue_;
   std::counting_semaphore<> wake_{0};
   std::thread thread_;
 };
