--- a/src/placement/confirmed_outcomes.hpp
+++ b/src/placement/confirmed_outcomes.hpp
@@ -10,10 +10,10 @@
 
 namespace kestrelhoist {
 
-/// The confirmed outcomes that are not committed yet, and the pauses of jobs.
+/// Stores the confirmed outcomes that are not committed yet, and the pauses of jobs.
 class ConfirmedOutcomes {
  public:
-  /// The outcome of one task attempt.
+  /// Describes how one task attempt ended.
   struct Outcome {
     Attempt attempt;
     AttemptOutcome attemptOutcome{};
@@ -22,14 +22,14 @@
     /// seen running.
     Duration ran{};
   };
-  /// The outcomes of one chunk of a job's tasks, which are committed together.
+  /// Groups the outcomes of one chunk of a job's tasks, which are committed together.
   struct PendingOutcomes {
     Instant since{};                            ///< This is the time of the first outcome.
     std::map<std::uint32_t, Outcome> outcomes;  ///< Is indexed by the task's index in the job.
   };
   /// Identifies a chunk by its job and by the chunk's number.
   using ChunkKey = std::pair<JobId, std::uint32_t>;
-  /// A back-off during which no task of a job is placed.
+  /// Describes a back-off of a job, during which none of its tasks is placed.
   struct Pause {
     int failures{};
     Instant until{};
--- a/src/placement/consolidate.hpp
+++ b/src/placement/consolidate.hpp
@@ -13,7 +13,7 @@
 
 namespace kestrelhoist {
 
-/// A service replica that may move to another machine.
+/// Describes a service replica that may move to another machine.
 struct MovableTask {
   AttemptId id;
   std::shared_ptr<const JobSpec> spec;
@@ -21,7 +21,7 @@
   Duration age{};  ///< This is the time since the replica was first seen running.
 };
 
-/// A machine that may be drained or may receive replicas.
+/// Describes a machine that may be drained or may receive replicas.
 struct ConsolidationCandidate {
   MachineId id;
   TypeId type;
@@ -31,7 +31,7 @@
   std::vector<MovableTask> services;  ///< Excludes batch tasks, because they end by themselves.
 };
 
-/// All data that a consolidation depends on.
+/// Contains all data that a consolidation depends on.
 struct ConsolidationInput {
   /// Holds the usable on-demand machines of one type that are neither cordoned nor kept warm.
   std::vector<ConsolidationCandidate> machines;
@@ -41,7 +41,7 @@
   std::size_t maxMoves{};
 };
 
-/// The machines to drain and the replicas to move off them.
+/// Lists the machines to drain and the replicas to move off them.
 struct ConsolidationDecision {
   std::vector<MachineId> machines;                     ///< These machines get no new tasks.
   std::vector<std::pair<MachineId, AttemptId>> moves;  ///< These replicas are stopped to move them.
--- a/src/placement/job_queue.hpp
+++ b/src/placement/job_queue.hpp
@@ -13,7 +13,7 @@
 
 namespace kestrelhoist {
 
-/// Settings of the job queue that keep long-waiting jobs from starving.
+/// Controls how the job queue keeps long-waiting jobs from starving.
 struct QueueSettings {
   /// A job that has waited this long is no longer overtaken by newer jobs unless it gets its share
   /// of the machines first.
@@ -33,7 +33,7 @@
   double largeJobFactor = 3;
 };
 
-/// A waiting job as the queue sees it.
+/// Describes a waiting job as the queue sees it.
 struct QueuedJob {
   std::shared_ptr<const JobSpec> spec;
   std::int64_t acceptedAtMs{};  ///< This is the time of day from the job's record.
--- a/src/placement/machine_candidate.hpp
+++ b/src/placement/machine_candidate.hpp
@@ -7,8 +7,8 @@
 
 namespace kestrelhoist {
 
-/// A machine with its value for a task. Among machines of equal value, the first machine of the
-/// input is preferred.
+/// Pairs a machine with its value for a task. Among machines of equal value, the first machine of
+/// the input is preferred.
 struct MachineCandidate {
   double value{};         ///< A higher value is better.
   std::size_t machine{};  ///< Is an index into PlanInput::machines.
--- a/src/placement/pending_reasons.hpp
+++ b/src/placement/pending_reasons.hpp
@@ -11,7 +11,7 @@
 
 namespace kestrelhoist {
 
-/// The reason why a group of tasks of a job does not run.
+/// Names the reason why a group of tasks of a job does not run.
 enum class PendingReason {
   dependencies,  ///< The jobs that the job depends on are not done.
   quota,         ///< The team has used up its limit.
@@ -30,7 +30,7 @@
 /// Returns the text that users and operators get for a reason.
 const char* toString(PendingReason why);
 
-/// A number of tasks of a job that wait for the same reason.
+/// Counts the tasks of a job that wait for the same reason.
 struct PendingGroup {
   PendingReason why{};
   std::uint32_t tasks{};
--- a/src/placement/placement_transaction.hpp
+++ b/src/placement/placement_transaction.hpp
@@ -12,7 +12,7 @@
 
 namespace kestrelhoist {
 
-/// An attempt that a transaction removes from the records because it ended, and its outcome.
+/// Describes an ended attempt that a transaction removes from the records.
 struct EndedAttempt {
   AttemptId id;
   AttemptOutcome outcome{};
@@ -52,12 +52,13 @@
   void writeTo(Transaction& transaction) const;
 
  private:
-  /// The tasks [first, last) that share a record, which covers a task chunk or a sub-chunk of one.
+  /// Defines the tasks [first, last) that share a record. The record covers a task chunk or a
+  /// sub-chunk of one.
   struct TaskRange {
     std::uint32_t first, last;
     bool isSubChunk;
   };
-  /// A record as this transaction will write it.
+  /// Holds a record as this transaction will write it.
   struct Draft {
     const JobState* job;
     TaskRange range;
@@ -66,7 +67,7 @@
     std::uint32_t newlyFinished;  ///< Counts the tasks that this transaction marks as finished.
     bool hasPlacements;           ///< The transaction places tasks of this record.
   };
-  /// The keys that writeTo() has already appended, so that no compare or write is added twice.
+  /// Tracks which keys writeTo() has already appended, so that no compare or write is added twice.
   struct Written {
     std::set<JobId> comparedJobs, endedJobs;
     std::set<std::string> comparedChunks;
--- a/src/placement/plan_state.hpp
+++ b/src/placement/plan_state.hpp
@@ -9,7 +9,7 @@
 
 namespace kestrelhoist {
 
-/// The decisions made so far, and the resources that they leave. The planner copies the state
+/// Holds the decisions made so far, and the resources that they leave. The planner copies the state
 /// before it places a gang, and restores it if not all tasks of the gang fit. A machine is
 /// identified by its index in PlanInput::machines.
 struct PlanState {
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -101,7 +101,7 @@
   }
 
  private:
-  // The result of a job's first queue entry. The job's second entry continues from it.
+  // Stores the result of a job's first queue entry. The job's second entry continues from it.
   struct FirstEntryResult {
     bool hasPlacements{};  // The first entry placed tasks.
     TaskSpread spread;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -20,7 +20,7 @@
 
 namespace kestrelhoist {
 
-/// A running task that may be stopped.
+/// Describes a running task that may be stopped.
 struct PlanTask {
   AttemptId id;
   std::shared_ptr<const JobSpec> spec;
@@ -28,20 +28,21 @@
   Duration age{};  ///< This is the time since the task was first seen running, or 0 if it was not.
 };
 
-/// An image that a machine has in its cache, or that its tasks need.
+/// Describes an image that a machine has in its cache, or that its tasks need.
 struct PlanImage {
   std::uint32_t id{};
   double gb{};
   bool cached{};  ///< The image is on the machine and needs no fetch.
 };
 
-/// Resources that are expected to become free when a running task ends, by its owner's estimate.
+/// Describes the resources that become free when a running task ends. The time of the end follows
+/// from the estimate of the task's owner.
 struct ExpectedTaskEnd {
   double inSeconds{};  ///< This is the estimated number of seconds until the task ends.
   Resources capacity;  ///< These are the resources of the task.
 };
 
-/// A machine as the planner sees it.
+/// Describes a machine as the planner sees it.
 struct PlanMachine {
   MachineId id;
   TypeId type;
@@ -61,7 +62,7 @@
   double fetchGbPerS{};
 };
 
-/// A job with waiting tasks.
+/// Describes a job with waiting tasks.
 struct PlanJob {
   std::shared_ptr<const JobSpec> spec;
   std::int64_t acceptedAtMs{};
@@ -89,7 +90,7 @@
   std::optional<std::size_t> excludedMachine;  ///< FailureAttribution::excludes() explains it.
 };
 
-/// All data that a plan depends on.
+/// Contains all data that a plan depends on.
 struct PlanInput {
   std::vector<PlanMachine> machines;
   std::vector<PlanJob> jobs;
@@ -118,8 +119,8 @@
   Duration grace{};  ///< The task gets this time to save its state.
 };
 
-/// The decisions of one planner run. Vectors described as "by job" have an entry for each job of
-/// PlanInput::jobs.
+/// Contains the decisions of one planner run. Vectors described as "by job" have an entry for each
+/// job of PlanInput::jobs.
 struct Plan {
   std::vector<Placement> placements;    ///< Has one entry per task, in the order of the job queue.
   std::vector<Stop> stops;              ///< Holds the tasks to preempt.
--- a/src/placement/planning_loop.hpp
+++ b/src/placement/planning_loop.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The control loop that plans on which machines waiting tasks are placed, and commits the
+/// Defines the control loop that plans on which machines waiting tasks are placed, and commits the
 /// placements.
 #pragma once
 
@@ -27,8 +27,8 @@
   void onRecordsChanged(bool) override { context_.planInvalidated = true; }
   /// Invalidates the plan at each timer tick, because pauses and aging thresholds end with time.
   void onTimer() override { context_.planInvalidated = true; }
-  /// The number of tasks, by job, for which the last plan found no resources. It is the demand for
-  /// which machines are rented.
+  /// Returns, by job, the number of tasks for which the last plan found no resources. Machines are
+  /// rented for this demand.
   const std::map<JobId, std::uint32_t>& unplaced() const { return unplaced_; }
 
   /// Returns why tasks wait, according to the last plan.
--- a/src/placement/preemption.hpp
+++ b/src/placement/preemption.hpp
@@ -35,7 +35,7 @@
 
  private:
   using Victims = std::vector<const PlanTask*>;
-  /// The tasks to stop on a machine so that one task of the job fits, and the cost of that.
+  /// Describes which tasks to stop on a machine so that one task of the job fits, and the cost.
   struct PreemptionOption {
     double cost{};  ///< The cost is roughly a number of seconds.
     Victims victims;
--- a/src/placement/reservations.hpp
+++ b/src/placement/reservations.hpp
@@ -13,9 +13,9 @@
 
 class JobPlacement;
 
-/// The machines that a plan reserves, with backfill. Small tasks fill resources as soon as they
-/// become free, so a gang, or a task that needs most of a machine, would never find enough. The
-/// machines on which it fits earliest are therefore reserved for it, and until then accept only
+/// Selects the machines that a plan reserves, with backfill. Small tasks fill resources as soon as
+/// they become free, so a gang, or a task that needs most of a machine, would never find enough.
+/// The machines on which it fits earliest are therefore reserved for it, and until then accept only
 /// tasks that end before. Reservations are not stored: a later plan, or a new leader, selects the
 /// same machines again, because no task that runs longer was placed on them.
 class Reservations {
@@ -37,7 +37,7 @@
     double neededInS{};
     const PlanJob* job{};
   };
-  /// Resources for one task on a machine, and when they become free.
+  /// Describes resources for one task on a machine, and when they become free.
   struct Slot {
     double freeInS{};
     std::size_t machine{};
--- a/src/placement/task_loop.hpp
+++ b/src/placement/task_loop.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The control loop that commits confirmed task outcomes and the placements of a plan.
+/// Defines the control loop that commits confirmed task outcomes and the placements of a plan.
 #pragma once
 
 #include <optional>
@@ -36,9 +36,9 @@
   [[nodiscard]] std::optional<Commit> commit(const PlanInput* input, const Plan* plan);
 
  private:
-  /// A chunk with urgent outcomes, and the time of its oldest outcome.
+  /// Identifies a chunk with urgent outcomes, with the time of its oldest outcome.
   using UrgentChunk = std::pair<Instant, ConfirmedOutcomes::ChunkKey>;
-  /// The number of placements in a transaction, and their machines.
+  /// Counts the placements in a transaction, and lists their machines.
   struct PlacedMachines {
     std::size_t placements = 0;
     std::set<MachineId> machines;
