--- a/src/placement/consolidate_test.cpp
+++ b/src/placement/consolidate_test.cpp
@@ -15,12 +15,12 @@
     in.maxMoves = 10;
   }
   ConsolidationCandidate& machine(const char* id, std::uint32_t zone, int replicas,
-                                  bool held = true) {
+                                  bool hasImage = true) {
     ConsolidationCandidate m;
     m.id = MachineId{id};
     m.zone = zone;
     m.capacity = m.free = {4, 4, 4};
-    if (held) m.images = {{1, 8, true}};
+    if (hasImage) m.images = {{1, 8, true}};
     for (int i = 0; i < replicas; ++i) {
       JobSpec s;
       s.id = JobId{"j-" + std::to_string(1000 + jobs++)};
--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -45,10 +45,11 @@
   for (auto from = order.begin(); from != order.end();) {
     auto to = std::find_if(from, order.end(),
                            [&](std::size_t j) { return levelOf(jobs[j]) != levelOf(jobs[*from]); });
-    // Each batch job that has waited for `firstTaskThreshold` gets one task before the other jobs
-    // of its priority, the oldest job first. Otherwise, under a lasting load, jobs of equal size
-    // are served by age and the newest one starts only when all older ones are done (18 of 60 jobs
-    // had not started after five minutes), and a job that the calendar puts last never starts.
+    // Each batch job that has waited for `firstTaskThreshold` without starting a task gets one task
+    // (a gang gets all) before the other jobs of its priority, the oldest job first. Otherwise,
+    // under a lasting load, jobs of equal size are served by age and the newest one starts only
+    // when all older ones are done (18 of 60 jobs had not started after five minutes), and a job
+    // that the calendar puts last never starts.
     std::pair<bool, Priority> priority{jobs[*from].protectedService, jobs[*from].spec->priority};
     if (servedPriority != priority) {
       servedPriority = priority;
--- a/src/placement/job_queue.hpp
+++ b/src/placement/job_queue.hpp
@@ -15,17 +15,17 @@
 
 /// Controls how the job queue keeps long-waiting jobs from starving.
 struct QueueSettings {
-  /// A job that has waited this long is no longer overtaken by newer jobs unless it gets its share
-  /// of the machines first.
+  /// Once a large batch job has waited this long, newer jobs may overtake it only after it has got
+  /// a share of the machines.
   Duration agingThreshold{60000};
   /// A batch job that has waited this long without starting a task gets one task before the other
   /// jobs of its priority, so that all jobs start within four minutes. With a shorter time, fewer
   /// jobs finish under a lasting load.
   Duration firstTaskThreshold{180000};
-  /// Jobs that were accepted within this time of each other do not count as overtaking.
+  /// A job overtakes an older one only if it was accepted at least this much later.
   Duration acceptanceTolerance{30000};
-  /// Overtaken jobs together get this share of the machines that they may use, the oldest first,
-  /// before the other jobs are served by least remaining work.
+  /// The overtaken jobs together first get this share of the machines that they may use, the oldest
+  /// job first. Then all jobs are served by least remaining work.
   double overtakenShare = 0.25;
   /// A job counts as large if its remaining work is at least this many times the median of the
   /// waiting jobs. Only large jobs starve under least remaining work; if smaller jobs were served
--- a/src/placement/placement_transaction.hpp
+++ b/src/placement/placement_transaction.hpp
@@ -91,7 +91,7 @@
   std::size_t maxOperations_;
   std::uint32_t maxChunkSize_;  ///< A new record covers at most this many tasks, by the size limit.
   bool mayWriteFormat2_;        ///< Records may be split into sub-chunks.
-  /// The key has the first task's index.
+  /// The key consists of the job and the index of the record's first task.
   std::map<std::pair<JobId, std::uint32_t>, Draft> drafts_;
   /// Counts finished tasks, but not of flows' jobs.
   std::map<JobId, std::uint32_t> newlyFinished_;
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -20,7 +20,7 @@
 // save.
 constexpr Duration kSaveTimeMargin{500};
 
-// If fetching the image takes longer than this many seconds, the planner rather preempts less
+// If fetching the image takes longer than this many seconds, the planner prefers to preempt less
 // important tasks on a machine that has the image. A stop and a launch take about as long.
 constexpr double kMinFetchSecondsToPreempt = 3.0;
 
@@ -150,7 +150,7 @@
   }
 
   // Allocates free resources for up to `wanted` tasks on any allowed machines, without choosing the
-  // best ones, and returns for how many tasks it found some.
+  // best ones. Returns the number of tasks that got resources.
   std::uint32_t allocateAnywhere(JobPlacement& placement, std::uint32_t wanted) {
     std::uint32_t booked = 0;
     for (auto m : machinesWithFreeResources_) {
--- a/src/placement/planner_test.cpp
+++ b/src/placement/planner_test.cpp
@@ -19,7 +19,7 @@
   return std::make_shared<const JobSpec>(std::move(s));
 }
 
-PlanMachine machine(const char* id, std::uint32_t zone, bool held) {
+PlanMachine machine(const char* id, std::uint32_t zone, bool hasImage) {
   PlanMachine m;
   m.id = MachineId{id};
   m.type = TypeId{"box"};
@@ -27,7 +27,7 @@
   m.usable = true;
   m.capacity = m.free = m.freeAfterStops = {2, 2, 2};
   m.fetchGbPerS = 0.25;
-  if (held) m.images = {{0, 10, true}};
+  if (hasImage) m.images = {{0, 10, true}};
   return m;
 }
 
