--- a/src/fleet/command_dispatcher.cpp
+++ b/src/fleet/command_dispatcher.cpp
@@ -22,7 +22,8 @@
   WorkerSession& session = machine->session;
   if (now - session.lastReportAt > context_.platform.workerLease) return false;
   auto commands = fleet_.commandsFor(*machine, now, context_.watcher.reachable());
-  // A late `clear` could make the worker forget what a late launch then starts again.
+  // A delayed `clear` could make the worker forget an attempt that a delayed launch would then
+  // start again, so `clear` is never sent in a direct command.
   std::erase_if(commands, [](const WorkerCommand& command) {
     return command.operation == WorkerCommand::Operation::clear;
   });
@@ -46,7 +47,7 @@
       context_.whileLeading([this, id, workerEpoch, commands = std::move(commands)](
                                 const std::optional<Response>& response) {
         Machine* machine = fleet_.find(id);
-        if (!machine || !response) return;  // no answer: launches may still arrive
+        if (!machine || !response) return;  // Without an answer, the launches may still arrive.
         onResponse(*machine, workerEpoch, commands, *response);
       }));
 }
@@ -60,7 +61,7 @@
   if (applyDirectAnswer(fleet_, machine, response, context_.runtime.now())) onReport(machine);
 }
 
-// Each launch of the answered command has arrived or will never arrive.
+// Records that a command was answered: each of its launches has arrived or will never arrive.
 void CommandDispatcher::noteAcknowledged(WorkerSession& session, WorkerEpoch workerEpoch,
                                          const std::vector<WorkerCommand>& commands) {
   if (!session.lastReport || session.lastReport->workerEpoch != workerEpoch) return;
--- a/src/fleet/command_dispatcher.hpp
+++ b/src/fleet/command_dispatcher.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Commands that the leader sends to workers outside the answers to their heartbeats, because they
-/// should not wait. The responses are reports, of which only the state is applied.
+/// Sends commands to workers in direct requests, because these commands should not wait for the
+/// answer to the next heartbeat. The workers' responses are reports; only the state in them is
+/// applied.
 #pragma once
 
 #include <functional>
@@ -16,14 +17,15 @@
  public:
   CommandDispatcher(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
-  /// Sends a machine its commands now rather than in answer to its next heartbeat. Returns whether
-  /// there were any.
+  /// Sends a machine its commands at once instead of in the answer to its next heartbeat. Returns
+  /// whether there were any commands.
   bool sendCommands(const MachineId& id);
 
-  /// Called after commands were sent; may be null.
+  /// This callback runs after commands were sent; it may be null.
   std::function<void(const MachineId&)> onSent;
 
-  /// Called after a newer report of a machine was applied: it may have proven an outcome.
+  /// This callback runs after a newer report of a machine is applied, because the report may prove
+  /// an outcome.
   std::function<void(Machine&)> onReport;
 
  private:
--- a/src/fleet/command_repeater.cpp
+++ b/src/fleet/command_repeater.cpp
@@ -6,9 +6,11 @@
 namespace kestrelhoist {
 namespace {
 
-// A worker whose tasks change reports this within 0.5 s of its last report (PROTOCOL, "Workers").
+// A worker whose tasks change reports the change within 0.5 s of its last report (PROTOCOL,
+// "Workers").
 constexpr Duration kRepeatAfter{750};
-constexpr int kMaxRepeats = 3;  // without a newer heartbeat
+// Commands are repeated at most this often until a newer heartbeat arrives.
+constexpr int kMaxRepeats = 3;
 constexpr std::size_t kMaxMachinesAtOnce = 16;
 
 }  // namespace
--- a/src/fleet/command_repeater.hpp
+++ b/src/fleet/command_repeater.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Repeats commands that a worker has not confirmed, so that a lost answer to its heartbeat or a
-/// lost direct command does not make its tasks wait for the next heartbeat.
+/// Repeats commands that a worker has not confirmed, so that tasks do not wait for the next
+/// heartbeat if the answer to a heartbeat or a direct command is lost.
 #pragma once
 
 #include <functional>
@@ -12,20 +12,21 @@
 
 namespace kestrelhoist {
 
-/// Remembers to which machines launches and stops were sent, and when. The class performs no I/O
-/// and is not thread-safe.
+/// Records to which machines launches and stops were sent, and when. The class performs no I/O and
+/// is not thread-safe.
 class CommandRepeater {
  public:
-  /// @param send Sends a machine what its newest report shows to be missing; false if that is
-  ///        nothing, because the commands are confirmed or the machine is gone.
+  /// @param send Sends a machine the commands that its newest report does not confirm. Returns
+  ///        false if there are none, or if the machine no longer exists.
   explicit CommandRepeater(std::function<bool(const MachineId&)> send) : send_(std::move(send)) {}
 
-  /// Launches or stops were sent to the machine, directly or in answer to its heartbeat, or its
-  /// answer to a probe shows that some may be missing.
+  /// Records that launches or stops were sent to the machine, directly or in the answer to a
+  /// heartbeat, or that the machine's answer to a probe shows that some commands may be missing.
   void expectConfirmation(const MachineId& machine, Instant now);
-  /// Repeats those that were sent a while ago, the oldest first and only so many at a time.
+  /// Repeats commands that have been unconfirmed for some time, the oldest first and for a limited
+  /// number of machines at a time.
   void repeatDue(Instant now);
-  /// Called for each machine whose commands are repeated; may be null.
+  /// This callback runs for each machine whose commands are repeated; it may be null.
   std::function<void()> onRepeated;
 
  private:
--- a/src/fleet/command_repeater_test.cpp
+++ b/src/fleet/command_repeater_test.cpp
@@ -1,5 +1,5 @@
-// Guards against: replicas waited 5 s for a heartbeat because the answer with their launch was
-// lost.
+// Guards against a delay of 5 s: the answer with the launch of replicas was lost, and the launch
+// was repeated only in the answer to the next heartbeat.
 #include "fleet/command_repeater.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 struct CommandRepeaterTest : testing::Test {
   std::vector<MachineId> sent;
-  bool missing = true;  ///< what the newest report shows
+  bool missing = true;  ///< Is true if the newest report does not confirm the commands.
   CommandRepeater repeater{[this](const MachineId& machine) {
     if (missing) sent.push_back(machine);
     return missing;
@@ -41,7 +41,8 @@
   repeater.expectConfirmation(kMachine, Instant{0});
   for (int second = 1; second < 20; ++second) repeater.repeatDue(Instant{second * 1000});
   EXPECT_EQ(sent.size(), 3U);
-  repeater.expectConfirmation(kMachine, Instant{30000});  // in answer to a heartbeat
+  // The commands are sent again in the answer to a heartbeat.
+  repeater.expectConfirmation(kMachine, Instant{30000});
   repeater.repeatDue(Instant{31000});
   EXPECT_EQ(sent.size(), 4U);
 }
--- a/src/fleet/direct_answer.hpp
+++ b/src/fleet/direct_answer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Takes in the report with which a worker answers a direct request.
+/// Applies the report with which a worker answers a direct request.
 #pragma once
 
 #include "base/runtime.hpp"
@@ -7,9 +7,9 @@
 
 namespace kestrelhoist {
 
-/// Applies the report in a worker's answer to a direct command or probe, and what it proves. Only
-/// facts are taken from it: commands go with the next heartbeat. False if there is no newer report
-/// of the machine in it.
+/// Applies the report in a worker's answer to a direct command or probe, and the outcomes that the
+/// report proves. No commands are derived for sending: commands are sent in the answer to the next
+/// heartbeat. Returns false if the answer contains no newer report of the machine.
 bool applyDirectAnswer(Fleet& fleet, Machine& machine, const Response& response, Instant now);
 
 }  // namespace kestrelhoist
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -9,7 +9,8 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr double kBootTimeoutFactor = 2.5;  // times the type's boot time
+// The boot timeout is the machine type's boot time multiplied by this factor.
+constexpr double kBootTimeoutFactor = 2.5;
 
 TerminationVerdict lost(std::string reason) {
   return {MachineLoss::lost, std::move(reason), std::nullopt};
@@ -57,8 +58,8 @@
 }
 
 bool ReachabilityCounts::blind() const {
-  constexpr int kFewestToJudgeBy = 4;         // machines
-  constexpr int kMachinesForEachReport = 10;  // that should report
+  constexpr int kFewestToJudgeBy = 4;  // machines
+  constexpr int kMachinesForEachReport = 10;
   return expected >= kFewestToJudgeBy && reporting * kMachinesForEachReport < expected;
 }
 
@@ -87,13 +88,14 @@
       const auto* record = replica_.machine(id);
       if (!record || record->tasks.empty()) continue;
     }
-    // The workers do not know a new leader yet.
+    // For a machine that has not reported, the time counts from shortly after the election, because
+    // its worker does not know the new leader at first.
     Instant last = machine.hasReported() ? machine.session.lastReportAt
                                          : std::max(fleet_.lastSignOfLife(machine),
                                                     leaderSince_ + failoverTime() / 2);
-    // What counts is the time at which a report is due, not the longer timeout of silence: where
-    // hardly any machine is on time, the way to all of them is what fails, and their workers have
-    // to try all nodes before a report of theirs arrives again.
+    // A machine counts as on time until its report is due, not until the longer silence timeout. If
+    // hardly any machine is on time, this leader's link to all of them has failed, and their
+    // workers have to try all controllers before one of their reports arrives again.
     const bool onTime = now_ - last <= fleet_.reportDue();
     ++(onTime ? counts.zones[machine.zone].onTime : counts.zones[machine.zone].overdue);
     ++counts.expected;
@@ -103,7 +105,8 @@
   return counts;
 }
 
-// Counts releases which an earlier leader began, of machines that work as ever.
+// Counts the machines with tasks whose termination an earlier leader requested and whose reports
+// are on time.
 std::size_t FailureDetector::countDrainingWithTasks() const {
   const auto& terminating = fleet_.terminating();
   return static_cast<std::size_t>(
@@ -134,8 +137,8 @@
   return inspectSilence(machine);
 }
 
-// Machines whose release an earlier leader began are released in small numbers at a time while they
-// still work.
+// Terminates machines whose termination an earlier leader requested. Machines that still run tasks
+// are terminated in small numbers at a time.
 std::optional<TerminationVerdict> FailureDetector::resumeTermination(const Machine& machine,
                                                                      bool hasTasks) {
   const std::size_t limit = std::max<std::size_t>(4, fleet_.machines().size() / 20);
@@ -145,7 +148,7 @@
   return terminated("release was begun");
 }
 
-// Reasons that do not depend on how long the machine has been silent alone.
+// Checks the reasons for termination other than silence alone.
 std::optional<TerminationVerdict> FailureDetector::inspectRemoval(const Machine& machine,
                                                                   bool hasTasks) const {
   if (machine.listed == Listed::failed) return lost("the cloud lists it as failed");
@@ -156,7 +159,8 @@
   if (hasTasks) return std::nullopt;
   if (machine.terminationNoticeEnds) return terminated("notice, and nothing left on it");
   if (fleet_.faulty(machine)) return terminated("tasks of several sound jobs failed on it");
-  // A replacement can be used. Where most machines are like this, replacements would be, too.
+  // The machine is replaced only if most machines do report; otherwise a replacement's heartbeats
+  // would probably not be answered either.
   if (machine.notReportingSince && 2 * counts_.notReporting <= counts_.expected &&
       now_ - *machine.notReportingSince > platform_.workerLease) {
     return lost("answers but does not report");
@@ -172,8 +176,8 @@
       toSeconds(now_ - machine.rentedAt) > bootTimeoutS && now_ - leaderSince_ > failoverTime()) {
     return TerminationVerdict{MachineLoss::neverBooted, "did not boot", std::nullopt};
   }
-  // The time counts from when the machine was known to run: a list may come before the first
-  // report, and the silence of a machine that boots is no sign of anything.
+  // The time counts from when the machine was first listed as running: a list may arrive before the
+  // machine's first report, and a booting machine sends no reports.
   if (machine.listed == Listed::running && machine.runningSince &&
       now_ - std::max(fleet_.lastSignOfLife(machine), *machine.runningSince) >
           platform_.workerLease) {
@@ -182,13 +186,13 @@
   return std::nullopt;
 }
 
-// A machine of a zone from which no controller acknowledged a heartbeat since before this
-// leadership: once its lease is over, whatever ran on it has ended. This can only be earlier than
-// inspectSilence(), which counts from the beginning of this leadership.
+// Checks a machine in a zone from which no controller acknowledged a heartbeat since before this
+// leadership: once the machine's lease has expired, its tasks have ended. This check can only
+// succeed before inspectSilence(), which counts from the start of this leadership.
 std::optional<TerminationVerdict> FailureDetector::inspectUnheardZone(
     const Machine& machine) const {
   if (machine.hasReported() || machine.firstSeen > leaderSince_) return std::nullopt;
-  // A zone that has just come back is heard by then.
+  // Within this time reports arrive from a zone that has just become reachable again.
   if (now_ - leaderSince_ < fleet_.reportDue()) return std::nullopt;
   auto acknowledged = fleet_.lastAckBeforeLeadership(machine.zone);
   if (!acknowledged) return std::nullopt;
@@ -201,11 +205,13 @@
                         SilenceLimit::cutOffZone});
 }
 
-// A silent machine is dead or out of reach. While others of its zone report it is most likely dead.
+// Checks whether the machine has been silent for too long. A silent machine is dead or unreachable;
+// while other machines of its zone report, it is most likely dead.
 std::optional<TerminationVerdict> FailureDetector::inspectSilence(const Machine& machine) const {
   const SignOfLife newest = fleet_.signOfLife(machine);
   Timeout timeout = silenceTimeout(machine);
-  // Nothing may be known of it because this leader is new and its worker still looks for a node.
+  // The machine's sign of life may be unknown because this leader is new and the worker is still
+  // trying other controllers.
   const bool unknown = !machine.hasReported() && newest.at >= leaderSince_;
   if (unknown) timeout.duration += failoverTime() / 2;
   if (!machine.hasReported() && !unknown && now_ - leaderSince_ < failoverTime()) {
@@ -224,7 +230,7 @@
   const Duration silence = now_ - fleet_.lastSignOfLife(machine);
   auto zone = zoneLastUnreachableAt_.find(machine.zone);
   if (mayBeCutOff(machine) || zone == zoneLastUnreachableAt_.end()) return silence;
-  // The zone has just come back: its workers find the leader one after the other.
+  // The zone has just become reachable again, and its workers find the leader one after the other.
   return std::min(silence, now_ - zone->second);
 }
 
@@ -237,7 +243,7 @@
     timeout = {cutOffTimeout(machine),
                counts_.blind() ? SilenceLimit::blindLeader : SilenceLimit::cutOffZone};
   }
-  // A worker that lives answers a direct probe, whichever node it reports to.
+  // A running worker answers a direct probe, whichever controller receives its heartbeats.
   constexpr int kFailedProbesForProof = 2;
   if (machine.hasReported() && fleet_.isOverdue(machine, now_) &&
       !unreachableZones_.contains(machine.zone) && counts_.reporting > 0 &&
@@ -247,17 +253,17 @@
   return timeout;
 }
 
-// Whether another controller may be answering workers of the zone without this leader's knowledge.
-// Where no worker at all is heard it need not be in the zone: what is cut may be this leader's own
-// link to all workers.
+// Returns whether another controller may be answering workers of the zone without this leader's
+// knowledge. If this leader receives no reports at all, that controller may be in any zone, because
+// this leader's own link to all workers may have failed.
 bool FailureDetector::mayBeAnswered(const ZoneId& zone) const {
   if (mayHaveActingLeader_(zone)) return true;
   return counts_.reporting == 0 && peerUnheard_;
 }
 
-// A zone that is silent is most likely cut off and goes on working inside: its tasks run for as
-// long as their leases, which a controller there can keep up until the bound for unknown
-// cancellations.
+// Returns the silence timeout for a machine that may be cut off from this leader. Its tasks keep
+// running until its lease expires, and a controller inside a cut-off zone can renew the lease until
+// the limit that bounds the effect of unknown cancellations (LeaseRenewal).
 Duration FailureDetector::cutOffTimeout(const Machine& machine) const {
   constexpr Duration kClockMargin{1000};
   Duration timeout = platform_.workerLease + kClockMargin;
@@ -266,7 +272,8 @@
   return timeout;
 }
 
-// A worker whose node went away reports to the next one after this long at worst.
+// Returns the longest time that a worker takes to report to the next controller after its
+// controller has failed.
 Duration FailureDetector::failoverTime() const {
   return 2 * platform_.reportEvery + kWorkerAnswerTimeout + 2 * kWorkerNextControllerDelay;
 }
--- a/src/fleet/failure_detector.hpp
+++ b/src/fleet/failure_detector.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Decides which machines a leader gives up: dead, failed, never booted, reclaimed or faulty.
+/// Decides which machines a leader terminates because they are dead, failed, never booted,
+/// reclaimed by the cloud or faulty.
 #pragma once
 
 #include <functional>
@@ -18,10 +19,10 @@
 class Fleet;
 struct Machine;
 
-/// How a terminated machine enters the statistics of losses.
+/// Says how a terminated machine is counted in the statistics of lost machines.
 enum class MachineLoss { none, lost, neverBooted };
 
-/// From where a leader knows the newest sign of life of a machine.
+/// Names the source from which a leader knows a machine's newest sign of life.
 enum class SignOfLifeSource {
   ownReport,
   peerAcknowledgement,
@@ -31,17 +32,19 @@
 };
 const char* toString(SignOfLifeSource source);
 
-/// The newest sign of life that a leader knows of a machine.
+/// Holds a machine's newest sign of life, as a leader knows it. A sign of life is a report or an
+/// acknowledged heartbeat.
 struct SignOfLife {
   Instant at;
   SignOfLifeSource source = SignOfLifeSource::leaderStart;
 };
 
-/// What sets how long a machine may be silent.
+/// Names the rule that limits how long a machine may be silent. A machine is silent while no sign
+/// of life of it arrives.
 enum class SilenceLimit { failover, cutOffZone, blindLeader, failedProbes };
 const char* toString(SilenceLimit limit);
 
-/// Why silence was taken for a loss.
+/// Holds the evidence by which a silent machine was declared lost.
 struct SilenceEvidence {
   SignOfLife newest;
   Duration silence{};
@@ -49,14 +52,15 @@
   SilenceLimit limit = SilenceLimit::failover;
 };
 
-/// The decision to terminate one machine.
+/// Holds the decision to terminate one machine.
 struct TerminationVerdict {
   MachineLoss loss = MachineLoss::none;
   std::string reason;
-  std::optional<SilenceEvidence> silence = std::nullopt;  ///< set if silence alone decided
+  /// Is set if the machine's silence is the only reason.
+  std::optional<SilenceEvidence> silence = std::nullopt;
 };
 
-/// How many machines that should report do so in time.
+/// Counts, among the machines that should report, those whose reports arrive on time.
 struct ReachabilityCounts {
   struct Zone {
     int onTime = 0;
@@ -65,34 +69,40 @@
   std::map<ZoneId, Zone> zones;
   int expected = 0;
   int reporting = 0;
-  int notReporting = 0;  ///< They answer direct commands but send no reports.
+  /// Counts the machines that answer direct commands but send no heartbeats.
+  int notReporting = 0;
 
-  /// Whether next to none of many machines reports. What fails then is this leader's own way to
-  /// them (its peers may receive their reports all the time), so silence is no evidence.
+  /// Returns whether fewer than a tenth of at least four expected machines report. The likely cause
+  /// is a failed link of this leader, and its peers may still receive the reports, so silence is no
+  /// evidence of a loss.
   bool blind() const;
 };
 
-/// The failure detector of one leadership. It decides only; the Fleet carries the decisions out.
-/// It runs on the controller's event loop and must not outlive the Fleet that owns it.
+/// Detects failed machines during one leadership. It only decides; the Fleet requests the
+/// terminations. It runs on the controller's event loop and must not outlive the Fleet that owns
+/// it.
 class FailureDetector {
  public:
   FailureDetector(const Fleet& fleet, const Platform& platform, const Replica& replica,
                   Instant leaderSince);
 
-  /// Starts a pass: counts who reports, and finds the unreachable zones. `catalogue` may be null.
-  /// `mayHaveActingLeader` tells whether a controller in a zone may be answering the workers there
-  /// without this leader's knowledge.
+  /// Starts a pass: counts the machines that report and finds the unreachable zones. `catalogue`
+  /// may be null. `mayHaveActingLeader` returns whether a controller in the zone may be answering
+  /// the zone's workers without this leader's knowledge.
   void beginPass(Instant now, const Catalogue* catalogue,
                  std::function<bool(const ZoneId&)> mayHaveActingLeader);
-  /// Judges a machine within the pass; empty if it is kept. Call it once for each machine.
+  /// Returns a verdict if the machine is to be terminated in this pass, otherwise nothing. It must
+  /// be called once for each machine.
   [[nodiscard]] std::optional<TerminationVerdict> inspect(const Machine& machine);
 
-  /// Zones of which more than one machine is overdue, and more than are on time.
+  /// Returns the zones in which at least two machines are overdue and more are overdue than on
+  /// time.
   const std::set<ZoneId>& unreachableZones() const { return unreachableZones_; }
-  /// Whether this controller's own way to the workers is known to work. Where it is not, a silent
-  /// worker may be trying several nodes that hang, one after the other.
+  /// Sets whether this controller is known to reach workers. If not, a silent worker may be trying
+  /// several controllers that accept its connection and never answer, one after the other.
   void setWorkersReachable(bool reachable) { workersReachable_ = reachable; }
-  /// Whether a peer that may be alive is not heard from here: it may be answering the workers.
+  /// Sets whether this controller can't reach a peer that may be running. Such a peer may be
+  /// answering the workers.
   void setPeerUnheard(bool unheard) { peerUnheard_ = unheard; }
 
  private:
@@ -125,7 +135,7 @@
   std::set<ZoneId> unreachableZones_;
   std::map<ZoneId, Instant> zoneLastUnreachableAt_;
 
-  /// The state of the present pass.
+  /// These members hold the state of the current pass.
   Instant now_{};
   const Catalogue* catalogue_ = nullptr;
   std::function<bool(const ZoneId&)> mayHaveActingLeader_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -10,20 +10,21 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kReleasedMemory{15 * 60 * 1000};
-// Until a peer that ended has refused a connection, or is back.
+// Within this time a peer whose process has ended has refused a connection or has restarted.
 constexpr Duration kEndedPeersNoticed{2000};
-// A heartbeat that a peer forwards is received by the leader within this time, or not at all.
+// The leader receives a heartbeat that a peer forwards within this time or not at all.
 constexpr Duration kForwardedWithin{2000};
 
-constexpr std::size_t kMostUncertainLeases = 64;  // each status carries them
+// Each status message to a peer contains these leases.
+constexpr std::size_t kMostUncertainLeases = 64;
 
-// Whether the worker is in a session of which no heartbeat came here.
+// Returns whether the worker is in a session from which no heartbeat has arrived at this leader.
 bool beginsUnheard(const WorkerSession& session) {
   return session.lastHeartbeatAt && session.lastReport->workerEpoch > session.lastHeartbeatEpoch;
 }
 
-// Whether the worker may be waiting for an answer that is lost: its next heartbeat is not due. The
-// newest one may have come to any controller, also before this leadership.
+// Returns whether the worker may still be waiting for a lost answer, so that its next heartbeat is
+// not overdue. The newest heartbeat may have gone to any controller, also before this leadership.
 bool mayStillRetry(const Machine& machine, Instant now) {
   const auto sighting = machine.lease.sighting();
   const auto newest = std::max(machine.session.lastHeartbeatAt,
@@ -117,7 +118,8 @@
   }
 }
 
-// A heartbeat that comes late, or as a copy, says nothing of which answers arrived.
+// Updates the lease estimate from a heartbeat. A delayed or duplicate heartbeat gives no
+// information about which answers arrived, so it is only logged once.
 void Fleet::updateLease(const Report& report, const MemberId& receivedBy, Instant now) {
   Machine& machine = machines_[report.machine];
   const HeartbeatArrival arrival{report.workerEpoch, report.sequence, receivedBy, now};
@@ -136,7 +138,7 @@
 
 std::vector<WorkerCommand> Fleet::commandsFor(Machine& machine, Instant now, bool mayLaunch) {
   const auto* record = replica_.machine(machine.id);
-  // What is known of attempts that are off the record by now is settled.
+  // The outcomes and requests of attempts that the record no longer contains are obsolete.
   auto settled = [&](const auto& entry) { return !record || !record->find(entry.first); };
   std::erase_if(machine.session.outcomes, settled);
   std::erase_if(machine.session.stopRequests, settled);
@@ -169,8 +171,9 @@
     const bool mustSave = left < spec.saveTime + 2 * platform_.reportEvery + kSaveMargin;
     return mustSave ? DesiredState{true, graceFor(spec)} : DesiredState{};
   }
-  // The notice is rough: the time left is half of it at worst, which the worker's report already
-  // counts down. A task that can't end in time starts again elsewhere now.
+  // The time left in a termination notice is inaccurate and at worst twice the real time; the
+  // worker's report already subtracts the elapsed time. A task that can't end in time is stopped
+  // now, so that it starts elsewhere.
   auto seen = machine.firstSeenRunning.find(id);
   const Duration age = seen == machine.firstSeenRunning.end() ? Duration{0} : now - seen->second;
   const bool endsInTime = spec.kind != JobKind::service && spec.estimate - age <= left * 3 / 2;
@@ -182,7 +185,7 @@
     const auto* job = replica_.job(task.id.task.job);
     if (!job || !job->record.spec) continue;
     if (task.state == TaskState::ended) {
-      // The leader before may have been the only one that saw it run.
+      // The previous leader may have been the only one that received a report of this task running.
       const bool ran = task.cause == EndCause::done;
       if (ran) machine.images.addOldest({job->image, job->record.spec->imageGb, true});
       continue;
@@ -286,7 +289,7 @@
   }
   for (auto& [id, machine] : machines_) {
     if (seen.contains(id)) continue;
-    // Lists lag by up to twice the bound, and one may be older than the one before.
+    // A list may be out of date by up to twice `listLag`, and may be older than the previous list.
     if (now - machine.rentedAt > 3 * listLag && now - machine.firstSeen > 3 * listLag)
       ++machine.missedLists;
   }
@@ -312,12 +315,14 @@
   for (const auto& [zone, bound] : zoneAckBounds_) updateAckedBeforeLeadership(zone, bound, now);
 }
 
-// Heartbeats of other machines of the zone that this leader received since say nothing of those
-// that it did not. One that another controller acknowledged and this leader did not receive may
-// have come from any of them.
+// Updates the time of the last acknowledgement before this leadership for one zone. Heartbeats of
+// other machines in the zone that this leader received give no information about machines that have
+// not reported to it. A heartbeat that another controller acknowledged and this leader did not
+// receive may have come from any of those machines, so the zone's entry is removed.
 void Fleet::updateAckedBeforeLeadership(const ZoneId& zone, Instant bound, Instant now) {
   if (bound < leaderSince_) {
-    // By then the peers' ends are noticed, and what they may have acknowledged until then counts.
+    // After this time every ended peer is detected, and the bound includes the acknowledgements
+    // that it may have sent.
     if (now - leaderSince_ >= kEndedPeersNoticed) ackedBeforeLeadership_[zone] = bound;
     return;
   }
@@ -335,7 +340,8 @@
   return found == ackedBeforeLeadership_.end() ? std::nullopt : std::optional(found->second);
 }
 
-// Since when a zone is silent of which this leader has had no report, as far as that is known.
+// Returns the time since which no machine of the zone has reported, for a zone without any report
+// to this leader; empty if that time is unknown.
 std::optional<Instant> Fleet::silentBeforeLeadership(const ZoneId& zone) const {
   if (auto bound = lastAckBeforeLeadership(zone)) return bound;
   auto recorded = suspectedSince_.find(zone);
@@ -373,15 +379,17 @@
   return out;
 }
 
-// Reports of n machines come every reportEvery / n on average, so many machines are known to be
-// silent before each of them is overdue.
+// Returns how long a zone may send no report before it is suspected. The reports of n machines
+// arrive every reportEvery / n on average, so the failure of a zone with many machines is detected
+// before each machine is overdue.
 Duration Fleet::zoneSilence(int machines) const {
   constexpr int kReports = 4;
   return std::min(reportDue(), kReports * platform_.reportEvery / machines + kHeartbeatLateMargin);
 }
 
-// For a machine that this leader has no report of, the acknowledgement of a peer counts, else what
-// an earlier leader recorded of its zone; else nothing is known before this leadership.
+// Returns the machine's newest sign of life. For a machine that has not reported to this leader,
+// that is a peer's acknowledgement, otherwise the time that an earlier leader recorded for its
+// zone, otherwise the start of this leadership.
 SignOfLife Fleet::signOfLife(const Machine& machine) const {
   if (machine.hasReported()) return {machine.session.lastReportAt, SignOfLifeSource::ownReport};
   if (machine.ackedByPeerAt) {
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The leader's inventory of the machines: what their workers report, what the cloud lists, which
-/// images they hold, and which are to be terminated. It lives as long as one leadership.
+/// Keeps the leader's inventory of the machines: the reports of their workers, their states in the
+/// cloud's list, the images that they hold and the machines to terminate. The inventory exists only
+/// for one leadership.
 #pragma once
 
 #include <functional>
@@ -18,10 +19,10 @@
 
 namespace kestrelhoist {
 
-/// What the cloud's list of machines says of one.
+/// Is a machine's state in the cloud's list of machines.
 enum class Listed { never, booting, running, failed, missing };
 
-/// What the leader knows of one machine.
+/// Holds the leader's state of one machine.
 struct Machine {
   MachineId id;
   TypeId type;
@@ -29,145 +30,162 @@
   bool spot{};
   WorkerSession session;
   LeaseEstimate lease;
-  std::optional<Instant> terminationNoticeEnds;  ///< About when the cloud reclaims it.
+  /// Is the approximate time at which the cloud reclaims the machine.
+  std::optional<Instant> terminationNoticeEnds;
   Listed listed = Listed::never;
   int missedLists{};
-  Instant rentedAt{};  ///< As far as known.
+  Instant rentedAt{};  ///< Is an estimate if the rental is not recorded.
   Instant firstSeen{};
-  /// When another controller last acknowledged a report of it, before this leader received one.
+  /// Is the time at which another controller last acknowledged a heartbeat of this machine, before
+  /// this leader received a report of it.
   std::optional<Instant> ackedByPeerAt;
-  std::optional<Instant> runningSince;  ///< When the cloud first listed it as running.
-  std::string address;                  ///< As last reported or listed.
-  Instant probedAt{};                   ///< When it was last probed directly.
-  int failedProbes{};                   ///< Probes in a row without an answer.
-  Instant newestFailedProbe{};          ///< When the newest of them was sent.
-  /// Since when it is known to answer probes although its lease ended and it reports nothing: no
-  /// controller answers its reports, so whatever runs on it ends with its lease.
+  /// Is the time at which the cloud first listed the machine as running.
+  std::optional<Instant> runningSince;
+  std::string address;  ///< Is the newest address that the worker reported or the cloud listed.
+  Instant probedAt{};   ///< Is the time of the newest direct probe.
+  int failedProbes{};   ///< Counts the consecutive probes without an answer.
+  Instant newestFailedProbe{};  ///< Is the time at which the newest failed probe was sent.
+  /// Is the time since which the worker answers probes although its lease has expired and it sends
+  /// no heartbeats. No controller answers its heartbeats, so its tasks end when its lease expires.
   std::optional<Instant> notReportingSince;
   bool terminationRequested{};
   std::string terminationReason;
   ImageCache images;
-  std::map<AttemptId, Instant> firstSeenRunning;  ///< For the ages of its tasks.
+  /// Holds the start times from which the tasks' ages are computed.
+  std::map<AttemptId, Instant> firstSeenRunning;
 
-  /// Whether this leader has received a report of it.
+  /// Returns whether this leader has received a report of the machine.
   bool hasReported() const { return session.lastReport.has_value(); }
 };
 
-/// All machines of one leadership. Everything runs on the controller's event loop.
+/// Holds all machines that one leader manages. All calls are made on the controller's event loop.
 class Fleet {
  public:
   Fleet(const Platform& platform, const Replica& replica, FencingToken token, Instant now);
-  Fleet(const Fleet&) = delete;  ///< The failure detector refers to it.
+  Fleet(const Fleet&) = delete;  ///< The failure detector holds a reference to the fleet.
   Fleet& operator=(const Fleet&) = delete;
 
-  /// Applies a worker's heartbeat and returns the commands that answer it. `receivedBy`: the
-  /// controller to which the worker sent it. `mayLaunch`: the leader is sure of its leadership.
+  /// Applies a worker's heartbeat and returns the commands that answer it. `receivedBy` is the
+  /// controller to which the worker sent it. `mayLaunch` is true if this controller is certain to
+  /// be the leader.
   std::vector<WorkerCommand> onReport(const Report& report, const MemberId& receivedBy, Instant now,
                                       bool mayLaunch);
-  /// Returns the commands for a machine at any other moment, from its newest report.
+  /// Returns the commands for a machine between two heartbeats, derived from its newest report.
   std::vector<WorkerCommand> commandsFor(Machine& machine, Instant now, bool mayLaunch);
-  /// Applies a report; false if it was not newer. `isHeartbeat`: the worker sent it of its own
-  /// accord, not as the answer to a direct command.
+  /// Applies a report. Returns false if the report is not newer than the last one. `isHeartbeat` is
+  /// false if the report answers a direct command.
   bool applyReport(const Report& report, Instant now, bool isHeartbeat = false);
 
-  /// Zones whose machines are all overdue, or have all been silent for longer than their number
-  /// explains, with the newest sign of life of any of them. Zones that this leader never heard are
-  /// included if their silence is known from before.
+  /// Returns the zones from which no machine reports any more, each with the time of the newest
+  /// sign of life of its machines. A zone is included if all its machines are overdue, or if none
+  /// has reported for longer than the number of its machines makes likely. A zone without any
+  /// report to this leader is included if an earlier leader recorded it, or if the acknowledgement
+  /// bounds show it.
   std::map<ZoneId, Instant> suspectedZones(Instant now) const;
-  /// The same as of the last detectFailures().
+  /// Returns the suspected zones that the last call of detectFailures() found.
   const std::map<ZoneId, Instant>& lastSuspectedZones() const { return lastSuspectedZones_; }
-  /// An earlier leader found all machines of a zone silent since `at`.
+  /// Records that an earlier leader found that no machine of the zone has reported since `at`.
   void restoreSuspectedZone(const ZoneId& zone, Instant at) { suspectedSince_[zone] = at; }
-  /// Sets the instants after which no controller acknowledged a heartbeat of a zone; see
-  /// ZoneAckLog.
+  /// Sets, for each zone, the time after which no controller acknowledged a heartbeat from the
+  /// zone; see ZoneAckLog.
   void setZoneAckBounds(std::map<ZoneId, Instant> bounds, Instant now);
-  /// Until when any controller may have acknowledged a heartbeat of a machine in this zone that has
-  /// not reported to this leader, if that was before this leadership; empty if it is not known.
+  /// Returns the time until which any controller may have acknowledged a heartbeat of a machine in
+  /// this zone that has not reported to this leader. Empty if that time is unknown or lies within
+  /// this leadership.
   std::optional<Instant> lastAckBeforeLeadership(const ZoneId& zone) const;
-  /// A peer last acknowledged a report of the machine at `at`.
+  /// Records that a peer last acknowledged a heartbeat of the machine at `at`.
   void noteAckByPeer(const MachineId& id, Instant at);
-  /// Takes in what a controller knows of workers' leases.
+  /// Merges a controller's observations of worker leases into the leader's estimates.
   void adoptLeases(const LeaseSightings& sightings);
-  /// What is known of the leases that were uncertain at the last detectFailures(), of machines with
-  /// tasks: a few dozen at most, those that end first.
+  /// Returns the observations of the leases that were uncertain at the last call of
+  /// detectFailures(), for machines with tasks. The number is limited; the leases that expire first
+  /// are kept.
   const LeaseSightings& uncertainLeases() const { return uncertainLeases_; }
-  /// An earlier leader knew that the machine holds this image, from tasks that are long over.
+  /// Records that, according to an earlier leader, the machine holds this image because of tasks
+  /// that ended long ago.
   void noteCachedImage(const MachineId& id, std::uint32_t image, double gb);
-  /// Applies the cloud's list of machines, which lags by up to `listLag`.
+  /// Applies the cloud's list of machines, which may be out of date by up to `listLag`.
   void onList(const std::vector<std::pair<MachineId, Machine>>& listed, Instant now,
               Duration listLag);
-  /// Adds an entry for each machine on record that has none.
+  /// Adds an entry for each recorded machine that has none.
   void adoptRecords(Instant now, std::int64_t wallMs);
 
-  /// Null if the machine is not known.
+  /// Returns the machine, or null if it is unknown.
   Machine* find(const MachineId& id);
   const Machine* find(const MachineId& id) const;
   std::map<MachineId, Machine>& machines() { return machines_; }
   const std::map<MachineId, Machine>& machines() const { return machines_; }
-  /// Number of machines that were given up because they were dead or out of reach.
+  /// Returns how many machines were terminated because they were dead or unreachable.
   std::uint32_t lost() const { return lost_; }
-  /// Number of machines that were given up because they never came up.
+  /// Returns how many machines were terminated because they never booted.
   std::uint32_t neverBooted() const { return neverBooted_; }
   std::size_t reportingCount() const { return reportingCount_; }
-  /// Machines to be terminated, until the cloud has confirmed it.
+  /// Returns the machines whose termination is requested and not yet confirmed by the cloud.
   const std::set<MachineId>& terminating() const { return terminating_; }
-  /// Machines that get no more work, to be terminated once they are empty.
+  /// Returns the cordoned machines: they get no new tasks and are terminated once they are empty.
   std::set<MachineId>& cordoned() { return cordoned_; }
-  /// Machines that report although they are on no rental's record, found by detectFailures().
+  /// Returns the machines that report but belong to no recorded rental, as found by
+  /// detectFailures().
   const std::set<MachineId>& unrecorded() const { return unrecorded_; }
 
-  /// Reports come every reportEvery, give or take a quarter; they are late after this long.
+  /// Returns how long after a report the next one is overdue. Workers report every `reportEvery`,
+  /// plus or minus a quarter of it.
   Duration reportDue() const;
-  /// Whether the machine has reported and its next report is not due yet.
+  /// Returns whether the machine has reported and its next report is not overdue.
   bool isOnTime(const Machine& machine, Instant now) const;
-  /// Whether a machine that should have reported by now is worth a direct probe.
+  /// Returns whether the machine's report is overdue, so that a direct probe is useful.
   bool isOverdue(const Machine& machine, Instant now) const;
-  /// Whether a machine that this leader has no report of may have tasks: its worker may report to
-  /// a controller that can do nothing for it, so that it is worth a direct probe, too.
+  /// Returns whether the machine has recorded tasks but has not reported to this leader, so that a
+  /// direct probe is useful. Its worker may be reporting to a controller that can't forward the
+  /// reports.
   bool hasUnconfirmedTasks(const Machine& machine, Instant now) const;
-  /// The earliest end of the worker's present lease; empty if nothing is known of it.
+  /// Returns the earliest time at which the worker's current lease can expire; empty if nothing is
+  /// known about the lease.
   std::optional<Instant> earliestLeaseEnd(const Machine& machine) const {
     return machine.lease.earliestEnd(leaseTerms_);
   }
-  /// Whether the worker's lease ends within seconds unless an answer arrives; see LeaseEstimate.
+  /// Returns whether the worker's lease expires within seconds unless an answer arrives; see
+  /// LeaseEstimate.
   bool isLeaseAtRisk(const Machine& machine, Instant now) const {
     return machine.lease.isAtRisk(leaseTerms_, now);
   }
-  /// The newest sign of life that is known of a machine, and from where.
+  /// Returns the machine's newest known sign of life and its source.
   SignOfLife signOfLife(const Machine& machine) const;
   Instant lastSignOfLife(const Machine& machine) const { return signOfLife(machine).at; }
-  /// Logs, for each zone, the newest sign of life of its machines and from where it is known. Call
-  /// it once a new leader's initial heartbeat round is complete.
+  /// Logs, for each zone, the newest sign of life of its machines and its source. It is called once
+  /// a new leader's initial heartbeat round is complete.
   void logSignsOfLife(Instant now) const;
-  /// Called with the silence of each machine that is given up for it.
+  /// This callback receives, for each machine that is terminated because it no longer reports, the
+  /// time since its newest sign of life.
   std::function<void(Duration silence)> onGivenUpForSilence;
-  /// When the newest report of any worker arrived.
+  /// Returns the time at which the newest report of any worker arrived.
   Instant lastReportOfAny() const { return lastReportOfAny_; }
-  /// Whether new work may be placed on the machine.
+  /// Returns whether new tasks may be placed on the machine.
   bool usable(const Machine& machine, Instant now) const;
 
   void requestStop(const AttemptId& id, const MachineId& machine, Duration grace);
   void requestTermination(Machine& machine, const std::string& why);
-  /// The cloud has confirmed the termination: whatever still names the machine is out of date.
+  /// Removes a machine whose termination the cloud has confirmed. Lists and records that still
+  /// contain the machine are out of date and are ignored.
   void onReleased(const MachineId& id, Instant now);
   bool isReleased(const MachineId& id) const { return released_.contains(id); }
 
-  /// Requests the termination of all machines that the failure detector gives up. `catalogue` may
-  /// be null and must outlive its replacement at the next call; see FailureDetector::beginPass()
-  /// for `mayHaveActingLeader`.
+  /// Requests the termination of all machines that the failure detector finds lost, faulty or
+  /// reclaimed. `catalogue` may be null and must stay valid until the next call.
+  /// FailureDetector::beginPass() describes `mayHaveActingLeader`.
   void detectFailures(Instant now, const Catalogue* catalogue,
                       const std::function<bool(const ZoneId&)>& mayHaveActingLeader);
   /// See FailureDetector::setWorkersReachable().
   void setWorkersReachable(bool reachable) { failureDetector_.setWorkersReachable(reachable); }
   /// See FailureDetector::setPeerUnheard().
   void setPeerUnheard(bool unheard) { failureDetector_.setPeerUnheard(unheard); }
-  /// Zones from which hardly any machine reports that should.
+  /// Returns the zones in which most machines are overdue.
   const std::set<ZoneId>& unreachableZones() const { return failureDetector_.unreachableZones(); }
   bool inUnreachableZone(const Machine& machine) const {
     return unreachableZones().contains(machine.zone);
   }
 
-  /// What speaks against jobs and machines whose tasks end in error.
+  /// Returns the evidence that attributes failed tasks to a job or to a machine.
   FailureAttribution& failureAttribution() { return failureAttribution_; }
   const FailureAttribution& failureAttribution() const { return failureAttribution_; }
   bool faulty(const Machine& machine) const { return failureAttribution_.faulty(machine.id); }
@@ -201,7 +219,8 @@
   std::set<MachineId> unrecorded_;
   LeaseSightings uncertainLeases_;
   std::set<MachineId> cordoned_;
-  std::map<ZoneId, Instant> suspectedSince_;  ///< as an earlier leader recorded it
+  /// Holds the suspected zones that an earlier leader recorded.
+  std::map<ZoneId, Instant> suspectedSince_;
   std::map<ZoneId, Instant> lastSuspectedZones_;
   std::map<ZoneId, Instant> zoneAckBounds_;
   std::map<ZoneId, Instant> ackedBeforeLeadership_;
--- a/src/fleet/fleet_test.cpp
+++ b/src/fleet/fleet_test.cpp
@@ -1,4 +1,5 @@
-// What silence says to a leader, by how many it hears.
+// Tests when a leader declares machines lost that no longer report, depending on how many other
+// machines report.
 #include "fleet/fleet.hpp"
 
 #include <gtest/gtest.h>
@@ -52,17 +53,19 @@
   EXPECT_EQ(givenUp(20000), 10U);
 }
 
-// 203 healthy machines were given back within a second by a leader that heard next to nobody.
+// Guards against a leader that receives almost no reports terminating healthy machines; 203 of them
+// were terminated within a second.
 TEST_F(Silence, OfNearlyAllIsTheLeadersOwn) {
   hear(3, 24000);
   EXPECT_EQ(givenUp(25000), 0U);
   hear(3, 60000);
-  EXPECT_EQ(givenUp(62000), 0U);  // 2 leases and the bound of 26.97 s after the last sign
+  // This is two leases and the renewal limit of 26.97 s after the last sign of life.
+  EXPECT_EQ(givenUp(62000), 0U);
   hear(3, 64500);
   EXPECT_EQ(givenUp(65000), 37U);
 }
 
-// Three machines, all of them of this leader's own zone, that it no longer hears.
+// The fleet consists of three machines in this leader's own zone, whose reports no longer arrive.
 struct SilenceOfFew : Silence {
   static constexpr int kFew = 3;
   static constexpr std::int64_t kHeardAt = 100000;
@@ -72,11 +75,13 @@
   }
 };
 
-// A leader that no worker reached gave up three machines after their lease, though a controller
-// that it did not hear answered them all the time (deaf-leaders-slow-few).
+// Guards against the termination of three running machines after one lease: no worker reached the
+// leader, but a controller that the leader could not reach answered them all the time
+// (deaf-leaders-slow-few).
 TEST_F(SilenceOfFew, ThatAnUnheardPeerMayAnswerIsNoLossBeforeTheirLeasesCanEnd) {
   fleet->setPeerUnheard(true);
-  EXPECT_EQ(givenUp(kHeardAt + 44000), 0U);  // a lease, the bound of 26.97 s and a second
+  // This is just below a lease, the renewal limit of 26.97 s and a second.
+  EXPECT_EQ(givenUp(kHeardAt + 44000), 0U);
   EXPECT_EQ(givenUp(kHeardAt + 46000), 3U);
 }
 
@@ -85,7 +90,8 @@
   EXPECT_EQ(givenUp(kHeardAt + 19000), 3U);
 }
 
-// A zone of three machines with tasks that the new leader never hears, beside one that reports.
+// The new leader never receives a report from a zone of three machines with tasks, while another
+// zone reports.
 struct UnheardZone : testing::Test {
   Platform platform;
   Replica replica;
@@ -140,7 +146,7 @@
     report.token = FencingToken{5};
     fleet->applyReport(report, Instant{atMs}, true);
   }
-  // The images of a machine of which only a task that has ended is known.
+  // Returns the images of a machine whose only reported task has ended.
   const ImageCache& imagesAfterEnd(EndCause cause) {
     Report report;
     report.machine = name("a", 0);
@@ -151,7 +157,8 @@
     fleet->applyReport(report, Instant{kElectedAt + 100}, true);
     return fleet->find(report.machine)->images;
   }
-  // Zone a reports; `acknowledged`: until when any controller acknowledged zone c, if known.
+  // Returns how many machines are being terminated at `atMs` if zone a reports. `acknowledged` is
+  // the time until which any controller may have acknowledged heartbeats of zone c, if known.
   std::size_t givenUpAt(std::int64_t atMs, std::optional<std::int64_t> acknowledged) {
     for (std::uint32_t i = 0; i < 5; ++i) hear("a", i, atMs - 200);
     std::map<ZoneId, Instant> bounds{{zoneA, Instant{atMs - 200}}};
@@ -180,7 +187,8 @@
 
 TEST_F(UnheardZone, CountsFromTheElectionWhereNothingOlderIsKnown) {
   EXPECT_EQ(givenUpAt(kElectedAt + 15900, std::nullopt), 0U);
-  EXPECT_EQ(givenUpAt(kElectedAt + 16100, std::nullopt), 3U);  // a lease, 1 s, half a failover
+  // The timeout is a lease, 1 s and half the failover time.
+  EXPECT_EQ(givenUpAt(kElectedAt + 16100, std::nullopt), 3U);
 }
 
 TEST_F(UnheardZone, IsKeptWhileAControllerThatIsNotHeardMayAnswerThere) {
@@ -194,7 +202,8 @@
 
 TEST_F(UnheardZone, IsKeptOnceAnAcknowledgementIsKnownThatThisLeaderDidNotGive) {
   EXPECT_EQ(givenUpAt(kElectedAt + 3000, kElectedAt - 7500), 0U);
-  EXPECT_EQ(givenUpAt(kElectedAt + 6000, kElectedAt + 4000), 0U);  // by whom, for which machine?
+  // Neither the controller that acknowledged the heartbeat nor the machine that sent it is known.
+  EXPECT_EQ(givenUpAt(kElectedAt + 6000, kElectedAt + 4000), 0U);
 }
 
 TEST_F(UnheardZone, IsGivenUpAlthoughAMachineIsHeardThatCameLater) {
@@ -216,7 +225,7 @@
             (std::map<ZoneId, Instant>{{zoneC, Instant{kElectedAt - 7500}}}));
 }
 
-// However few machines a zone has, it is on record as silent once each of them is overdue.
+// A zone is suspected once each of its machines is overdue, however few they are.
 TEST_F(UnheardZone, OfOneToThreeMachinesIsSuspectedOnceAllAreOverdue) {
   for (std::uint32_t machines = 1; machines <= 3; ++machines) {
     for (std::uint32_t i = 0; i < machines; ++i) hear("c", i, kElectedAt + 10000 * machines);
@@ -226,10 +235,9 @@
   }
 }
 
-// A leader ended while a finished task's end was not on record yet. The next one saw the task only
-// as ended and did not count its image as held, so a warm pool that was to hold it on two machines
-// found one and stayed at one (policy-restart, 37 of 80 worlds: in part of them the log shows "task
-// is running task=j-000003/0" before the last "became leader" only).
+// Guards against a warm pool that holds an image on too few machines: the previous leader ended
+// before the end of a finished task was recorded, and the next leader saw the task only as ended
+// and did not count its image as held (policy-restart, 37 of 80 worlds).
 TEST_F(UnheardZone, AMachineHoldsTheImageOfATaskThatHasEndedThere) {
   const ImageCache& images = imagesAfterEnd(EndCause::done);
   ASSERT_EQ(std::distance(images.begin(), images.end()), 1);
@@ -241,8 +249,9 @@
   EXPECT_EQ(images.begin(), images.end());
 }
 
-// The sum of lease_renewal.hpp at the three paces: what is told a moment after the records' instant
-// is gone in time although the last report is answered at the last moment.
+// Checks the limit of lease_renewal.hpp for three lease durations: if a user is notified of a
+// cancellation just after the time of the records, the task ends in time even though its last
+// report is answered at the last possible moment.
 TEST(LeaseRenewal, EndsSoEarlyThatTheLeaseIsOverInTime) {
   for (auto [lease, cancel] : {std::pair{11000, 41000}, {17500, 47500}, {36000, 61000}}) {
     Platform p;
@@ -252,7 +261,8 @@
     Duration slowLease{lease * 10005 / 10000 + 1};
     Instant over = LeaseRenewal(p).until(asOf) + slowLease;
     EXPECT_LE(over + Duration{2950}, asOf + p.cancelWithin);
-    EXPECT_GE(over + Duration{3100}, asOf + p.cancelWithin);  // nor earlier than needed
+    // The limit is not earlier than needed.
+    EXPECT_GE(over + Duration{3100}, asOf + p.cancelWithin);
   }
   Platform p;
   p.workerLease = Duration{30000};
--- a/src/fleet/heartbeat_messages.cpp
+++ b/src/fleet/heartbeat_messages.cpp
@@ -5,7 +5,7 @@
 namespace kestrelhoist {
 namespace {
 
-// The keys of the messages (PROTOCOL, "Workers").
+// These are the keys of the messages (PROTOCOL, "Workers").
 namespace key {
 constexpr auto kMachine = "host";
 constexpr auto kAddress = "addr";
@@ -27,7 +27,7 @@
 constexpr auto kCommands = "orders";
 }  // namespace key
 
-// The words that the messages have as values.
+// These are the values that occur in the messages.
 namespace word {
 constexpr auto kFetching = "fetching";
 constexpr auto kRunning = "running";
@@ -116,7 +116,8 @@
       auto phase = textField(t, key::kState);
       auto id = name ? taskFrom(*name) : std::nullopt;
       auto state = phase ? stateFrom(*phase) : std::nullopt;
-      // A list that can't be read whole proves nothing about what is missing from it.
+      // A task list that can't be read completely proves nothing about the tasks that are missing
+      // from it.
       if (!id || !attempt || !state) return std::nullopt;
       r.tasks.push_back({{*id, Attempt{*attempt}},
                          *state,
--- a/src/fleet/heartbeat_messages.hpp
+++ b/src/fleet/heartbeat_messages.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A worker's report and the commands that answer it, with their codecs. This is the only place
-/// that knows the words of these messages.
+/// Defines a worker's report and the commands that answer it, with their codecs. No other module
+/// uses the keys and values of these messages.
 #pragma once
 
 #include <optional>
@@ -11,20 +11,22 @@
 
 namespace kestrelhoist {
 
-/// The state of a task on its machine. `saving`: it writes its checkpoint before it ends.
+/// Is the state of a task on its machine. In the state `saving` the task writes its checkpoint
+/// before it ends.
 enum class TaskState { fetching, running, saving, ended };
-/// Why a task ended. `gang`: the other tasks of its gang did not come or went away.
+/// Says why a task ended. `gang` means that the other tasks of its gang did not start or were lost.
 enum class EndCause { done, stopped, error, noRoom, busy, unknown, gang };
 
-/// A task as its worker reports it.
+/// Describes a task as its worker reports it.
 struct ReportedTask {
   AttemptId id;
   TaskState state{};
-  EndCause cause{};               ///< Meaningful only if `state` is `ended`.
-  std::optional<Duration> ran{};  ///< How long it ran; only some workers report it.
+  EndCause cause{};  ///< Is meaningful only if `state` is `ended`.
+  /// Is the task's running time, which only some workers report.
+  std::optional<Duration> ran{};
 };
 
-/// What a worker reports of itself, in a heartbeat or in answer to a direct command.
+/// Describes a worker's state, as reported in a heartbeat or in the answer to a direct command.
 struct Report {
   MachineId machine;
   std::string address;
@@ -33,30 +35,32 @@
   bool spot{};
   WorkerEpoch workerEpoch;
   ReportSequence sequence;
-  FencingToken token;              ///< The highest that the worker has seen.
-  std::optional<Duration> notice;  ///< Time until the cloud reclaims the machine.
+  FencingToken token;              ///< Is the highest token that the worker has received.
+  std::optional<Duration> notice;  ///< Is the time until the cloud reclaims the machine.
   std::vector<ReportedTask> tasks;
 
-  /// Null if the worker does not report the attempt.
+  /// Returns the reported task, or null if the worker does not report the attempt.
   const ReportedTask* find(const AttemptId& id) const;
 };
 
-/// A command to a worker about one attempt. `clear` lets it forget an ended one.
+/// Is a command to a worker about one task attempt. `clear` allows the worker to forget an ended
+/// attempt.
 struct WorkerCommand {
   enum class Operation { launch, stop, clear } operation{};
   AttemptId id;
-  Duration grace{};  ///< For `stop`: the time to save.
+  Duration grace{};  ///< Is the time that a stopped task may use to save its state.
 };
 
-/// Empty if the body is not a complete report: a task list that can't be read whole proves nothing
-/// about what is missing from it.
+/// Decodes a report. Returns nothing if the body is incomplete: a task list that can't be read
+/// completely proves nothing about the tasks that are missing from it.
 std::optional<Report> reportFrom(const Json& body);
-/// The response to a heartbeat.
+/// Encodes the response to a heartbeat.
 Json reportResponseToJson(FencingToken token, const std::vector<WorkerCommand>& commands);
-/// A direct command request, valid for one worker epoch.
+/// Encodes a direct command request, which is valid for one worker epoch.
 Json commandRequestToJson(FencingToken token, WorkerEpoch workerEpoch,
                           const std::vector<WorkerCommand>& commands);
-/// The same as a request to the worker. Without commands it only asks for the worker's report.
+/// Returns the HTTP request that sends direct commands to the worker. A request without commands
+/// only asks for the worker's report.
 Request commandRequest(FencingToken token, WorkerEpoch workerEpoch,
                        const std::vector<WorkerCommand>& commands = {});
 
--- a/src/fleet/image_cache.hpp
+++ b/src/fleet/image_cache.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The container images that a machine holds, as its leader knows them.
+/// Tracks the container images that a machine holds, as derived from its worker's reports.
 #pragma once
 
 #include <cstdint>
@@ -7,21 +7,24 @@
 
 namespace kestrelhoist {
 
-/// An image on a machine.
+/// Describes an image on a machine.
 struct CachedImage {
-  std::uint32_t id{};  ///< Its number in the replica.
+  std::uint32_t id{};  ///< Is the image's number in the replica.
   double gb{};
-  bool fetched{};  ///< A task has run with it; otherwise it is still being fetched.
+  /// Is true if a task has run with the image; otherwise the machine is still fetching the image.
+  bool fetched{};
 };
 
-/// The images of one machine, the most recently used first.
+/// Holds the images of one machine, the most recently used first.
 class ImageCache {
  public:
-  /// A task on the machine uses the image: it becomes the newest.
+  /// Records that a task on the machine uses the image, which becomes the most recently used one.
   void recordUse(const CachedImage& image);
-  /// The image is known from a task that is over: it becomes the oldest unless it is known already.
+  /// Adds an image that an ended task used. The image becomes the least recently used one unless
+  /// the cache already contains it.
   void addOldest(const CachedImage& image);
-  /// Forgets the oldest images beyond `capacityGb`; zero or less means that the size is unknown.
+  /// Removes the least recently used images beyond `capacityGb`. A capacity of zero or less is
+  /// unknown and removes nothing.
   void evictBeyond(double capacityGb);
 
   auto begin() const { return images_.begin(); }
--- a/src/fleet/initial_round.cpp
+++ b/src/fleet/initial_round.cpp
@@ -12,13 +12,13 @@
 constexpr Duration kReportTravel{500};
 constexpr int kBatch = 24;
 constexpr Duration kPauseBetweenBatches{25};
-// When machines are asked again whose answer has not come, counted from the last batch.
+// Machines that have not answered are probed again this long after the last batch.
 constexpr std::array<Duration, 2> kRepeatsAfter{Duration{300}, Duration{700}};
 
 }  // namespace
 
-// DESIGN: a new leader waits one full report round before placing or giving back. It asks for the
-// reports, so that the round is over sooner if all answer.
+// A new leader waits for one full heartbeat round before it places tasks or terminates machines
+// (DESIGN). It probes the workers, so that the round ends sooner if all of them answer.
 bool InitialRound::isOver() const {
   const Duration round = longestHeartbeatInterval(context_.platform.reportEvery) + kReportTravel;
   if (context_.runtime.now() - context_.electedAt >= round) return true;
@@ -52,7 +52,7 @@
   }
 }
 
-// An answer may be lost.
+// Probes the machines without an answer again, because an answer may be lost.
 void InitialRound::repeatUnanswered(std::size_t repeat) {
   if (context_.initialRoundOver) return;
   for (const auto& id : probed_) {
--- a/src/fleet/initial_round.hpp
+++ b/src/fleet/initial_round.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The initial heartbeat round of a new leader: it learns what runs where before it places work or
-/// gives machines back.
+/// Implements the initial heartbeat round of a new leader, in which the leader learns which tasks
+/// run on which machines before it places tasks or terminates machines.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,21 @@
 
 namespace kestrelhoist {
 
-/// Asks the workers that a new leader has not heard for their reports, and tells when the round is
-/// over: each worker has had the time to report, or each listed machine has reported or was probed
-/// in vain.
+/// Asks the workers that have not reported to a new leader for their reports, and determines when
+/// the round is over: each worker has had the time to report, or each listed machine has reported
+/// or its probe has failed.
 class InitialRound {
  public:
-  /// @param context Of the present leadership.
-  /// @param fleet The machines; outlives the round.
-  /// @param prober Sends the probes; outlives the round.
+  /// @param context The context of the current leadership.
+  /// @param fleet The machines; it must outlive the round.
+  /// @param prober The sender of the probes; it must outlive the round.
   InitialRound(LeaderContext& context, Fleet& fleet, WorkerProber& prober)
       : context_(context), fleet_(fleet), prober_(prober) {}
 
-  /// Begins to probe the machines that have not reported. Does nothing after the first call. Call
-  /// it once there is a list of machines, which tells their addresses.
+  /// Starts to probe the machines that have not reported. Only the first call has an effect. It
+  /// must be called when a list of machines is available, which contains their addresses.
   void probeUnheard();
-  /// Whether the round is over.
+  /// Returns whether the round is over.
   bool isOver() const;
 
  private:
@@ -35,8 +35,8 @@
   Fleet& fleet_;
   WorkerProber& prober_;
   bool isProbing_ = false;
-  std::deque<MachineId> queue_;   ///< machines that are to be probed
-  std::deque<MachineId> probed_;  ///< machines that were probed
+  std::deque<MachineId> queue_;   ///< Contains the machines that are still to be probed.
+  std::deque<MachineId> probed_;  ///< Contains the machines that were probed.
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/lease_end_prober.cpp
+++ b/src/fleet/lease_end_prober.cpp
@@ -11,13 +11,16 @@
 namespace kestrelhoist {
 namespace {
 
-// When a worker is probed, counted from the estimated end of its lease: answers may be lost, a
-// worker need not notice the end at once, and its next heartbeat comes within 5 s.
+// A worker is probed this long after the estimated expiry of its lease. Several probes are sent
+// because answers may be lost, because a worker need not detect the expiry at once, and because its
+// next heartbeat comes within 5 s.
 constexpr std::array<Duration, 9> kProbesAfterEnd{Duration{0},    Duration{200},  Duration{400},
                                                   Duration{700},  Duration{1200}, Duration{1700},
                                                   Duration{2400}, Duration{3200}, Duration{4200}};
-constexpr std::size_t kMostProbes = 48;  // between two calls of schedule()
-// Clocks drift apart by up to 0.05% (PROTOCOL), and the heartbeat was sent before it arrived.
+// This limits the probes between two calls of schedule().
+constexpr std::size_t kMostProbes = 48;
+// Two clocks drift apart by up to 0.05% (PROTOCOL), and the worker sent its heartbeat before the
+// heartbeat arrived here.
 constexpr int kDriftDivisor = 2000;
 constexpr Duration kTransit{10};
 
@@ -48,7 +51,8 @@
   }
 }
 
-// Machines with production replicas first: people notice these at once.
+// Returns the machines whose leases can expire within `horizon`. Machines with production replicas
+// come first, because users notice the failure of these replicas at once.
 std::vector<Machine*> LeaseEndProber::endingWithin(Duration horizon) {
   const Instant now = context_.runtime.now();
   std::vector<Machine*> machines;
@@ -79,7 +83,7 @@
          });
 }
 
-// Neither has a later session been seen, nor is the lease known to have been renewed.
+// Returns whether no later session was reported and the lease is not known to have been renewed.
 bool LeaseEndProber::isOpen(const Ending& ending) const {
   const Machine* machine = fleet_.find(ending.machine);
   return machine && machine->hasReported() && !machine->terminationRequested &&
@@ -102,7 +106,7 @@
                          context_.whileLeading([this, ending, next] { probeNext(ending, next); }));
 }
 
-// A direct command without content, as WorkerProber sends it.
+// Sends a direct request without commands, as WorkerProber does.
 void LeaseEndProber::probe(const Ending& ending) {
   const Machine& machine = *fleet_.find(ending.machine);
   context_.workers.send(
--- a/src/fleet/lease_end_prober.hpp
+++ b/src/fleet/lease_end_prober.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Asks workers whether their session has ended at the moment at which their lease can end.
+/// Probes workers at the time at which their leases can expire, to learn whether their sessions
+/// have ended.
 #pragma once
 
 #include <functional>
@@ -11,30 +12,31 @@
 
 namespace kestrelhoist {
 
-/// What came of asking a worker at the end of its lease.
+/// Is the result of a probe at the expiry of a worker's lease.
 enum class LeaseEndAnswer { sameSession, newSession, none };
-/// The answer's name as it appears in logs and metrics.
+/// Returns the answer's name as it appears in logs and metrics.
 const char* toString(LeaseEndAnswer answer);
 
-/// Probes workers with tasks at the ends of their leases, as far as these can be estimated. A
-/// worker whose answers are lost waits for them for seconds, so that its next heartbeat tells of
-/// its new session much later. Unlike WorkerProber's, these probes are no evidence against a
-/// machine.
+/// Probes workers with tasks at the estimated expiry of their leases. A worker whose answers are
+/// lost waits several seconds for them, so its next heartbeat reports the new session much later
+/// than a probe does. Unlike the probes of WorkerProber, an unanswered probe is no evidence that
+/// the machine is dead.
 class LeaseEndProber {
  public:
-  /// @param context Of the present leadership.
-  /// @param fleet The machines that are probed; outlives the prober.
+  /// @param context The context of the current leadership.
+  /// @param fleet The machines to probe; it must outlive the prober.
   LeaseEndProber(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
-  /// Schedules probes of the machines whose lease can end within `horizon`. Call it at least that
-  /// often.
+  /// Schedules probes of the machines whose leases can expire within `horizon`. It must be called
+  /// at least once per `horizon`.
   void schedule(Duration horizon);
 
-  /// Called after a newer report of a machine was applied: it may have proven an outcome.
+  /// This callback runs after a newer report of a machine is applied, because the report may prove
+  /// an outcome.
   std::function<void(Machine&)> onReport;
 
  private:
-  /// The lease of one session that may end.
+  /// Identifies the lease of one worker session that can expire.
   struct Ending {
     MachineId machine;
     WorkerEpoch workerEpoch;
@@ -50,8 +52,9 @@
 
   LeaderContext& context_;
   Fleet& fleet_;
-  std::set<MachineId> scheduled_;  ///< machines that are being probed, or will be
-  std::size_t probesLeft_ = 0;     ///< until the next call of schedule()
+  std::set<MachineId> scheduled_;  ///< Contains the machines with scheduled probes.
+  /// Is the number of probes that may still be sent before the next call of schedule().
+  std::size_t probesLeft_ = 0;
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/lease_estimate.cpp
+++ b/src/fleet/lease_estimate.cpp
@@ -7,12 +7,12 @@
 namespace kestrelhoist {
 namespace {
 
-// How much a heartbeat's way here may take longer than that of the one before.
+// A heartbeat may take this much longer to arrive than the previous heartbeat.
 constexpr Duration kTransitSlack{250};
-// A worker that is seen in the same session so long after the estimated end was renewed by an
-// answer that this leader does not know of.
+// If a worker is still in the same session this long after the estimated expiry, its lease was
+// renewed by an answer that this leader does not know.
 constexpr Duration kOutlivedAfter{1000};
-// A lease is at risk if it ends before this many lost answers from now.
+// A lease is at risk if it expires before this many further answers can be lost.
 constexpr int kTriesLeftAtRisk = 2;
 
 }  // namespace
@@ -22,7 +22,8 @@
     return false;
   }
   const Duration gap = next.at - newest_->at;
-  // After a lost answer the worker tries all other controllers before it comes back to this one.
+  // After a lost answer the worker tries all other controllers before it reports to this controller
+  // again.
   const auto others = static_cast<int>(terms.controllers) - 1;
   const Duration back = kWorkerRetryAfterLostAnswer + others * kWorkerNextControllerDelay;
   if (gap < back - kTransitSlack) return true;
@@ -89,15 +90,16 @@
   if (arrival.sequence.value > 1) unansweredSince_ = arrival.at;
 }
 
-// The answer arrived if the worker reports again before it would have given up waiting. Else the
-// one before it is the last that did, an interval earlier.
+// Starts the estimate from an acknowledgement by another controller. The acknowledgement reached
+// the worker if the worker reports again before it would have stopped waiting. Otherwise the lease
+// counts from the previous heartbeat, one interval earlier.
 void LeaseEstimate::beginFromEarlierAcknowledgement(Instant heardAt, const LeaseTerms& terms) {
   lostAnswer_ = heardAt - *earlierAcknowledgement_ >= kWorkerRetryAfterLostAnswer - kTransitSlack;
   renewedAt_ = *earlierAcknowledgement_ -
                (lostAnswer_ ? longestHeartbeatInterval(terms.reportEvery) : Duration{0});
 }
 
-// What the next heartbeat tells of the answer to the newest one.
+// Derives from the next heartbeat whether the answer to the newest heartbeat reached the worker.
 void LeaseEstimate::noteAnswerToNewest(const HeartbeatArrival& next, const LeaseTerms& terms) {
   if (newestWasAnswered(next, terms)) {
     noteRenewed(newest_->at);
@@ -113,21 +115,25 @@
 }
 
 void LeaseEstimate::observeSession(WorkerEpoch workerEpoch, Instant now, const LeaseTerms& terms) {
-  if (workerEpoch_ == WorkerEpoch{}) workerEpoch_ = workerEpoch;  // may have begun long ago
+  // The session may have begun long ago, so its start is not used.
+  if (workerEpoch_ == WorkerEpoch{}) workerEpoch_ = workerEpoch;
   if (workerEpoch > workerEpoch_) return beginSession(workerEpoch, now, terms);
   const auto end = earliestEnd(terms);
   if (workerEpoch == workerEpoch_ && end && now > *end + kOutlivedAfter) noteOutlived(now, terms);
 }
 
-// The session began when the lease of the one before ended, at the latest now.
+// Starts a new session. The session began when the lease of the previous session expired, and no
+// later than now.
 void LeaseEstimate::beginSession(WorkerEpoch workerEpoch, Instant seenAt, const LeaseTerms& terms) {
   noteRenewed(std::min(earliestEnd(terms).value_or(seenAt), seenAt));
   lostAnswer_ = false;
   workerEpoch_ = workerEpoch;
 }
 
-// The newest heartbeat was answered after all, or another controller has answered since. Where only
-// unanswered heartbeats are known, the one before them may have been refused at once instead.
+// Corrects the estimate for a session that continues after the estimated expiry: the answer to the
+// newest heartbeat arrived, or another controller has answered the worker since. If only unanswered
+// heartbeats are known, the controller that the worker tried before may instead have refused the
+// connection at once.
 void LeaseEstimate::noteOutlived(Instant now, const LeaseTerms& terms) {
   if (unansweredSince_) {
     noteRenewed(*unansweredSince_ - kWorkerNextControllerDelay -
@@ -142,7 +148,8 @@
 std::optional<Instant> LeaseEstimate::earliestEnd(const LeaseTerms& terms) const {
   if (renewedAt_) return *renewedAt_ + terms.lease;
   if (!unansweredSince_) return std::nullopt;
-  // A worker comes to another controller after a lost answer, and an interval before that one.
+  // A worker changes to another controller after a lost answer; the last answered heartbeat was one
+  // interval before the heartbeat whose answer was lost.
   return *unansweredSince_ - kWorkerRetryAfterLostAnswer -
          longestHeartbeatInterval(terms.reportEvery) + terms.lease;
 }
--- a/src/fleet/lease_estimate.hpp
+++ b/src/fleet/lease_estimate.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Estimates when a worker's lease can end, from the heartbeats that reached the leader.
+/// Estimates when a worker's lease can expire, from the heartbeats that reached the leader.
 #pragma once
 
 #include <optional>
@@ -8,58 +8,64 @@
 
 namespace kestrelhoist {
 
-/// What leases of a deployment's workers depend on.
+/// Holds the parameters on which the leases of a deployment's workers depend.
 struct LeaseTerms {
-  Duration lease{};           ///< of a worker
-  Duration reportEvery{};     ///< the workers' heartbeat interval
-  std::size_t controllers{};  ///< that a worker tries in turn
+  Duration lease{};           ///< Is the duration of a worker's lease.
+  Duration reportEvery{};     ///< Is the workers' heartbeat interval.
+  std::size_t controllers{};  ///< Is the number of controllers that a worker tries in turn.
 };
 
-/// A heartbeat as it reached the leader.
+/// Describes a heartbeat that reached the leader.
 struct HeartbeatArrival {
-  WorkerEpoch workerEpoch;  ///< the session in which the worker sent it
-  ReportSequence sequence;  ///< its place among the worker's messages of that session
-  MemberId receivedBy;      ///< the controller to which the worker sent it
-  Instant at;               ///< when it reached the leader
+  /// Identifies the worker session in which the worker sent the heartbeat.
+  WorkerEpoch workerEpoch;
+  /// Is the heartbeat's sequence number among the worker's messages of that session.
+  ReportSequence sequence;
+  MemberId receivedBy;  ///< Names the controller to which the worker sent the heartbeat.
+  Instant at;           ///< Is the time at which the heartbeat reached the leader.
 };
 
-/// What one controller knows of a worker's lease.
+/// Holds one controller's observation of a worker's lease.
 struct LeaseSighting {
-  HeartbeatArrival newest;  ///< the newest heartbeat that it knows of
-  /// When the newest heartbeat that is known to be answered arrived, or the session began; empty if
-  /// that is not known.
+  HeartbeatArrival newest;  ///< Is the newest heartbeat that the controller knows.
+  /// Is the arrival time of the newest heartbeat whose answer is known to have reached the worker,
+  /// or the start of the worker session; empty if neither is known.
   std::optional<Instant> renewedAt;
 };
 
-/// The lease of one worker, as far as a leader can know it.
+/// Estimates the lease of one worker.
 ///
-/// A lease counts from the sending of the newest heartbeat whose answer the worker has accepted.
-/// Whether it has shows in its next heartbeat: a worker that was answered stays with its controller
-/// and reports again within its interval, one that was not goes on to the next controller.
+/// A lease counts from the sending of the newest heartbeat whose answer the worker has received.
+/// The worker's next heartbeat shows whether it received the answer: after an answer the worker
+/// stays with the same controller and reports again within its heartbeat interval, and without one
+/// it tries the next controller.
 ///
-/// An estimate tells when to ask a worker and where work had better not go. It never proves that
-/// tasks have ended: only a report of a later session does.
+/// The estimate determines when the leader probes a worker and which machines it avoids for new
+/// tasks. It never proves that tasks have ended: only a report of a later session does.
 class LeaseEstimate {
  public:
-  /// Another controller acknowledged a heartbeat that arrived there at `at`, before this
-  /// leadership. Matters only until the first heartbeat is taken in.
+  /// Records that another controller acknowledged a heartbeat that arrived there at `at`, before
+  /// this leadership. The acknowledgement is used only until the first heartbeat is applied.
   void noteEarlierAcknowledgement(Instant at);
-  /// Takes in what a controller knows. Of several the newest counts, whatever their order.
+  /// Merges another controller's observation. The newest observation takes effect, whatever the
+  /// order in which they are merged.
   void adopt(const LeaseSighting& sighting, const LeaseTerms& terms);
-  /// What is known from heartbeats; empty before the first one.
+  /// Returns the observation that results from the heartbeats; empty before the first heartbeat.
   std::optional<LeaseSighting> sighting() const;
-  /// Takes in a heartbeat. False if it is older than one that was taken in before: a copy, or one
-  /// that arrived late; such a heartbeat changes nothing.
+  /// Applies a heartbeat. Returns false and changes nothing if the heartbeat is a duplicate or
+  /// older than one that was applied before.
   bool onHeartbeat(const HeartbeatArrival& arrival, const LeaseTerms& terms);
-  /// The answer to a direct request, newer than all reports before it, showed the worker in this
-  /// session.
+  /// Records that the answer to a direct request, newer than all earlier reports, shows the worker
+  /// in the session `workerEpoch`.
   void onDirectAnswer(WorkerEpoch workerEpoch, Instant now, const LeaseTerms& terms);
 
-  /// The earliest end of the present lease; empty if nothing is known of it.
+  /// Returns the earliest time at which the current lease can expire; empty if nothing is known
+  /// about the lease.
   std::optional<Instant> earliestEnd(const LeaseTerms& terms) const;
-  /// Whether an answer was lost or a heartbeat is overdue.
+  /// Returns whether an answer was lost or a heartbeat is overdue.
   bool isUncertain(const LeaseTerms& terms, Instant now) const;
-  /// Whether it is uncertain, and ends if the next one or two answers are lost, too.
+  /// Returns whether the lease is uncertain and expires if the next one or two answers are lost,
+  /// too.
   bool isAtRisk(const LeaseTerms& terms, Instant now) const;
 
  private:
@@ -73,16 +79,20 @@
   void noteOutlived(Instant now, const LeaseTerms& terms);
   void noteRenewed(Instant at);
 
-  WorkerEpoch workerEpoch_{};  ///< 0: nothing was heard yet
-  /// When the newest heartbeat that is known to be answered arrived, or the session began.
+  WorkerEpoch workerEpoch_{};  ///< Is 0 until a first report arrives.
+  /// Is the arrival time of the newest heartbeat whose answer is known to have reached the worker,
+  /// or the start of the worker session.
   std::optional<Instant> renewedAt_;
   std::optional<HeartbeatArrival> newest_;
-  std::uint64_t directAnswers_ = 0;  ///< since the newest heartbeat: each took a sequence number
+  /// Counts the answers to direct requests since the newest heartbeat. Each of them uses one
+  /// sequence number.
+  std::uint64_t directAnswers_ = 0;
   std::optional<Instant> earlierAcknowledgement_;
-  /// The oldest of the heartbeats that controllers told of as their newest, or the first one here:
-  /// none is known to be answered.
+  /// Is the arrival time of the oldest known heartbeat while no heartbeat's answer is known to have
+  /// reached the worker.
   std::optional<Instant> unansweredSince_;
-  bool lostAnswer_ = false;  ///< no answer is known to have arrived since one was lost
+  /// Is true from a lost answer until a later answer is known to have arrived.
+  bool lostAnswer_ = false;
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/lease_estimate_test.cpp
+++ b/src/fleet/lease_estimate_test.cpp
@@ -11,9 +11,9 @@
   LeaseTerms terms{Duration{11000}, Duration{1000}, 3};
   LeaseEstimate lease;
   std::uint64_t sequence = 0;
-  Instant now;  // of the newest heartbeat
+  Instant now;  // Is the time of the newest heartbeat.
 
-  // The worker's next heartbeat.
+  // Applies the worker's next heartbeat.
   bool hear(std::int64_t atMs, const MemberId& receivedBy, std::uint64_t epoch = 1) {
     now = Instant{atMs};
     return lease.onHeartbeat(
@@ -37,7 +37,8 @@
   EXPECT_FALSE(lease.isAtRisk(terms, now));
 }
 
-// The lease that ended 0.2 s after the third lost answer was asked for 2.3 s later.
+// Guards against a late probe: a lease expired 0.2 s after the third lost answer, and the worker
+// was probed 2.3 s later.
 TEST_F(LeaseEstimateTest, CountsFromTheLastAnswerThatArrivedAndNotFromLostOnes) {
   hear(1000, kLeader);
   hear(2000, kLeader);
@@ -46,12 +47,13 @@
   EXPECT_EQ(endMs(), 12000);
 }
 
-// A replica that was placed between two lost answers ran for 2 s (seed 563).
+// Guards against the placement of a replica between two lost answers, which then ran for only 2 s
+// (seed 563).
 TEST_F(LeaseEstimateTest, IsAtRiskIfItEndsBeforeTheNextAnswerCanArrive) {
   hear(1000, kLeader);
   hear(2000, kLeader);
   hear(3000, kLeader);
-  hear(8000, kFollower);  // the answer to the one before is lost
+  hear(8000, kFollower);  // The answer to the previous heartbeat is lost.
   EXPECT_EQ(endMs(), 13000);
   EXPECT_TRUE(lease.isAtRisk(terms, now));
   hear(9000, kFollower);
@@ -68,7 +70,8 @@
   EXPECT_FALSE(lease.isAtRisk(terms, now));
 }
 
-// A new leader knew nothing of the lease, and nobody asked for 2.4 s after its end (seed 526).
+// Guards against a late probe by a new leader: it had no information about the lease, and the
+// worker was not probed until 2.4 s after the expiry (seed 526).
 TEST_F(LeaseEstimateTest, OfANewLeaderCountsFromWhatItsPeersAcknowledged) {
   lease.noteEarlierAcknowledgement(Instant{5000});
   lease.noteEarlierAcknowledgement(Instant{4000});
@@ -83,7 +86,7 @@
   EXPECT_TRUE(lease.isAtRisk(terms, now));
 }
 
-// Heartbeats that a follower forwards count like those that the leader receives itself.
+// Heartbeats that a follower forwards count like heartbeats that the leader receives itself.
 TEST_F(LeaseEstimateTest, CountsHeartbeatsThroughAFollower) {
   hear(1000, kFollower);
   hear(2000, kFollower);
@@ -96,13 +99,13 @@
   hear(1000, kLeader);
   hear(10000, kLeader);
   EXPECT_EQ(endMs(), 37000);
-  sequence += 2;  // it may have tried the others meanwhile
+  sequence += 2;  // The worker may have tried the other controllers in between.
   hear(19000, kLeader);
   EXPECT_EQ(endMs(), 37000);
 }
 
-// Probes of overdue machines took sequence numbers, so that in a fleet over slow links no answer
-// was ever known to have arrived, and healthy machines were probed all the time.
+// Guards against needless probes of healthy machines: probes of overdue machines used sequence
+// numbers, so that over slow links no answer was ever known to have reached a worker.
 TEST_F(LeaseEstimateTest, CountsTheAnswersToDirectRequestsBetweenTwoHeartbeats) {
   terms = {Duration{36000}, Duration{8000}, 3};
   hear(1000, kLeader);
@@ -112,7 +115,8 @@
   EXPECT_EQ(endMs(), 37000);
 }
 
-// A worker whose answer is lost and that the other controllers refuse is back after 7 s.
+// A worker whose answer is lost and whose heartbeats the other controllers refuse returns after 7
+// s.
 TEST_F(LeaseEstimateTest, TakesAWorkerThatMayHaveTriedAllOthersForUnanswered) {
   hear(1000, kLeader);
   hear(2000, kLeader);
@@ -121,7 +125,8 @@
   EXPECT_EQ(endMs(), 12000);
 }
 
-// The end was put a whole lease after the first report that a new leader took in.
+// Guards against an expiry estimate of a whole lease after the first report that a new leader
+// applied.
 TEST_F(LeaseEstimateTest, IsUnknownAfterADirectAnswerOfASessionThatMayHaveBegunLongAgo) {
   lease.onDirectAnswer(WorkerEpoch{3}, Instant{1000}, terms);
   EXPECT_EQ(endMs(), -1);
@@ -129,7 +134,8 @@
   EXPECT_EQ(endMs(), -1);
 }
 
-// A machine whose heartbeats stay away answers probes, and got work until its lease ended.
+// Guards against the placement of tasks on a machine that answers probes but whose heartbeats no
+// longer arrive; it got tasks until its lease expired.
 TEST_F(LeaseEstimateTest, IsAtRiskWhileAHeartbeatIsOverdue) {
   hear(1000, kLeader);
   hear(2000, kLeader);
@@ -151,27 +157,30 @@
   lease.onDirectAnswer(WorkerEpoch{2}, Instant{12100}, terms);
   EXPECT_EQ(endMs(), 23000);
   sequence = 0;
-  hear(12600, kLeader, 2);  // says nothing of the answer in the session before
+  // This heartbeat proves nothing about the answer in the previous session.
+  hear(12600, kLeader, 2);
   EXPECT_EQ(endMs(), 23000);
   hear(13600, kLeader, 2);
   EXPECT_EQ(endMs(), 23600);
 }
 
-// The answer to the newest heartbeat arrived, or a follower answered in place of the leader.
+// If the session continues after the estimated expiry, the answer to the newest heartbeat arrived,
+// or a follower answered in place of the leader.
 TEST_F(LeaseEstimateTest, MovesOnIfTheSessionOutlivesIt) {
   hear(1000, kLeader);
   hear(2000, kLeader);
   hear(7000, kFollower);
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{12500}, terms);
-  EXPECT_EQ(endMs(), 12000);  // a worker need not notice at once
+  EXPECT_EQ(endMs(), 12000);  // A worker need not detect the expiry at once.
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{13500}, terms);
   EXPECT_EQ(endMs(), 18000);
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{19500}, terms);
   EXPECT_EQ(endMs(), -1);
 }
 
-// A new leader's first heartbeat of the worker came 0.25 s before the end of its lease, and that
-// was put a whole lease after it (limits-fall-faults, seed 3123).
+// Guards against an expiry estimate that is too late: a new leader received a worker's first
+// heartbeat 0.25 s before the lease expired, and assumed a whole lease from then on
+// (limits-fall-faults, seed 3123).
 TEST_F(LeaseEstimateTest, BeginsWithWhatAllControllersKnow) {
   lease.adopt(sightingOf(3, kFollower, 8000), terms);
   lease.adopt(sightingOf(2, kOther, 3000, Instant{2000}), terms);
@@ -191,7 +200,8 @@
   EXPECT_EQ(endMs(), 12000);
 }
 
-// Who reports to a controller for the first time has just lost an answer at another.
+// A worker that reports to a controller for the first time has just lost an answer at another
+// controller.
 TEST_F(LeaseEstimateTest, CountsFromBeforeTheOldestAdoptedHeartbeatIfNoneIsKnownToBeAnswered) {
   lease.adopt(sightingOf(8, kOther, 12000), terms);
   EXPECT_EQ(endMs(), 16750);
@@ -202,7 +212,8 @@
   EXPECT_EQ(endMs(), 12000);
 }
 
-// The leader that answered it last had ended, and nobody else had heard it.
+// The leader that answered the worker last has ended, and no other controller received heartbeats
+// from the worker.
 TEST_F(LeaseEstimateTest, CountsFromBeforeTheFirstHeartbeatOfAWorkerThatReportedElsewhere) {
   sequence = 30;
   hear(7000, kFollower);
@@ -211,7 +222,7 @@
   EXPECT_EQ(endMs(), 18000);
 }
 
-// The controller to which the worker reported before had ended, and refused the connection at once
+// The controller to which the worker reported before had ended and refused the connection at once
 // (limits-fall-faults, seed 3009).
 TEST_F(LeaseEstimateTest, AllowsForARefusalIfTheSessionOutlivesALostAnswer) {
   lease.adopt(sightingOf(7, kFollower, 7000), terms);
--- a/src/fleet/lease_log.cpp
+++ b/src/fleet/lease_log.cpp
@@ -49,7 +49,9 @@
   for (const auto& [machine, sighting] : sightings) leases_[machine].adopt(sighting, terms_);
 }
 
-// A lease runs from the newest heartbeat at the latest, and its end shows in the next one at worst.
+// Returns whether the observation may still matter. A lease counts from the newest heartbeat at the
+// latest, and the next heartbeat, which may be a retry after a lost answer, shows whether the lease
+// expired.
 bool LeaseLog::mayMatter(const LeaseSighting& sighting, Instant now) const {
   return now - sighting.newest.at <= terms_.lease + kWorkerRetryAfterLostAnswer;
 }
--- a/src/fleet/lease_log.hpp
+++ b/src/fleet/lease_log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Remembers what a controller can tell of workers' leases, for the controller that leads next.
+/// Records a controller's observations of worker leases, which the next leader uses.
 #pragma once
 
 #include <map>
@@ -10,32 +10,33 @@
 
 namespace kestrelhoist {
 
-/// What leases of this deployment's workers depend on.
+/// Returns the parameters on which the leases of this deployment's workers depend.
 LeaseTerms leaseTermsOf(const Platform& platform);
 
-/// What a controller tells of leases, by worker.
+/// Holds a controller's lease observations by machine.
 using LeaseSightings = std::map<MachineId, LeaseSighting>;
 
-/// The form in which peers are told.
+/// Encodes lease observations for a message to a peer. Times are encoded as ages at `now`.
 Json toJson(const LeaseSightings& sightings, Instant now);
-/// Decodes what was received at `receivedAt` on the local clock. Entries that are malformed are
-/// ignored.
+/// Decodes lease observations from a message that arrived at `receivedAt` on the local clock.
+/// Malformed entries are ignored.
 LeaseSightings leaseSightingsFrom(const Json& v, Instant receivedAt);
 
-/// The heartbeats that workers sent to this controller, as far as they tell of leases that may
-/// still run. A new leader has received none of its own, and begins with what all controllers know.
+/// Records the heartbeats that workers sent to this controller, for leases that may not have
+/// expired. A new leader may have received no heartbeats itself, so it starts from the observations
+/// of all controllers.
 class LeaseLog {
  public:
   /// @param platform The settings of this controller.
   explicit LeaseLog(const Platform& platform);
 
-  /// A worker sent this heartbeat here.
+  /// Records a heartbeat that a worker sent to this controller.
   void onHeartbeat(const Report& report, Instant now);
-  /// Another controller told this.
+  /// Merges the lease observations of another controller.
   void adopt(const LeaseSightings& sightings);
-  /// Drops what tells of no lease that may still run.
+  /// Removes the observations of leases that have expired.
   void expire(Instant now);
-  /// What is known of each worker.
+  /// Returns the observations of all leases that may not have expired.
   LeaseSightings sightings(Instant now) const;
 
  private:
--- a/src/fleet/lease_log_test.cpp
+++ b/src/fleet/lease_log_test.cpp
@@ -77,7 +77,7 @@
           R"({"host-1":{"worker_epoch":1,"sequence":2,"received_by":"n","received_ms_ago":99999999999999}})")
           .empty());
   EXPECT_TRUE(parse(R"({"host-1":{"worker_epoch":1,"sequence":2,"received_ms_ago":3}})").empty());
-  // It can't have been renewed by a heartbeat that came after the newest one.
+  // A heartbeat that arrived after the newest one can't have renewed the lease.
   EXPECT_TRUE(
       parse(R"({"host-1":{"worker_epoch":1,"sequence":2,"received_by":"n","received_ms_ago":30,
                                   "renewed_ms_ago":20}})")
--- a/src/fleet/lease_renewal.hpp
+++ b/src/fleet/lease_renewal.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Until when a worker's lease may be renewed by a controller whose records are as of a known
-/// moment.
+/// Computes until when a controller whose records are current as of a known time may renew a
+/// worker's lease.
 #pragma once
 
 #include <algorithm>
@@ -9,20 +9,26 @@
 
 namespace kestrelhoist {
 
-/// The rule: a task of a job that its user was told at `t` is cancelled is off its machine by
-/// t + cancel (PROTOCOL, "Rules", ran_cancelled). A controller whose records are as of `r` (each
-/// change committed before r is in them) answers at `a` a report that was sent at `s`.
+/// Computes the last time at which a controller may renew a lease from records of a given age.
+///
+/// The rule that must hold: if a user is notified at time `t` that a job is cancelled, the job's
+/// tasks have left their machines by t + cancel (PROTOCOL, "Rules", ran_cancelled). A controller's
+/// records contain every change that was committed before time `r`, and at time `a` the controller
+/// answers a report that the worker sent at time `s`.
 ///   t <= r: the cancellation is in the records, and the answer stops the job's tasks.
-///   t >  r: the worker obeys nobody who knows of it. Its lease ends at s + lease, and s <= a, so
-///           a - r + lease <= cancel is enough: then s + lease <= r + cancel < t + cancel.
-/// `t` is when the first user hears of it, never before the commit. The lease counts from when the
-/// report was sent (PROTOCOL, "Leases"), so whatever holds the report, the answer or this process
-/// up between `s` and the worker only shortens the lease: nothing of that is in the sum, and an
-/// answer needs no second check when it is sent on (by a relay, or after this process stood still).
-/// Terms, all in steady time of different machines, at most 0.05% apart (PROTOCOL): a - r is
-/// measured here, the lease by the worker, `cancel` by the user; twice that of (cancel - lease)
-/// covers them. kSlack: how late a worker that just woke ends its tasks, and the user's and our own
-/// timers.
+///   t >  r: no controller that the worker obeys knows of the cancellation. The lease expires at
+///           s + lease, and s <= a, so a - r + lease <= cancel is sufficient, because then
+///           s + lease <= r + cancel < t + cancel.
+/// `t` is the time at which the first user is notified, which is never before the commit. The lease
+/// counts from the sending of the report (PROTOCOL, "Leases"), so any delay of the report, of the
+/// answer or of this process after `s` only shortens the lease. The inequality therefore needs no
+/// term for such delays, and an answer that is forwarded, or sent after this process was suspended,
+/// needs no second check.
+/// All times are steady time, but different machines measure them, with clocks that drift at most
+/// 0.05% apart (PROTOCOL): this controller measures a - r, the worker measures the lease, and the
+/// user measures `cancel`. The factor 999 / 1000 on (cancel - lease), which is twice that drift,
+/// covers the difference. kSlack covers the delay with which a worker that was just resumed ends
+/// its tasks, and the delays of the user's timers and of the controller's own timers.
 class LeaseRenewal {
  public:
   static constexpr Duration kSlack{3000};
@@ -30,9 +36,11 @@
   explicit LeaseRenewal(const Platform& p)
       : longest_(std::max(Duration{0}, (p.cancelWithin - p.workerLease) * 999 / 1000 - kSlack)) {}
 
-  /// The last instant at which a report may be answered with 200 from records as of `snapshotTime`.
+  /// Returns the last time at which a report may be answered with 200 from records that are current
+  /// as of `snapshotTime`.
   Instant until(Instant snapshotTime) const { return snapshotTime + longest_; }
-  /// The same as an age; how long a worker that nobody hears may go on beyond its lease.
+  /// Returns the maximum age of the records at that time. It also limits how long a worker that
+  /// this leader can't reach may continue after its lease would expire.
   Duration longest() const { return longest_; }
 
  private:
--- a/src/fleet/reconcile.cpp
+++ b/src/fleet/reconcile.cpp
@@ -6,11 +6,12 @@
 namespace kestrelhoist {
 namespace {
 
-// A response to a worker may be at most 64 KiB.
+// This limit keeps a response to a worker below its maximum size of 64 KiB.
 constexpr std::size_t kMaxCommands = 300;
 
-// Makes the worker know the attempt, so that a launch that is still under way does nothing. Both
-// commands or none: a launch alone would start it.
+// Adds a launch and a stop of the attempt. Once the worker has a record of the attempt, a delayed
+// launch that arrives later has no effect. Either both commands are added or neither, because a
+// launch alone would start the attempt.
 void addLaunchAndStop(std::vector<WorkerCommand>& commands, const AttemptId& id) {
   if (commands.size() + 2 > kMaxCommands) return;
   commands.push_back({WorkerCommand::Operation::launch, id, Duration{0}});
@@ -30,7 +31,7 @@
   }
 }
 
-// One comparison of a machine's record with the newest report of its worker.
+// Performs one comparison of a machine's record with the newest report of its worker.
 class Reconciliation {
  public:
   Reconciliation(WorkerSession& session, const MachineState* record, FencingToken token,
@@ -58,8 +59,8 @@
   }
 
   void reconcilePlaced(const PlacedTask& placed) {
-    // A report of an earlier worker epoch than the placement's says nothing about it; in a later
-    // epoch the task is gone.
+    // A report of an earlier worker epoch than the placement's proves nothing about the task. A
+    // report of a later epoch proves that the task has ended.
     if (report_.workerEpoch < placed.workerEpoch) return;
     if (report_.workerEpoch > placed.workerEpoch) {
       session_.outcomes.emplace(placed.id, AttemptOutcome::lost);
@@ -82,25 +83,26 @@
       session_.outcomes.emplace(task.id, outcomeFrom(task.cause));
       return;
     }
-    // While the task saves, only a stop that grants no time is worth repeating.
+    // While the task saves its state, a stop command is repeated only if it grants no more time.
     if (desired.stop && (task.state != TaskState::saving || desired.grace.count() == 0)) {
       add(WorkerCommand::Operation::stop, task.id, desired.grace);
     }
   }
 
-  // The worker does not report an attempt that is to be stopped.
+  // Handles an attempt that is to be stopped and that the worker does not report.
   void proveAbsent(const AttemptId& id) {
-    // A launch may have been sent in answer to this very report, or by an earlier leader whose
-    // commands this worker may still obey: absence proves nothing yet.
+    // A report with another token proves nothing: the worker may still obey an earlier leader's
+    // commands, or may receive a launch in the answer to this report.
     if (report_.token != token_) return;
     if (session_.unacknowledgedLaunches.contains(id)) {
       addLaunchAndStop(commands_, id);
       session_.launchSequences[id] = report_.sequence;
       return;
     }
-    // Only a later heartbeat shows that the answer with the launch came to nothing: a report that
-    // answers a direct command may overtake it, for as long as a forwarding peer or a stalled
-    // connection keeps that answer, and the launch would be carried out after this "proof".
+    // Only a later heartbeat proves that the worker did not carry out the answer that contains the
+    // launch. A report that answers a direct command is no proof: it may arrive while a forwarding
+    // peer or a stalled connection still delays that answer, and the worker would carry out the
+    // launch afterwards.
     auto launched = session_.launchSequences.find(id);
     if (launched != session_.launchSequences.end() &&
         session_.lastHeartbeatSequence <= launched->second) {
@@ -111,10 +113,10 @@
 
   void reconcileUnrecorded(const ReportedTask& task) {
     if (task.state != TaskState::ended) {
-      // It is on no record, so nobody may run it here.
+      // An attempt without a record must not run on this machine.
       add(WorkerCommand::Operation::stop, task.id);
     } else if (!session_.unacknowledgedLaunches.contains(task.id)) {
-      // Its end is committed: the record no longer has it.
+      // The record no longer contains the attempt, so its end is committed.
       add(WorkerCommand::Operation::clear, task.id);
     }
   }
@@ -137,7 +139,7 @@
 }  // namespace
 
 bool updateSession(WorkerSession& session, const Report& report, Instant now, bool isHeartbeat) {
-  // Also a heartbeat that the answer to a direct request has overtaken.
+  // This also counts a heartbeat that arrives after a newer answer to a direct request.
   if (session.lastReport && isHeartbeat && report.workerEpoch == session.lastReport->workerEpoch &&
       report.sequence > session.lastHeartbeatSequence) {
     noteHeartbeat(session, report, now);
@@ -148,7 +150,7 @@
     return false;
   }
   if (session.lastReport && report.workerEpoch > session.lastReport->workerEpoch) {
-    // In a new worker epoch the worker refuses direct commands of the old one.
+    // In a new worker epoch the worker refuses direct commands that name an earlier epoch.
     session.unacknowledgedLaunches.clear();
     session.launchSequences.clear();
     session.lastHeartbeatSequence = {};
@@ -175,13 +177,14 @@
       commands.push_back({WorkerCommand::Operation::stop, task.id, Duration{0}});
     }
   }
-  // A direct launch that the leader has no answer to may arrive minutes later, under a token that
-  // stays the newest for as long as there is no other leader, and this answer keeps the session up
-  // to which it belongs. Nothing of a job that is over is ever placed again, so wherever its task
-  // may be, this attempt is the only one. Not so while the end is not read back: the attempt may
-  // have been cleared here and its successor run elsewhere, and the launch would begin it anew.
-  // Then no user was notified of the end before these records were read, and the bound of the lease
-  // is enough.
+  // A direct launch of the leader that got no answer may arrive minutes later. The worker accepts
+  // it as long as no other leader sends a newer token, and this answer extends the worker session
+  // for which the launch is valid. A launch together with a stop makes the delayed launch harmless.
+  // This is safe for a job whose end is `known`: none of its tasks is placed again, so this attempt
+  // is the only one. It is not safe for an end that is `notReadBack`: the worker may have cleared
+  // the attempt while a newer attempt runs elsewhere, and the launch would start the old attempt
+  // again. In that case no user was notified of the job's end before these records were read, so
+  // the limit on the lease is enough.
   if (!record) return commands;
   for (const auto& placed : record->tasks) {
     if (placed.workerEpoch == report.workerEpoch && !report.find(placed.id) &&
--- a/src/fleet/reconcile.hpp
+++ b/src/fleet/reconcile.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Compares a machine's record with what its worker reports, and derives the commands to send and
-/// the outcomes that are proven. These functions are pure: the whole argument that a task runs at
-/// most once rests on them (docs/safety.md).
+/// Compares a machine's record with its worker's newest report, and derives the commands to send
+/// and the attempt outcomes that are proven. These functions perform no I/O; the guarantee that a
+/// task runs at most once rests on them (docs/safety.md).
 #pragma once
 
 #include <functional>
@@ -13,56 +13,66 @@
 
 namespace kestrelhoist {
 
-/// Why an attempt is off its machine.
+/// Says why a task attempt no longer runs on its machine.
 enum class AttemptOutcome { done, stopped, failed, refused, lost };
 
-/// What the leader remembers of one worker between its reports.
+/// Holds the leader's state of one worker between two of the worker's reports.
 struct WorkerSession {
-  std::optional<Report> lastReport;  ///< The newest, whether heartbeat or answer to a command.
+  /// Is the newest report, either a heartbeat or the answer to a direct command.
+  std::optional<Report> lastReport;
   Instant lastReportAt{};
-  /// The newest heartbeat, that is, report which the worker sent of its own accord. It sends one
-  /// only after it has carried out or given up the answer to the one before; an answer to a direct
-  /// command may overtake that answer.
+  /// Is the sequence number of the worker's newest heartbeat. The worker sends a heartbeat only
+  /// after it has carried out the commands in the answer to the previous heartbeat or has given up
+  /// waiting for that answer. The worker's answer to a direct command may reach the leader before
+  /// the worker has received that heartbeat answer.
   ReportSequence lastHeartbeatSequence{};
-  std::optional<Instant> lastHeartbeatAt;  ///< When the newest heartbeat arrived.
-  WorkerEpoch lastHeartbeatEpoch{};        ///< Of that heartbeat.
-  /// Attempts for which a launch may have been sent, with the newest report known by then: only a
-  /// later report can prove them absent.
+  /// Is the time at which the newest heartbeat arrived.
+  std::optional<Instant> lastHeartbeatAt;
+  WorkerEpoch lastHeartbeatEpoch{};  ///< Is the worker epoch in the newest heartbeat.
+  /// Maps each attempt for which a launch may have been sent to the sequence number of the newest
+  /// report at that time. Only a report with a higher number can prove that the attempt is absent
+  /// from the worker.
   std::map<AttemptId, ReportSequence> launchSequences;
-  /// Attempts with a direct launch that got no answer: it may still arrive. The worker must know
-  /// the attempt for good, so these are proven gone only as `ended`, and never cleared.
-  /// The attempt is contained once for each such command: an answer to another command with the
-  /// same launch, which may have taken another path, says nothing about it.
+  /// Contains the attempts for which a direct launch command got no answer, so that the launch may
+  /// still arrive. The leader accepts only the state `ended` as proof that such an attempt does not
+  /// run, and never sends `clear` for it, because a worker that forgot the attempt would start it
+  /// again when the launch arrives. An attempt is contained once for each unanswered command: an
+  /// answer to another command with the same launch proves nothing about this one, because the two
+  /// may take different paths.
   std::multiset<AttemptId> unacknowledgedLaunches;
-  std::map<AttemptId, Duration> stopRequests;    ///< With the time to save.
-  std::map<AttemptId, AttemptOutcome> outcomes;  ///< Proven, to be committed.
+  /// Maps each attempt to stop to the time that it may use to save its state.
+  std::map<AttemptId, Duration> stopRequests;
+  /// Holds the proven outcomes that are still to be committed.
+  std::map<AttemptId, AttemptOutcome> outcomes;
 };
 
-/// What the leader wants of an attempt on record: that it runs, or that it stops.
+/// Says whether the leader wants a recorded attempt to run or to stop.
 struct DesiredState {
   bool stop{};
   Duration grace{};
 };
 
-/// Applies a report; false if it is not newer than the last one. `isHeartbeat`: the worker sent it
-/// of its own accord, not as the answer to a direct command.
+/// Applies a report to the session. Returns false if the report is not newer than the last one.
+/// `isHeartbeat` is false if the report answers a direct command.
 bool updateSession(WorkerSession& session, const Report& report, Instant now,
                    bool isHeartbeat = true);
 
-/// Adds what the newest report proves to `session.outcomes`, notes in the session which launches it
-/// returns, and returns the commands for the worker. `record` is null for a machine without one.
-/// `mayLaunch`: whether launches may be among the commands. `desired` is asked for attempts on
-/// record whose outcome is open.
+/// Adds the outcomes that the newest report proves to `session.outcomes`, records in the session
+/// which launches are returned, and returns the commands for the worker. `record` is null if the
+/// machine has no record. `mayLaunch` says whether the commands may include launches. `desired` is
+/// called for each recorded attempt without a proven outcome.
 std::vector<WorkerCommand> reconcile(WorkerSession& session, const MachineState* record,
                                      FencingToken token, bool mayLaunch,
                                      const std::function<DesiredState(const AttemptId&)>& desired);
 
-/// Whether a job is over by a controller's records, and whether these are complete up to its end:
-/// behind a commit of its own that was not read back, placements from before it may be missing.
+/// Says whether a controller's records show that a job is over. `notReadBack` means that a commit
+/// of this controller ended the job and its change feed has not returned that commit yet, so that
+/// placements committed earlier may be missing from the records.
 enum class JobEnd { none, notReadBack, known };
 
-/// Commands for a worker whose lease a controller renews in place of the leader: only stops of jobs
-/// that are over by its records. `record` is that of the controller's replica, or null.
+/// Returns the commands for a worker whose lease a controller renews in place of the leader. They
+/// only stop tasks of jobs that are over according to this controller's records. `record` is the
+/// machine's record in this controller's replica, or null if there is none.
 std::vector<WorkerCommand> leaseOnlyCommands(const Report& report, const MachineState* record,
                                              const std::function<JobEnd(const JobId&)>& end);
 
--- a/src/fleet/reconcile_test.cpp
+++ b/src/fleet/reconcile_test.cpp
@@ -1,4 +1,5 @@
-// The proofs that a task is gone (docs/safety.md, "A task runs at most once").
+// Tests when a report proves that a task no longer runs (docs/safety.md, "A task runs at most
+// once").
 #include "fleet/reconcile.hpp"
 
 #include <gtest/gtest.h>
@@ -33,8 +34,8 @@
   bool gone() { return session.outcomes.contains(kTask); }
 };
 
-// A worker that waited for a lost answer was taken for one that sends no heartbeats, and its
-// machine got no work for 9.6 s (limits-fall-faults with cache 1, seed 710).
+// Guards against a worker that waits for a lost answer being treated as one that sends no
+// heartbeats; its machine got no tasks for 9.6 s (limits-fall-faults with cache 1, seed 710).
 TEST_F(Fixture, AHeartbeatThatADirectAnswerOvertakesCountsAndItsCopiesDoNot) {
   updateSession(session, report(2, 1, 5), Instant{1000});
   updateSession(session, report(2, 3, 5), Instant{2000}, false);
@@ -54,7 +55,7 @@
 
 TEST_F(Fixture, AbsenceUnderAnEarlierTokenProvesNothing) {
   stop = true;
-  hear(report(2, 1, 4));  // an earlier leader's orders may still be obeyed
+  hear(report(2, 1, 4));  // The worker may still obey an earlier leader's commands.
   EXPECT_FALSE(gone());
   hear(report(2, 2, 5));
   EXPECT_TRUE(gone());
@@ -69,8 +70,9 @@
   EXPECT_TRUE(gone());
 }
 
-// The answer with the launch may be held on its way for 4 s, in a relay or by a cut, while a direct
-// command is answered: absence from that answer proved the task gone, and it ran twice.
+// Guards against a task running twice: a forwarding peer or a network partition delayed the answer
+// with the launch for 4 s, while the worker answered a direct command, and the absence of the task
+// from that answer was taken as proof that it did not run.
 TEST_F(Fixture, AbsenceFromADirectAnswerThatMayOvertakeTheLaunchProvesNothing) {
   hear(report(2, 1, 5));
   stop = true;
@@ -82,10 +84,12 @@
   };
   direct(report(2, 2, 5));
   EXPECT_FALSE(gone());
-  // The worker's next report shows that it has given that answer up.
+  // A later direct answer does not show either that the worker has given up waiting for the answer
+  // with the launch.
   direct(report(2, 4, 5));
   EXPECT_FALSE(gone());
-  hear(report(2, 3, 5));  // late, after a newer answer without the task
+  // This heartbeat arrives after a newer direct answer that does not contain the task.
+  hear(report(2, 3, 5));
   EXPECT_TRUE(gone());
 }
 
@@ -101,14 +105,16 @@
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::stopped});
   hear(ended);
   EXPECT_TRUE(gone());
-  // Off the record, but never cleared: the worker must go on knowing the attempt.
+  // The attempt is no longer recorded, but the leader never sends `clear` for it, because the
+  // worker must still recognize the attempt.
   record.tasks.clear();
   auto later = report(2, 3, 5);
   later.tasks = ended.tasks;
   EXPECT_TRUE(hear(later).empty());
 }
 
-// Two commands with the same launch, by two ways: the answer to one says nothing of the other.
+// Two commands with the same launch may take different paths, so the answer to one proves nothing
+// about the other.
 TEST_F(Fixture, AnAttemptStaysInDoubtForEachCommandWithoutAnAnswer) {
   session.unacknowledgedLaunches.insert(kTask);
   session.unacknowledgedLaunches.insert(kTask);
@@ -176,7 +182,8 @@
   EXPECT_FALSE(reportFrom(v));
 }
 
-// A launch alone would start what its user was told is cancelled.
+// Guards against a launch without its stop: the launch alone would start a task of a job whose user
+// was notified that it is cancelled.
 TEST_F(Fixture, ALaunchThatMakesAnAttemptKnownNeverGoesWithoutItsStop) {
   record.tasks.clear();
   for (std::uint32_t i = 0; i < 299; ++i) {
@@ -210,19 +217,21 @@
   }
 }
 
-// The leader's direct launch may still be under way, and this answer keeps its session up.
+// The leader's direct launch may still arrive, and this answer extends the worker session for which
+// it is valid.
 TEST_F(LeaseOnly, AnswerMakesAHeldLaunchOfWhatIsOverHarmless) {
   EXPECT_TRUE(answer(JobEnd::none).empty());
   auto commands = answer(JobEnd::known);
   ASSERT_EQ(commands.size(), 2U);
   EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::launch);
   EXPECT_EQ(commands[1].operation, WorkerCommand::Operation::stop);
-  r = report(3, 1, 5);  // of another session: the launch is refused there
+  // This report is from another session, in which the worker refuses the launch.
+  r = report(3, 1, 5);
   EXPECT_TRUE(answer(JobEnd::known).empty());
 }
 
-// The attempt that these records show may have been cleared on this machine, and its successor may
-// run on another: a launch would begin it anew (`users-own-abort`).
+// The worker may have cleared the attempt that these records contain, and a newer attempt may run
+// on another machine; a launch would start the old attempt again (`users-own-abort`).
 TEST_F(LeaseOnly, AnswerLaunchesNothingOfAnEndThatWasNotReadBack) {
   EXPECT_TRUE(answer(JobEnd::notReadBack).empty());
 }
--- a/src/fleet/worker_prober.cpp
+++ b/src/fleet/worker_prober.cpp
@@ -10,16 +10,16 @@
 namespace kestrelhoist {
 namespace {
 
-// Whether a worker answered a direct request with its report.
+// Returns whether the response contains a worker's report.
 bool isReport(const Response& response) { return response.status == 200 || response.status == 409; }
 
 }  // namespace
 
-// Where the way is not known to work this controller, or the peer that it asked through, may be the
-// one that is cut off.
+// If the path to the machine is not known to work, this controller or the peer that forwarded the
+// probe may be the one that is cut off, so the probe does not count as failed.
 bool isFailedProbe(const Machine& machine, Instant sent, ProbeOutcome outcome) {
   const bool reportedSince = machine.hasReported() && machine.session.lastReportAt >= sent;
-  // A probe that goes two ways at once has two results; both tell of the same moment.
+  // A probe that is sent directly and through a peer has two results, which count once.
   const bool isCounted = machine.newestFailedProbe == sent;
   return outcome == ProbeOutcome::unreachable && !reportedSince && !isCounted;
 }
@@ -37,11 +37,12 @@
   });
 }
 
-// Machines that should have reported by now: dead, or on their way to another node.
+// Probes machines whose reports are overdue: they are dead, or their workers are trying other
+// controllers.
 void WorkerProber::probeOverdue() {
   if (!context_.initialRoundOver) return;
-  // In a zone that is silent few at first: it may be cut off, or its workers report to a controller
-  // that is. More as long as they answer.
+  // Few machines of an unreachable zone are probed at first: the zone may be cut off, or its
+  // workers may report to a controller that is cut off. The number grows while probes are answered.
   std::size_t silent = 0;
   for (Machine* machine : machinesToProbe(context_.runtime.now())) {
     if (awaited_.size() >= kMostProbes) break;
@@ -50,8 +51,8 @@
   }
 }
 
-// Those first that were not asked for the longest time: those that don't answer must not use up all
-// probes.
+// Returns the machines to probe. Machines that have not been probed for the longest time come
+// first, so that machines that never answer don't use up all probes.
 std::vector<Machine*> WorkerProber::machinesToProbe(Instant now) {
   std::vector<Machine*> due;
   for (auto& [id, machine] : fleet_.machines()) {
@@ -64,7 +65,8 @@
   return due;
 }
 
-// A direct command without content: shows the worker this leader's token and brings its report.
+// Sends a direct request without commands, which shows this leader's token to the worker and
+// returns the worker's report.
 void WorkerProber::probe(Machine& machine) {
   if (!awaited_.insert(machine.id).second) return;
   const Instant now = context_.runtime.now();
@@ -102,7 +104,7 @@
 
 void WorkerProber::onResult(const MachineId& id, const SentProbe& sent, const ProbeResult& result) {
   Machine* machine = fleet_.find(id);
-  // The result of an earlier probe may come after a newer one was sent.
+  // The result of an earlier probe may arrive after a newer probe was sent.
   if (!machine || machine->probedAt == sent.at) awaited_.erase(id);
   if (!machine) return;
   const bool reached = result.outcome == ProbeOutcome::answered && isReport(*result.response);
@@ -129,7 +131,8 @@
            "sent_ms_ago", context_.runtime.now() - sent, "failed_probes", machine.failedProbes);
 }
 
-// Returns whether the worker has to be asked again, in the session that it reported.
+// Applies the report in an answer. Returns whether the worker must be asked again with the worker
+// epoch that it reported.
 bool WorkerProber::applyAnswer(Machine& machine, const SentProbe& sent, const Response& response) {
   const Instant now = context_.runtime.now();
   if (!applyDirectAnswer(fleet_, machine, response, now)) return false;
--- a/src/fleet/worker_prober.hpp
+++ b/src/fleet/worker_prober.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Probes: direct commands without content, with which the leader asks machines for the report that
-/// it misses.
+/// Sends probes to workers whose reports are missing. A probe is a direct command request without
+/// commands; the worker answers it with a report.
 #pragma once
 
 #include <cstddef>
@@ -14,33 +14,37 @@
 
 namespace kestrelhoist {
 
-/// Whether a probe that was sent at `sent` speaks against the machine: its silence says nothing
-/// unless the way to it is known to work, nor if a report has come since.
+/// Returns whether a probe that was sent at `sent` is evidence that the machine is dead. A missing
+/// answer is no evidence if the path to the machine is not known to work, or if a report has
+/// arrived since.
 bool isFailedProbe(const Machine& machine, Instant sent, ProbeOutcome outcome);
 
-/// Whether the worker refused a request since that named an earlier session than its own, and so
-/// has not taken up this leader's token. The same request with the session that it reported shows
-/// it the token, without which the machine gets no work.
+/// Returns whether the worker refused a request because the request named an earlier worker epoch
+/// than the worker's own. Such a worker has not accepted this leader's token, without which the
+/// machine gets no tasks. The leader then repeats the request with the epoch that the worker
+/// reported.
 bool refusedForItsSession(const Machine& machine, WorkerEpoch requested, FencingToken token);
 
-/// Probes workers while this controller leads. Only facts are taken from the answers; commands go
-/// with the next heartbeat.
+/// Probes workers while this controller leads. Only the reports in the answers are used; commands
+/// are sent in the answer to the next heartbeat.
 class WorkerProber {
  public:
-  /// @param context Of the present leadership.
-  /// @param fleet The machines that are probed; outlives the prober.
+  /// @param context The context of the current leadership.
+  /// @param fleet The machines to probe; it must outlive the prober.
   WorkerProber(LeaderContext& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
 
-  /// Probes machines that should have reported by now.
+  /// Probes machines whose reports are overdue.
   void probeOverdue();
-  /// Probes this machine unless an answer of it is awaited.
+  /// Probes this machine unless a probe of it is still unanswered.
   void probe(Machine& machine);
-  /// Asks this machine for its report. No answer is no evidence against it.
+  /// Asks this machine for its report. A missing answer is not counted as a failed probe.
   void ask(const Machine& machine);
-  /// Whether the answer of a machine that this leader has no report of is awaited.
+  /// Returns whether a probe is unanswered that was sent to a machine without any report to this
+  /// leader.
   bool awaitsUnheard() const;
 
-  /// Called after a newer report of a machine was applied: it may have proven an outcome.
+  /// This callback runs after a newer report of a machine is applied, because the report may prove
+  /// an outcome.
   std::function<void(Machine&)> onReport;
 
  private:
@@ -48,7 +52,7 @@
   WorkerEpoch probedEpoch(const Machine& machine) const;
   struct SentProbe {
     Instant at;
-    WorkerEpoch workerEpoch;  ///< the session that it named
+    WorkerEpoch workerEpoch;  ///< Is the worker epoch that the probe names.
   };
   void onResult(const MachineId& id, const SentProbe& sent, const ProbeResult& result);
   void onUnanswered(Machine& machine, Instant sent, const ProbeResult& result) const;
@@ -56,12 +60,14 @@
   void adaptToUnreachableZone(bool reached);
 
   static constexpr std::size_t kFewestZoneProbes = 2;
-  static constexpr std::size_t kMostProbes = 32;  ///< whose answers are awaited at the same time
+  /// Limits the number of probes without an answer at the same time.
+  static constexpr std::size_t kMostProbes = 32;
 
   LeaderContext& context_;
   Fleet& fleet_;
-  std::set<MachineId> awaited_;                            ///< answers that are not overdue yet
-  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;  ///< at a time, in unreachable zones
+  std::set<MachineId> awaited_;  ///< Contains the machines with an unanswered probe.
+  /// Limits the probes per call to machines in unreachable zones.
+  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/worker_prober_test.cpp
+++ b/src/fleet/worker_prober_test.cpp
@@ -21,15 +21,16 @@
   EXPECT_FALSE(isFailedProbe(machine, kSent, ProbeOutcome::answered));
 }
 
-// On a slow link the timeout of a probe came after the next report and counted all the same, so
-// that machines which lived were given up (deaf-leaders-slow-link).
+// Guards against the termination of running machines over slow links: the timeout of a probe came
+// after the machine's next report and still counted as a failed probe (deaf-leaders-slow-link).
 TEST(FailedProbe, IsNoneIfAReportHasComeSinceItWasSent) {
   const Machine machine = machineThatReportedAt(kSent + Duration{500});
   EXPECT_FALSE(isFailedProbe(machine, kSent, ProbeOutcome::unreachable));
 }
 
-// A machine that lived was given up, and its replicas waited 36 s for another, since the lost
-// answers of one probe that went two ways counted twice (limits-fall-faults, seed 72).
+// Guards against the termination of a running machine, after which its replicas waited 36 s for
+// another: the two lost answers of a probe that was sent over two paths counted as two failed
+// probes (limits-fall-faults, seed 72).
 TEST(FailedProbe, CountsOnceHoweverManyWaysItGoes) {
   Machine machine = machineThatReportedAt(Instant{1000});
   machine.newestFailedProbe = kSent;
