--- a/src/fleet/command_dispatcher.cpp
+++ b/src/fleet/command_dispatcher.cpp
@@ -40,7 +40,7 @@
                              std::vector<WorkerCommand> commands) {
   const WorkerEpoch workerEpoch = session.lastReport->workerEpoch;
   Request request = commandRequest(context_.token, workerEpoch, commands);
-  logDebug("commands sent", "machine", id, "worker_epoch", workerEpoch, "commands",
+  logDebug("direct commands sent to worker", "machine", id, "worker_epoch", workerEpoch, "commands",
            commands.size());
   context_.workers.send(
       session.lastReport->address, std::move(request), kDirectTimeout,
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -64,8 +64,8 @@
   if (!updateSession(machine.session, report, now, isHeartbeat)) return false;
   if (!isHeartbeat) machine.lease.onDirectAnswer(report.workerEpoch, now, leaseTerms_);
   if (leaseEnded) {
-    logDebug("worker session is new", "machine", machine.id, "worker_epoch", report.workerEpoch,
-             "heartbeat", isHeartbeat);
+    logDebug("worker started a new session", "machine", machine.id, "worker_epoch",
+             report.workerEpoch, "heartbeat", isHeartbeat);
   }
   if (isHeartbeat) {
     machine.notReportingSince.reset();
@@ -125,8 +125,8 @@
   const HeartbeatArrival arrival{report.workerEpoch, report.sequence, receivedBy, now};
   if (machine.lease.onHeartbeat(arrival, leaseTerms_)) return;
   if (std::exchange(loggedLateHeartbeat_, true)) return;
-  logInfo("first heartbeat that is older than one before it", "machine", report.machine,
-          "worker_epoch", report.workerEpoch, "sequence", report.sequence);
+  logInfo("heartbeat is a duplicate or arrived late; later cases are not logged", "machine",
+          report.machine, "worker_epoch", report.workerEpoch, "sequence", report.sequence);
 }
 
 std::vector<WorkerCommand> Fleet::onReport(const Report& report, const MemberId& receivedBy,
@@ -279,7 +279,7 @@
     Machine& machine = it->second;
     if (isNew) {
       machine.firstSeen = now;
-      if (!replica_.machine(id)) logInfo("machine is listed but on no record", "machine", id);
+      if (!replica_.machine(id)) logInfo("cloud lists a machine without a record", "machine", id);
     }
     machine.listed = entry.listed;
     if (entry.listed == Listed::running && !machine.runningSince) machine.runningSince = now;
@@ -449,9 +449,9 @@
   countLoss(verdict.loss);
   if (verdict.silence) {
     const SilenceEvidence& evidence = *verdict.silence;
-    logInfo("machine given up", "machine", machine.id, "zone", machine.zone, "silence_ms",
-            evidence.silence, "timeout_ms", evidence.timeout, "limit", toString(evidence.limit),
-            "source", toString(evidence.newest.source));
+    logInfo("machine declared lost; no sign of life within the timeout", "machine", machine.id,
+            "zone", machine.zone, "silence_ms", evidence.silence, "timeout_ms", evidence.timeout,
+            "limit", toString(evidence.limit), "source", toString(evidence.newest.source));
     if (onGivenUpForSilence) onGivenUpForSilence(evidence.silence);
   }
   requestTermination(machine, verdict.reason);
--- a/src/fleet/initial_round.cpp
+++ b/src/fleet/initial_round.cpp
@@ -32,7 +32,7 @@
     if (!machine.hasReported() && !machine.address.empty() && machine.listed == Listed::running)
       queue_.push_back(id);
   }
-  logInfo("probing workers for reports", "machines", queue_.size());
+  logInfo("new leader probes workers that have not reported", "machines", queue_.size());
   probeNextBatch();
 }
 
--- a/src/fleet/lease_end_prober.cpp
+++ b/src/fleet/lease_end_prober.cpp
@@ -127,8 +127,8 @@
     const bool ended = machine->session.lastReport->workerEpoch > ending.workerEpoch;
     answer = ended ? LeaseEndAnswer::newSession : LeaseEndAnswer::sameSession;
   }
-  logDebug("lease end probe", "machine", ending.machine, "after_ms", now - ending.end, "answer",
-           toString(answer));
+  logDebug("worker probed at lease expiry", "machine", ending.machine, "after_ms", now - ending.end,
+           "answer", toString(answer));
   if (context_.onLeaseEndProbe) context_.onLeaseEndProbe(toString(answer));
   if (!isNewer) return;
   onReport(*machine);
--- a/src/fleet/worker_prober.cpp
+++ b/src/fleet/worker_prober.cpp
@@ -71,7 +71,7 @@
   if (!awaited_.insert(machine.id).second) return;
   const Instant now = context_.runtime.now();
   machine.probedAt = now;
-  logDebug("probe sent", "machine", machine.id, "silent_ms",
+  logDebug("probe sent to worker", "machine", machine.id, "silent_ms",
            machine.hasReported() ? now - machine.session.lastReportAt : now - context_.electedAt);
   const WorkerEpoch epoch = probedEpoch(machine);
   Request request = commandRequest(context_.token, epoch);
@@ -126,7 +126,7 @@
     ++machine.failedProbes;
     machine.newestFailedProbe = sent;
   }
-  logDebug("probe unanswered", "machine", machine.id, "zone", machine.zone, "through",
+  logDebug("worker did not answer probe", "machine", machine.id, "zone", machine.zone, "through",
            result.through ? result.through->value : "-", "outcome", toString(result.outcome),
            "sent_ms_ago", context_.runtime.now() - sent, "failed_probes", machine.failedProbes);
 }
@@ -136,7 +136,7 @@
 bool WorkerProber::applyAnswer(Machine& machine, const SentProbe& sent, const Response& response) {
   const Instant now = context_.runtime.now();
   if (!applyDirectAnswer(fleet_, machine, response, now)) return false;
-  logDebug("probe answered", "machine", machine.id, "after_ms", now - sent.at);
+  logDebug("worker answered probe", "machine", machine.id, "after_ms", now - sent.at);
   onReport(machine);
   return refusedForItsSession(machine, sent.workerEpoch, context_.token);
 }
