--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -17,7 +17,7 @@
 
 void Controller::onHeartbeat(const Request& request, const Respond& respond) {
   auto body = decodeBody(request.body);
-  auto report = body ? reportFrom(*body) : std::nullopt;
+  auto report = body ? reportFromJson(*body) : std::nullopt;
   if (!report) return respond(jsonResponse(400, {{"error", "not a report"}}));
   Instant receivedAt = noteHeartbeat(*report);
   auto answer = [this, receivedAt, machine = report->machine, zone = report->zone,
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -117,7 +117,7 @@
   context.zoneAckBounds = [this] { return zoneAckBounds(); };
   context.onCommandsRepeated = [this] { countRepeat("commands"); };
   if (metrics_) {
-    context.onGivenUpForSilence = [this](Duration silence) { metrics_->machineGivenUp(silence); };
+    context.onLostBySilence = [this](Duration silence) { metrics_->machineGivenUp(silence); };
     context.onLeaseEndProbe = [this](const char* answer) { metrics_->leaseEndProbed(answer); };
   }
   leader_ = std::make_unique<Leader>(context, planner_, policyReplica_, [this](const ZoneId& zone) {
@@ -127,7 +127,7 @@
   });
   for (const auto& [machine, at] : ackLog_.entries()) leader_->fleet().noteAckByPeer(machine, at);
   requestAckTimesFromPeers();
-  leader_->fleet().adoptLeases(leaseLog_.sightings(runtime_.now()));
+  leader_->fleet().adoptLeases(leaseLog_.observations(runtime_.now()));
   requestLeasesFromPeers();
 }
 
@@ -164,7 +164,7 @@
           if (!leader_ || leader_->token() != token || !answer || answer->status != 200) return;
           auto body = decodeBody(answer->body);
           if (!body) return;
-          leader_->fleet().adoptLeases(leaseSightingsFrom(*body, runtime_.now()));
+          leader_->fleet().adoptLeases(leaseObservationsFromJson(*body, runtime_.now()));
         });
     request->start(kLeasesRequest, nullptr);
   }
@@ -209,7 +209,7 @@
       reporting > 0 || std::any_of(replica_.machines().begin(), replica_.machines().end(),
                                    [](const auto& m) { return !m.second.tasks.empty(); });
   Duration sinceHeartbeat =
-      runtime_.now() - std::max(lastWorker_, leader_->fleet().lastReportOfAny());
+      runtime_.now() - std::max(lastWorker_, leader_->fleet().newestReportAt());
   Duration timeout = platform_.reportEvery * 3 / 2 + Duration{2000};
   // After a failover workers first give up on the old leader (4 s) and try nodes in turn (1 s
   // each). A new leader that resigned meanwhile, because they were heard elsewhere in passing,
@@ -240,7 +240,7 @@
       replica_.newestCancellation() <= replica_.cursor() && !replica_.flowCancellationUnderWay()) {
     asOf = *barrier;
   }
-  return renewal_.until(asOf);
+  return renewal_.renewableUntil(asOf);
 }
 
 bool Controller::mayRenew() const {
--- a/src/app/controller_peer_api.cpp
+++ b/src/app/controller_peer_api.cpp
@@ -40,7 +40,7 @@
     }
     MemberId via{reports->path.substr(1)};
     respond(answerBatch(request, [&](const Json& item) {
-      auto report = reportFrom(item);
+      auto report = reportFromJson(item);
       if (!report) return jsonResponse(400, {{"error", "not a report"}});
       return serveReport(*report, via);
     }));
@@ -51,7 +51,7 @@
     respond(jsonResponse(200, ackLog_.toJson(runtime_.now())));
   } else if (request.path == kLeasesPath) {
     const Instant now = runtime_.now();
-    respond(jsonResponse(200, toJson(leaseLog_.sightings(now), now)));
+    respond(jsonResponse(200, toJson(leaseLog_.observations(now), now)));
   } else if (auto state = below("/mesh/state")) {
     stateProxy_.serve(*state, respond);
   } else if (auto cloud = below("/mesh/cloud")) {
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -55,7 +55,7 @@
                                static_cast<double>(context_.platform.transactionOps))) {
   logInfo("became leader", "token", context_.token, "member", context_.platform.member);
   connectLoops();
-  fleet_.onGivenUpForSilence = context_.onGivenUpForSilence;
+  fleet_.onLostBySilence = context_.onLostBySilence;
   if (context_.replica.catalogue()) {
     context_.catalogue = catalogueFrom(*context_.replica.catalogue());
   }
@@ -129,7 +129,7 @@
 
 void Leader::detectFailures(Instant now) {
   if (context_.zoneAckBounds) fleet_.setZoneAckBounds(context_.zoneAckBounds(), now);
-  fleet_.setPeerUnheard(context_.hasUnheardPeer && context_.hasUnheardPeer());
+  fleet_.setPeerUnreachable(context_.hasUnheardPeer && context_.hasUnheardPeer());
   fleet_.detectFailures(now, context_.catalogue ? &*context_.catalogue : nullptr,
                         mayHaveActingLeader_);
 }
@@ -276,7 +276,7 @@
 }
 
 Response Leader::onReport(const Report& report, const MemberId& receivedBy, bool sure) {
-  if (fleet_.isReleased(report.machine)) {
+  if (fleet_.isTerminated(report.machine)) {
     // The machine has certainly been released; this heartbeat was delayed in the network.
     return jsonResponse(503, {{"error", "released"}});
   }
--- a/src/cloud/machine_list_loop.cpp
+++ b/src/cloud/machine_list_loop.cpp
@@ -47,14 +47,14 @@
       m.zone = l.zone;
       m.spot = l.spot;
       m.address = l.address;
-      m.listed = l.state == ListedMachine::State::failed    ? Listed::failed
-                 : l.state == ListedMachine::State::booting ? Listed::booting
-                                                            : Listed::running;
+      m.listed = l.state == ListedMachine::State::failed    ? ListedState::failed
+                 : l.state == ListedMachine::State::booting ? ListedState::booting
+                                                            : ListedState::running;
       m.rentedAt = now - l.age - context_.platform.listLag;
       machines.emplace_back(l.id, std::move(m));
     }
     fleet_.onList(machines, now, context_.platform.listLag);
-    initialRound_.probeUnheard();
+    initialRound_.probeUnreported();
   }));
 }
 
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -52,7 +52,7 @@
   for (const auto& [id, machine] : fleet_.machines()) {
     const auto* record = context_.replica.machine(id);
     if (machine.type != type.id || machine.terminationRequested || (record && record->draining) ||
-        machine.terminationNoticeEnds || fleet_.faulty(machine)) {
+        machine.terminationNoticeEnds || fleet_.isFaulty(machine)) {
       continue;
     }
     input.machines.push_back(scalingMachineOf(machine, type));
@@ -125,7 +125,7 @@
   out.age = context_.runtime.now() - machine.rentedAt;
   // Only what the cloud lists as booting can be late: a new leader has no reports yet of machines
   // that are up, and would rent them all a second time.
-  out.late = !out.up && machine.listed == Listed::booting &&
+  out.late = !out.up && machine.listed == ListedState::booting &&
              toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
   out.idle = !record || record->tasks.empty();
   out.keep = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
--- a/src/cloud/scaling_loop_rentals.cpp
+++ b/src/cloud/scaling_loop_rentals.cpp
@@ -72,7 +72,7 @@
     for (const auto& machine : result.machines) {
       transaction.countBytes(machine.value.size() + 4);
       const auto* known = context_.replica.machine(machine);
-      if ((known && !known->rental.empty()) || fleet_.isReleased(machine)) continue;
+      if ((known && !known->rental.empty()) || fleet_.isTerminated(machine)) continue;
       record.machines.push_back({machine, false});
     }
     transaction.write(id, record.machines.empty() ? std::nullopt : std::optional(toJson(record)));
--- a/src/cloud/termination_loop.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -125,7 +125,7 @@
         for (const auto& t : state->tasks) outcomes_.note(t, AttemptOutcome::lost);
       }
       terminated_.insert(id);
-      fleet_.onReleased(id, context_.runtime.now());
+      fleet_.onTerminated(id, context_.runtime.now());
     }
     start();
     context_.scheduleCycle();
--- a/src/fleet/command_dispatcher.cpp
+++ b/src/fleet/command_dispatcher.cpp
@@ -17,7 +17,7 @@
 
 bool CommandDispatcher::sendCommands(const MachineId& id) {
   Machine* machine = fleet_.find(id);
-  if (!machine || !machine->hasReported() || fleet_.isReleased(id)) return false;
+  if (!machine || !machine->hasReported() || fleet_.isTerminated(id)) return false;
   const Instant now = context_.runtime.now();
   WorkerSession& session = machine->session;
   if (now - session.lastReportAt > context_.platform.workerLease) return false;
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -49,7 +49,7 @@
       return "failover";
     case SilenceLimit::cutOffZone:
       return "cut_off_zone";
-    case SilenceLimit::blindLeader:
+    case SilenceLimit::isolatedLeader:
       return "blind_leader";
     case SilenceLimit::failedProbes:
       return "failed_probes";
@@ -57,10 +57,10 @@
   return "";
 }
 
-bool ReachabilityCounts::blind() const {
-  constexpr int kFewestToJudgeBy = 4;  // machines
-  constexpr int kMachinesForEachReport = 10;
-  return expected >= kFewestToJudgeBy && reporting * kMachinesForEachReport < expected;
+bool ReachabilityCounts::isLeaderIsolated() const {
+  constexpr int kMinExpectedMachines = 4;  // machines
+  constexpr int kMaxMachinesPerReport = 10;
+  return expected >= kMinExpectedMachines && reporting * kMaxMachinesPerReport < expected;
 }
 
 FailureDetector::FailureDetector(const Fleet& fleet, const Platform& platform,
@@ -133,7 +133,7 @@
   if (record && record->draining) return resumeTermination(machine, hasTasks);
   if (auto verdict = inspectRemoval(machine, hasTasks)) return verdict;
   if (!machine.hasReported() && !hasTasks) return inspectUnregistered(machine);
-  if (auto verdict = inspectUnheardZone(machine)) return verdict;
+  if (auto verdict = inspectUnreportedZone(machine)) return verdict;
   return inspectSilence(machine);
 }
 
@@ -151,14 +151,14 @@
 // Checks the reasons for termination other than silence alone.
 std::optional<TerminationVerdict> FailureDetector::inspectRemoval(const Machine& machine,
                                                                   bool hasTasks) const {
-  if (machine.listed == Listed::failed) return lost("the cloud lists it as failed");
+  if (machine.listed == ListedState::failed) return lost("the cloud lists it as failed");
   const Duration silence = now_ - fleet_.lastSignOfLife(machine);
-  if (machine.missedLists >= 2 && silence > 2 * platform_.reportEvery) {
+  if (machine.consecutiveListsMissing >= 2 && silence > 2 * platform_.reportEvery) {
     return lost("no longer listed and silent");
   }
   if (hasTasks) return std::nullopt;
   if (machine.terminationNoticeEnds) return terminated("notice, and nothing left on it");
-  if (fleet_.faulty(machine)) return terminated("tasks of several sound jobs failed on it");
+  if (fleet_.isFaulty(machine)) return terminated("tasks of several sound jobs failed on it");
   // The machine is replaced only if most machines do report; otherwise a replacement's heartbeats
   // would probably not be answered either.
   if (machine.notReportingSince && 2 * counts_.notReporting <= counts_.expected &&
@@ -172,13 +172,13 @@
     const Machine& machine) const {
   const MachineType* type = catalogue_ ? catalogue_->find(machine.type) : nullptr;
   const double bootTimeoutS = type ? kBootTimeoutFactor * toSeconds(type->boot) + 5 : 0;
-  if (type && machine.listed != Listed::running &&
+  if (type && machine.listed != ListedState::running &&
       toSeconds(now_ - machine.rentedAt) > bootTimeoutS && now_ - leaderSince_ > failoverTime()) {
     return TerminationVerdict{MachineLoss::neverBooted, "did not boot", std::nullopt};
   }
   // The time counts from when the machine was first listed as running: a list may arrive before the
   // machine's first report, and a booting machine sends no reports.
-  if (machine.listed == Listed::running && machine.runningSince &&
+  if (machine.listed == ListedState::running && machine.runningSince &&
       now_ - std::max(fleet_.lastSignOfLife(machine), *machine.runningSince) >
           platform_.workerLease) {
     return terminated("runs but never reported");
@@ -189,7 +189,7 @@
 // Checks a machine in a zone from which no controller acknowledged a heartbeat since before this
 // leadership: once the machine's lease has expired, its tasks have ended. This check can only
 // succeed before inspectSilence(), which counts from the start of this leadership.
-std::optional<TerminationVerdict> FailureDetector::inspectUnheardZone(
+std::optional<TerminationVerdict> FailureDetector::inspectUnreportedZone(
     const Machine& machine) const {
   if (machine.hasReported() || machine.firstSeen > leaderSince_) return std::nullopt;
   // Within this time reports arrive from a zone that has just become reachable again.
@@ -223,7 +223,8 @@
 }
 
 bool FailureDetector::mayBeCutOff(const Machine& machine) const {
-  return unreachableZones_.contains(machine.zone) || counts_.reporting == 0 || counts_.blind();
+  return unreachableZones_.contains(machine.zone) || counts_.reporting == 0 ||
+         counts_.isLeaderIsolated();
 }
 
 Duration FailureDetector::silenceOf(const Machine& machine) const {
@@ -240,14 +241,14 @@
     timeout.duration += static_cast<int>(platform_.nodes() - 2) * kWorkerRetryAfterLostAnswer;
   }
   if (mayBeCutOff(machine) && cutOffTimeout(machine) > timeout.duration) {
-    timeout = {cutOffTimeout(machine),
-               counts_.blind() ? SilenceLimit::blindLeader : SilenceLimit::cutOffZone};
+    timeout = {cutOffTimeout(machine), counts_.isLeaderIsolated() ? SilenceLimit::isolatedLeader
+                                                                  : SilenceLimit::cutOffZone};
   }
   // A running worker answers a direct probe, whichever controller receives its heartbeats.
-  constexpr int kFailedProbesForProof = 2;
+  constexpr int kMinFailedProbes = 2;
   if (machine.hasReported() && fleet_.isOverdue(machine, now_) &&
       !unreachableZones_.contains(machine.zone) && counts_.reporting > 0 &&
-      machine.failedProbes >= kFailedProbesForProof && fleet_.reportDue() < timeout.duration) {
+      machine.failedProbes >= kMinFailedProbes && fleet_.reportDue() < timeout.duration) {
     timeout = {fleet_.reportDue(), SilenceLimit::failedProbes};
   }
   return timeout;
@@ -258,7 +259,7 @@
 // this leader's own link to all workers may have failed.
 bool FailureDetector::mayBeAnswered(const ZoneId& zone) const {
   if (mayHaveActingLeader_(zone)) return true;
-  return counts_.reporting == 0 && peerUnheard_;
+  return counts_.reporting == 0 && peerUnreachable_;
 }
 
 // Returns the silence timeout for a machine that may be cut off from this leader. Its tasks keep
@@ -267,8 +268,9 @@
 Duration FailureDetector::cutOffTimeout(const Machine& machine) const {
   constexpr Duration kClockMargin{1000};
   Duration timeout = platform_.workerLease + kClockMargin;
-  if (mayBeAnswered(machine.zone)) timeout += renewal_.longest();
-  if (counts_.blind()) timeout = 2 * platform_.workerLease + renewal_.longest() + kClockMargin;
+  if (mayBeAnswered(machine.zone)) timeout += renewal_.maxRecordAge();
+  if (counts_.isLeaderIsolated())
+    timeout = 2 * platform_.workerLease + renewal_.maxRecordAge() + kClockMargin;
   return timeout;
 }
 
--- a/src/fleet/failure_detector.hpp
+++ b/src/fleet/failure_detector.hpp
@@ -41,7 +41,7 @@
 
 /// Names the rule that limits how long a machine may be silent. A machine is silent while no sign
 /// of life of it arrives.
-enum class SilenceLimit { failover, cutOffZone, blindLeader, failedProbes };
+enum class SilenceLimit { failover, cutOffZone, isolatedLeader, failedProbes };
 const char* toString(SilenceLimit limit);
 
 /// Holds the evidence by which a silent machine was declared lost.
@@ -75,7 +75,7 @@
   /// Returns whether fewer than a tenth of at least four expected machines report. The likely cause
   /// is a failed link of this leader, and its peers may still receive the reports, so silence is no
   /// evidence of a loss.
-  bool blind() const;
+  bool isLeaderIsolated() const;
 };
 
 /// Detects failed machines during one leadership. It only decides; the Fleet requests the
@@ -103,7 +103,7 @@
   void setWorkersReachable(bool reachable) { workersReachable_ = reachable; }
   /// Sets whether this controller can't reach a peer that may be running. Such a peer may be
   /// answering the workers.
-  void setPeerUnheard(bool unheard) { peerUnheard_ = unheard; }
+  void setPeerUnreachable(bool unheard) { peerUnreachable_ = unheard; }
 
  private:
   ReachabilityCounts countReachability() const;
@@ -112,7 +112,7 @@
   std::optional<TerminationVerdict> resumeTermination(const Machine& machine, bool hasTasks);
   std::optional<TerminationVerdict> inspectRemoval(const Machine& machine, bool hasTasks) const;
   std::optional<TerminationVerdict> inspectUnregistered(const Machine& machine) const;
-  std::optional<TerminationVerdict> inspectUnheardZone(const Machine& machine) const;
+  std::optional<TerminationVerdict> inspectUnreportedZone(const Machine& machine) const;
   std::optional<TerminationVerdict> inspectSilence(const Machine& machine) const;
   bool mayBeCutOff(const Machine& machine) const;
   bool mayBeAnswered(const ZoneId& zone) const;
@@ -131,7 +131,7 @@
   const LeaseRenewal renewal_;
   const Instant leaderSince_;
   bool workersReachable_ = true;
-  bool peerUnheard_ = false;
+  bool peerUnreachable_ = false;
   std::set<ZoneId> unreachableZones_;
   std::map<ZoneId, Instant> zoneLastUnreachableAt_;
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -9,26 +9,26 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kReleasedMemory{15 * 60 * 1000};
+constexpr Duration kTerminatedRetention{15 * 60 * 1000};
 // Within this time a peer whose process has ended has refused a connection or has restarted.
-constexpr Duration kEndedPeersNoticed{2000};
+constexpr Duration kPeerEndDetectionTime{2000};
 // The leader receives a heartbeat that a peer forwards within this time or not at all.
-constexpr Duration kForwardedWithin{2000};
+constexpr Duration kMaxForwardingTime{2000};
 
 // Each status message to a peer contains these leases.
-constexpr std::size_t kMostUncertainLeases = 64;
+constexpr std::size_t kMaxUncertainLeases = 64;
 
 // Returns whether the worker is in a session from which no heartbeat has arrived at this leader.
-bool beginsUnheard(const WorkerSession& session) {
+bool hasNoHeartbeatInSession(const WorkerSession& session) {
   return session.lastHeartbeatAt && session.lastReport->workerEpoch > session.lastHeartbeatEpoch;
 }
 
 // Returns whether the worker may still be waiting for a lost answer, so that its next heartbeat is
 // not overdue. The newest heartbeat may have gone to any controller, also before this leadership.
 bool mayStillRetry(const Machine& machine, Instant now) {
-  const auto sighting = machine.lease.sighting();
+  const auto observation = machine.lease.observation();
   const auto newest = std::max(machine.session.lastHeartbeatAt,
-                               sighting ? std::optional(sighting->newest.at) : std::nullopt);
+                               observation ? std::optional(observation->newest.at) : std::nullopt);
   return newest && now - *newest <= kWorkerRetryAfterLostAnswer + kHeartbeatLateMargin;
 }
 }  // namespace
@@ -39,7 +39,7 @@
       leaseTerms_(leaseTermsOf(platform)),
       token_(token),
       leaderSince_(now),
-      lastReportOfAny_(now),
+      newestReportAt_(now),
       failureDetector_(*this, platform, replica, now) {}
 
 Machine* Fleet::find(const MachineId& id) {
@@ -69,7 +69,8 @@
   }
   if (isHeartbeat) {
     machine.notReportingSince.reset();
-  } else if (!machine.notReportingSince && (leaseEnded || beginsUnheard(machine.session)) &&
+  } else if (!machine.notReportingSince &&
+             (leaseEnded || hasNoHeartbeatInSession(machine.session)) &&
              !mayStillRetry(machine, now)) {
     machine.notReportingSince = now;
     logInfo("worker answers probes but sends no heartbeats", "machine", machine.id, "worker_epoch",
@@ -80,7 +81,7 @@
   machine.spot = report.spot;
   machine.address = report.address;
   machine.failedProbes = 0;
-  lastReportOfAny_ = now;
+  newestReportAt_ = now;
   if (first) {
     ++reportingCount_;
     logRegistration(machine);
@@ -139,10 +140,10 @@
 std::vector<WorkerCommand> Fleet::commandsFor(Machine& machine, Instant now, bool mayLaunch) {
   const auto* record = replica_.machine(machine.id);
   // The outcomes and requests of attempts that the record no longer contains are obsolete.
-  auto settled = [&](const auto& entry) { return !record || !record->find(entry.first); };
-  std::erase_if(machine.session.outcomes, settled);
-  std::erase_if(machine.session.stopRequests, settled);
-  std::erase_if(machine.session.launchSequences, settled);
+  auto isOffRecord = [&](const auto& entry) { return !record || !record->find(entry.first); };
+  std::erase_if(machine.session.outcomes, isOffRecord);
+  std::erase_if(machine.session.stopRequests, isOffRecord);
+  std::erase_if(machine.session.launchSequences, isOffRecord);
   bool launch = mayLaunch && !(record && record->draining);
   return reconcile(machine.session, record, token_, launch,
                    [&](const AttemptId& id) { return desiredStateOf(machine, id, now); });
@@ -213,7 +214,7 @@
   logInfo("machine termination requested", "machine", machine.id, "why", why);
 }
 
-void Fleet::onReleased(const MachineId& id, Instant now) {
+void Fleet::onTerminated(const MachineId& id, Instant now) {
   if (auto it = machines_.find(id); it != machines_.end()) {
     if (it->second.hasReported()) --reportingCount_;
     machines_.erase(it);
@@ -221,13 +222,13 @@
   terminating_.erase(id);
   failureAttribution_.forgetMachine(id);
   unrecorded_.erase(id);
-  released_[id] = now;
-  std::erase_if(released_, [&](const auto& r) { return now - r.second > kReleasedMemory; });
+  terminated_[id] = now;
+  std::erase_if(terminated_, [&](const auto& r) { return now - r.second > kTerminatedRetention; });
 }
 
 bool Fleet::usable(const Machine& machine, Instant now) const {
   if (!machine.hasReported() || machine.terminationRequested || machine.terminationNoticeEnds ||
-      machine.notReportingSince || faulty(machine))
+      machine.notReportingSince || isFaulty(machine))
     return false;
   if (machine.session.lastReport->token != token_) return false;
   if (now - machine.session.lastReportAt > 2 * platform_.reportEvery + Duration{1000}) return false;
@@ -247,7 +248,8 @@
 }
 
 bool Fleet::hasUnconfirmedTasks(const Machine& machine, Instant now) const {
-  if (machine.hasReported() || machine.terminationRequested || machine.listed != Listed::running)
+  if (machine.hasReported() || machine.terminationRequested ||
+      machine.listed != ListedState::running)
     return false;
   const auto* record = replica_.machine(machine.id);
   return record && !record->tasks.empty() && now - leaderSince_ > reportDue();
@@ -255,7 +257,7 @@
 
 void Fleet::adoptRecords(Instant now, std::int64_t wallMs) {
   for (const auto& [id, record] : replica_.machines()) {
-    if (released_.contains(id)) continue;
+    if (terminated_.contains(id)) continue;
     auto [it, isNew] = machines_.try_emplace(id);
     if (!isNew) continue;
     Machine& machine = it->second;
@@ -273,7 +275,7 @@
                    Duration listLag) {
   std::set<MachineId> seen;
   for (const auto& [id, entry] : listed) {
-    if (released_.contains(id)) continue;
+    if (terminated_.contains(id)) continue;
     seen.insert(id);
     auto [it, isNew] = machines_.try_emplace(id, entry);
     Machine& machine = it->second;
@@ -282,16 +284,16 @@
       if (!replica_.machine(id)) logInfo("cloud lists a machine without a record", "machine", id);
     }
     machine.listed = entry.listed;
-    if (entry.listed == Listed::running && !machine.runningSince) machine.runningSince = now;
+    if (entry.listed == ListedState::running && !machine.runningSince) machine.runningSince = now;
     machine.rentedAt = entry.rentedAt;
     if (!machine.hasReported()) machine.address = entry.address;
-    machine.missedLists = 0;
+    machine.consecutiveListsMissing = 0;
   }
   for (auto& [id, machine] : machines_) {
     if (seen.contains(id)) continue;
     // A list may be out of date by up to twice `listLag`, and may be older than the previous list.
     if (now - machine.rentedAt > 3 * listLag && now - machine.firstSeen > 3 * listLag)
-      ++machine.missedLists;
+      ++machine.consecutiveListsMissing;
   }
 }
 
@@ -302,9 +304,9 @@
   machine->lease.noteEarlierAcknowledgement(at);
 }
 
-void Fleet::adoptLeases(const LeaseSightings& sightings) {
-  for (const auto& [id, sighting] : sightings) {
-    if (Machine* machine = find(id)) machine->lease.adopt(sighting, leaseTerms_);
+void Fleet::adoptLeases(const LeaseObservations& observations) {
+  for (const auto& [id, observation] : observations) {
+    if (Machine* machine = find(id)) machine->lease.adopt(observation, leaseTerms_);
   }
 }
 
@@ -323,14 +325,14 @@
   if (bound < leaderSince_) {
     // After this time every ended peer is detected, and the bound includes the acknowledgements
     // that it may have sent.
-    if (now - leaderSince_ >= kEndedPeersNoticed) ackedBeforeLeadership_[zone] = bound;
+    if (now - leaderSince_ >= kPeerEndDetectionTime) ackedBeforeLeadership_[zone] = bound;
     return;
   }
   if (!ackedBeforeLeadership_.contains(zone)) return;
   const bool receivedHere = std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     const Machine& machine = entry.second;
     return machine.zone == zone && machine.hasReported() &&
-           machine.session.lastReportAt + kForwardedWithin >= bound;
+           machine.session.lastReportAt + kMaxForwardingTime >= bound;
   });
   if (!receivedHere) ackedBeforeLeadership_.erase(zone);
 }
@@ -342,37 +344,37 @@
 
 // Returns the time since which no machine of the zone has reported, for a zone without any report
 // to this leader; empty if that time is unknown.
-std::optional<Instant> Fleet::silentBeforeLeadership(const ZoneId& zone) const {
+std::optional<Instant> Fleet::silentSinceBeforeLeadership(const ZoneId& zone) const {
   if (auto bound = lastAckBeforeLeadership(zone)) return bound;
   auto recorded = suspectedSince_.find(zone);
   return recorded == suspectedSince_.end() ? std::nullopt : std::optional(recorded->second);
 }
 
 std::map<ZoneId, Instant> Fleet::suspectedZones(Instant now) const {
-  struct ZoneSigns {
+  struct ZoneSignsOfLife {
     std::optional<Instant> newest;
-    int working = 0;
-    bool hasUnheardTasks = false;
+    int machines = 0;
+    bool hasUnreportedTasks = false;
   };
-  std::map<ZoneId, ZoneSigns> zones;
+  std::map<ZoneId, ZoneSignsOfLife> zones;
   for (const auto& [id, machine] : machines_) {
     if (machine.terminationRequested) continue;
-    ZoneSigns& zone = zones[machine.zone];
+    ZoneSignsOfLife& zone = zones[machine.zone];
     if (!machine.hasReported() && !machine.ackedByPeerAt) {
       const auto* record = replica_.machine(id);
-      zone.hasUnheardTasks = zone.hasUnheardTasks || (record && !record->tasks.empty());
+      zone.hasUnreportedTasks = zone.hasUnreportedTasks || (record && !record->tasks.empty());
       continue;
     }
     const Instant at = lastSignOfLife(machine);
     zone.newest = std::max(zone.newest.value_or(at), at);
-    ++zone.working;
+    ++zone.machines;
   }
   std::map<ZoneId, Instant> out;
   for (const auto& [id, zone] : zones) {
     if (!zone.newest) {
-      auto since = silentBeforeLeadership(id);
-      if (since && zone.hasUnheardTasks) out[id] = *since;
-    } else if (now - *zone.newest > zoneSilence(zone.working)) {
+      auto since = silentSinceBeforeLeadership(id);
+      if (since && zone.hasUnreportedTasks) out[id] = *since;
+    } else if (now - *zone.newest > zoneSilenceTimeout(zone.machines)) {
       out[id] = *zone.newest;
     }
   }
@@ -382,9 +384,10 @@
 // Returns how long a zone may send no report before it is suspected. The reports of n machines
 // arrive every reportEvery / n on average, so the failure of a zone with many machines is detected
 // before each machine is overdue.
-Duration Fleet::zoneSilence(int machines) const {
-  constexpr int kReports = 4;
-  return std::min(reportDue(), kReports * platform_.reportEvery / machines + kHeartbeatLateMargin);
+Duration Fleet::zoneSilenceTimeout(int machines) const {
+  constexpr int kMaxMissedReports = 4;
+  return std::min(reportDue(),
+                  kMaxMissedReports * platform_.reportEvery / machines + kHeartbeatLateMargin);
 }
 
 // Returns the machine's newest sign of life. For a machine that has not reported to this leader,
@@ -438,21 +441,21 @@
     if (machine.terminationRequested) continue;
     if (isUnrecorded(machine)) unrecorded_.insert(id);
     if (auto verdict = failureDetector_.inspect(machine)) {
-      giveUp(machine, *verdict);
+      applyVerdict(machine, *verdict);
     }
   }
   lastSuspectedZones_ = suspectedZones(now);
   updateUncertainLeases(now);
 }
 
-void Fleet::giveUp(Machine& machine, const TerminationVerdict& verdict) {
+void Fleet::applyVerdict(Machine& machine, const TerminationVerdict& verdict) {
   countLoss(verdict.loss);
   if (verdict.silence) {
     const SilenceEvidence& evidence = *verdict.silence;
     logInfo("machine declared lost; no sign of life within the timeout", "machine", machine.id,
             "zone", machine.zone, "silence_ms", evidence.silence, "timeout_ms", evidence.timeout,
             "limit", toString(evidence.limit), "source", toString(evidence.newest.source));
-    if (onGivenUpForSilence) onGivenUpForSilence(evidence.silence);
+    if (onLostBySilence) onLostBySilence(evidence.silence);
   }
   requestTermination(machine, verdict.reason);
 }
@@ -465,24 +468,25 @@
 void Fleet::updateUncertainLeases(Instant now) {
   std::vector<std::pair<Instant, MachineId>> uncertain;
   for (const auto& [id, machine] : machines_) {
-    const auto end = earliestLeaseEnd(machine);
-    if (!end || !machine.lease.isUncertain(leaseTerms_, now) || !machine.lease.sighting()) continue;
+    const auto expiry = earliestLeaseExpiry(machine);
+    if (!expiry || !machine.lease.isUncertain(leaseTerms_, now) || !machine.lease.observation())
+      continue;
     const auto* record = replica_.machine(id);
-    if (record && !record->tasks.empty()) uncertain.emplace_back(*end, id);
+    if (record && !record->tasks.empty()) uncertain.emplace_back(*expiry, id);
   }
-  const std::size_t kept = std::min(uncertain.size(), kMostUncertainLeases);
-  std::partial_sort(uncertain.begin(), uncertain.begin() + static_cast<std::ptrdiff_t>(kept),
+  const std::size_t count = std::min(uncertain.size(), kMaxUncertainLeases);
+  std::partial_sort(uncertain.begin(), uncertain.begin() + static_cast<std::ptrdiff_t>(count),
                     uncertain.end());
   uncertainLeases_.clear();
-  for (std::size_t i = 0; i < kept; ++i) {
+  for (std::size_t i = 0; i < count; ++i) {
     const MachineId& id = uncertain[i].second;
-    uncertainLeases_.emplace(id, *machines_.at(id).lease.sighting());
+    uncertainLeases_.emplace(id, *machines_.at(id).lease.observation());
   }
 }
 
 void Fleet::countLoss(MachineLoss loss) {
-  if (loss == MachineLoss::lost) ++lost_;
-  if (loss == MachineLoss::neverBooted) ++neverBooted_;
+  if (loss == MachineLoss::lost) ++lostCount_;
+  if (loss == MachineLoss::neverBooted) ++neverBootedCount_;
 }
 
 }  // namespace kestrelhoist
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -20,7 +20,7 @@
 namespace kestrelhoist {
 
 /// Is a machine's state in the cloud's list of machines.
-enum class Listed { never, booting, running, failed, missing };
+enum class ListedState { never, booting, running, failed, missing };
 
 /// Holds the leader's state of one machine.
 struct Machine {
@@ -32,8 +32,8 @@
   LeaseEstimate lease;
   /// Is the approximate time at which the cloud reclaims the machine.
   std::optional<Instant> terminationNoticeEnds;
-  Listed listed = Listed::never;
-  int missedLists{};
+  ListedState listed = ListedState::never;
+  int consecutiveListsMissing{};
   Instant rentedAt{};  ///< Is an estimate if the rental is not recorded.
   Instant firstSeen{};
   /// Is the time at which another controller last acknowledged a heartbeat of this machine, before
@@ -96,11 +96,11 @@
   /// Records that a peer last acknowledged a heartbeat of the machine at `at`.
   void noteAckByPeer(const MachineId& id, Instant at);
   /// Merges a controller's observations of worker leases into the leader's estimates.
-  void adoptLeases(const LeaseSightings& sightings);
+  void adoptLeases(const LeaseObservations& observations);
   /// Returns the observations of the leases that were uncertain at the last call of
   /// detectFailures(), for machines with tasks. The number is limited; the leases that expire first
   /// are kept.
-  const LeaseSightings& uncertainLeases() const { return uncertainLeases_; }
+  const LeaseObservations& uncertainLeases() const { return uncertainLeases_; }
   /// Records that, according to an earlier leader, the machine holds this image because of tasks
   /// that ended long ago.
   void noteCachedImage(const MachineId& id, std::uint32_t image, double gb);
@@ -116,9 +116,9 @@
   std::map<MachineId, Machine>& machines() { return machines_; }
   const std::map<MachineId, Machine>& machines() const { return machines_; }
   /// Returns how many machines were terminated because they were dead or unreachable.
-  std::uint32_t lost() const { return lost_; }
+  std::uint32_t lostCount() const { return lostCount_; }
   /// Returns how many machines were terminated because they never booted.
-  std::uint32_t neverBooted() const { return neverBooted_; }
+  std::uint32_t neverBootedCount() const { return neverBootedCount_; }
   std::size_t reportingCount() const { return reportingCount_; }
   /// Returns the machines whose termination is requested and not yet confirmed by the cloud.
   const std::set<MachineId>& terminating() const { return terminating_; }
@@ -141,8 +141,8 @@
   bool hasUnconfirmedTasks(const Machine& machine, Instant now) const;
   /// Returns the earliest time at which the worker's current lease can expire; empty if nothing is
   /// known about the lease.
-  std::optional<Instant> earliestLeaseEnd(const Machine& machine) const {
-    return machine.lease.earliestEnd(leaseTerms_);
+  std::optional<Instant> earliestLeaseExpiry(const Machine& machine) const {
+    return machine.lease.earliestExpiry(leaseTerms_);
   }
   /// Returns whether the worker's lease expires within seconds unless an answer arrives; see
   /// LeaseEstimate.
@@ -157,9 +157,9 @@
   void logSignsOfLife(Instant now) const;
   /// This callback receives, for each machine that is terminated because it no longer reports, the
   /// time since its newest sign of life.
-  std::function<void(Duration silence)> onGivenUpForSilence;
+  std::function<void(Duration silence)> onLostBySilence;
   /// Returns the time at which the newest report of any worker arrived.
-  Instant lastReportOfAny() const { return lastReportOfAny_; }
+  Instant newestReportAt() const { return newestReportAt_; }
   /// Returns whether new tasks may be placed on the machine.
   bool usable(const Machine& machine, Instant now) const;
 
@@ -167,8 +167,8 @@
   void requestTermination(Machine& machine, const std::string& why);
   /// Removes a machine whose termination the cloud has confirmed. Lists and records that still
   /// contain the machine are out of date and are ignored.
-  void onReleased(const MachineId& id, Instant now);
-  bool isReleased(const MachineId& id) const { return released_.contains(id); }
+  void onTerminated(const MachineId& id, Instant now);
+  bool isTerminated(const MachineId& id) const { return terminated_.contains(id); }
 
   /// Requests the termination of all machines that the failure detector finds lost, faulty or
   /// reclaimed. `catalogue` may be null and must stay valid until the next call.
@@ -177,8 +177,8 @@
                       const std::function<bool(const ZoneId&)>& mayHaveActingLeader);
   /// See FailureDetector::setWorkersReachable().
   void setWorkersReachable(bool reachable) { failureDetector_.setWorkersReachable(reachable); }
-  /// See FailureDetector::setPeerUnheard().
-  void setPeerUnheard(bool unheard) { failureDetector_.setPeerUnheard(unheard); }
+  /// See FailureDetector::setPeerUnreachable().
+  void setPeerUnreachable(bool unheard) { failureDetector_.setPeerUnreachable(unheard); }
   /// Returns the zones in which most machines are overdue.
   const std::set<ZoneId>& unreachableZones() const { return failureDetector_.unreachableZones(); }
   bool inUnreachableZone(const Machine& machine) const {
@@ -188,7 +188,7 @@
   /// Returns the evidence that attributes failed tasks to a job or to a machine.
   FailureAttribution& failureAttribution() { return failureAttribution_; }
   const FailureAttribution& failureAttribution() const { return failureAttribution_; }
-  bool faulty(const Machine& machine) const { return failureAttribution_.faulty(machine.id); }
+  bool isFaulty(const Machine& machine) const { return failureAttribution_.faulty(machine.id); }
 
  private:
   DesiredState desiredStateOf(const Machine& machine, const AttemptId& id, Instant now) const;
@@ -202,9 +202,9 @@
   bool isUnrecorded(const Machine& machine) const;
   void updateUncertainLeases(Instant now);
   void updateAckedBeforeLeadership(const ZoneId& zone, Instant bound, Instant now);
-  std::optional<Instant> silentBeforeLeadership(const ZoneId& zone) const;
-  Duration zoneSilence(int machines) const;
-  void giveUp(Machine& machine, const TerminationVerdict& verdict);
+  std::optional<Instant> silentSinceBeforeLeadership(const ZoneId& zone) const;
+  Duration zoneSilenceTimeout(int machines) const;
+  void applyVerdict(Machine& machine, const TerminationVerdict& verdict);
   void countLoss(MachineLoss loss);
 
   const Platform& platform_;
@@ -212,12 +212,12 @@
   const LeaseTerms leaseTerms_;
   FencingToken token_;
   Instant leaderSince_;
-  Instant lastReportOfAny_{};
+  Instant newestReportAt_{};
   std::map<MachineId, Machine> machines_;
-  std::map<MachineId, Instant> released_;
+  std::map<MachineId, Instant> terminated_;
   std::set<MachineId> terminating_;
   std::set<MachineId> unrecorded_;
-  LeaseSightings uncertainLeases_;
+  LeaseObservations uncertainLeases_;
   std::set<MachineId> cordoned_;
   /// Holds the suspected zones that an earlier leader recorded.
   std::map<ZoneId, Instant> suspectedSince_;
@@ -225,8 +225,8 @@
   std::map<ZoneId, Instant> zoneAckBounds_;
   std::map<ZoneId, Instant> ackedBeforeLeadership_;
   FailureAttribution failureAttribution_;
-  std::uint32_t lost_ = 0;
-  std::uint32_t neverBooted_ = 0;
+  std::uint32_t lostCount_ = 0;
+  std::uint32_t neverBootedCount_ = 0;
   std::size_t reportingCount_ = 0;
   bool loggedLateHeartbeat_ = false;
   const Catalogue* catalogue_ = nullptr;
--- a/src/fleet/heartbeat_messages.cpp
+++ b/src/fleet/heartbeat_messages.cpp
@@ -83,7 +83,7 @@
   return nullptr;
 }
 
-std::optional<Report> reportFrom(const Json& v) {
+std::optional<Report> reportFromJson(const Json& v) {
   auto machine = textField(v, key::kMachine);
   auto address = textField(v, key::kAddress);
   auto type = textField(v, key::kType);
@@ -97,19 +97,20 @@
       !workerEpoch || !sequence) {
     return std::nullopt;
   }
-  Report r;
-  r.machine = MachineId{*machine};
-  r.address = *address;
-  r.type = TypeId{*type};
-  r.zone = ZoneId{*zone};
-  r.spot = spot.value_or(false);
-  r.workerEpoch = WorkerEpoch{*workerEpoch};
-  r.sequence = ReportSequence{*sequence};
-  r.token = FencingToken{token.value_or(0)};
-  if (auto notice = numberField(v, key::kNotice)) r.notice = fromSeconds(std::max(0.0, *notice));
+  Report report;
+  report.machine = MachineId{*machine};
+  report.address = *address;
+  report.type = TypeId{*type};
+  report.zone = ZoneId{*zone};
+  report.spot = spot.value_or(false);
+  report.workerEpoch = WorkerEpoch{*workerEpoch};
+  report.sequence = ReportSequence{*sequence};
+  report.token = FencingToken{token.value_or(0)};
+  if (auto notice = numberField(v, key::kNotice))
+    report.notice = fromSeconds(std::max(0.0, *notice));
   if (const Json* tasks = field(v, key::kTasks)) {
     if (!tasks->is_array()) return std::nullopt;
-    r.tasks.reserve(tasks->size());
+    report.tasks.reserve(tasks->size());
     for (const auto& t : *tasks) {
       auto name = textField(t, key::kTask);
       auto attempt = countField(t, key::kAttempt);
@@ -119,32 +120,32 @@
       // A task list that can't be read completely proves nothing about the tasks that are missing
       // from it.
       if (!id || !attempt || !state) return std::nullopt;
-      r.tasks.push_back({{*id, Attempt{*attempt}},
-                         *state,
-                         causeFrom(textField(t, key::kCause).value_or("")),
-                         std::nullopt});
+      report.tasks.push_back({{*id, Attempt{*attempt}},
+                              *state,
+                              causeFrom(textField(t, key::kCause).value_or("")),
+                              std::nullopt});
       if (auto ran = numberField(t, key::kRan); ran && *ran >= 0 && *ran < 1e9) {
-        r.tasks.back().ran = fromSeconds(*ran);
+        report.tasks.back().ran = fromSeconds(*ran);
       }
     }
   } else {
     return std::nullopt;
   }
-  return r;
+  return report;
 }
 
 namespace {
 Json commandList(const std::vector<WorkerCommand>& commands) {
   Json list = Json::array();
-  for (const auto& o : commands) {
-    Json v = {{key::kTask, o.id.task.str()}, {key::kAttempt, o.id.attempt.value}};
-    switch (o.operation) {
+  for (const auto& command : commands) {
+    Json v = {{key::kTask, command.id.task.str()}, {key::kAttempt, command.id.attempt.value}};
+    switch (command.operation) {
       case WorkerCommand::Operation::launch:
         v[key::kOperation] = word::kLaunch;
         break;
       case WorkerCommand::Operation::stop:
         v[key::kOperation] = word::kStop;
-        v[key::kGrace] = toSeconds(o.grace);
+        v[key::kGrace] = toSeconds(command.grace);
         break;
       case WorkerCommand::Operation::clear:
         v[key::kOperation] = word::kClear;
--- a/src/fleet/heartbeat_messages.hpp
+++ b/src/fleet/heartbeat_messages.hpp
@@ -53,7 +53,7 @@
 
 /// Decodes a report. Returns nothing if the body is incomplete: a task list that can't be read
 /// completely proves nothing about the tasks that are missing from it.
-std::optional<Report> reportFrom(const Json& body);
+std::optional<Report> reportFromJson(const Json& body);
 /// Encodes the response to a heartbeat.
 Json reportResponseToJson(FencingToken token, const std::vector<WorkerCommand>& commands);
 /// Encodes a direct command request, which is valid for one worker epoch.
--- a/src/fleet/initial_round.hpp
+++ b/src/fleet/initial_round.hpp
@@ -23,7 +23,7 @@
 
   /// Starts to probe the machines that have not reported. Only the first call has an effect. It
   /// must be called when a list of machines is available, which contains their addresses.
-  void probeUnheard();
+  void probeUnreported();
   /// Returns whether the round is over.
   bool isOver() const;
 
--- a/src/fleet/lease_end_prober.cpp
+++ b/src/fleet/lease_end_prober.cpp
@@ -14,15 +14,15 @@
 // A worker is probed this long after the estimated expiry of its lease. Several probes are sent
 // because answers may be lost, because a worker need not detect the expiry at once, and because its
 // next heartbeat comes within 5 s.
-constexpr std::array<Duration, 9> kProbesAfterEnd{Duration{0},    Duration{200},  Duration{400},
-                                                  Duration{700},  Duration{1200}, Duration{1700},
-                                                  Duration{2400}, Duration{3200}, Duration{4200}};
+constexpr std::array<Duration, 9> kProbeDelaysAfterExpiry{
+    Duration{0},    Duration{200},  Duration{400},  Duration{700}, Duration{1200},
+    Duration{1700}, Duration{2400}, Duration{3200}, Duration{4200}};
 // This limits the probes between two calls of schedule().
-constexpr std::size_t kMostProbes = 48;
+constexpr std::size_t kMaxProbes = 48;
 // Two clocks drift apart by up to 0.05% (PROTOCOL), and the worker sent its heartbeat before the
 // heartbeat arrived here.
 constexpr int kDriftDivisor = 2000;
-constexpr Duration kTransit{10};
+constexpr Duration kHeartbeatTransitTime{10};
 
 }  // namespace
 
@@ -40,25 +40,27 @@
 
 void LeaseEndProber::schedule(Duration horizon) {
   const Instant now = context_.runtime.now();
-  probesLeft_ = kMostProbes;
-  for (Machine* machine : endingWithin(horizon)) {
-    const Ending ending{machine->id, machine->session.lastReport->workerEpoch,
-                        *fleet_.earliestLeaseEnd(*machine)};
-    const Instant begin = ending.end + context_.platform.workerLease / kDriftDivisor + kTransit;
+  probesLeft_ = kMaxProbes;
+  for (Machine* machine : machinesExpiringWithin(horizon)) {
+    const ExpiringLease lease{machine->id, machine->session.lastReport->workerEpoch,
+                              *fleet_.earliestLeaseExpiry(*machine)};
+    const Instant begin =
+        lease.expiry + context_.platform.workerLease / kDriftDivisor + kHeartbeatTransitTime;
     scheduled_.insert(machine->id);
     context_.runtime.after(std::max(Duration{0}, begin - now),
-                           context_.whileLeading([this, ending] { probeNext(ending, 0); }));
+                           context_.whileLeading([this, lease] { probeNext(lease, 0); }));
   }
 }
 
 // Returns the machines whose leases can expire within `horizon`. Machines with production replicas
 // come first, because users notice the failure of these replicas at once.
-std::vector<Machine*> LeaseEndProber::endingWithin(Duration horizon) {
+std::vector<Machine*> LeaseEndProber::machinesExpiringWithin(Duration horizon) {
   const Instant now = context_.runtime.now();
   std::vector<Machine*> machines;
   for (auto& [id, machine] : fleet_.machines()) {
-    const auto end = fleet_.earliestLeaseEnd(machine);
-    if (!end || *end > now + horizon || *end + kProbesAfterEnd.back() < now) continue;
+    const auto expiry = fleet_.earliestLeaseExpiry(machine);
+    if (!expiry || *expiry > now + horizon || *expiry + kProbeDelaysAfterExpiry.back() < now)
+      continue;
     if (!machine.hasReported() || machine.terminationRequested || scheduled_.contains(id) ||
         fleet_.inUnreachableZone(machine) || !hasTasks(machine)) {
       continue;
@@ -84,56 +86,56 @@
 }
 
 // Returns whether no later session was reported and the lease is not known to have been renewed.
-bool LeaseEndProber::isOpen(const Ending& ending) const {
-  const Machine* machine = fleet_.find(ending.machine);
+bool LeaseEndProber::isUnresolved(const ExpiringLease& lease) const {
+  const Machine* machine = fleet_.find(lease.machine);
   return machine && machine->hasReported() && !machine->terminationRequested &&
-         machine->session.lastReport->workerEpoch == ending.workerEpoch &&
-         fleet_.earliestLeaseEnd(*machine) == ending.end;
+         machine->session.lastReport->workerEpoch == lease.workerEpoch &&
+         fleet_.earliestLeaseExpiry(*machine) == lease.expiry;
 }
 
-void LeaseEndProber::probeNext(const Ending& ending, std::size_t probes) {
+void LeaseEndProber::probeNext(const ExpiringLease& lease, std::size_t probes) {
   const std::size_t next = probes + 1;
-  const bool open = isOpen(ending);
-  if (open && probesLeft_ > 0) {
+  const bool unresolved = isUnresolved(lease);
+  if (unresolved && probesLeft_ > 0) {
     --probesLeft_;
-    probe(ending);
+    probe(lease);
   }
-  if (!open || next == kProbesAfterEnd.size()) {
-    scheduled_.erase(ending.machine);
+  if (!unresolved || next == kProbeDelaysAfterExpiry.size()) {
+    scheduled_.erase(lease.machine);
     return;
   }
-  context_.runtime.after(kProbesAfterEnd.at(next) - kProbesAfterEnd.at(probes),
-                         context_.whileLeading([this, ending, next] { probeNext(ending, next); }));
+  context_.runtime.after(kProbeDelaysAfterExpiry.at(next) - kProbeDelaysAfterExpiry.at(probes),
+                         context_.whileLeading([this, lease, next] { probeNext(lease, next); }));
 }
 
 // Sends a direct request without commands, as WorkerProber does.
-void LeaseEndProber::probe(const Ending& ending) {
-  const Machine& machine = *fleet_.find(ending.machine);
+void LeaseEndProber::probe(const ExpiringLease& lease) {
+  const Machine& machine = *fleet_.find(lease.machine);
   context_.workers.send(
-      machine.address, commandRequest(context_.token, ending.workerEpoch), kWorkerAnswerTimeout,
-      context_.whileLeading([this, ending](const std::optional<Response>& response) {
-        onResponse(ending, response);
-      }));
+      machine.address, commandRequest(context_.token, lease.workerEpoch), kWorkerAnswerTimeout,
+      context_.whileLeading(
+          [this, lease](const std::optional<Response>& response) { onResponse(lease, response); }));
 }
 
-void LeaseEndProber::onResponse(const Ending& ending, const std::optional<Response>& response) {
-  Machine* machine = fleet_.find(ending.machine);
+void LeaseEndProber::onResponse(const ExpiringLease& lease,
+                                const std::optional<Response>& response) {
+  Machine* machine = fleet_.find(lease.machine);
   if (!machine) return;
   const Instant now = context_.runtime.now();
   const bool isNewer = response && (response->status == 200 || response->status == 409) &&
                        applyDirectAnswer(fleet_, *machine, *response, now);
   LeaseEndAnswer answer = LeaseEndAnswer::none;
   if (isNewer) {
-    const bool ended = machine->session.lastReport->workerEpoch > ending.workerEpoch;
-    answer = ended ? LeaseEndAnswer::newSession : LeaseEndAnswer::sameSession;
+    const bool isNewSession = machine->session.lastReport->workerEpoch > lease.workerEpoch;
+    answer = isNewSession ? LeaseEndAnswer::newSession : LeaseEndAnswer::sameSession;
   }
-  logDebug("worker probed at lease expiry", "machine", ending.machine, "after_ms", now - ending.end,
-           "answer", toString(answer));
+  logDebug("worker probed at lease expiry", "machine", lease.machine, "after_ms",
+           now - lease.expiry, "answer", toString(answer));
   if (context_.onLeaseEndProbe) context_.onLeaseEndProbe(toString(answer));
   if (!isNewer) return;
   onReport(*machine);
-  if (refusedForItsSession(*machine, ending.workerEpoch, context_.token)) {
-    probe({ending.machine, machine->session.lastReport->workerEpoch, ending.end});
+  if (refusedForItsSession(*machine, lease.workerEpoch, context_.token)) {
+    probe({lease.machine, machine->session.lastReport->workerEpoch, lease.expiry});
   }
 }
 
--- a/src/fleet/lease_end_prober.hpp
+++ b/src/fleet/lease_end_prober.hpp
@@ -37,18 +37,18 @@
 
  private:
   /// Identifies the lease of one worker session that can expire.
-  struct Ending {
+  struct ExpiringLease {
     MachineId machine;
     WorkerEpoch workerEpoch;
-    Instant end;
+    Instant expiry;
   };
-  std::vector<Machine*> endingWithin(Duration horizon);
+  std::vector<Machine*> machinesExpiringWithin(Duration horizon);
   bool hasTasks(const Machine& machine) const;
   bool hasProductionReplica(const Machine& machine) const;
-  bool isOpen(const Ending& ending) const;
-  void probeNext(const Ending& ending, std::size_t probes);
-  void probe(const Ending& ending);
-  void onResponse(const Ending& ending, const std::optional<Response>& response);
+  bool isUnresolved(const ExpiringLease& lease) const;
+  void probeNext(const ExpiringLease& lease, std::size_t probes);
+  void probe(const ExpiringLease& lease);
+  void onResponse(const ExpiringLease& lease, const std::optional<Response>& response);
 
   LeaderContext& context_;
   Fleet& fleet_;
--- a/src/fleet/lease_estimate.cpp
+++ b/src/fleet/lease_estimate.cpp
@@ -11,9 +11,9 @@
 constexpr Duration kTransitSlack{250};
 // If a worker is still in the same session this long after the estimated expiry, its lease was
 // renewed by an answer that this leader does not know.
-constexpr Duration kOutlivedAfter{1000};
+constexpr Duration kOutlivedMargin{1000};
 // A lease is at risk if it expires before this many further answers can be lost.
-constexpr int kTriesLeftAtRisk = 2;
+constexpr int kLostAnswersAtRisk = 2;
 
 }  // namespace
 
@@ -24,10 +24,11 @@
   const Duration gap = next.at - newest_->at;
   // After a lost answer the worker tries all other controllers before it reports to this controller
   // again.
-  const auto others = static_cast<int>(terms.controllers) - 1;
-  const Duration back = kWorkerRetryAfterLostAnswer + others * kWorkerNextControllerDelay;
-  if (gap < back - kTransitSlack) return true;
-  if (others == 0) return gap > back + kTransitSlack;
+  const auto otherControllers = static_cast<int>(terms.controllers) - 1;
+  const Duration retryDelay =
+      kWorkerRetryAfterLostAnswer + otherControllers * kWorkerNextControllerDelay;
+  if (gap < retryDelay - kTransitSlack) return true;
+  if (otherControllers == 0) return gap > retryDelay + kTransitSlack;
   return next.sequence.value == newest_->sequence.value + directAnswers_ + 1;
 }
 
@@ -45,30 +46,30 @@
   return true;
 }
 
-void LeaseEstimate::adopt(const LeaseSighting& sighting, const LeaseTerms& terms) {
-  const HeartbeatArrival& theirs = sighting.newest;
-  if (theirs.workerEpoch < workerEpoch_) return;
-  if (theirs.workerEpoch > workerEpoch_) {
-    workerEpoch_ = theirs.workerEpoch;
+void LeaseEstimate::adopt(const LeaseObservation& observation, const LeaseTerms& terms) {
+  const HeartbeatArrival& other = observation.newest;
+  if (other.workerEpoch < workerEpoch_) return;
+  if (other.workerEpoch > workerEpoch_) {
+    workerEpoch_ = other.workerEpoch;
     renewedAt_.reset();
     newest_.reset();
     unansweredSince_.reset();
     lostAnswer_ = false;
   }
-  if (sighting.renewedAt) {
-    noteRenewed(std::max(renewedAt_.value_or(*sighting.renewedAt), *sighting.renewedAt));
+  if (observation.renewedAt) {
+    noteRenewed(std::max(renewedAt_.value_or(*observation.renewedAt), *observation.renewedAt));
   } else if (!renewedAt_) {
-    unansweredSince_ = std::min(unansweredSince_.value_or(theirs.at), theirs.at);
+    unansweredSince_ = std::min(unansweredSince_.value_or(other.at), other.at);
   }
   const bool isNewer =
-      !newest_ || newest_->workerEpoch < theirs.workerEpoch || newest_->sequence < theirs.sequence;
+      !newest_ || newest_->workerEpoch < other.workerEpoch || newest_->sequence < other.sequence;
   if (isNewer) {
-    newest_ = theirs;
+    newest_ = other;
     directAnswers_ = 0;
   }
   const Duration interval = longestHeartbeatInterval(terms.reportEvery) + kTransitSlack;
-  const auto since = renewedAt_ ? renewedAt_ : unansweredSince_;
-  lostAnswer_ = lostAnswer_ || (since && newest_->at - *since > interval);
+  const auto firstAt = renewedAt_ ? renewedAt_ : unansweredSince_;
+  lostAnswer_ = lostAnswer_ || (firstAt && newest_->at - *firstAt > interval);
 }
 
 void LeaseEstimate::noteRenewed(Instant at) {
@@ -76,9 +77,9 @@
   unansweredSince_.reset();
 }
 
-std::optional<LeaseSighting> LeaseEstimate::sighting() const {
+std::optional<LeaseObservation> LeaseEstimate::observation() const {
   if (!newest_) return std::nullopt;
-  return LeaseSighting{*newest_, renewedAt_};
+  return LeaseObservation{*newest_, renewedAt_};
 }
 
 void LeaseEstimate::noteEarlierAcknowledgement(Instant at) {
@@ -93,8 +94,8 @@
 // Starts the estimate from an acknowledgement by another controller. The acknowledgement reached
 // the worker if the worker reports again before it would have stopped waiting. Otherwise the lease
 // counts from the previous heartbeat, one interval earlier.
-void LeaseEstimate::beginFromEarlierAcknowledgement(Instant heardAt, const LeaseTerms& terms) {
-  lostAnswer_ = heardAt - *earlierAcknowledgement_ >= kWorkerRetryAfterLostAnswer - kTransitSlack;
+void LeaseEstimate::beginFromEarlierAcknowledgement(Instant arrivedAt, const LeaseTerms& terms) {
+  lostAnswer_ = arrivedAt - *earlierAcknowledgement_ >= kWorkerRetryAfterLostAnswer - kTransitSlack;
   renewedAt_ = *earlierAcknowledgement_ -
                (lostAnswer_ ? longestHeartbeatInterval(terms.reportEvery) : Duration{0});
 }
@@ -118,14 +119,16 @@
   // The session may have begun long ago, so its start is not used.
   if (workerEpoch_ == WorkerEpoch{}) workerEpoch_ = workerEpoch;
   if (workerEpoch > workerEpoch_) return beginSession(workerEpoch, now, terms);
-  const auto end = earliestEnd(terms);
-  if (workerEpoch == workerEpoch_ && end && now > *end + kOutlivedAfter) noteOutlived(now, terms);
+  const auto expiry = earliestExpiry(terms);
+  if (workerEpoch == workerEpoch_ && expiry && now > *expiry + kOutlivedMargin)
+    noteOutlived(now, terms);
 }
 
 // Starts a new session. The session began when the lease of the previous session expired, and no
 // later than now.
-void LeaseEstimate::beginSession(WorkerEpoch workerEpoch, Instant seenAt, const LeaseTerms& terms) {
-  noteRenewed(std::min(earliestEnd(terms).value_or(seenAt), seenAt));
+void LeaseEstimate::beginSession(WorkerEpoch workerEpoch, Instant observedAt,
+                                 const LeaseTerms& terms) {
+  noteRenewed(std::min(earliestExpiry(terms).value_or(observedAt), observedAt));
   lostAnswer_ = false;
   workerEpoch_ = workerEpoch;
 }
@@ -140,12 +143,12 @@
                 longestHeartbeatInterval(terms.reportEvery));
     return;
   }
-  const bool explains = newest_ && newest_->workerEpoch == workerEpoch_ &&
-                        now <= newest_->at + terms.lease + kOutlivedAfter;
-  renewedAt_ = explains ? std::optional(newest_->at) : std::nullopt;
+  const bool newestExplainsRenewal = newest_ && newest_->workerEpoch == workerEpoch_ &&
+                                     now <= newest_->at + terms.lease + kOutlivedMargin;
+  renewedAt_ = newestExplainsRenewal ? std::optional(newest_->at) : std::nullopt;
 }
 
-std::optional<Instant> LeaseEstimate::earliestEnd(const LeaseTerms& terms) const {
+std::optional<Instant> LeaseEstimate::earliestExpiry(const LeaseTerms& terms) const {
   if (renewedAt_) return *renewedAt_ + terms.lease;
   if (!unansweredSince_) return std::nullopt;
   // A worker changes to another controller after a lost answer; the last answered heartbeat was one
@@ -155,9 +158,9 @@
 }
 
 bool LeaseEstimate::isAtRisk(const LeaseTerms& terms, Instant now) const {
-  const auto end = earliestEnd(terms);
-  return end && isUncertain(terms, now) &&
-         *end <= now + kTriesLeftAtRisk * kWorkerRetryAfterLostAnswer;
+  const auto expiry = earliestExpiry(terms);
+  return expiry && isUncertain(terms, now) &&
+         *expiry <= now + kLostAnswersAtRisk * kWorkerRetryAfterLostAnswer;
 }
 
 bool LeaseEstimate::isUncertain(const LeaseTerms& terms, Instant now) const {
--- a/src/fleet/lease_estimate.hpp
+++ b/src/fleet/lease_estimate.hpp
@@ -26,7 +26,7 @@
 };
 
 /// Holds one controller's observation of a worker's lease.
-struct LeaseSighting {
+struct LeaseObservation {
   HeartbeatArrival newest;  ///< Is the newest heartbeat that the controller knows.
   /// Is the arrival time of the newest heartbeat whose answer is known to have reached the worker,
   /// or the start of the worker session; empty if neither is known.
@@ -49,9 +49,9 @@
   void noteEarlierAcknowledgement(Instant at);
   /// Merges another controller's observation. The newest observation takes effect, whatever the
   /// order in which they are merged.
-  void adopt(const LeaseSighting& sighting, const LeaseTerms& terms);
+  void adopt(const LeaseObservation& observation, const LeaseTerms& terms);
   /// Returns the observation that results from the heartbeats; empty before the first heartbeat.
-  std::optional<LeaseSighting> sighting() const;
+  std::optional<LeaseObservation> observation() const;
   /// Applies a heartbeat. Returns false and changes nothing if the heartbeat is a duplicate or
   /// older than one that was applied before.
   bool onHeartbeat(const HeartbeatArrival& arrival, const LeaseTerms& terms);
@@ -61,7 +61,7 @@
 
   /// Returns the earliest time at which the current lease can expire; empty if nothing is known
   /// about the lease.
-  std::optional<Instant> earliestEnd(const LeaseTerms& terms) const;
+  std::optional<Instant> earliestExpiry(const LeaseTerms& terms) const;
   /// Returns whether an answer was lost or a heartbeat is overdue.
   bool isUncertain(const LeaseTerms& terms, Instant now) const;
   /// Returns whether the lease is uncertain and expires if the next one or two answers are lost,
@@ -73,9 +73,9 @@
   bool isOverdue(const LeaseTerms& terms, Instant now) const;
   void observeSession(WorkerEpoch workerEpoch, Instant now, const LeaseTerms& terms);
   void beginUnknown(const HeartbeatArrival& arrival, const LeaseTerms& terms);
-  void beginFromEarlierAcknowledgement(Instant heardAt, const LeaseTerms& terms);
+  void beginFromEarlierAcknowledgement(Instant arrivedAt, const LeaseTerms& terms);
   void noteAnswerToNewest(const HeartbeatArrival& next, const LeaseTerms& terms);
-  void beginSession(WorkerEpoch workerEpoch, Instant seenAt, const LeaseTerms& terms);
+  void beginSession(WorkerEpoch workerEpoch, Instant observedAt, const LeaseTerms& terms);
   void noteOutlived(Instant now, const LeaseTerms& terms);
   void noteRenewed(Instant at);
 
--- a/src/fleet/lease_estimate_test.cpp
+++ b/src/fleet/lease_estimate_test.cpp
@@ -14,59 +14,59 @@
   Instant now;  // Is the time of the newest heartbeat.
 
   // Applies the worker's next heartbeat.
-  bool hear(std::int64_t atMs, const MemberId& receivedBy, std::uint64_t epoch = 1) {
+  bool applyHeartbeat(std::int64_t atMs, const MemberId& receivedBy, std::uint64_t epoch = 1) {
     now = Instant{atMs};
     return lease.onHeartbeat(
         {WorkerEpoch{epoch}, ReportSequence{++sequence}, receivedBy, Instant{atMs}}, terms);
   }
-  static LeaseSighting sightingOf(std::uint64_t sequence, const MemberId& receivedBy,
-                                  std::int64_t atMs, std::optional<Instant> renewedAt = {},
-                                  std::uint64_t epoch = 1) {
+  static LeaseObservation observationOf(std::uint64_t sequence, const MemberId& receivedBy,
+                                        std::int64_t atMs, std::optional<Instant> renewedAt = {},
+                                        std::uint64_t epoch = 1) {
     return {{WorkerEpoch{epoch}, ReportSequence{sequence}, receivedBy, Instant{atMs}}, renewedAt};
   }
-  std::int64_t endMs() const { return lease.earliestEnd(terms).value_or(Instant{-1}).ms; }
+  std::int64_t expiryMs() const { return lease.earliestExpiry(terms).value_or(Instant{-1}).ms; }
 };
 
 TEST_F(LeaseEstimateTest, IsUnknownUntilAnAnswerIsKnownToHaveArrived) {
-  EXPECT_EQ(endMs(), -1);
-  hear(1000, kLeader);
-  EXPECT_EQ(endMs(), -1);
+  EXPECT_EQ(expiryMs(), -1);
+  applyHeartbeat(1000, kLeader);
+  EXPECT_EQ(expiryMs(), -1);
   EXPECT_FALSE(lease.isAtRisk(terms, now));
-  hear(2000, kLeader);
-  EXPECT_EQ(endMs(), 12000);
+  applyHeartbeat(2000, kLeader);
+  EXPECT_EQ(expiryMs(), 12000);
   EXPECT_FALSE(lease.isAtRisk(terms, now));
 }
 
 // Guards against a late probe: a lease expired 0.2 s after the third lost answer, and the worker
 // was probed 2.3 s later.
 TEST_F(LeaseEstimateTest, CountsFromTheLastAnswerThatArrivedAndNotFromLostOnes) {
-  hear(1000, kLeader);
-  hear(2000, kLeader);
-  hear(7000, kFollower);
-  hear(12000, kOther);
-  EXPECT_EQ(endMs(), 12000);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
+  applyHeartbeat(7000, kFollower);
+  applyHeartbeat(12000, kOther);
+  EXPECT_EQ(expiryMs(), 12000);
 }
 
 // Guards against the placement of a replica between two lost answers, which then ran for only 2 s
 // (seed 563).
 TEST_F(LeaseEstimateTest, IsAtRiskIfItEndsBeforeTheNextAnswerCanArrive) {
-  hear(1000, kLeader);
-  hear(2000, kLeader);
-  hear(3000, kLeader);
-  hear(8000, kFollower);  // The answer to the previous heartbeat is lost.
-  EXPECT_EQ(endMs(), 13000);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
+  applyHeartbeat(3000, kLeader);
+  applyHeartbeat(8000, kFollower);  // The answer to the previous heartbeat is lost.
+  EXPECT_EQ(expiryMs(), 13000);
   EXPECT_TRUE(lease.isAtRisk(terms, now));
-  hear(9000, kFollower);
-  EXPECT_EQ(endMs(), 19000);
+  applyHeartbeat(9000, kFollower);
+  EXPECT_EQ(expiryMs(), 19000);
   EXPECT_FALSE(lease.isAtRisk(terms, now));
 }
 
 TEST_F(LeaseEstimateTest, OfALongLeaseIsNotAtRiskByOneLostAnswer) {
   terms = {Duration{36000}, Duration{8000}, 3};
-  hear(1000, kLeader);
-  hear(9000, kLeader);
-  hear(14000, kFollower);
-  EXPECT_EQ(endMs(), 37000);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(9000, kLeader);
+  applyHeartbeat(14000, kFollower);
+  EXPECT_EQ(expiryMs(), 37000);
   EXPECT_FALSE(lease.isAtRisk(terms, now));
 }
 
@@ -75,185 +75,185 @@
 TEST_F(LeaseEstimateTest, OfANewLeaderCountsFromWhatItsPeersAcknowledged) {
   lease.noteEarlierAcknowledgement(Instant{5000});
   lease.noteEarlierAcknowledgement(Instant{4000});
-  hear(6000, kLeader);
-  EXPECT_EQ(endMs(), 16000);
+  applyHeartbeat(6000, kLeader);
+  EXPECT_EQ(expiryMs(), 16000);
 }
 
 TEST_F(LeaseEstimateTest, OfANewLeaderCountsFromBeforeAnAcknowledgementThatWasLost) {
   lease.noteEarlierAcknowledgement(Instant{5000});
-  hear(10000, kLeader);
-  EXPECT_EQ(endMs(), 14750);
+  applyHeartbeat(10000, kLeader);
+  EXPECT_EQ(expiryMs(), 14750);
   EXPECT_TRUE(lease.isAtRisk(terms, now));
 }
 
 // Heartbeats that a follower forwards count like heartbeats that the leader receives itself.
 TEST_F(LeaseEstimateTest, CountsHeartbeatsThroughAFollower) {
-  hear(1000, kFollower);
-  hear(2000, kFollower);
-  hear(3000, kFollower);
-  EXPECT_EQ(endMs(), 13000);
+  applyHeartbeat(1000, kFollower);
+  applyHeartbeat(2000, kFollower);
+  applyHeartbeat(3000, kFollower);
+  EXPECT_EQ(expiryMs(), 13000);
 }
 
 TEST_F(LeaseEstimateTest, TakesALongIntervalAtOneControllerForAnAnswerOnlyIfNothingWasSentBetween) {
   terms = {Duration{36000}, Duration{8000}, 3};
-  hear(1000, kLeader);
-  hear(10000, kLeader);
-  EXPECT_EQ(endMs(), 37000);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(10000, kLeader);
+  EXPECT_EQ(expiryMs(), 37000);
   sequence += 2;  // The worker may have tried the other controllers in between.
-  hear(19000, kLeader);
-  EXPECT_EQ(endMs(), 37000);
+  applyHeartbeat(19000, kLeader);
+  EXPECT_EQ(expiryMs(), 37000);
 }
 
 // Guards against needless probes of healthy machines: probes of overdue machines used sequence
 // numbers, so that over slow links no answer was ever known to have reached a worker.
 TEST_F(LeaseEstimateTest, CountsTheAnswersToDirectRequestsBetweenTwoHeartbeats) {
   terms = {Duration{36000}, Duration{8000}, 3};
-  hear(1000, kLeader);
+  applyHeartbeat(1000, kLeader);
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{5000}, terms);
   ++sequence;
-  hear(10000, kLeader);
-  EXPECT_EQ(endMs(), 37000);
+  applyHeartbeat(10000, kLeader);
+  EXPECT_EQ(expiryMs(), 37000);
 }
 
 // A worker whose answer is lost and whose heartbeats the other controllers refuse returns after 7
 // s.
 TEST_F(LeaseEstimateTest, TakesAWorkerThatMayHaveTriedAllOthersForUnanswered) {
-  hear(1000, kLeader);
-  hear(2000, kLeader);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
   sequence += 2;
-  hear(9100, kLeader);
-  EXPECT_EQ(endMs(), 12000);
+  applyHeartbeat(9100, kLeader);
+  EXPECT_EQ(expiryMs(), 12000);
 }
 
 // Guards against an expiry estimate of a whole lease after the first report that a new leader
 // applied.
 TEST_F(LeaseEstimateTest, IsUnknownAfterADirectAnswerOfASessionThatMayHaveBegunLongAgo) {
   lease.onDirectAnswer(WorkerEpoch{3}, Instant{1000}, terms);
-  EXPECT_EQ(endMs(), -1);
-  hear(2000, kLeader, 3);
-  EXPECT_EQ(endMs(), -1);
+  EXPECT_EQ(expiryMs(), -1);
+  applyHeartbeat(2000, kLeader, 3);
+  EXPECT_EQ(expiryMs(), -1);
 }
 
 // Guards against the placement of tasks on a machine that answers probes but whose heartbeats no
 // longer arrive; it got tasks until its lease expired.
 TEST_F(LeaseEstimateTest, IsAtRiskWhileAHeartbeatIsOverdue) {
-  hear(1000, kLeader);
-  hear(2000, kLeader);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
   EXPECT_FALSE(lease.isAtRisk(terms, Instant{3000}));
   EXPECT_TRUE(lease.isAtRisk(terms, Instant{4500}));
 }
 
 TEST_F(LeaseEstimateTest, OfALoneControllerTakesTheTimeOfARetryForALostAnswer) {
   terms.controllers = 1;
-  hear(1000, kLeader);
-  hear(2000, kLeader);
-  hear(7000, kLeader);
-  EXPECT_EQ(endMs(), 12000);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
+  applyHeartbeat(7000, kLeader);
+  EXPECT_EQ(expiryMs(), 12000);
 }
 
 TEST_F(LeaseEstimateTest, OfANewSessionCountsFromTheEndOfTheOneBefore) {
-  hear(1000, kLeader);
-  hear(2000, kLeader);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
   lease.onDirectAnswer(WorkerEpoch{2}, Instant{12100}, terms);
-  EXPECT_EQ(endMs(), 23000);
+  EXPECT_EQ(expiryMs(), 23000);
   sequence = 0;
   // This heartbeat proves nothing about the answer in the previous session.
-  hear(12600, kLeader, 2);
-  EXPECT_EQ(endMs(), 23000);
-  hear(13600, kLeader, 2);
-  EXPECT_EQ(endMs(), 23600);
+  applyHeartbeat(12600, kLeader, 2);
+  EXPECT_EQ(expiryMs(), 23000);
+  applyHeartbeat(13600, kLeader, 2);
+  EXPECT_EQ(expiryMs(), 23600);
 }
 
 // If the session continues after the estimated expiry, the answer to the newest heartbeat arrived,
 // or a follower answered in place of the leader.
 TEST_F(LeaseEstimateTest, MovesOnIfTheSessionOutlivesIt) {
-  hear(1000, kLeader);
-  hear(2000, kLeader);
-  hear(7000, kFollower);
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
+  applyHeartbeat(7000, kFollower);
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{12500}, terms);
-  EXPECT_EQ(endMs(), 12000);  // A worker need not detect the expiry at once.
+  EXPECT_EQ(expiryMs(), 12000);  // A worker need not detect the expiry at once.
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{13500}, terms);
-  EXPECT_EQ(endMs(), 18000);
+  EXPECT_EQ(expiryMs(), 18000);
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{19500}, terms);
-  EXPECT_EQ(endMs(), -1);
+  EXPECT_EQ(expiryMs(), -1);
 }
 
 // Guards against an expiry estimate that is too late: a new leader received a worker's first
 // heartbeat 0.25 s before the lease expired, and assumed a whole lease from then on
 // (limits-fall-faults, seed 3123).
 TEST_F(LeaseEstimateTest, BeginsWithWhatAllControllersKnow) {
-  lease.adopt(sightingOf(3, kFollower, 8000), terms);
-  lease.adopt(sightingOf(2, kOther, 3000, Instant{2000}), terms);
-  EXPECT_EQ(endMs(), 13000);
+  lease.adopt(observationOf(3, kFollower, 8000), terms);
+  lease.adopt(observationOf(2, kOther, 3000, Instant{2000}), terms);
+  EXPECT_EQ(expiryMs(), 13000);
   EXPECT_TRUE(lease.isAtRisk(terms, Instant{8500}));
   sequence = 3;
-  hear(13000, kLeader);
-  EXPECT_EQ(endMs(), 13000);
-  hear(14000, kLeader);
-  EXPECT_EQ(endMs(), 24000);
+  applyHeartbeat(13000, kLeader);
+  EXPECT_EQ(expiryMs(), 13000);
+  applyHeartbeat(14000, kLeader);
+  EXPECT_EQ(expiryMs(), 24000);
 }
 
 TEST_F(LeaseEstimateTest, KnowsFromTheNextHeartbeatWhetherAnAdoptedOneWasAnswered) {
-  lease.adopt(sightingOf(7, kFollower, 1000), terms);
+  lease.adopt(observationOf(7, kFollower, 1000), terms);
   sequence = 7;
-  hear(2000, kFollower);
-  EXPECT_EQ(endMs(), 12000);
+  applyHeartbeat(2000, kFollower);
+  EXPECT_EQ(expiryMs(), 12000);
 }
 
 // A worker that reports to a controller for the first time has just lost an answer at another
 // controller.
 TEST_F(LeaseEstimateTest, CountsFromBeforeTheOldestAdoptedHeartbeatIfNoneIsKnownToBeAnswered) {
-  lease.adopt(sightingOf(8, kOther, 12000), terms);
-  EXPECT_EQ(endMs(), 16750);
-  lease.adopt(sightingOf(7, kFollower, 7000), terms);
-  EXPECT_EQ(endMs(), 11750);
+  lease.adopt(observationOf(8, kOther, 12000), terms);
+  EXPECT_EQ(expiryMs(), 16750);
+  lease.adopt(observationOf(7, kFollower, 7000), terms);
+  EXPECT_EQ(expiryMs(), 11750);
   EXPECT_TRUE(lease.isAtRisk(terms, Instant{12000}));
-  lease.adopt(sightingOf(6, kLeader, 2000, Instant{1000}), terms);
-  EXPECT_EQ(endMs(), 12000);
+  lease.adopt(observationOf(6, kLeader, 2000, Instant{1000}), terms);
+  EXPECT_EQ(expiryMs(), 12000);
 }
 
 // The leader that answered the worker last has ended, and no other controller received heartbeats
 // from the worker.
 TEST_F(LeaseEstimateTest, CountsFromBeforeTheFirstHeartbeatOfAWorkerThatReportedElsewhere) {
   sequence = 30;
-  hear(7000, kFollower);
-  EXPECT_EQ(endMs(), 11750);
-  hear(8000, kFollower);
-  EXPECT_EQ(endMs(), 18000);
+  applyHeartbeat(7000, kFollower);
+  EXPECT_EQ(expiryMs(), 11750);
+  applyHeartbeat(8000, kFollower);
+  EXPECT_EQ(expiryMs(), 18000);
 }
 
 // The controller to which the worker reported before had ended and refused the connection at once
 // (limits-fall-faults, seed 3009).
 TEST_F(LeaseEstimateTest, AllowsForARefusalIfTheSessionOutlivesALostAnswer) {
-  lease.adopt(sightingOf(7, kFollower, 7000), terms);
+  lease.adopt(observationOf(7, kFollower, 7000), terms);
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{12700}, terms);
-  EXPECT_EQ(endMs(), 11750);
+  EXPECT_EQ(expiryMs(), 11750);
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{12800}, terms);
-  EXPECT_EQ(endMs(), 15750);
+  EXPECT_EQ(expiryMs(), 15750);
 }
 
 TEST_F(LeaseEstimateTest, AdoptsNothingOlderThanItKnows) {
-  hear(1000, kLeader, 2);
-  hear(2000, kLeader, 2);
-  lease.adopt(sightingOf(1, kOther, 500, Instant{400}, 2), terms);
-  lease.adopt(sightingOf(9, kOther, 1900, Instant{1800}, 1), terms);
-  EXPECT_EQ(endMs(), 12000);
-  lease.adopt(sightingOf(1, kOther, 1900, Instant{1800}, 3), terms);
-  EXPECT_EQ(endMs(), 12800);
+  applyHeartbeat(1000, kLeader, 2);
+  applyHeartbeat(2000, kLeader, 2);
+  lease.adopt(observationOf(1, kOther, 500, Instant{400}, 2), terms);
+  lease.adopt(observationOf(9, kOther, 1900, Instant{1800}, 1), terms);
+  EXPECT_EQ(expiryMs(), 12000);
+  lease.adopt(observationOf(1, kOther, 1900, Instant{1800}, 3), terms);
+  EXPECT_EQ(expiryMs(), 12800);
 }
 
 TEST_F(LeaseEstimateTest, TellsWhatItKnows) {
-  EXPECT_FALSE(lease.sighting());
-  hear(1000, kLeader);
-  hear(2000, kLeader);
-  ASSERT_TRUE(lease.sighting());
-  EXPECT_EQ(lease.sighting()->newest.sequence, ReportSequence{2});
-  EXPECT_EQ(lease.sighting()->renewedAt, Instant{1000});
+  EXPECT_FALSE(lease.observation());
+  applyHeartbeat(1000, kLeader);
+  applyHeartbeat(2000, kLeader);
+  ASSERT_TRUE(lease.observation());
+  EXPECT_EQ(lease.observation()->newest.sequence, ReportSequence{2});
+  EXPECT_EQ(lease.observation()->renewedAt, Instant{1000});
 }
 
 TEST_F(LeaseEstimateTest, IgnoresCopiesLateHeartbeatsAndEarlierSessions) {
-  hear(1000, kLeader, 2);
-  hear(2000, kLeader, 2);
+  applyHeartbeat(1000, kLeader, 2);
+  applyHeartbeat(2000, kLeader, 2);
   EXPECT_FALSE(
       lease.onHeartbeat({WorkerEpoch{2}, ReportSequence{2}, kOther, Instant{9000}}, terms));
   EXPECT_FALSE(
@@ -261,7 +261,7 @@
   EXPECT_FALSE(
       lease.onHeartbeat({WorkerEpoch{1}, ReportSequence{9}, kOther, Instant{9000}}, terms));
   lease.onDirectAnswer(WorkerEpoch{1}, Instant{90000}, terms);
-  EXPECT_EQ(endMs(), 12000);
+  EXPECT_EQ(expiryMs(), 12000);
 }
 
 }  // namespace
--- a/src/fleet/lease_log.hpp
+++ b/src/fleet/lease_log.hpp
@@ -14,13 +14,13 @@
 LeaseTerms leaseTermsOf(const Platform& platform);
 
 /// Holds a controller's lease observations by machine.
-using LeaseSightings = std::map<MachineId, LeaseSighting>;
+using LeaseObservations = std::map<MachineId, LeaseObservation>;
 
 /// Encodes lease observations for a message to a peer. Times are encoded as ages at `now`.
-Json toJson(const LeaseSightings& sightings, Instant now);
+Json toJson(const LeaseObservations& observations, Instant now);
 /// Decodes lease observations from a message that arrived at `receivedAt` on the local clock.
 /// Malformed entries are ignored.
-LeaseSightings leaseSightingsFrom(const Json& v, Instant receivedAt);
+LeaseObservations leaseObservationsFromJson(const Json& v, Instant receivedAt);
 
 /// Records the heartbeats that workers sent to this controller, for leases that may not have
 /// expired. A new leader may have received no heartbeats itself, so it starts from the observations
@@ -33,14 +33,14 @@
   /// Records a heartbeat that a worker sent to this controller.
   void onHeartbeat(const Report& report, Instant now);
   /// Merges the lease observations of another controller.
-  void adopt(const LeaseSightings& sightings);
+  void adopt(const LeaseObservations& observations);
   /// Removes the observations of leases that have expired.
   void expire(Instant now);
   /// Returns the observations of all leases that may not have expired.
-  LeaseSightings sightings(Instant now) const;
+  LeaseObservations observations(Instant now) const;
 
  private:
-  bool mayMatter(const LeaseSighting& sighting, Instant now) const;
+  bool mayBeUnexpired(const LeaseObservation& observation, Instant now) const;
 
   MemberId self_;
   LeaseTerms terms_;
--- a/src/fleet/lease_log_test.cpp
+++ b/src/fleet/lease_log_test.cpp
@@ -28,40 +28,40 @@
   LeaseLog log(platformWithLease(Duration{11000}));
   log.onHeartbeat(heartbeat(1), Instant{1000});
   log.onHeartbeat(heartbeat(2), Instant{2000});
-  const Json told = toJson(log.sightings(Instant{2500}), Instant{2500});
-  const auto read = leaseSightingsFrom(told, Instant{777000});
-  ASSERT_TRUE(read.contains(kMachine));
-  const LeaseSighting& sighting = read.at(kMachine);
-  EXPECT_EQ(sighting.newest.workerEpoch, WorkerEpoch{1});
-  EXPECT_EQ(sighting.newest.sequence, ReportSequence{2});
-  EXPECT_EQ(sighting.newest.receivedBy, kPeer);
-  EXPECT_EQ(sighting.newest.at, Instant{776500});
-  EXPECT_EQ(sighting.renewedAt, Instant{775500});
+  const Json encoded = toJson(log.observations(Instant{2500}), Instant{2500});
+  const auto decoded = leaseObservationsFromJson(encoded, Instant{777000});
+  ASSERT_TRUE(decoded.contains(kMachine));
+  const LeaseObservation& observation = decoded.at(kMachine);
+  EXPECT_EQ(observation.newest.workerEpoch, WorkerEpoch{1});
+  EXPECT_EQ(observation.newest.sequence, ReportSequence{2});
+  EXPECT_EQ(observation.newest.receivedBy, kPeer);
+  EXPECT_EQ(observation.newest.at, Instant{776500});
+  EXPECT_EQ(observation.renewedAt, Instant{775500});
 }
 
 TEST(LeaseLog, AddsItsOwnHeartbeatsToWhatTheLeaderTold) {
   LeaseLog log(platformWithLease(Duration{11000}));
-  const HeartbeatArrival lost{WorkerEpoch{1}, ReportSequence{1}, MemberId{"hoistd-1"},
-                              Instant{3000}};
-  log.adopt({{kMachine, {lost, Instant{2000}}}});
+  const HeartbeatArrival previous{WorkerEpoch{1}, ReportSequence{1}, MemberId{"hoistd-1"},
+                                  Instant{3000}};
+  log.adopt({{kMachine, {previous, Instant{2000}}}});
   log.onHeartbeat(heartbeat(2), Instant{8000});
-  const LeaseSighting sighting = log.sightings(Instant{8500}).at(kMachine);
-  EXPECT_EQ(sighting.newest.sequence, ReportSequence{2});
-  EXPECT_EQ(sighting.renewedAt, Instant{2000});
+  const LeaseObservation observation = log.observations(Instant{8500}).at(kMachine);
+  EXPECT_EQ(observation.newest.sequence, ReportSequence{2});
+  EXPECT_EQ(observation.renewedAt, Instant{2000});
 }
 
 TEST(LeaseLog, ForgetsLeasesThatAreOver) {
   LeaseLog log(platformWithLease(Duration{11000}));
   log.onHeartbeat(heartbeat(1), Instant{1000});
-  EXPECT_EQ(log.sightings(Instant{17000}).size(), 1U);
-  EXPECT_TRUE(log.sightings(Instant{17001}).empty());
+  EXPECT_EQ(log.observations(Instant{17000}).size(), 1U);
+  EXPECT_TRUE(log.observations(Instant{17001}).empty());
   log.expire(Instant{17001});
-  EXPECT_TRUE(log.sightings(Instant{2000}).empty());
+  EXPECT_TRUE(log.observations(Instant{2000}).empty());
 }
 
 TEST(LeaseLog, IgnoresMalformedEntries) {
   const auto parse = [](const char* text) {
-    return leaseSightingsFrom(Json::parse(text), Instant{5000});
+    return leaseObservationsFromJson(Json::parse(text), Instant{5000});
   };
   EXPECT_TRUE(parse("[]").empty());
   EXPECT_TRUE(parse(R"({"host-1":7})").empty());
--- a/src/fleet/lease_renewal.hpp
+++ b/src/fleet/lease_renewal.hpp
@@ -34,17 +34,18 @@
   static constexpr Duration kSlack{3000};
 
   explicit LeaseRenewal(const Platform& p)
-      : longest_(std::max(Duration{0}, (p.cancelWithin - p.workerLease) * 999 / 1000 - kSlack)) {}
+      : maxRecordAge_(
+            std::max(Duration{0}, (p.cancelWithin - p.workerLease) * 999 / 1000 - kSlack)) {}
 
   /// Returns the last time at which a report may be answered with 200 from records that are current
   /// as of `snapshotTime`.
-  Instant until(Instant snapshotTime) const { return snapshotTime + longest_; }
+  Instant renewableUntil(Instant snapshotTime) const { return snapshotTime + maxRecordAge_; }
   /// Returns the maximum age of the records at that time. It also limits how long a worker that
   /// this leader can't reach may continue after its lease would expire.
-  Duration longest() const { return longest_; }
+  Duration maxRecordAge() const { return maxRecordAge_; }
 
  private:
-  Duration longest_;
+  Duration maxRecordAge_;
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/reconcile_test.cpp
+++ b/src/fleet/reconcile_test.cpp
@@ -25,13 +25,13 @@
     r.token = FencingToken{token};
     return r;
   }
-  std::vector<WorkerCommand> hear(const Report& r, bool mayLaunch = true) {
+  std::vector<WorkerCommand> applyHeartbeat(const Report& r, bool mayLaunch = true) {
     updateSession(session, r, Instant{0});
     return reconcile(session, &record, FencingToken{5}, mayLaunch, [&](const AttemptId&) {
       return DesiredState{stop, Duration{0}};
     });
   }
-  bool gone() { return session.outcomes.contains(kTask); }
+  bool hasProvenOutcome() { return session.outcomes.contains(kTask); }
 };
 
 // Guards against a worker that waits for a lost answer being treated as one that sends no
@@ -47,34 +47,34 @@
 }
 
 TEST_F(Fixture, MissingTaskIsLaunchedAgainNotGivenUp) {
-  auto commands = hear(report(2, 1, 5));
+  auto commands = applyHeartbeat(report(2, 1, 5));
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::launch);
-  EXPECT_FALSE(gone());
+  EXPECT_FALSE(hasProvenOutcome());
 }
 
 TEST_F(Fixture, AbsenceUnderAnEarlierTokenProvesNothing) {
   stop = true;
-  hear(report(2, 1, 4));  // The worker may still obey an earlier leader's commands.
-  EXPECT_FALSE(gone());
-  hear(report(2, 2, 5));
-  EXPECT_TRUE(gone());
+  applyHeartbeat(report(2, 1, 4));  // The worker may still obey an earlier leader's commands.
+  EXPECT_FALSE(hasProvenOutcome());
+  applyHeartbeat(report(2, 2, 5));
+  EXPECT_TRUE(hasProvenOutcome());
 }
 
 TEST_F(Fixture, AbsenceFromTheReportThatWasAnsweredWithTheLaunchProvesNothing) {
-  hear(report(2, 1, 5));
+  applyHeartbeat(report(2, 1, 5));
   stop = true;
-  hear(report(2, 1, 5));
-  EXPECT_FALSE(gone());
-  hear(report(2, 2, 5));
-  EXPECT_TRUE(gone());
+  applyHeartbeat(report(2, 1, 5));
+  EXPECT_FALSE(hasProvenOutcome());
+  applyHeartbeat(report(2, 2, 5));
+  EXPECT_TRUE(hasProvenOutcome());
 }
 
 // Guards against a task running twice: a forwarding peer or a network partition delayed the answer
 // with the launch for 4 s, while the worker answered a direct command, and the absence of the task
 // from that answer was taken as proof that it did not run.
 TEST_F(Fixture, AbsenceFromADirectAnswerThatMayOvertakeTheLaunchProvesNothing) {
-  hear(report(2, 1, 5));
+  applyHeartbeat(report(2, 1, 5));
   stop = true;
   auto direct = [&](const Report& r) {
     updateSession(session, r, Instant{0}, false);
@@ -83,34 +83,34 @@
     });
   };
   direct(report(2, 2, 5));
-  EXPECT_FALSE(gone());
+  EXPECT_FALSE(hasProvenOutcome());
   // A later direct answer does not show either that the worker has given up waiting for the answer
   // with the launch.
   direct(report(2, 4, 5));
-  EXPECT_FALSE(gone());
+  EXPECT_FALSE(hasProvenOutcome());
   // This heartbeat arrives after a newer direct answer that does not contain the task.
-  hear(report(2, 3, 5));
-  EXPECT_TRUE(gone());
+  applyHeartbeat(report(2, 3, 5));
+  EXPECT_TRUE(hasProvenOutcome());
 }
 
 TEST_F(Fixture, ALateDirectLaunchIsMadeHarmlessBeforeTheTaskIsGivenUp) {
   session.unacknowledgedLaunches.insert(kTask);
   stop = true;
-  auto commands = hear(report(2, 1, 5));
-  EXPECT_FALSE(gone());
+  auto commands = applyHeartbeat(report(2, 1, 5));
+  EXPECT_FALSE(hasProvenOutcome());
   ASSERT_EQ(commands.size(), 2U);
   EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::launch);
   EXPECT_EQ(commands[1].operation, WorkerCommand::Operation::stop);
   auto ended = report(2, 2, 5);
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::stopped});
-  hear(ended);
-  EXPECT_TRUE(gone());
+  applyHeartbeat(ended);
+  EXPECT_TRUE(hasProvenOutcome());
   // The attempt is no longer recorded, but the leader never sends `clear` for it, because the
   // worker must still recognize the attempt.
   record.tasks.clear();
   auto later = report(2, 3, 5);
   later.tasks = ended.tasks;
-  EXPECT_TRUE(hear(later).empty());
+  EXPECT_TRUE(applyHeartbeat(later).empty());
 }
 
 // Two commands with the same launch may take different paths, so the answer to one proves nothing
@@ -121,33 +121,33 @@
   session.unacknowledgedLaunches.erase(session.unacknowledgedLaunches.find(kTask));
   auto ended = report(2, 1, 5);
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::stopped});
-  hear(ended);
+  applyHeartbeat(ended);
   record.tasks.clear();
   ended.sequence = ReportSequence{2};
-  EXPECT_TRUE(hear(ended).empty()) << "cleared: the late copy would start it once more";
+  EXPECT_TRUE(applyHeartbeat(ended).empty()) << "cleared: the late copy would start it once more";
 }
 
 TEST_F(Fixture, AnEndedTaskIsClearedOnlyOnceOffTheRecord) {
   auto ended = report(2, 1, 5);
   ended.tasks.push_back({kTask, TaskState::ended, EndCause::done});
-  EXPECT_TRUE(hear(ended).empty());
+  EXPECT_TRUE(applyHeartbeat(ended).empty());
   EXPECT_EQ(session.outcomes.at(kTask), AttemptOutcome::done);
   record.tasks.clear();
   ended.sequence = ReportSequence{2};
-  auto commands = hear(ended);
+  auto commands = applyHeartbeat(ended);
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::clear);
 }
 
 TEST_F(Fixture, AHigherTenureProvesTheOldSessionsTasksGone) {
-  hear(report(3, 1, 0));
+  applyHeartbeat(report(3, 1, 0));
   EXPECT_EQ(session.outcomes.at(kTask), AttemptOutcome::lost);
 }
 
 TEST_F(Fixture, ALateReportOfAnEarlierSessionSaysNothing) {
   stop = true;
-  hear(report(1, 9, 5));
-  EXPECT_FALSE(gone());
+  applyHeartbeat(report(1, 9, 5));
+  EXPECT_FALSE(hasProvenOutcome());
 }
 
 TEST_F(Fixture, AnOlderReportIsNotTakenIn) {
@@ -160,7 +160,7 @@
   record.tasks.clear();
   auto r = report(2, 1, 5);
   r.tasks.push_back({kTask, TaskState::running, EndCause::done});
-  auto commands = hear(r);
+  auto commands = applyHeartbeat(r);
   ASSERT_EQ(commands.size(), 1U);
   EXPECT_EQ(commands[0].operation, WorkerCommand::Operation::stop);
 }
@@ -175,11 +175,11 @@
             {"tick", 1},
             {"baton", 1},
             {"shards", Json::array({{{"shard", "j-1"}, {"try", 1}, {"phase", "running"}}})}};
-  EXPECT_FALSE(reportFrom(v));
+  EXPECT_FALSE(reportFromJson(v));
   v["shards"][0]["shard"] = "j-000001/2";
-  ASSERT_TRUE(reportFrom(v));
+  ASSERT_TRUE(reportFromJson(v));
   v["shards"][0]["phase"] = "dancing";
-  EXPECT_FALSE(reportFrom(v));
+  EXPECT_FALSE(reportFromJson(v));
 }
 
 // Guards against a launch without its stop: the launch alone would start a task of a job whose user
@@ -195,8 +195,8 @@
   auto commands = reconcile(session, &record, FencingToken{5}, true, [&](const AttemptId& id) {
     return DesiredState{id == kTask, Duration{0}};
   });
-  auto mine = [](const WorkerCommand& o) { return o.id == kTask; };
-  EXPECT_EQ(std::count_if(commands.begin(), commands.end(), mine), 0);
+  auto isForTask = [](const WorkerCommand& o) { return o.id == kTask; };
+  EXPECT_EQ(std::count_if(commands.begin(), commands.end(), isForTask), 0);
 }
 
 struct LeaseOnly : Fixture {
--- a/src/fleet/worker_prober.cpp
+++ b/src/fleet/worker_prober.cpp
@@ -30,11 +30,12 @@
   return report.workerEpoch > requested && report.token < token;
 }
 
-bool WorkerProber::awaitsUnheard() const {
-  return std::any_of(awaited_.begin(), awaited_.end(), [this](const MachineId& id) {
-    const Machine* machine = fleet_.find(id);
-    return machine && !machine->hasReported();
-  });
+bool WorkerProber::awaitsFirstReport() const {
+  return std::any_of(unansweredProbes_.begin(), unansweredProbes_.end(),
+                     [this](const MachineId& id) {
+                       const Machine* machine = fleet_.find(id);
+                       return machine && !machine->hasReported();
+                     });
 }
 
 // Probes machines whose reports are overdue: they are dead, or their workers are trying other
@@ -45,8 +46,8 @@
   // workers may report to a controller that is cut off. The number grows while probes are answered.
   std::size_t silent = 0;
   for (Machine* machine : machinesToProbe(context_.runtime.now())) {
-    if (awaited_.size() >= kMostProbes) break;
-    if (fleet_.inUnreachableZone(*machine) && ++silent > unreachableZoneProbes_) continue;
+    if (unansweredProbes_.size() >= kMaxProbes) break;
+    if (fleet_.inUnreachableZone(*machine) && ++silent > maxUnreachableZoneProbes_) continue;
     probe(*machine);
   }
 }
@@ -56,7 +57,7 @@
 std::vector<Machine*> WorkerProber::machinesToProbe(Instant now) {
   std::vector<Machine*> due;
   for (auto& [id, machine] : fleet_.machines()) {
-    if (machine.address.empty() || awaited_.contains(id)) continue;
+    if (machine.address.empty() || unansweredProbes_.contains(id)) continue;
     if (fleet_.isOverdue(machine, now) || fleet_.hasUnconfirmedTasks(machine, now))
       due.push_back(&machine);
   }
@@ -68,7 +69,7 @@
 // Sends a direct request without commands, which shows this leader's token to the worker and
 // returns the worker's report.
 void WorkerProber::probe(Machine& machine) {
-  if (!awaited_.insert(machine.id).second) return;
+  if (!unansweredProbes_.insert(machine.id).second) return;
   const Instant now = context_.runtime.now();
   machine.probedAt = now;
   logDebug("probe sent to worker", "machine", machine.id, "silent_ms",
@@ -82,14 +83,14 @@
       }));
 }
 
-void WorkerProber::ask(const Machine& machine) {
+void WorkerProber::requestReport(const Machine& machine) {
   const SentProbe sent{context_.runtime.now(), probedEpoch(machine)};
   context_.workers.send(
       machine.address, commandRequest(context_.token, sent.workerEpoch), kWorkerAnswerTimeout,
       context_.whileLeading([this, id = machine.id, sent](const std::optional<Response>& response) {
-        Machine* asked = fleet_.find(id);
-        if (!asked || !response || !isReport(*response)) return;
-        if (applyAnswer(*asked, sent, *response)) ask(*asked);
+        Machine* probed = fleet_.find(id);
+        if (!probed || !response || !isReport(*response)) return;
+        if (applyAnswer(*probed, sent, *response)) requestReport(*probed);
       }));
 }
 
@@ -105,7 +106,7 @@
 void WorkerProber::onResult(const MachineId& id, const SentProbe& sent, const ProbeResult& result) {
   Machine* machine = fleet_.find(id);
   // The result of an earlier probe may arrive after a newer probe was sent.
-  if (!machine || machine->probedAt == sent.at) awaited_.erase(id);
+  if (!machine || machine->probedAt == sent.at) unansweredProbes_.erase(id);
   if (!machine) return;
   const bool reached = result.outcome == ProbeOutcome::answered && isReport(*result.response);
   if (fleet_.inUnreachableZone(*machine)) adaptToUnreachableZone(reached);
@@ -117,8 +118,8 @@
 }
 
 void WorkerProber::adaptToUnreachableZone(bool reached) {
-  unreachableZoneProbes_ =
-      reached ? std::min(2 * unreachableZoneProbes_, kMostProbes) : kFewestZoneProbes;
+  maxUnreachableZoneProbes_ =
+      reached ? std::min(2 * maxUnreachableZoneProbes_, kMaxProbes) : kMinZoneProbes;
 }
 
 void WorkerProber::onUnanswered(Machine& machine, Instant sent, const ProbeResult& result) const {
--- a/src/fleet/worker_prober.hpp
+++ b/src/fleet/worker_prober.hpp
@@ -38,10 +38,10 @@
   /// Probes this machine unless a probe of it is still unanswered.
   void probe(Machine& machine);
   /// Asks this machine for its report. A missing answer is not counted as a failed probe.
-  void ask(const Machine& machine);
+  void requestReport(const Machine& machine);
   /// Returns whether a probe is unanswered that was sent to a machine without any report to this
   /// leader.
-  bool awaitsUnheard() const;
+  bool awaitsFirstReport() const;
 
   /// This callback runs after a newer report of a machine is applied, because the report may prove
   /// an outcome.
@@ -59,15 +59,15 @@
   bool applyAnswer(Machine& machine, const SentProbe& sent, const Response& response);
   void adaptToUnreachableZone(bool reached);
 
-  static constexpr std::size_t kFewestZoneProbes = 2;
+  static constexpr std::size_t kMinZoneProbes = 2;
   /// Limits the number of probes without an answer at the same time.
-  static constexpr std::size_t kMostProbes = 32;
+  static constexpr std::size_t kMaxProbes = 32;
 
   LeaderContext& context_;
   Fleet& fleet_;
-  std::set<MachineId> awaited_;  ///< Contains the machines with an unanswered probe.
+  std::set<MachineId> unansweredProbes_;  ///< Contains the machines with an unanswered probe.
   /// Limits the probes per call to machines in unreachable zones.
-  std::size_t unreachableZoneProbes_ = kFewestZoneProbes;
+  std::size_t maxUnreachableZoneProbes_ = kMinZoneProbes;
 };
 
 }  // namespace kestrelhoist
--- a/src/leadership/leader_context.hpp
+++ b/src/leadership/leader_context.hpp
@@ -48,7 +48,7 @@
   /// Whether a peer that may be alive has not been heard lately. A null function means no.
   std::function<bool()> hasUnheardPeer{};
   /// Called with the silence of each machine that is given up for it; may be null.
-  std::function<void(Duration)> onGivenUpForSilence{};
+  std::function<void(Duration)> onLostBySilence{};
   /// Called when commands are sent to a machine once more; may be null.
   std::function<void()> onCommandsRepeated{};
   /// Called with the name of what came of a probe at the end of a worker's lease; may be null.
--- a/src/leadership/peer_membership.cpp
+++ b/src/leadership/peer_membership.cpp
@@ -60,7 +60,7 @@
       std::nullopt,
       cancelled ? std::optional(Revision{*cancelled}) : std::nullopt,
       zoneAcks ? zoneAckReportFrom(*zoneAcks, zones) : std::nullopt,
-      leases ? leaseSightingsFrom(*leases, receivedAt) : LeaseSightings{}};
+      leases ? leaseObservationsFromJson(*leases, receivedAt) : LeaseObservations{}};
 }
 
 PeerMembership::PeerMembership(Runtime& runtime, HttpClient& http, const Platform& platform)
--- a/src/leadership/peer_membership.hpp
+++ b/src/leadership/peer_membership.hpp
@@ -39,7 +39,7 @@
   /// told is malformed.
   std::optional<ZoneAckReport> zoneAcks = std::nullopt;
   /// Of the leader: leases that end unless an answer arrives; see Fleet::uncertainLeases().
-  LeaseSightings uncertainLeases = {};
+  LeaseObservations uncertainLeases = {};
 };
 
 /// `now`: when it is sent.
--- a/src/policy/policy_loop.cpp
+++ b/src/policy/policy_loop.cpp
@@ -96,8 +96,8 @@
   if (!windowEnds) return s;
   Instant now = context_.runtime.now();
   s.prioritizedMachines = prioritizedMachines();
-  s.lost = fleet_.lost() - std::exchange(lostBefore_, fleet_.lost());
-  s.lateBoots = fleet_.neverBooted() - std::exchange(lateBefore_, fleet_.neverBooted());
+  s.lost = fleet_.lostCount() - std::exchange(lostBefore_, fleet_.lostCount());
+  s.lateBoots = fleet_.neverBootedCount() - std::exchange(lateBefore_, fleet_.neverBootedCount());
   s.unreachableZones = static_cast<std::uint32_t>(fleet_.unreachableZones().size());
   std::map<ImageId, double> starts;
   for (const auto& [id, m] : fleet_.machines()) {
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -315,7 +315,7 @@
 }
 
 void expectReadAsWritten(const Json& message) {
-  auto report = reportFrom(message);
+  auto report = reportFromJson(message);
   ASSERT_TRUE(report) << message.dump();
   EXPECT_EQ(report->machine.value, message.at("host"));
   EXPECT_EQ(report->address, message.at("addr"));
