--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -15,7 +15,7 @@
 // The leader receives a heartbeat that a peer forwards within this time or not at all.
 constexpr Duration kMaxForwardingTime{2000};
 
-// Each status message to a peer contains these leases.
+// The limit bounds the size of the status messages to peers, which contain these leases.
 constexpr std::size_t kMaxUncertainLeases = 64;
 
 // Returns whether the worker is in a session from which no heartbeat has arrived at this leader.
@@ -172,9 +172,8 @@
     const bool mustSave = left < spec.saveTime + 2 * platform_.reportEvery + kSaveMargin;
     return mustSave ? DesiredState{true, graceFor(spec)} : DesiredState{};
   }
-  // The time left in a termination notice is inaccurate and at worst twice the real time; the
-  // worker's report already subtracts the elapsed time. A task that can't end in time is stopped
-  // now, so that it starts elsewhere.
+  // The notice is rough: the time left is half of it at worst, which the worker's report already
+  // counts down. A task that can't end in time starts again elsewhere now.
   auto seen = machine.firstSeenRunning.find(id);
   const Duration age = seen == machine.firstSeenRunning.end() ? Duration{0} : now - seen->second;
   const bool endsInTime = spec.kind != JobKind::service && spec.estimate - age <= left * 3 / 2;
@@ -381,7 +380,7 @@
   return out;
 }
 
-// Returns how long a zone may send no report before it is suspected. The reports of n machines
+// Returns the time without any report after which a zone is suspected. The reports of n machines
 // arrive every reportEvery / n on average, so the failure of a zone with many machines is detected
 // before each machine is overdue.
 Duration Fleet::zoneSilenceTimeout(int machines) const {
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -34,7 +34,8 @@
   std::optional<Instant> terminationNoticeEnds;
   ListedState listed = ListedState::never;
   int consecutiveListsMissing{};
-  Instant rentedAt{};  ///< Is an estimate if the rental is not recorded.
+  /// Is the time at which the machine was rented, or the best estimate of that time.
+  Instant rentedAt{};
   Instant firstSeen{};
   /// Is the time at which another controller last acknowledged a heartbeat of this machine, before
   /// this leader received a report of it.
--- a/src/fleet/lease_renewal.hpp
+++ b/src/fleet/lease_renewal.hpp
@@ -40,8 +40,8 @@
   /// Returns the last time at which a report may be answered with 200 from records that are current
   /// as of `snapshotTime`.
   Instant renewableUntil(Instant snapshotTime) const { return snapshotTime + maxRecordAge_; }
-  /// Returns the maximum age of the records at that time. It also limits how long a worker that
-  /// this leader can't reach may continue after its lease would expire.
+  /// Returns the maximum age of the records from which a lease may be renewed. A worker that this
+  /// leader can't reach may continue for at most this long after its lease would otherwise expire.
   Duration maxRecordAge() const { return maxRecordAge_; }
 
  private:
