--- a/src/connectivity/connectivity_test.cpp
+++ b/src/connectivity/connectivity_test.cpp
@@ -12,7 +12,8 @@
 
 const MemberId kPeer{"peer"}, kOther{"other"};
 
-// Read a second ago, with the token that the worker has, and nobody to ask.
+// Returns a view in which the records were read one second ago, the worker has the known token and
+// no other controller is reachable.
 HeartbeatView alone() {
   HeartbeatView v;
   v.now = Instant{100000};
@@ -36,10 +37,10 @@
 TEST(Route, ALeaderThatTakesNoReportsFromPeersGetsItsWorkers) {
   auto v = alone();
   v.leader = kPeer;
-  v.leaderReachesWorkers = true;  // the version before, or passing on fails
+  v.leaderReachesWorkers = true;  // The leader has the previous version, or forwarding fails.
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::redirect);
   EXPECT_EQ(routeHeartbeat(v).to, kPeer);
-  // Back from there a moment ago: it did not get through.
+  // The worker has just returned because it could not reach the leader.
   v.sinceRedirect = Duration{5000};
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.sinceRedirect = Duration{7000};
@@ -51,10 +52,11 @@
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.renewUntil = v.now;
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
-  v.renewUntil = v.now - Duration{1};  // a cancellation might be unknown for too long
+  v.renewUntil = v.now - Duration{1};  // The records may lack a cancellation for too long.
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
   v = alone();
-  v.reportedToken = FencingToken{8};  // the worker would drop it, and stay while its lease runs out
+  // The worker would ignore the response and keep reporting here until its lease expires.
+  v.reportedToken = FencingToken{8};
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
   v = alone();
   v.knownToken = v.reportedToken = FencingToken{};
@@ -67,7 +69,8 @@
 TEST(Route, AHolderThatRenewsOutOfSightGetsItsWorkers) {
   auto v = alone();
   v.unreachableLeader = kPeer;
-  v.leaderUnreachableFor = Duration{2900};  // its key may outlive it for so long
+  v.leaderUnreachableFor =
+      Duration{2900};  // The leader key may exist this long after its owner stopped.
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.leaderUnreachableFor = Duration{3100};
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::redirect);
@@ -84,7 +87,8 @@
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
 }
 
-// Its zone's workers looked dead to the leader, which could hear them.
+// Guards against keeping the workers of the zone on an isolated controller. The leader declared
+// them dead, although they could have reported to it.
 TEST(Route, CutOffAloneItSendsItsZonesWorkersOnOnceOthersShowThatItIsNotTheZone) {
   auto v = alone();
   v.isolated = v.foreignZonesReach = true;
@@ -100,7 +104,7 @@
   EXPECT_EQ(link.state(Instant{1500}, Duration{1000}), LinkState::down);
   link.onAnswered(Instant{500});
   EXPECT_EQ(link.state(Instant{1500}, Duration{1000}), LinkState::up);
-  link.onFailed(Instant{450});  // given up late: something sent after it was answered
+  link.onFailed(Instant{450});  // A request sent after this one got a response.
   EXPECT_FALSE(link.failing());
 }
 
@@ -108,15 +112,15 @@
   PeerProxyView v;
   v.peers = {{kPeer, true, Instant{10200}, true, false},
              {kOther, true, Instant{11000}, true, false}};
-  EXPECT_FALSE(chooseProxyPeer(v));  // nothing fails
+  EXPECT_FALSE(chooseProxyPeer(v));  // The direct link does not fail.
   v.failingSince = Instant{10000};
   EXPECT_EQ(chooseProxyPeer(v), kOther);
   v.peers[1].blocked = true;
   EXPECT_FALSE(chooseProxyPeer(v)) << "an answer that was under way when the outage began";
   v.peers[0].reachedAt = Instant{10400};
   EXPECT_EQ(chooseProxyPeer(v), kPeer);
-  v.peers[0].supportsForwarding =
-      false;  // the version before: its 404 would look like the service's
+  // The previous version responds with 404, which would be mistaken for a response of the service.
+  v.peers[0].supportsForwarding = false;
   EXPECT_FALSE(chooseProxyPeer(v));
   v.peers[0].supportsForwarding = true;
   v.peers[0].recentlyReachable = false;
@@ -128,7 +132,8 @@
   a.record(MachineId{"host-1"}, Instant{1000});
   a.record(MachineId{"host-1"}, Instant{900});
   auto told = a.toJson(Instant{5000});
-  auto read = HeartbeatAckLog::parse(told, Instant{777000});  // another clock, some time on the way
+  // The receiver has another clock, and the log took some time to arrive.
+  auto read = HeartbeatAckLog::parse(told, Instant{777000});
   EXPECT_EQ(read.at(MachineId{"host-1"}), Instant{773000});
   a.expire(Instant{1000000});
   EXPECT_TRUE(a.entries().empty());
@@ -172,8 +177,9 @@
   EXPECT_LE(batches, 5);
 }
 
-// Found on tfc-bratislava-fleet's day `apart`: what had failed once counted as failing for ever,
-// since nothing was passed any more, and every worker was sent to the leader.
+// Guards against a leader that counts as failing forever after one failure. No heartbeat was
+// forwarded to it any more, so its recovery was not noticed, and every worker was redirected to it.
+// It was found in the scenario `apart` of tfc-bratislava-fleet.
 TEST_F(TwoControllers, ALeaderThatDidNotAnswerIsTriedAgain) {
   HeartbeatForwarder relay(runtime, *peers, MemberId{"me"});
   network.cut("me", {"peer"}, sim::CutMode::hold, 6000);
@@ -187,7 +193,7 @@
     pass();
     clock.runUntil(clock.now() + 1000);
   }
-  // Each within a worker's patience of 4 s.
+  // Each heartbeat fails within the 4 s that a worker waits for its response.
   EXPECT_GE(unanswered, 2);
   EXPECT_GT(relay.failingFor(kPeer), Duration{2000});
   clock.runUntil(began.ms + 12000);
@@ -197,8 +203,8 @@
   EXPECT_EQ(unanswered, 5);
 }
 
-// A machine is asked in vain only over a way that works: its silence must not count against it
-// while this controller is the one that is cut off from all of them.
+// Guards against declaring a worker unreachable while this controller cannot reach any worker. A
+// missing response is evidence only if another worker responds over the same path.
 TEST_F(TwoControllers, SilenceCountsOnlyWhereOthersWereReached) {
   WorkerTransport line(runtime, runtime, *peers);
   network.listen("live:9", [](const std::string&, const Request&, const Respond& respond) {
--- a/src/connectivity/heartbeat_forwarder.cpp
+++ b/src/connectivity/heartbeat_forwarder.cpp
@@ -8,19 +8,21 @@
 
 namespace kestrelhoist {
 namespace {
-// A worker waits 4 s for its answer (PROTOCOL): a report waits at most this long to be sent on, and
-// a batch as long again for its answer.
+// A worker waits 4 s for the response to its heartbeat (see the PROTOCOL document). A heartbeat
+// stays in the queue for at most this time, and its batch then waits at most this time for a
+// response.
 constexpr Duration kBatchTimeout{1500};
-// The leader answers a batch at once, so a later answer is most likely lost.
-constexpr Duration kRepeatBatchAfter{500};
-constexpr Duration kLinger{15};
-constexpr Duration kBusyRetry{100};
+// The leader responds to a batch immediately, so a response that takes longer is most likely lost.
+constexpr Duration kHedgeDelay{500};
+constexpr Duration kBatchDelay{15};
+constexpr Duration kBusyRetryDelay{100};
 constexpr int kMaxBatchesInFlight = 2;
 constexpr std::size_t kMaxBatchReports = 64;
-constexpr std::size_t kMaxBatchBytes = 48 * 1024;  // a body may have 64 KiB
-constexpr Duration kRetryAfter{2 * kBatchTimeout};
+constexpr std::size_t kMaxBatchBytes = 48 * 1024;  // The body of a request is limited to 64 KiB.
+constexpr Duration kFailedLeaderRetryDelay{2 * kBatchTimeout};
 
-// Encodes a CBOR array of indefinite length from encoded items, which need not be decoded.
+// Encodes a CBOR array of indefinite length. The items are already encoded and are copied as they
+// are.
 std::string encodeArray(const std::deque<std::string>& items) {
   std::string out(1, '\x9f');
   for (const auto& i : items) out += i;
@@ -32,7 +34,7 @@
 void HeartbeatForwarder::forward(const MemberId& leader, std::string report, OnReply done) {
   PeerQueue& queue = queues_[leader];
   queue.waiting.push_back({std::move(report), runtime_.now(), std::move(done)});
-  schedule(leader, kLinger);
+  schedule(leader, kBatchDelay);
 }
 
 void HeartbeatForwarder::schedule(const MemberId& leader, Duration wait) {
@@ -58,7 +60,7 @@
   Instant now = runtime_.now();
   dropExpired(queue, now);
   if (queue.waiting.empty()) return;
-  if (queue.inFlight >= kMaxBatchesInFlight) return schedule(leader, kBusyRetry);
+  if (queue.inFlight >= kMaxBatchesInFlight) return schedule(leader, kBusyRetryDelay);
   Batch batch = takeBatch(queue);
   ++queue.inFlight;
   ++batches_;
@@ -72,7 +74,7 @@
       [](const Answer& answer) { return !answer; },
       [this, leader, sent = now, callbacks = std::move(batch.callbacks)](
           Instant, const Answer& answer) { onBatchResponse(leader, sent, callbacks, answer); });
-  request->start({kRepeatBatchAfter, kBatchTimeout}, onRepeated);
+  request->start({kHedgeDelay, kBatchTimeout}, onRepeated);
   if (!queue.waiting.empty()) schedule(leader, Duration{0});
 }
 
@@ -121,9 +123,9 @@
 Duration HeartbeatForwarder::failingFor(const MemberId& leader) const {
   auto it = queues_.find(leader);
   if (it == queues_.end() || !it->second.link.failing()) return Duration{0};
-  // A leader that failed some time ago is tried again. Nothing is forwarded while it counts as
-  // failing, so nothing else would ever show its recovery.
-  if (runtime_.now() - *it->second.link.lastFailed() > kRetryAfter) return Duration{0};
+  // The leader counts as responding again some time after its last failure. No heartbeat is
+  // forwarded to a leader that counts as failing, so its recovery would otherwise never be noticed.
+  if (runtime_.now() - *it->second.link.lastFailed() > kFailedLeaderRetryDelay) return Duration{0};
   return runtime_.now() - *it->second.link.failingSince();
 }
 
--- a/src/connectivity/heartbeat_forwarder.hpp
+++ b/src/connectivity/heartbeat_forwarder.hpp
@@ -1,7 +1,8 @@
-/// Forwards heartbeats that reach a follower to the leader in batches and returns the leader's
-/// commands as responses. Batches are hedged: the leader tells a heartbeat that it has received by
-/// its worker epoch and sequence. A response reaches the
-/// heartbeat that it answers, or is dropped because the worker has already timed out.
+/// \file
+/// Declares the forwarding of heartbeats from a follower to the leader in batches. The leader's
+/// commands are the responses. Batches are sent as hedged requests: the leader recognizes a
+/// heartbeat that it has already received by its worker epoch and report sequence. Each response is
+/// returned to the worker whose heartbeat it answers, unless that worker has already timed out.
 #pragma once
 
 #include <deque>
@@ -14,19 +15,22 @@
 
 namespace kestrelhoist {
 
-/// The follower's side: one queue of heartbeats per leader. Single-threaded.
+/// Queues heartbeats on a follower and sends them to the leader, with one queue per leader. The
+/// class is not thread-safe.
 class HeartbeatForwarder {
  public:
   HeartbeatForwarder(Runtime& runtime, PeerMembership& peers, MemberId self)
       : runtime_(runtime), peerMembership_(peers), self_(std::move(self)) {}
 
-  /// Forwards the encoded heartbeat. `done` gets no response if the leader gives none in time.
+  /// Forwards the encoded heartbeat `report`. `done` is called without a response if the leader
+  /// does not respond in time.
   void forward(const MemberId& leader, std::string report, OnReply done);
-  /// For how long the leader has not answered forwarded heartbeats; 0 if it does.
+  /// Returns for how long the leader has not responded to forwarded heartbeats, or 0 if it
+  /// responds.
   Duration failingFor(const MemberId& leader) const;
   std::uint64_t forwarded() const { return forwarded_; }
   std::uint64_t batches() const { return batches_; }
-  /// Called when a batch is sent once more; may be null.
+  /// Is called when a batch is sent again. It may be null.
   std::function<void()> onRepeated;
 
  private:
@@ -61,7 +65,8 @@
   std::uint64_t forwarded_ = 0, batches_ = 0;
 };
 
-/// The leader's side: answers each heartbeat of a batch by `serve` and returns all responses.
+/// Handles a batch on the leader. It calls `serve` for each heartbeat and returns all responses in
+/// the order of the heartbeats.
 Response answerBatch(const Request& request, const std::function<Response(const Json&)>& serve);
 
 }  // namespace kestrelhoist
--- a/src/connectivity/heartbeat_forwarder_test.cpp
+++ b/src/connectivity/heartbeat_forwarder_test.cpp
@@ -1,5 +1,5 @@
-// Guards against: the lost answer to one forwarded heartbeat cost its worker 1.5 s of its lease and
-// the leader's commands.
+// Guards against a forwarded heartbeat whose response is lost and not requested again. The worker
+// lost 1.5 s of its lease and did not receive the leader's commands.
 #include "connectivity/heartbeat_forwarder.hpp"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
     });
   }
 
-  // When the heartbeat is answered, and whether by the leader.
+  // Forwards one heartbeat. Returns the time until it was answered and whether the leader did so.
   std::pair<Duration, bool> forwardOne() {
     HeartbeatForwarder forwarder(runtime, *peers, MemberId{"me"});
     forwarder.onRepeated = [this] { ++repeats; };
--- a/src/connectivity/heartbeat_route.cpp
+++ b/src/connectivity/heartbeat_route.cpp
@@ -9,23 +9,25 @@
 
 Route routeHeartbeat(const HeartbeatView& v) {
   if (v.leads) return {RouteAction::serve, std::nullopt};
-  // A redirected worker that came back could not reach the target. It is redirected at most once in
-  // half a lease, so that two nodes that redirect to each other cannot use up the lease.
+  // A redirected worker that reports here again could not reach the target. A worker is redirected
+  // at most once per half lease, so that its lease cannot expire while two controllers redirect it
+  // to each other.
   bool mayRedirectAgain = !v.sinceRedirect || *v.sinceRedirect > v.lease / 2;
   if (v.leader && v.leaderForwards) return {RouteAction::forward, v.leader};
   if (v.leader && v.leaderReachesWorkers && mayRedirectAgain)
     return {RouteAction::redirect, v.leader};
   bool leaseOnly = mayRenewLocally(v);
   if (!v.leader) {
-    // The key holder still renews its lease, so it is alive and only the link to it is cut.
+    // The owner of the leader key still renews its lease, so it is running and only the link
+    // between it and this controller is down.
     if (v.unreachableLeader && v.leaderUnreachableFor > v.leaderLeaseLife && mayRedirectAgain &&
         v.mayRedirect)
       return {RouteAction::redirect, v.unreachableLeader};
-    // This controller reaches neither the store nor any peer, yet workers of other zones reach it:
-    // the controller is cut off, not its zone, so the workers reach the other controllers, where
-    // commands come from. That holds for its own zone's workers, too. Kept here on lease-only
-    // responses they look dead to the leader (8 to 16 of 24 replicas were given up), although they
-    // could report to it.
+    // This controller reaches neither the state service nor any peer, but workers of other zones
+    // reach it. Therefore only the controller is isolated, not its zone, and all workers, including
+    // those of its own zone, can report to the other controllers and get commands there. If they
+    // stayed here on lease-only responses, the leader would consider them dead: in one such case it
+    // gave up 8 to 16 of 24 replicas whose workers could have reported to it.
     if (v.isolated && (v.foreignZone || v.foreignZonesReach) && mayRedirectAgain) {
       return {RouteAction::reject, std::nullopt};
     }
--- a/src/connectivity/link_health.cpp
+++ b/src/connectivity/link_health.cpp
@@ -25,7 +25,7 @@
 
 void LinkHealth::onFailed(Instant sent) {
   lastFailed_ = std::max(lastFailed_.value_or(sent), sent);
-  // An answer to a later request has already shown the link to be up.
+  // A request that was sent later got a response, so the link has recovered since this failure.
   if (lastGood_ && sent < *lastGood_) return;
   if (!failingSince_) failingSince_ = sent;
   ++failures_;
--- a/src/connectivity/link_health.hpp
+++ b/src/connectivity/link_health.hpp
@@ -1,4 +1,5 @@
-/// Health of one network link, derived from the traffic that flows over it anyway.
+/// \file
+/// Declares the health of one network link, which is derived from the regular traffic on it.
 #pragma once
 
 #include <optional>
@@ -7,32 +8,33 @@
 
 namespace kestrelhoist {
 
+/// Lists the states of a link.
 enum class LinkState { unknown, up, degraded, down };
 
-/// The state's name as it appears to operators.
+/// Returns the name under which operators see the state.
 const char* toString(LinkState state);
 
 /// Tracks the health of one link from the send times of requests and whether they were answered.
 /// The class performs no I/O and is not thread-safe.
 class LinkHealth {
  public:
-  /// Records that the request sent at `sent` has been answered.
+  /// Records that the request sent at `sent` got a response.
   void onAnswered(Instant sent);
-  /// Records that the request sent at `sent` went unanswered.
+  /// Records that the request sent at `sent` got no response.
   void onFailed(Instant sent);
 
   bool failing() const { return failingSince_.has_value(); }
-  /// The send time of the first request of the current series of failures.
+  /// Returns the send time of the first request of the current series of failures.
   std::optional<Instant> failingSince() const { return failingSince_; }
-  /// The send time of the newest request that went unanswered.
+  /// Returns the send time of the newest request that got no response.
   std::optional<Instant> lastFailed() const { return lastFailed_; }
-  /// The number of failures in a row.
+  /// Returns the number of consecutive failures.
   int failures() const { return failures_; }
-  /// The send time of the newest request that was answered.
+  /// Returns the send time of the newest request that got a response.
   std::optional<Instant> lastGood() const { return lastGood_; }
 
-  /// Returns `down` once the link has failed for `downAfter`, and `unknown` for a link that has
-  /// never been tried.
+  /// Returns `down` once the link has failed for `downAfter`, and `unknown` if no request was ever
+  /// sent over the link.
   LinkState state(Instant now, Duration downAfter) const;
 
  private:
--- a/src/connectivity/peer_proxy.cpp
+++ b/src/connectivity/peer_proxy.cpp
@@ -5,8 +5,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kPeerStatusMaxAge{1500};
-// A response may have been in flight when the link broke: the peer's read may have been sent a
-// little before.
+// A peer's successful request may have been sent slightly before the direct link of this controller
+// failed, so a peer must have reached the service at least this long after the failure.
 constexpr Duration kInFlightMargin{300};
 constexpr Duration kPeerBackoff{2000};
 constexpr Duration kServeTimeout{2500};
@@ -52,7 +52,8 @@
   auto peer = chooseProxyPeer(view());
   if (peer.has_value() != viaPeer_) {
     viaPeer_ = peer.has_value();
-    logInfo(viaPeer_ ? "proxying service requests through peer" : "no peer reaches the service",
+    logInfo(viaPeer_ ? "direct link to service fails; proxying requests through peer"
+                     : "no peer reaches the service; using the direct link",
             "service", settings_.name, "peer", peer ? peer->value : "-");
   }
   if (!peer) return direct(std::move(request), timeout, std::move(done));
--- a/src/connectivity/peer_proxy.hpp
+++ b/src/connectivity/peer_proxy.hpp
@@ -1,7 +1,9 @@
-/// Proxies requests to a service of the region (state service, cloud) through a peer while the
-/// direct link to it fails, so that one lost link costs neither the leadership nor this
-/// controller's users. Requests and responses pass unchanged, so what a response proves, and what a
-/// missing one leaves open, is the same on both paths (docs/safety.md, "Links").
+/// \file
+/// Declares the client for a service of the region (the state service or the cloud) that sends its
+/// requests through a peer while the direct link to the service fails. With it, one failed link
+/// does not end the leadership of this controller and does not affect its users. Requests and
+/// responses pass unchanged, so a response, or the lack of one, has the same meaning on both paths
+/// (see docs/safety.md, "Links").
 #pragma once
 
 #include <map>
@@ -11,39 +13,41 @@
 
 namespace kestrelhoist {
 
-/// Inputs for choosing the peer that proxies a request.
+/// Holds the inputs for choosing the peer that proxies a request.
 struct PeerProxyView {
   struct PeerView {
     MemberId member;
-    bool supportsForwarding{};  ///< its version can proxy requests
-    Instant reachedAt{};        ///< when its own link last reached the service
+    bool supportsForwarding{};  ///< Is true if the peer's version can proxy requests.
+    Instant reachedAt{};        ///< Holds when the peer last reached the service directly.
     bool recentlyReachable{};
-    bool blocked{};  ///< a proxied request through it failed a moment ago
+    bool blocked{};  ///< Is true if a request through the peer failed recently.
   };
-  std::optional<Instant> failingSince;  ///< of the direct link
+  std::optional<Instant> failingSince;  ///< Holds when the direct link began to fail.
   std::vector<PeerView> peers;
 };
 
-/// Returns the peer that reached the service last, provided that this was after it began to fail
-/// here. A peer that reached it only before that may be in the same outage.
+/// Returns the peer that reached the service most recently. Peers that last reached it before the
+/// direct link of this controller began to fail are excluded, since they may be affected by the
+/// same outage.
 std::optional<MemberId> chooseProxyPeer(const PeerProxyView& view);
 
-/// An HTTP client for one service that falls back to a peer. Single-threaded.
+/// Sends HTTP requests to one service, directly or through a peer. The class is not thread-safe.
 class PeerProxy : public HttpClient {
  public:
   struct Settings {
-    std::string name;     ///< as in the mesh paths: "state", "cloud"
-    std::string address;  ///< of the service
-    Request probe;        ///< sent over the direct link while proxying, to detect recovery
+    std::string name;     ///< Is the service's name in mesh paths ("state" or "cloud").
+    std::string address;  ///< Holds the address of the service.
+    Request probe;        ///< Is sent over the direct link during proxying to detect its recovery.
     Duration probeEvery{1000};
   };
-  /// @param ageAt How long ago a peer's own link reached the service, according to its status.
+  /// Creates a client for the service in `settings`.
+  /// @param ageAt Returns the time since a peer last reached the service directly, from its status.
   PeerProxy(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
             std::function<Duration(const PeerStatus&)> ageAt);
 
   void send(const std::string& address, Request request, Duration timeout, OnReply done) override;
-  /// Serves a peer's proxied request. It always takes the direct link, so that proxying cannot
-  /// loop.
+  /// Sends a request of a peer to the service. The request always uses the direct link, so that
+  /// proxying cannot loop.
   void serve(const Request& request, const Respond& respond);
 
   const LinkHealth& link() const { return link_; }
--- a/src/connectivity/redirect_canary.cpp
+++ b/src/connectivity/redirect_canary.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::size_t kMaxCanaries = 2;
 constexpr Duration kScheduleSlack{1000};
-// On a detour a worker waits for three answers of this controller: the one before it, the redirect
-// and the one after it.
+// A redirected worker that returns waits for three responses of this controller: the one before the
+// redirect, the redirect itself and the one after its return.
 constexpr int kAnswersOnDetour = 3;
 
 }  // namespace
@@ -22,7 +22,9 @@
       leaseOutlastsCycle_(failoverCycle + longestHeartbeatInterval(reportEvery) + kScheduleSlack <
                           lease) {}
 
-// Between an answer and the next heartbeat pass at least three quarters of the interval.
+// Returns an upper bound for the response time of this controller as seen by the worker. A worker
+// waits at least three quarters of the heartbeat interval between a response and its next
+// heartbeat.
 Duration RedirectCanary::slowestAnswer(const RedirectCandidate& worker) const {
   if (!worker.sinceAcknowledged) return kWorkerAnswerTimeout;
   return std::clamp(*worker.sinceAcknowledged - reportEvery_ * 3 / 4, Duration{0},
@@ -42,7 +44,7 @@
   if (leader_ != leader) return outlivesDetour(worker);
   if (returnedAt_ && now - *returnedAt_ < 2 * lease_) return false;
   if (redirected_.empty()) return outlivesDetour(worker);
-  // No canary came back in time, so the leader answers them.
+  // No canary reported here again in time, so the leader responds to the canaries.
   if (now > returnDue_) return true;
   return redirected_.size() < kMaxCanaries && outlivesDetour(worker);
 }
@@ -55,7 +57,8 @@
     returnedAt_.reset();
   }
   if (redirected_.size() >= kMaxCanaries) return;
-  // The redirect is on its way to the worker, and then its next heartbeat on its way back.
+  // Besides the failover cycle, the redirect takes time to reach the worker, and the worker's next
+  // heartbeat takes time to reach this controller.
   const Instant due = now + failoverCycle_ + 2 * slowestAnswer(worker);
   returnDue_ = redirected_.empty() ? due : std::max(returnDue_, due);
   redirected_.emplace(worker.machine, now);
--- a/src/connectivity/redirect_canary.hpp
+++ b/src/connectivity/redirect_canary.hpp
@@ -1,4 +1,6 @@
-/// Limits how many workers are redirected to a leader that this controller cannot reach itself.
+/// \file
+/// Declares the limit on how many workers are redirected to a leader that this controller cannot
+/// reach.
 #pragma once
 
 #include <map>
@@ -8,31 +10,37 @@
 
 namespace kestrelhoist {
 
-/// A worker whose heartbeat has just arrived.
+/// Describes a worker whose heartbeat has just arrived.
 struct RedirectCandidate {
-  MachineId machine;  ///< the worker's
-  bool idle{};        ///< it has no tasks to lose
-  /// Since the arrival of its previous heartbeat that was acknowledged here; empty if there is
-  /// none.
+  MachineId machine;  ///< Identifies the worker's machine.
+  bool idle{};        ///< Is true if the worker runs no tasks.
+  /// Holds the time since the arrival of the worker's previous heartbeat that this controller
+  /// acknowledged. It is empty if there is none.
   std::optional<Duration> sinceAcknowledged;
 };
 
-/// Decides whether a worker may be redirected to an unreachable leader, by redirecting a few
-/// canaries first and watching whether they come back.
+/// Decides whether a worker may be redirected to a leader that this controller cannot reach. A few
+/// workers are redirected first, as canaries. The others follow only if the canaries do not report
+/// to this controller again.
 ///
-/// The leader may reach the workers no better than this controller reaches the leader. In one such
-/// case controllers refused one another's connections, the leader had lost the workers, and the
-/// controller that received all heartbeats redirected every worker to it; each worker spent its
-/// lease on the failover cycle. Nor may the link between the workers and this controller be fast: a
-/// worker sends its next heartbeat when it has the answer to the last one, so the time between them
-/// bounds how long its answers take, and a canary must outlive the detour with such answers. The
-/// class performs no I/O and is not thread-safe.
+/// The workers may be unable to reach the leader, too. In one such case the controllers refused
+/// each other's connections and the leader received no heartbeats. The controller that received all
+/// of them redirected every worker to the leader, and the workers' leases expired while they tried
+/// one controller after the other.
+///
+/// The link between the workers and this controller may also be slow. A worker sends its next
+/// heartbeat only after it has received the response to the previous one, so the time between two
+/// heartbeats is an upper bound for the response time. A worker with tasks is chosen as a canary
+/// only if its lease lasts for the whole detour with responses that take that long.
+///
+/// The class performs no I/O and is not thread-safe.
 class RedirectCanary {
  public:
-  /// @param failoverCycle The longest that a worker takes to come back when every node that it
-  ///        tries hangs.
-  /// @param lease The workers' lease.
-  /// @param reportEvery The workers' heartbeat interval.
+  /// Creates a canary that allows the first redirects.
+  /// @param failoverCycle The longest time until a redirected worker reports here again if every
+  ///        controller that it tries accepts the request but does not respond.
+  /// @param lease The duration of a worker's lease.
+  /// @param reportEvery The heartbeat interval of the workers.
   RedirectCanary(Duration failoverCycle, Duration lease, Duration reportEvery);
 
   /// Returns whether `worker` may be redirected to `leader` now.
@@ -40,8 +48,8 @@
                                  Instant now) const;
   /// Records that `worker` has been redirected to `leader`.
   void onRedirected(const MemberId& leader, const RedirectCandidate& worker, Instant now);
-  /// Records a heartbeat here. If the worker had been redirected, the redirect target is
-  /// unreachable for it.
+  /// Records that this controller received a heartbeat of the worker. If that worker is a canary,
+  /// it could not reach the redirect target.
   void onReport(const MachineId& machine, Instant now);
 
  private:
@@ -49,10 +57,15 @@
   bool outlivesDetour(const RedirectCandidate& worker) const;
 
   Duration failoverCycle_, lease_, reportEvery_;
-  bool leaseOutlastsCycle_;            ///< a worker with tasks survives a whole failover cycle
-  MemberId leader_;                    ///< the current redirect target
-  Instant returnDue_{};                ///< by when a canary that came back would have reported
-  std::optional<Instant> returnedAt_;  ///< when a canary last came back
+  /// Is true if a lease lasts longer than a whole failover cycle.
+  bool leaseOutlastsCycle_;
+  /// Names the current redirect target.
+  MemberId leader_;
+  /// Holds the time by which every canary that cannot reach the target has reported here again.
+  Instant returnDue_{};
+  /// Holds the time at which a canary last reported here again.
+  std::optional<Instant> returnedAt_;
+  /// Holds the current canaries and the times at which they were redirected.
   std::map<MachineId, Instant> redirected_;
 };
 
--- a/src/connectivity/redirect_canary_test.cpp
+++ b/src/connectivity/redirect_canary_test.cpp
@@ -1,5 +1,5 @@
-// Guards against: a canary lost its lease on the detour, as answers over a slow link were not
-// allowed for (deaf-leaders-slow-canary).
+// Guards against a canary whose lease expires during the detour. The slow responses of the worker's
+// link were not taken into account (scenario deaf-leaders-slow-canary).
 #include "connectivity/redirect_canary.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 const MemberId kLeader{"node1"};
 constexpr Instant kNow{100000};
 
-// Three nodes, heartbeats every 3 s.
+// Creates a canary for three controllers and a heartbeat interval of 3 s.
 RedirectCanary canary() { return {Duration{11000}, Duration{17500}, Duration{3000}}; }
 
 RedirectCandidate busy(const std::string& machine, std::optional<Duration> sinceAcknowledged) {
@@ -35,7 +35,7 @@
 
 TEST(RedirectCanary, OthersFollowOnceCanariesWithSlowAnswersWouldBeBack) {
   RedirectCanary slow = canary();
-  const RedirectCandidate idle{MachineId{"host-1"}, true, Duration{5250}};  // answers take 3 s
+  const RedirectCandidate idle{MachineId{"host-1"}, true, Duration{5250}};  // Responses take 3 s.
   slow.onRedirected(kLeader, idle, kNow);
   const RedirectCandidate other = busy("host-2", Duration{5250});
   EXPECT_FALSE(slow.mayRedirect(kLeader, other, kNow + Duration{13200}));
--- a/src/connectivity/reporter_log.hpp
+++ b/src/connectivity/reporter_log.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which workers reported last, by zone: whom to ask in order to learn whether the way to the
-/// workers works.
+/// Declares the log of the workers that sent the newest heartbeats of each zone. A request to one
+/// of them shows whether the path to the workers works.
 #pragma once
 
 #include <array>
@@ -12,22 +12,23 @@
 
 namespace kestrelhoist {
 
-/// Remembers the two workers of each zone that reported last, and the zone of each address. It
-/// performs no I/O and is not thread-safe.
+/// Records the two workers of each zone that sent the newest heartbeats, and the zone of each
+/// worker. The class performs no I/O and is not thread-safe.
 class ReporterLog {
  public:
-  /// @param freshFor For how long after its report a worker counts as one that reports.
+  /// Creates an empty log. A worker is preferred as the newest one of its zone only if its last
+  /// heartbeat is no older than `freshFor`.
   explicit ReporterLog(Duration freshFor) : freshFor_(freshFor) {}
 
-  /// The worker at `address` has reported.
+  /// Records that a heartbeat of the worker at `address` arrived.
   void record(const std::string& address, const ZoneId& zone, Instant at);
-  /// The worker other than `address` that reported last in the zone; if none did lately, in any
-  /// zone.
+  /// Returns the worker in the zone, other than the one at `address`, whose heartbeat is the
+  /// newest. If that heartbeat is not recent, the search covers all zones.
   std::optional<std::string> newestBeside(const std::string& address, const ZoneId& zone,
                                           Instant now) const;
-  /// The zone of a worker that reported lately.
+  /// Returns the zone of the worker at `address`, or no value if it sent no heartbeat recently.
   std::optional<ZoneId> zoneOf(const std::string& address) const;
-  /// Drops workers that have not reported for long.
+  /// Removes workers that have sent no heartbeat for a long time.
   void expire(Instant now);
 
  private:
@@ -35,7 +36,8 @@
     std::string address;
     Instant at;
   };
-  /// The newest first. Two, so that one is left when the other is the one in question.
+  /// Holds two workers with the newest one first. If one of them is the worker to be excluded, the
+  /// other one is returned.
   using Newest = std::array<std::optional<Reporter>, 2>;
   struct Known {
     ZoneId zone;
--- a/src/connectivity/reporter_log_test.cpp
+++ b/src/connectivity/reporter_log_test.cpp
@@ -22,7 +22,8 @@
   EXPECT_EQ(log.newestBeside("x", ZoneId{"c"}, Instant{5}), "a1");
 }
 
-// A machine that was given back a moment ago would answer no more than one that is dead.
+// Guards against choosing a worker that sends no heartbeats as the reference. A machine that was
+// terminated a moment ago does not respond and would prove nothing about the path.
 TEST(ReporterLog, PrefersWhoReportsElsewhereToWhoNoLongerDoesInTheZone) {
   ReporterLog log{Duration{1000}};
   log.record("a1", kZoneA, Instant{0});
--- a/src/connectivity/worker_transport.cpp
+++ b/src/connectivity/worker_transport.cpp
@@ -10,29 +10,34 @@
 namespace {
 constexpr Duration kPeerStatusMaxAge{1500};
 constexpr Duration kDirectProbeTimeout{1500};
-// Direct commands that fail in a row before the link to the workers counts as failing: single
-// machines die all the time.
+// The link to the workers counts as failing only after this many consecutive failed requests, since
+// single machines die often.
 constexpr int kFailuresUntilLinkFails = 3;
 constexpr Duration kProbeEvery{2000};
 constexpr Duration kThroughPeerFor{6000};
-constexpr int kPeerReachesNoWorker =
-    504;  // between controllers: the peer tried, and reaches no worker either
+// A peer responds with this status if neither the requested worker nor its reference worker
+// responded.
+constexpr int kPeerReachesNoWorker = 504;
 constexpr Duration kForgetNextHop{5 * 60 * 1000};
-// When the answer to a probe is overdue, and for how long it is accepted after all. A worker that
-// waits longer for an answer of its own gives up (PROTOCOL, "Workers").
+// The response to a probe is overdue after kProbeAnswerDue and is still accepted until
+// kProbePatience. A worker gives up on its own requests after the latter time (see PROTOCOL,
+// "Workers").
 constexpr Duration kProbeAnswerDue{1500};
 constexpr Duration kProbePatience = kWorkerAnswerTimeout;
-constexpr int kLateAnswerFactor = 2;  // times the round trip of a worker that answered late
+// After a late response, the next response of that worker is due after this many times the late
+// round trip.
+constexpr int kLateAnswerFactor = 2;
 constexpr Duration kForgetLateAnswer{5 * 60 * 1000};
-// Requests sent within this time of each other count as sent at the same time.
+// Two requests that are sent at most this long apart count as sent at the same time.
 constexpr Duration kSameTime{100};
 constexpr Duration kRetryPeerAfter{3000};
 
 Response notReached() { return {kNotReached, encodeBody(Json::object())}; }
 }  // namespace
 
-// A heartbeat of a worker that lives arrives within its interval, give or take a quarter, and the
-// time that it waits for an answer (PROTOCOL, "Workers").
+// A running worker sends its next heartbeat within 1.25 intervals after a response, and it waits
+// for that response no longer than kProbePatience (see PROTOCOL, "Workers"). A reference worker
+// whose last heartbeat is older is unlikely to be running.
 WorkerTransport::WorkerTransport(Runtime& runtime, HttpClient& http, PeerMembership& peers,
                                  Duration reportEvery)
     : runtime_(runtime),
@@ -82,9 +87,10 @@
                      [&](const auto& p) { return p.second >= sent; });
 }
 
-// Prefers the peer that forwarded the worker's last heartbeat, then the one that last received a
-// heartbeat from any worker (a peer that received none may still reach them). Peers that failed
-// recently come last.
+// Returns the peer through which a request to the worker should go. The first choice is the peer
+// that forwarded the worker's last heartbeat. The second choice is the peer that most recently
+// received a heartbeat from any worker, although a peer that received none may still reach the
+// workers. Peers through which a request failed recently come last.
 std::optional<MemberId> WorkerTransport::peerFor(const std::string& address) const {
   std::optional<MemberId> best;
   std::tuple<bool, bool, Duration> bestRank{};
@@ -105,7 +111,7 @@
   return best;
 }
 
-// The peer through which a request should go; empty: directly.
+// Returns the peer through which a request should go, or no value if it should go directly.
 std::optional<MemberId> WorkerTransport::detourFor(const std::string& address) const {
   auto failed = failedDirectly_.find(address);
   const bool failedLately =
@@ -126,8 +132,8 @@
                             OnProbeResult done) {
   auto peer = detourFor(address);
   if (!peer) return probeDirectly(address, zone, std::move(request), std::move(done));
-  // On both ways: the peer may have no other worker to ask for comparison. A probe has no content
-  // that could be carried out twice.
+  // The probe is sent on both paths, because the peer may have no reference worker. A probe can be
+  // sent twice safely, since it contains no commands.
   auto answered = std::make_shared<bool>(false);
   probeThrough(*peer, address, request, [answered, done](const ProbeResult& result) {
     *answered = *answered || result.outcome == ProbeOutcome::answered;
@@ -139,7 +145,7 @@
   });
 }
 
-// The peer asks a reference of its own.
+// Probes a worker through a peer. The peer probes a reference worker of its own.
 void WorkerTransport::probeThrough(const MemberId& peer, const std::string& address,
                                    Request request, OnProbeResult done) {
   sendThrough(peer, address, std::move(request), kProbeAnswerDue,
@@ -152,15 +158,15 @@
               });
 }
 
-/// A probe that was sent directly and may still be answered.
+/// Holds the state of a probe that was sent directly and may still get a response.
 struct WorkerTransport::DirectProbe {
   std::string address;
   Instant sent;
-  std::optional<std::string> reference;  ///< the worker that was asked with it
+  std::optional<std::string> reference;  ///< Holds the reference worker's address.
   OnProbeResult done;
   bool answered = false;
   bool overdue = false;
-  bool unreachable = false;  ///< as reported to `done`
+  bool unreachable = false;  ///< Is true if `done` was called with `unreachable`.
 };
 
 void WorkerTransport::probeDirectly(const std::string& address, const ZoneId& zone, Request request,
@@ -195,7 +201,8 @@
                std::nullopt});
 }
 
-// On a slow link the answer of the reference may have taken longer than was allowed to be overdue.
+// Handles a probe without a response at its final timeout. On a slow link, the response of the
+// reference worker may have arrived only after the probe became overdue, so it is checked again.
 void WorkerTransport::onDirectProbeOver(const std::shared_ptr<DirectProbe>& probe) {
   if (!probe->overdue || probe->unreachable || !probe->reference) return;
   if (!answeredSince(*probe->reference, probe->sent)) return;
@@ -203,7 +210,8 @@
   probe->done({ProbeOutcome::unreachable, std::nullopt, std::nullopt});
 }
 
-// Asks another worker, once for all probes of the same time; returns its address.
+// Probes a reference worker and returns its address. Probes that are sent at the same time share
+// one request to the reference worker.
 std::optional<std::string> WorkerTransport::askReference(const std::string& address,
                                                          const ZoneId& zone) {
   auto reference = reporters_.newestBeside(address, zone, runtime_.now());
@@ -249,8 +257,9 @@
              });
 }
 
-// The probe is a read-only request. A command sent on both paths might be carried out late on one
-// of them, after the response on the other has settled it.
+// Sends a read-only request to detect the recovery of the direct link. Commands are never sent on
+// both paths, because the copy on one path could be executed after the response on the other path
+// has settled the command.
 void WorkerTransport::probeDirectLink(const std::string& address) {
   Instant now = runtime_.now();
   if (now - probedAt_ < kProbeEvery) return;
@@ -268,8 +277,8 @@
                        [this, sent = runtime_.now(), address, peer,
                         done = std::move(done)](std::optional<Response> response) {
                          failedDirectly_.erase(address);
-                         // With kNotReached the peer failed to reach this worker, but reaches other
-                         // workers.
+                         // The status kNotReached means that the peer reaches other workers, but
+                         // not this one.
                          if (response && response->status != kPeerReachesNoWorker) {
                            if (response->status != kNotReached) throughPeer_[peer] = sent;
                            return done(std::move(response));
@@ -281,7 +290,8 @@
 
 void WorkerTransport::serve(const std::string& address, const Request& request,
                             const Respond& respond) {
-  // Shorter than the timeout of the leader's probes.
+  // The timeout is shorter than that of the leader's probes, so that the leader receives the
+  // result.
   constexpr Duration kTimeout{1200};
   const Instant sent = runtime_.now();
   auto reference = askReference(address, reporters_.zoneOf(address).value_or(ZoneId{}));
--- a/src/connectivity/worker_transport.hpp
+++ b/src/connectivity/worker_transport.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The way of requests to workers: directly, or through a peer while the direct way fails.
+/// Declares the sending of requests to workers, either directly or, while the direct path fails,
+/// through a peer.
 #pragma once
 
 #include <functional>
@@ -14,53 +15,63 @@
 
 namespace kestrelhoist {
 
-/// What came of a probe.
+/// Lists the outcomes of a probe.
 enum class ProbeOutcome {
   answered,
-  unreachable,  ///< no answer, while another worker answered on the same way at about the same time
-  unknown       ///< no answer, and nothing shows that the way to the worker works
+  /// The worker did not respond, but another worker responded over the same path at about the same
+  /// time.
+  unreachable,
+  /// The worker did not respond, and no other response shows that the path to the workers is up.
+  unknown
 };
-/// The outcome's name as it appears in logs.
+/// Returns the name under which the outcome appears in logs.
 const char* toString(ProbeOutcome outcome);
 
-/// What is known of a probe so far.
+/// Holds the result of a probe so far. A later result of the same probe may differ.
 struct ProbeResult {
-  ProbeOutcome outcome = ProbeOutcome::unknown;  ///< by now
-  std::optional<Response> response;              ///< set if it was answered
-  std::optional<MemberId> through;  ///< the peer through which it went; empty: directly
+  /// Holds the outcome at the time of this result.
+  ProbeOutcome outcome = ProbeOutcome::unknown;
+  /// Holds the worker's response. It is empty unless the outcome is `answered`.
+  std::optional<Response> response;
+  /// Names the peer that relayed the probe. It is empty if the probe was sent directly.
+  std::optional<MemberId> through;
 };
-/// Receives what is known of a probe; see WorkerTransport::probe().
+/// Receives the results of a probe (see WorkerTransport::probe()).
 using OnProbeResult = std::function<void(const ProbeResult&)>;
 
-/// Sends requests to workers. Those that the leader cannot reach directly go through the peer that
-/// forwarded their last heartbeat. A request without a response may still arrive, on either path.
+/// Sends requests to workers. A request to a worker that the leader cannot reach directly goes
+/// through a peer, preferably the one that forwarded the worker's last heartbeat. A request that
+/// got no response may still arrive later, on either path.
 class WorkerTransport : public HttpClient {
  public:
-  /// @param reportEvery The workers' heartbeat interval.
+  /// Creates a transport for workers with the heartbeat interval `reportEvery`.
   WorkerTransport(Runtime& runtime, HttpClient& http, PeerMembership& peers,
                   Duration reportEvery = Duration{1000});
 
-  /// Without a response the cause is unknown. kNotReached says that other workers answered
-  /// requests sent since on the same path.
+  /// Sends a request to the worker at `address`. If `done` is called without a response, the cause
+  /// of the failure is unknown. The status kNotReached means that this worker did not respond while
+  /// other workers responded to requests sent later over the same path.
   void send(const std::string& address, Request request, Duration timeout, OnReply done) override;
-  /// Asks a worker, and with it one that reported lately, preferably of the same zone, whose answer
-  /// shows that the way works. `done` is called when the worker has answered or its answer is
-  /// overdue, whichever comes first, and again if more is known later: an overdue answer that
-  /// arrives after all, or `unreachable` after `unknown`. A worker that lately did not answer
-  /// directly is probed through a peer, too, and each way has its results.
+  /// Probes a worker. At the same time a reference worker is probed, whose response shows that the
+  /// path works. The reference is a worker that sent a heartbeat recently, preferably one in the
+  /// same zone. `done` is called when the worker responds or when its response is overdue,
+  /// whichever comes first. It is called again if the result changes: when an overdue response
+  /// arrives, or when `unknown` becomes `unreachable`. A worker that recently failed to respond
+  /// directly is probed through a peer as well, and `done` receives the results of both paths.
   void probe(const std::string& address, const ZoneId& zone, Request request, OnProbeResult done);
-  /// Records that this worker reported directly, or through the peer `via`.
+  /// Records that a heartbeat of this worker arrived, either directly or through the peer `via`.
   void noteReport(const std::string& address, const ZoneId& zone,
                   const std::optional<MemberId>& via);
-  /// Sends a request to a worker directly, on behalf of a peer.
+  /// Sends a request of a peer to a worker directly and passes the response to `respond`.
   void serve(const std::string& address, const Request& request, const Respond& respond);
-  /// The health of the direct link to the workers.
+  /// Returns the health of the direct link to the workers.
   const LinkHealth& link() const { return link_; }
-  /// Whether a request sent at `sent` or later reached a worker, directly or through a peer.
+  /// Returns whether a request sent at `sent` or later reached a worker, directly or through a
+  /// peer.
   bool reachedSince(Instant sent) const;
-  /// Forgets through which peers workers reported.
+  /// Removes the record of which peers forwarded the workers' heartbeats.
   void forgetNextHops() { nextHops_.clear(); }
-  /// Drops the state of workers that have not reported for long.
+  /// Removes the state of workers that have sent no heartbeat for a long time.
   void expire();
 
  private:
@@ -88,27 +99,31 @@
   std::optional<MemberId> peerFor(const std::string& address) const;
   Instant probedAt_{};
   ReporterLog reporters_;
-  /// The send time of the newest request that any worker answered directly. Heartbeats don't count:
-  /// they say nothing of the way from here to the workers.
+  /// Holds the send time of the newest direct request to which any worker responded. Heartbeats are
+  /// not counted, because they do not show that requests from this controller reach the workers.
   std::optional<Instant> lastAnsweredRequest_;
-  std::map<std::string, Instant> answeredDirectly_;  ///< the same by address
+  /// Holds the send time of the newest direct request to which each worker responded, by address.
+  std::map<std::string, Instant> answeredDirectly_;
   std::map<std::string, Instant> referenceAskedAt_;
   struct LateAnswer {
     Duration roundTrip{};
     Instant at;
   };
-  std::map<std::string, LateAnswer> lateAnswers_;  ///< by the worker's address
-  std::map<MemberId, Instant>
-      throughPeer_;  ///< send time of the newest request answered through it
-  /// When workers failed to answer directly. The next request to them goes through a peer, since
-  /// the path to some workers alone may be cut.
+  /// Holds the last late response of each worker, by address.
+  std::map<std::string, LateAnswer> lateAnswers_;
+  /// Holds the send time of the newest request to which a worker responded through each peer.
+  std::map<MemberId, Instant> throughPeer_;
+  /// Holds the send time of the newest direct request to which each worker failed to respond, by
+  /// address. The next request to that worker goes through a peer, since a partition may affect the
+  /// direct path to some of the workers only.
   std::map<std::string, Instant> failedDirectly_;
   std::map<MemberId, Instant> failedThrough_;
   struct NextHop {
     MemberId peer;
     Instant at;
   };
-  std::map<std::string, NextHop> nextHops_;  ///< by the worker's address
+  /// Holds the peer that forwarded the last heartbeat of each worker, by address.
+  std::map<std::string, NextHop> nextHops_;
 };
 
 }  // namespace kestrelhoist
--- a/src/connectivity/worker_transport_test.cpp
+++ b/src/connectivity/worker_transport_test.cpp
@@ -1,5 +1,6 @@
-// What a worker's silence proves: nothing, unless another worker answered on the same way at about
-// the same time. A leader over a slow link gave up machines that lived (deaf-leaders-slow-link).
+// Guards against declaring a running worker dead because of a slow or broken link. A worker without
+// a response counts as unreachable only if another worker responded over the same path at about the
+// same time. A leader with a slow link gave up running machines (scenario deaf-leaders-slow-link).
 #include "connectivity/worker_transport.hpp"
 
 #include <gtest/gtest.h>
@@ -133,7 +134,8 @@
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
 }
 
-// The peer has no other worker to compare with; a dead machine was given up later for that.
+// Guards against detecting a dead machine late. The probe went only through a peer that had no
+// reference worker, so its outcome stayed unknown.
 TEST_F(ProbeOfWorker, ThatIsDeadIsProbedDirectlyBesideAPeerThatCannotTell) {
   constexpr int kPeerReachesNoWorker = 504;
   const MemberId peer{"peer"};
@@ -159,7 +161,8 @@
   EXPECT_EQ(outcomes, (Outcomes{ProbeOutcome::unknown, ProbeOutcome::unreachable}));
 }
 
-// A peer that is asked to reach a worker tells a dead one from a way that is cut, likewise.
+// A peer that sends a request to a worker on behalf of the leader distinguishes a dead worker from
+// a broken path in the same way.
 TEST_F(ProbeOfWorker, ThroughAPeerIsMeasuredByWhatThePeerReaches) {
   std::vector<int> statuses;
   auto serve = [&] {
--- a/src/connectivity/zone_ack_log.cpp
+++ b/src/connectivity/zone_ack_log.cpp
@@ -9,13 +9,16 @@
 constexpr const char* kKnownField = "known_ms";
 constexpr const char* kBoundField = "bound_ms";
 
-// A peer that answered a request sent this recently is running, and tells what it acknowledges.
+// A peer that responded to a status request sent this recently is assumed to be running and to
+// report its acknowledgements.
 constexpr Duration kPeerAnswersWithin{2000};
-// An acknowledgement this long after the one before is announced at once, so that peers always know
-// the newest acknowledgement of a zone to this accuracy. A zone with many machines never causes
-// one.
+// An acknowledgement is announced immediately if it comes this long after the previous one of its
+// zone, so that the peers always have the newest acknowledgement of each zone to this accuracy. The
+// heartbeats of a zone with many machines never have such a gap.
 constexpr Duration kAnnouncedAfter{2000};
-// By then every peer that answers has noticed that this process is new.
+// Every responding peer notices within this time that this process is new. The bounds that peers
+// report are used only after it, since earlier ones may not include all acknowledgements of this
+// controller's previous process.
 constexpr Duration kNoticedByPeers{2000};
 
 Json agesToJson(const std::map<ZoneId, Duration>& ages) {
@@ -76,7 +79,8 @@
 }
 
 bool ZoneAckLog::onAcknowledged(const ZoneId& zone, Instant receivedAt) {
-  if (!beforeStart_.contains(zone)) return false;  // peers would not know it
+  if (!beforeStart_.contains(zone))
+    return false;  // The zone is not configured, so peers would reject it.
   auto before = newest_.find(zone);
   const bool wasSilent = before == newest_.end() || receivedAt - before->second > kAnnouncedAfter;
   raise(zone, receivedAt);
@@ -112,9 +116,10 @@
   entry->second.endedAt = at;
 }
 
-// A controller that has ended may have acknowledged heartbeats after its last answer, until its
-// end. Of a zone without a recent one at its last answer it would have announced the next at once,
-// so this concerns the others only; after a long time without an answer, all.
+// Accounts for the heartbeats that a stopped peer may have acknowledged between its last response
+// and its end. A zone without a recent acknowledgement at the last response is excluded, because
+// the peer would have announced the next one immediately. If the last response is old, no zone is
+// excluded, because an announcement may have been lost.
 void ZoneAckLog::addUntold(const PeerView& view, Instant endedAt) {
   if (!view.knownUpTo) return;
   const bool longUnknown = endedAt - *view.knownUpTo > kPeerAnswersWithin;
@@ -127,8 +132,9 @@
   }
 }
 
-// Whether all that the peer acknowledged is included. A controller inside a zone that is cut off
-// can be cut off with it and go on answering, so there a refusal is no sign of its end.
+// Returns whether all acknowledgements of the peer for this zone are included. A controller in a
+// partitioned zone can keep acknowledging heartbeats of that zone, so a refused connection does not
+// show that a peer in the same zone has exited.
 bool ZoneAckLog::coversPeer(const PeerView& view, const MemberId& peer, const ZoneId& zone,
                             Instant now,
                             const std::function<bool(const MemberId&)>& mayBeAlive) const {
--- a/src/connectivity/zone_ack_log.hpp
+++ b/src/connectivity/zone_ack_log.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Remembers, for each zone, until when any controller may have acknowledged a heartbeat from
-/// there.
+/// Declares the log of the latest time, for each zone, at which any controller may have
+/// acknowledged a heartbeat from that zone.
 #pragma once
 
 #include <functional>
@@ -12,67 +12,75 @@
 
 namespace kestrelhoist {
 
-/// What one controller tells its peers with each status. Its size grows with the number of zones,
-/// not with the number of machines.
+/// Holds the ages of acknowledged heartbeats that one controller sends to its peers in each status.
+/// Its size grows with the number of zones, not with the number of machines.
 struct ZoneAckReport {
-  /// How long the sender's process has been running: it knows of no earlier acknowledgement by
-  /// itself.
+  /// Holds how long the sender's process has been running. The sender has no record of
+  /// acknowledgements that it made before this process started.
   Duration uptime{};
-  /// Per zone, the time since the newest acknowledgement that the sender knows of. All its own are
-  /// included.
+  /// Maps each zone to the age of the newest acknowledgement that the sender has a record of. All
+  /// acknowledgements of the sender itself are included.
   std::map<ZoneId, Duration> knownAges;
-  /// Per zone, the time since which the sender rules out that any controller acknowledged a
-  /// heartbeat. Zones of which it can't are missing.
+  /// Maps each zone to an age such that the sender can rule out any more recent acknowledgement by
+  /// any controller. Zones without such an age are omitted.
   std::map<ZoneId, Duration> boundAges;
 };
 
-/// The form in which peers are told.
+/// Encodes the report for a status message.
 Json toJson(const ZoneAckReport& report);
-/// Empty if anything is missing, of the wrong type or negative, or names a zone that is not in
-/// `zones`: such a report counts as a whole or not at all.
+/// Decodes a report. The result is empty if any part is missing, has the wrong type, is negative or
+/// names a zone that is not in `zones`. A report is never accepted in part.
 std::optional<ZoneAckReport> zoneAckReportFrom(const Json& v, const std::vector<ZoneId>& zones);
 
-/// The acknowledgements of all controllers, as far as one of them knows.
+/// Combines the acknowledged heartbeats of this controller with those that its peers report.
 ///
-/// A leader that ends takes along what it knew of the workers. Those of a zone that is cut off can
-/// be heard by no other controller, so a new leader learns here when their leases are over. The
-/// times decide when a machine's release is requested, never whether a task counts as ended.
+/// When a leader stops, its in-memory state of the workers is lost. The workers of a partitioned
+/// zone cannot reach any other controller, so a new leader uses this log to determine when their
+/// leases have expired. The times decide when a machine's termination is requested, but never
+/// whether a task counts as ended.
 ///
-/// Every error is towards later: an age that was under way for long yields a later time, and a zone
-/// is left out while a controller that cannot be asked may be acknowledging its heartbeats. Pure:
-/// all times are passed in, in local steady time.
+/// A reported time may be later than the true one, but never earlier: a status that was delayed
+/// yields a later time, and a zone is omitted while an unreachable controller may be acknowledging
+/// its heartbeats. The class reads no clock. All times are passed in and are of the local steady
+/// clock.
 class ZoneAckLog {
  public:
-  /// `startedAt`: nothing is known of what controllers acknowledged before.
+  /// Creates a log without any record of acknowledgements made before `startedAt`.
   ZoneAckLog(const Platform& platform, Instant startedAt);
 
-  /// This controller acknowledged a heartbeat from the zone that arrived at `receivedAt`. Returns
-  /// whether the one before is so old that peers should be told at once: they would take the zone
-  /// for silent since then if this controller ended before its next status.
+  /// Records that this controller acknowledged a heartbeat from the zone that arrived at
+  /// `receivedAt`. Returns whether the caller should announce the new status to the peers
+  /// immediately. That is so if the previous acknowledgement of the zone is old: if this controller
+  /// stopped before its next regular status, the peers would assume no newer acknowledgement.
   bool onAcknowledged(const ZoneId& zone, Instant receivedAt);
-  /// A peer answered a request that was sent at `askedAt`; empty: it reports nothing, as the
-  /// previous version does.
+  /// Records a peer's response, received at `receivedAt`, to a status request that was sent at
+  /// `askedAt`. `report` is empty if the peer's version does not send one.
   void onPeerAnswer(const MemberId& peer, Instant askedAt, Instant receivedAt,
                     const std::optional<ZoneAckReport>& report);
-  /// A peer's report came unasked, so it may have been under way for any time.
+  /// Records a report that a peer sent on its own initiative. Its delay in transit is unknown, so
+  /// it does not show until when the peer's acknowledgements are included.
   void onPeerAnnouncement(Instant receivedAt, const ZoneAckReport& report);
-  /// A peer refused a connection: its process has most likely ended.
+  /// Records that a peer refused a connection, so that its process has most likely exited.
   void onPeerRefused(const MemberId& peer, Instant at);
 
-  /// Per zone, an instant after which no controller acknowledged a heartbeat from there. A zone is
-  /// missing if that is not known. `mayBeAlive` tells whether a peer that cannot be asked may be
-  /// running.
+  /// Returns, for each zone, an instant after which no controller acknowledged a heartbeat from
+  /// that zone. A zone without such a bound is omitted. `mayBeAlive` returns whether an unreachable
+  /// peer may still be running.
   [[nodiscard]] std::map<ZoneId, Instant> bounds(
       Instant now, const std::function<bool(const MemberId&)>& mayBeAlive) const;
-  /// What peers are told.
+  /// Returns the report that this controller sends to its peers.
   [[nodiscard]] ZoneAckReport report(Instant now,
                                      const std::function<bool(const MemberId&)>& mayBeAlive) const;
 
  private:
   struct PeerView {
     ZoneId zone;
-    std::optional<Instant> knownUpTo;  ///< all that it acknowledged until then is included
-    std::optional<Instant> endedAt;    ///< it refused a connection since
+    /// Holds the time up to which all acknowledgements of the peer are included in `newest_`. It is
+    /// empty until the peer's first report.
+    std::optional<Instant> knownUpTo;
+    /// Holds the time at which the peer first refused a connection after its last response. It is
+    /// empty if the peer has refused none since.
+    std::optional<Instant> endedAt;
   };
   void raise(const ZoneId& zone, Instant at);
   void addUntold(const PeerView& view, Instant endedAt);
@@ -83,9 +91,10 @@
 
   const Instant startedAt_;
   std::map<MemberId, PeerView> peers_;
-  /// Per zone, the newest acknowledgement that is known or cannot be ruled out since `startedAt_`.
+  /// Maps each zone to the time of the newest acknowledgement that was recorded, or that cannot be
+  /// ruled out, since `startedAt_`.
   std::map<ZoneId, Instant> newest_;
-  /// Per zone, a bound on what was acknowledged before `startedAt_`.
+  /// Maps each zone to an upper bound for the times of acknowledgements made before `startedAt_`.
   std::map<ZoneId, Instant> beforeStart_;
 };
 
--- a/src/connectivity/zone_ack_log_test.cpp
+++ b/src/connectivity/zone_ack_log_test.cpp
@@ -1,7 +1,6 @@
-// What controllers tell each other of the zones' acknowledged heartbeats, and what a new leader may
-// conclude from it. A zone was cut off and its leader ended: the next one counted the silence from
-// its own election, since what the dead leader knew had ended with it ("newest sign of life of zone
-// zone=c source=leader_start"), and production replicas were missing for a lease longer.
+// Guards against a new leader that declares the workers of a partitioned zone dead too late. The
+// heartbeat times of the old leader were lost with it, so the new leader measured the silence of
+// the zone from its own election, and production replicas were missing for one more lease duration.
 #include "connectivity/zone_ack_log.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +25,7 @@
 
 constexpr std::int64_t kHourMs = 3600000;
 
-/// A controller that has been running for an hour, and two peers that answer it.
+/// Sets up a controller that has been running for an hour and two peers that respond to it.
 struct ZoneAcks : testing::Test {
   Platform platform = platformWithPeers();
   ZoneAckLog log{platform, Instant{0}};
@@ -81,7 +80,7 @@
   answers(kThird, kHourMs, {});
   EXPECT_TRUE(boundOf(kZoneC, kHourMs + 1900));
   answers(kThird, kHourMs + 2500, {});
-  EXPECT_TRUE(bounds(kHourMs + 2500).empty());  // the leader hangs: it may go on
+  EXPECT_TRUE(bounds(kHourMs + 2500).empty());  // The leader does not respond but may still run.
 }
 
 TEST_F(ZoneAcks, AreUnknownInTheZoneOfAControllerThatRefuses) {
@@ -89,9 +88,10 @@
   answers(kThird, kHourMs, {{kZoneC, Duration{5000}}, {kZoneB, Duration{5000}}});
   refuses(kThird, kHourMs + 400);
   answers(kLeader, kHourMs + 500, {});
-  EXPECT_FALSE(boundOf(kZoneB, kHourMs + 500));  // it may be cut off with its zone
+  EXPECT_FALSE(
+      boundOf(kZoneB, kHourMs + 500));  // The peer may be partitioned together with its zone.
   EXPECT_TRUE(boundOf(kZoneC, kHourMs + 500));
-  ended.clear();  // it refuses for so long that a packet filter is likelier
+  ended.clear();  // The refusals last so long that a packet filter is the likelier cause.
   EXPECT_FALSE(boundOf(kZoneC, kHourMs + 500));
 }
 
@@ -116,7 +116,7 @@
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 100), Instant{kHourMs - 3900});
   log.onPeerAnnouncement(Instant{kHourMs + 200}, told({{kZoneC, Duration{90000}}}));
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 200), Instant{kHourMs - 3900});
-  // A held status is no sign that the peer has told all until it came.
+  // A delayed status does not show that the peer has reported everything up to its arrival.
   answers(kThird, kHourMs + 30000, {});
   log.onPeerAnnouncement(Instant{kHourMs + 30000}, told({{kZoneC, Duration{5000}}}));
   EXPECT_FALSE(boundOf(kZoneC, kHourMs + 30000));
@@ -131,8 +131,8 @@
                    .knownAges.contains(ZoneId{"elsewhere"}));
 }
 
-// A controller that has just started knows nothing of its earlier life; its peers do once they have
-// noticed its end.
+// A controller that has just started has no record of the acknowledgements of its earlier process.
+// Its peers report bounds for them once they have noticed the restart.
 TEST_F(ZoneAcks, ComeBackFromPeersToAControllerThatStartedAnew) {
   ZoneAckLog anew{platform, Instant{kHourMs}};
   auto alive = [](const MemberId&) { return true; };
--- a/src/leadership/cancellation_barrier.hpp
+++ b/src/leadership/cancellation_barrier.hpp
@@ -1,5 +1,7 @@
-/// Bounds how old the local records are with respect to cancellations that users have been told of,
-/// from what the other controllers report. It is used while the state service is unreachable.
+/// \file
+/// Declares the computation of how recent the local records are with respect to cancellations that
+/// were acknowledged to users. The computation uses the statuses of the peers and is needed while
+/// the state service is unreachable.
 #pragma once
 
 #include <map>
@@ -12,31 +14,35 @@
 
 /// Computes the time up to which every cancellation acknowledged to a user is in the local records.
 ///
-/// Users learn of a cancellation only from a controller, and only once it is in that controller's
-/// records. A peer that was asked at time `a` answers later than `a`, with the newest revision `n`
-/// of any cancellation in its records. It answers so only once it has read all of them, so the
-/// cancellations that its earlier incarnations acknowledged are included. When the local records
-/// contain all revisions up to `n`, they contain each cancellation that the peer acknowledged
-/// before `a`. Over all peers, and for this controller's own early commits, the records are
-/// therefore as of the earliest `a`, in the sense of LeaseRenewal (an acknowledgement at t <= r is
-/// in the records), whatever the state service says meanwhile. A peer that ended, is cut off or has
-/// something newer no longer advances its `a`, which grows old.
+/// A controller acknowledges a cancellation to a user only once the cancellation is in that
+/// controller's records. A peer that receives a status request sent at time `a` responds after `a`
+/// with `n`, the newest revision of any cancellation in its records. It includes `n` only once it
+/// has read all records, so `n` covers the cancellations that earlier incarnations of the peer
+/// acknowledged. If the local records contain all revisions up to `n`, they contain every
+/// cancellation that the peer acknowledged before `a`.
 ///
-/// Instants are of the local steady clock; revisions are those of the state service.
+/// The result is the earliest `a` of all peers: every cancellation acknowledged at or before that
+/// time is in the local records, also if this controller committed it itself. This is the snapshot
+/// time `r` that LeaseRenewal needs, and it does not depend on the state service. The `a` of a peer
+/// stops advancing while the peer is stopped, is unreachable or reports a revision that the local
+/// records lack.
+///
+/// Instants are of the local steady clock. Revisions are those of the state service.
 class CancellationBarrier {
  public:
-  /// `peers` must outlive this object.
+  /// Creates a barrier for `peers`, which must outlive this object.
   explicit CancellationBarrier(const std::vector<Peer>& peers) : peers_(peers) {}
 
-  /// Records a peer's answer.
-  /// @param asked When the peer was asked.
-  /// @param newest The newest cancellation in the peer's records; empty while those are incomplete.
+  /// Records a peer's response to a status request.
+  /// @param asked The time at which the request was sent.
+  /// @param newest The revision of the newest cancellation in the peer's records. It is empty while
+  ///        those records are incomplete.
   /// @param cursor The revision up to which the local records are complete.
   void onPeerStatus(const MemberId& peer, Instant asked, std::optional<Revision> newest,
                     Revision cursor);
 
-  /// The time up to which acknowledged cancellations are known here; empty until all peers have
-  /// answered.
+  /// Returns the time up to which all acknowledged cancellations are in the local records. The
+  /// result is empty until all peers have responded.
   [[nodiscard]] std::optional<Instant> snapshotTime() const;
 
  private:
--- a/src/leadership/cancellation_barrier_test.cpp
+++ b/src/leadership/cancellation_barrier_test.cpp
@@ -17,26 +17,27 @@
 
 TEST_F(Told, IsTheEarliestQuestionOfAllPeers) {
   hear("b", 5000, Revision{100});
-  EXPECT_FALSE(witnesses.snapshotTime());  // c may have told anything
+  EXPECT_FALSE(witnesses.snapshotTime());  // c may have acknowledged any cancellation.
   hear("c", 4000, Revision{7});
   EXPECT_EQ(witnesses.snapshotTime(), Instant{4000});
   hear("c", 6000, Revision{7});
   EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
-  hear("b", 3000, Revision{100});  // an answer that was long under way takes nothing back
+  hear("b", 3000, Revision{100});  // A late response does not lower the time.
   EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
 }
 
 TEST_F(Told, APeerWithSomethingNewerIsNoWitness) {
   hear("b", 9000, Revision{100});
   hear("c", 5000, Revision{100});
-  hear("c", 9000, Revision{101});  // cancelled there, and not known here
+  hear("c", 9000, Revision{101});  // The local records lack this cancellation.
   EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
 }
 
 TEST_F(Told, APeerThatHasNotReadAllIsNoWitness) {
   hear("b", 9000, Revision{100});
   hear("c", 5000, Revision{100});
-  hear("c", 9000, std::nullopt);  // has just started: what its earlier life told is not known
+  // c has just started and has not read what its earlier incarnation acknowledged.
+  hear("c", 9000, std::nullopt);
   EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
 }
 
@@ -55,7 +56,7 @@
   };
   EXPECT_EQ(at(JobPhase::active, 3), Revision{});
   EXPECT_EQ(at(JobPhase::cancelled, 8), Revision{8});
-  EXPECT_EQ(r.cursor(), Revision{});  // an own commit, not read back yet
+  EXPECT_EQ(r.cursor(), Revision{});  // The change feed has not returned this commit yet.
   r.clear();
   EXPECT_EQ(r.newestCancellation(), Revision{});
 }
--- a/src/leadership/control_loop.hpp
+++ b/src/leadership/control_loop.hpp
@@ -1,6 +1,7 @@
-/// The interface between the leader and its control loops. Each loop has its own state and
-/// messages. The leader only schedules the loops in turn and commits one transaction at a time, so
-/// that the effects of a commit are on record before the next decision.
+/// \file
+/// Declares the interface between the leader and its control loops. Each loop has its own state and
+/// messages. The leader runs one loop after the other and commits one transaction at a time, so
+/// that the effects of a commit are in the records before the next decision.
 #pragma once
 
 #include <functional>
@@ -11,16 +12,18 @@
 
 namespace kestrelhoist {
 
-/// One transaction of a control loop. It conditions on the leader key (LeaderContext::begin) and
-/// writes at least one key that it conditions on.
+/// Holds one transaction of a control loop. The transaction compares the revision of the leader key
+/// (LeaderContext::begin) and writes at least one key whose revision it compares.
 struct Commit {
   Transaction transaction;
-  std::function<void()> onApplied;  ///< called once the replica has applied it; may be null
-  std::string what;                 ///< for the log
+  std::function<void()>
+      onApplied;     ///< Is called once the replica has applied the transaction; may be null.
+  std::string what;  ///< Names the transaction in the log.
 };
 
-/// What a control loop does when it is scheduled: nothing, a commit, or an asynchronous step that
-/// lasts until LeaderContext::finishStep is called.
+/// Describes what a control loop does when the leader runs it. It does nothing, commits a
+/// transaction, or starts an asynchronous step that lasts until LeaderContext::finishStep is
+/// called.
 struct LoopStep {
   std::optional<Commit> commit;
   bool isAsynchronous = false;
@@ -29,14 +32,17 @@
   static LoopStep committing(std::optional<Commit> commit) { return {std::move(commit), false}; }
 };
 
+/// Makes one kind of the leader's decisions, for example the placement of tasks.
 class ControlLoop {
  public:
   virtual ~ControlLoop() = default;
-  /// Called in turn, never while a commit or an asynchronous step is under way.
+  /// Returns the next step of this loop. The leader never calls it while a commit or an
+  /// asynchronous step is in progress.
   virtual LoopStep next() = 0;
-  /// The records changed, by a commit of this leader or (`byOthers`) as read from the change feed.
+  /// Is called after the records changed. `byOthers` is true if the change was read from the change
+  /// feed and false if this leader committed it.
   virtual void onRecordsChanged(bool byOthers) { (void)byOthers; }
-  /// Called four times a second.
+  /// Is called four times a second.
   virtual void onTimer() {}
 };
 
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -18,7 +18,8 @@
     case Role::claiming:
       return Step::none;
     case Role::leader:
-      // The key is gone (the lease ended) or another member has it, so all our writes fail by now.
+      // The lease has expired and the leader key was removed, or another controller owns the key.
+      // The state service rejects every further transaction of this leader in both cases.
       if (view.fresh && (!isMine(view.leader) || view.token != token_)) {
         stepDown(now);
         return Step::none;
@@ -34,7 +35,7 @@
   }
   if (!view.fresh) return Step::none;
   if (claims_ > 0 && lease_ && isMine(view.leader)) {
-    // A claim whose response was lost has been applied.
+    // The state service has applied an earlier claim of this controller whose response was lost.
     role_ = Role::leader;
     token_ = view.token;
     renewing_ = false;
@@ -42,7 +43,8 @@
     return Step::none;
   }
   if (now < candidateFrom_) return Step::none;
-  // A key with our own name is from an earlier incarnation and is taken over by its revision.
+  // A leader key with this controller's own name was written by an earlier incarnation. The claim
+  // replaces it by comparing its revision.
   if (view.leader && view.leader->member != settings_.self) return Step::none;
   expectedToken_ = view.leader ? view.token : FencingToken{};
   role_ = Role::granting;
@@ -66,7 +68,8 @@
     return;
   }
   role_ = Role::follower;
-  // Without a response the claim may have been applied; nextStep() recognizes it by record().
+  // If there was no response, the claim may have been applied. The lease is kept so that nextStep()
+  // can recognize this controller's own leader key.
   if (result.outcome != CommitOutcome::unknown) lease_.reset();
   candidateFrom_ = std::max(candidateFrom_, now + Duration{200});
 }
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -1,6 +1,7 @@
-/// Leader election as a state machine without I/O. The leader holds the key `leader`, bound to a
-/// lease. The key's revision is the fencing token that workers obey and every leader write
-/// conditions on.
+/// \file
+/// Declares the leader election, a state machine without I/O. The leader owns the key `leader`,
+/// which the state service removes when the leader's lease expires. The revision of that key is the
+/// fencing token: workers check it, and every transaction of the leader compares it.
 #pragma once
 
 #include <optional>
@@ -12,17 +13,19 @@
 
 namespace kestrelhoist {
 
+/// Decides when this controller becomes a candidate, claims the leader key, renews its lease and
+/// steps down. The caller performs the requests and reports their results.
 class Election {
  public:
   struct Settings {
     MemberId self;
-    std::string incarnation;  ///< unique per start of the process
-    Duration life{3000};      ///< of the lease
+    std::string incarnation;  ///< Identifies one start of the process uniquely.
+    Duration life{3000};      ///< Holds the duration of the leader's lease.
     Duration renewEvery{750};
   };
-  /// The leader key according to the newest read.
+  /// Describes the leader key as of the newest read.
   struct View {
-    bool fresh{};  ///< the read is recent
+    bool fresh{};  ///< Is true if that read is recent.
     std::optional<LeaderRecord> leader;
     FencingToken token;
   };
@@ -31,15 +34,16 @@
 
   explicit Election(Settings settings) : settings_(std::move(settings)) {}
 
-  /// Returns the step to take now. For `grant`, request a lease and then write record() under it on
-  /// the condition of expectedToken(); for `renew`, renew lease().
+  /// Returns the step to take now. For `grant`, the caller requests a lease and then writes
+  /// record() with that lease in a transaction that compares expectedToken(). For `renew`, the
+  /// caller renews lease().
   Step nextStep(Instant now, const View& view);
   void onGranted(std::optional<LeaseId> lease);
   void onClaimed(Instant now, const CommitResult& result);
   void onRenewed(LeaseOutcome outcome);
-  /// Gives up the leadership; this member is no candidate before `until`.
+  /// Ends the leadership of this controller and keeps it from being a candidate before `until`.
   void stepDown(Instant until);
-  /// Keeps this member from being a candidate before `until`.
+  /// Keeps this controller from being a candidate before `until`.
   void backOff(Instant until) { candidateFrom_ = std::max(candidateFrom_, until); }
 
   Role role() const { return role_; }
--- a/src/leadership/leader_context.hpp
+++ b/src/leadership/leader_context.hpp
@@ -1,5 +1,5 @@
-/// State that the leader shares with its control loops: the node's services, the fencing token, and
-/// callbacks that end with the leadership. It lives from the election to the step-down.
+/// \file
+/// Declares the state that the leader shares with its control loops.
 #pragma once
 
 #include <map>
@@ -17,44 +17,56 @@
 
 class CloudClient;
 
+/// Holds the services of this controller, the fencing token and callbacks for the control loops. It
+/// is created when this controller is elected and destroyed when it steps down.
 struct LeaderContext {
   Runtime& runtime;
   StoreClient& store;
   ChangeWatcher& watcher;
   Replica& replica;
   CloudClient& cloud;
-  WorkerTransport& workers;  ///< requests to workers go through it
+  WorkerTransport& workers;  ///< All requests to workers use this transport.
   const Platform& platform;
   const OperatorSettings& settings;
 
   FencingToken token;
   Instant electedAt{};
-  bool initialRoundOver = false;          ///< the initial heartbeat round is complete
-  std::optional<Catalogue> catalogue{};   ///< machine types; empty until read
-  Revision latestRevision{};              ///< newest known, from the change feed or own commits
-  bool planInvalidated = true;            ///< the inputs of the plan have changed
-  std::function<void()> scheduleCycle{};  ///< a control loop may have work to do
-  /// Whether anything sent at this time or later reached a worker. A null function means always.
+  /// Is true once the initial heartbeat round is complete.
+  bool initialRoundOver = false;
+  /// Lists the machine types. It is empty until they have been read.
+  std::optional<Catalogue> catalogue{};
+  /// Holds the newest revision seen in the change feed or in a commit of this leader.
+  Revision latestRevision{};
+  /// Is true if the inputs of the plan have changed since the last planning run.
+  bool planInvalidated = true;
+  /// Schedules another cycle of the control loops.
+  std::function<void()> scheduleCycle{};
+  /// Returns whether a request sent to a worker at the given instant or later was answered. A null
+  /// function counts as true.
   std::function<bool(Instant)> workersReachedSince{};
-  /// The policy in force now; null if there is none.
+  /// Points to the policy that is in force now. It is null if there is no policy.
   const EffectivePolicy* effectivePolicy = nullptr;
-  /// Whether every controller reads this record format. A null function means unknown.
+  /// Returns whether every controller can read the given record format. A null function counts as
+  /// false.
   std::function<bool(unsigned)> allMembersRead{};
-  /// The time of day that the controllers agree on, in milliseconds since 1970.
+  /// Returns the time of day that the controllers agree on, in milliseconds since 1970.
   std::function<std::int64_t()> timeOfDay{};
-  /// Per zone, an instant after which no controller acknowledged a heartbeat from there, for the
-  /// zones of which that is known; see ZoneAckLog. A null function means none.
+  /// Returns, for each zone that ZoneAckLog has a bound for, an instant after which no controller
+  /// acknowledged a heartbeat from that zone. A null function counts as an empty map.
   std::function<std::map<ZoneId, Instant>()> zoneAckBounds{};
-  /// Whether a peer that may be alive has not been heard lately. A null function means no.
+  /// Returns whether a peer that may be running has sent no status recently. A null function counts
+  /// as false.
   std::function<bool()> hasUnheardPeer{};
-  /// Called with the silence of each machine that is given up for it; may be null.
+  /// Is called, for each machine declared dead because its heartbeats stopped, with the time since
+  /// its last heartbeat. It may be null.
   std::function<void(Duration)> onGivenUpForSilence{};
-  /// Called when commands are sent to a machine once more; may be null.
+  /// Is called when commands are sent to a machine again. It may be null.
   std::function<void()> onCommandsRepeated{};
-  /// Called with the name of what came of a probe at the end of a worker's lease; may be null.
+  /// Is called with the name of the outcome of each probe sent when a worker's lease expires. It
+  /// may be null.
   std::function<void(const char*)> onLeaseEndProbe{};
-  std::function<void(std::optional<Commit>)>
-      finishStep{};  ///< ends an asynchronous step, with or without a commit
+  /// Ends an asynchronous step, with or without a commit.
+  std::function<void(std::optional<Commit>)> finishStep{};
 
   /// Wraps a callback so that it becomes a no-op once this leader has stepped down.
   template <class F>
@@ -64,17 +76,19 @@
     };
   }
 
-  /// Begins a transaction that fails once the leader key's revision is no longer this token.
+  /// Begins a transaction that the state service rejects if the revision of the leader key is no
+  /// longer this leader's token.
   Transaction begin() const {
     Transaction t;
     t.compares.push_back({keys::kLeader, Revision{token.value}});
     return t;
   }
 
-  /// Whether records may be written in format 2, which fits smaller value limits.
+  /// Returns whether records may be written in format 2, whose values fit a smaller size limit.
   bool mayWriteFormat2() const { return allMembersRead && allMembersRead(2); }
-  /// The size limit for a value that an older version may have made larger than the smaller limit.
-  /// The old format is written, which the present limit admits, until format 2 may be written.
+  /// Returns the size limit for values that an older version may have made larger than the smaller
+  /// limit. Until all controllers read format 2, the old format is written, whose values need the
+  /// present, larger limit.
   std::size_t legacyValueBytes() const {
     return mayWriteFormat2() ? platform.valueBytes
                              : std::max(platform.valueBytes, platform.valueBytesNow);
--- a/src/leadership/peer_membership.cpp
+++ b/src/leadership/peer_membership.cpp
@@ -6,11 +6,14 @@
 
 namespace kestrelhoist {
 namespace {
-// A read that is answered may have been sent a little before one that fails.
+// A peer's successful read may have been sent slightly before the first failed read of this
+// controller, so a peer must have reached the state service at least this long after that failure.
 constexpr Duration kAnswerUnderWay{300};
-constexpr Duration kAtOnce{200};
-constexpr Duration kLongAgo{3600000};
-constexpr Duration kLongerThanARestart{10000};
+// A request that fails within this time was refused by the peer's host. It did not time out.
+constexpr Duration kMaxRefusalDelay{200};
+constexpr Duration kUnknownCloudAge{3600000};
+// Refusals that last longer than this do not come from a restart of the peer.
+constexpr Duration kMaxRestartDuration{10000};
 constexpr Duration kStatusTimeout{1000};
 constexpr const char* kStatusPath = "/mesh/hello";
 constexpr const char* kZoneAcksField = "zone_acks";
@@ -46,21 +49,21 @@
   auto wall = static_cast<std::int64_t>(countField(v, "wall_ms").value_or(0));
   const Json* zoneAcks = field(v, kZoneAcksField);
   const Json* leases = field(v, kUncertainLeasesField);
-  return PeerStatus{
-      MemberId{*member},
-      FencingToken{*token},
-      *leading,
-      Duration{static_cast<std::int64_t>(*store)},
-      Duration{static_cast<std::int64_t>(*workers)},
-      boolField(v, "ready").value_or(false),
-      boolField(v, "deaf").value_or(false),
-      boolField(v, "relays").value_or(false),
-      Duration{static_cast<std::int64_t>(countField(v, "cloud_age_ms").value_or(kLongAgo.count()))},
-      wall,
-      std::nullopt,
-      cancelled ? std::optional(Revision{*cancelled}) : std::nullopt,
-      zoneAcks ? zoneAckReportFrom(*zoneAcks, zones) : std::nullopt,
-      leases ? leaseSightingsFrom(*leases, receivedAt) : LeaseSightings{}};
+  return PeerStatus{MemberId{*member},
+                    FencingToken{*token},
+                    *leading,
+                    Duration{static_cast<std::int64_t>(*store)},
+                    Duration{static_cast<std::int64_t>(*workers)},
+                    boolField(v, "ready").value_or(false),
+                    boolField(v, "deaf").value_or(false),
+                    boolField(v, "relays").value_or(false),
+                    Duration{static_cast<std::int64_t>(
+                        countField(v, "cloud_age_ms").value_or(kUnknownCloudAge.count()))},
+                    wall,
+                    std::nullopt,
+                    cancelled ? std::optional(Revision{*cancelled}) : std::nullopt,
+                    zoneAcks ? zoneAckReportFrom(*zoneAcks, zones) : std::nullopt,
+                    leases ? leaseSightingsFrom(*leases, receivedAt) : LeaseSightings{}};
 }
 
 PeerMembership::PeerMembership(Runtime& runtime, HttpClient& http, const Platform& platform)
@@ -74,7 +77,7 @@
 
 void PeerMembership::exchangeStatus() {
   for (const auto& peer : peers_) {
-    if (exchangeUnderWay_[peer.member]) continue;  // still waiting for its last answer
+    if (exchangeUnderWay_[peer.member]) continue;  // The last request is still pending.
     exchangeUnderWay_[peer.member] = true;
     sendStatus(peer, [this, member = peer.member,
                       asked = runtime_.now()](const std::optional<Response>& r) {
@@ -99,9 +102,9 @@
 
 void PeerMembership::onExchanged(const MemberId& peer, Instant asked,
                                  const std::optional<Response>& response) {
-  // A cut hangs; only a refusal fails at once.
+  // A request over a partitioned link times out. Only a refused connection fails immediately.
   Instant now = runtime_.now();
-  if (!response && now - asked < kAtOnce) {
+  if (!response && now - asked < kMaxRefusalDelay) {
     refusals_.try_emplace(peer, Refusals{now, now}).first->second.last = now;
     if (onRefused) onRefused(peer);
   }
@@ -116,7 +119,7 @@
   if (!s) return s;
   for (const auto& peer : peers_) {
     if (peer.member != s->member) continue;
-    // Older versions tell no time of day.
+    // Older versions do not send their time of day.
     if (s->wallMs > 0) s->wallClockOffset = s->wallMs - runtime_.now().ms;
     statuses_[s->member] = {*s, runtime_.now()};
     refusals_.erase(s->member);
@@ -128,8 +131,7 @@
 void PeerMembership::logMalformedZoneAcks(const Json& body, const PeerStatus& status) {
   if (status.zoneAcks || !field(body, kZoneAcksField)) return;
   if (!toldMalformedZoneAcks_.insert(status.member).second) return;
-  logInfo("peer's times of acknowledged heartbeats are malformed and left out", "peer",
-          status.member);
+  logInfo("peer status has malformed zone acknowledgements; ignoring them", "peer", status.member);
 }
 
 Response PeerMembership::onStatusRequest(const Request& request) {
@@ -189,7 +191,7 @@
 bool PeerMembership::mayBeAlive(const MemberId& peer) const {
   auto refused = refusals_.find(peer);
   return refused == refusals_.end() ||
-         refused->second.last - refused->second.first > kLongerThanARestart;
+         refused->second.last - refused->second.first > kMaxRestartDuration;
 }
 
 std::optional<MemberId> PeerMembership::peerReachingStore(Instant failing) const {
--- a/src/leadership/peer_membership.hpp
+++ b/src/leadership/peer_membership.hpp
@@ -1,5 +1,7 @@
-/// Peer membership: the controllers exchange how each one sees the state service, the workers and
-/// the leader. The exchange never decides safety, only which controller should act.
+/// \file
+/// Declares the exchange of statuses between controllers. A status says how recently its sender
+/// reached the state service, the cloud and the workers, and whether it leads. The exchange only
+/// influences which controller should act. Safety never depends on it.
 #pragma once
 
 #include <functional>
@@ -13,81 +15,94 @@
 
 namespace kestrelhoist {
 
-/// The status with which a peer answers for a service or worker that it could not reach. No service
-/// or worker answers with it.
+/// Holds the HTTP status code with which a peer responds if it could not reach the requested
+/// service or worker. No service or worker responds with this code itself.
 inline constexpr int kNotReached = 502;
 
-/// What one controller reports about itself. Ages are as of the moment of sending.
+/// Holds the status that one controller sends to its peers. All ages are as of the time of sending.
 struct PeerStatus {
   MemberId member;
-  FencingToken token;  ///< the highest that it knows
+  FencingToken token;  ///< Holds the highest token that the sender has seen.
   bool leading{};
-  Duration storeAge{};    ///< since its own link last reached the state service
-  Duration workersAge{};  ///< since the last heartbeat from any worker
+  /// Holds the time since the sender last reached the state service over its own link.
+  Duration storeAge{};
+  /// Holds the time since the sender last received a heartbeat from any worker.
+  Duration workersAge{};
   bool ready{};
-  bool hasLostWorkers{};       ///< it leads and received heartbeats before, but none lately
-  bool supportsForwarding{};   ///< proxies requests for peers and accepts forwarded heartbeats;
-                               ///< the previous version did not
-  Duration cloudAge{3600000};  ///< since its own link last reached the cloud
-  std::int64_t wallMs{};       ///< its time of day when it sent this; 0 if not included
-  /// `wallMs` minus the local steady clock, which never steps, at the moment of receipt.
+  /// Is true if the sender leads and has received heartbeats before, but none recently.
+  bool hasLostWorkers{};
+  /// Is true if the sender proxies requests for peers and accepts forwarded heartbeats. The
+  /// previous version did neither.
+  bool supportsForwarding{};
+  /// Holds the time since the sender last reached the cloud over its own link.
+  Duration cloudAge{3600000};
+  /// Holds the sender's time of day when it sent the status, or 0 if the status does not include
+  /// it.
+  std::int64_t wallMs{};
+  /// Holds `wallMs` minus the local steady clock at the time of receipt. The steady clock is never
+  /// set, so the offset changes only if the sender's wall clock does.
   std::optional<std::int64_t> wallClockOffset = std::nullopt;
-  /// The newest revision of any cancellation in its records (CancellationBarrier); empty while its
-  /// records are incomplete.
+  /// Holds the newest revision of any cancellation in the sender's records (see
+  /// CancellationBarrier). It is empty while those records are incomplete.
   std::optional<Revision> newestCancellation = std::nullopt;
-  /// What it knows of acknowledged heartbeats by zone; empty: its version does not tell, or what it
-  /// told is malformed.
+  /// Lists the ages of acknowledged heartbeats by zone. It is empty if the sender's version does
+  /// not send them or if they are malformed.
   std::optional<ZoneAckReport> zoneAcks = std::nullopt;
-  /// Of the leader: leases that end unless an answer arrives; see Fleet::uncertainLeases().
+  /// Lists the worker leases that expire soon unless the worker receives a response. Only the
+  /// leader sends them (see Fleet::uncertainLeases()).
   LeaseSightings uncertainLeases = {};
 };
 
-/// `now`: when it is sent.
+/// Encodes a status that is sent at `now`.
 Json toJson(const PeerStatus& s, Instant now = {});
-/// `zones` are those of the settings: a ZoneAckReport that names another is left out. `receivedAt`:
-/// when it was received.
+/// Decodes a status that was received at `receivedAt`. A ZoneAckReport that names a zone other than
+/// the configured `zones` is left out.
 std::optional<PeerStatus> peerStatusFrom(const Json& v, const std::vector<ZoneId>& zones = {},
                                          Instant receivedAt = {});
 
-/// Exchanges status with all peers and keeps the newest status of each. Single-threaded.
+/// Exchanges statuses with all peers and keeps the newest status of each. The class is not
+/// thread-safe.
 class PeerMembership {
  public:
   PeerMembership(Runtime& runtime, HttpClient& http, const Platform& platform);
 
-  /// Sends `own()` to every peer at the given interval, from now on.
+  /// Starts sending the result of `own()` to every peer, now and then at the interval `every`.
   void start(std::function<PeerStatus()> own, Duration every);
   Response onStatusRequest(const Request& request);
-  /// Sends `own()` to every peer now, besides the regular exchange.
+  /// Sends this controller's status to every peer now, in addition to the regular exchange.
   void announceStatus();
-  /// Asks the leader to read the change feed at once.
+  /// Asks the leader to read the change feed immediately.
   void notifyLeader(const MemberId& leader);
-  /// Sends a request to a peer's mesh address. An unknown peer yields no response.
+  /// Sends a request to a peer's mesh address. If the peer is not configured, `done` is called
+  /// without a response.
   void send(const MemberId& peer, Request request, Duration timeout, OnReply done);
   /// Forwards a user's request to a peer that reaches the state service.
   void forward(const MemberId& peer, const Request& request, Duration timeout, OnReply done);
 
-  /// The newest status of a peer if it was received within the given time, else null.
+  /// Returns the newest status of a peer, or null if it is older than `within`.
   const PeerStatus* recentStatus(const MemberId& peer, Duration within) const;
-  /// Whether any peer's status was received within the given time.
+  /// Returns whether any peer's status was received in the last `within`.
   bool anyReachable(Duration within) const;
-  /// Of the peers with a recent status that claims the leadership, the one with the highest token,
-  /// or null.
+  /// Returns the status with the highest token among the statuses that claim the leadership and are
+  /// no older than `within`, or null if there is none.
   const PeerStatus* newestLeader(Duration within) const;
-  /// Whether the peer may be running although it is unreachable from here. A peer that refused a
-  /// connection since its last status has most likely ended, and can do nothing until it has read
-  /// the records. A process that ends is restarted soon, however, so refusals over a long time come
-  /// from a packet filter between the two controllers.
+  /// Returns whether the peer may be running although this controller cannot reach it. A peer that
+  /// has refused a connection since its last status has most likely exited, and after a restart it
+  /// takes no action until it has read the records. An exited process is restarted soon, however,
+  /// so refusals over a long time come from a packet filter between the two controllers.
   bool mayBeAlive(const MemberId& peer) const;
-  /// A peer that has reached the state service since `failing`, when requests began to fail here. A
-  /// peer that reached it only before that may be in the same outage.
+  /// Returns a peer that has reached the state service after `failing`, the time at which requests
+  /// of this controller began to fail. A peer that last reached it before that time may be affected
+  /// by the same outage.
   std::optional<MemberId> peerReachingStore(Instant failing) const;
   const std::map<MemberId, std::pair<PeerStatus, Instant>>& statuses() const { return statuses_; }
 
-  /// Called with each peer's answer to a status request that was sent at `asked`.
+  /// Is called with each peer's response to a status request and the time at which the request was
+  /// sent.
   std::function<void(const PeerStatus&, Instant asked)> onAnswer;
-  /// Called with each status that a peer sent unasked.
+  /// Is called with each status that a peer sent on its own initiative.
   std::function<void(const PeerStatus&)> onAnnouncement;
-  /// Called when a peer refuses a connection.
+  /// Is called when a peer refuses a connection.
   std::function<void(const MemberId&)> onRefused;
 
  private:
@@ -106,7 +121,8 @@
   struct Refusals {
     Instant first, last;
   };
-  std::map<MemberId, Refusals> refusals_;  ///< since the peer's last status
+  /// Holds the first and last connection refusal of each peer since its last status.
+  std::map<MemberId, Refusals> refusals_;
   std::function<PeerStatus()> own_;
   Duration every_{1000};
 };
--- a/src/leadership/peer_membership_test.cpp
+++ b/src/leadership/peer_membership_test.cpp
@@ -21,17 +21,18 @@
     PeerStatus s{MemberId{"peer"}, {}, false, Duration{storeAgeMs}, {}, true};
     peers.onStatusRequest({"POST", "/mesh/hello", encodeBody(toJson(s))});
   };
-  // Reads fail here since 9.0 s.
-  hear(1200);  // it last reached the service at 8.8 s
+  // The reads of this controller have failed since 9.0 s.
+  hear(1200);  // The peer last reached the state service at 8.8 s.
   EXPECT_FALSE(peers.peerReachingStore(Instant{9000}));
-  hear(400);  // at 9.6 s: it is served while this node is not
+  hear(400);  // The peer reached it at 9.6 s, after the failures here began.
   EXPECT_EQ(peers.peerReachingStore(Instant{9000}), MemberId{"peer"});
-  clock.runUntil(13000);  // nothing heard since
+  clock.runUntil(13000);  // The last status of the peer is too old.
   EXPECT_FALSE(peers.peerReachingStore(Instant{9000}));
 }
 
-// Found on grown sites: a zone cut off whose controller had just ended was waited for in vain; one
-// behind a packet filter was taken for dead, and the running work of its zone was released.
+// Guards against misjudging a controller that refuses connections. The leader waited in vain for a
+// partitioned zone whose controller had just ended. A controller behind a packet filter was assumed
+// dead, and the machines of its zone were released while tasks ran on them.
 TEST(PeerMembership, AFreshRefusalIsAnEndedPeerALongOneAFilter) {
   std::mt19937_64 random(1);
   sim::Clockwork clock;
@@ -39,7 +40,7 @@
   sim::HostRuntime runtime(clock, network, "me", 1.0);
   Platform platform;
   MemberId peer{"peer"};
-  platform.peers.push_back({peer, ZoneId{"a"}, "peer:1"});  // nobody listens there
+  platform.peers.push_back({peer, ZoneId{"a"}, "peer:1"});  // No process listens there.
   PeerMembership peers(runtime, runtime, platform);
   EXPECT_TRUE(peers.mayBeAlive(peer));
   peers.start([] { return PeerStatus{MemberId{"me"}, {}, false, {}, {}, true}; }, Duration{500});
