--- a/src/connectivity/connectivity_test.cpp
+++ b/src/connectivity/connectivity_test.cpp
@@ -179,7 +179,7 @@
 
 // Guards against a leader that counts as failing forever after one failure. No heartbeat was
 // forwarded to it any more, so its recovery was not noticed, and every worker was redirected to it.
-// It was found in the scenario `apart` of tfc-bratislava-fleet.
+// It was found in the run `apart` at the site tfc-bratislava-fleet.
 TEST_F(TwoControllers, ALeaderThatDidNotAnswerIsTriedAgain) {
   HeartbeatForwarder relay(runtime, *peers, MemberId{"me"});
   network.cut("me", {"peer"}, sim::CutMode::hold, 6000);
--- a/src/connectivity/redirect_canary.hpp
+++ b/src/connectivity/redirect_canary.hpp
@@ -36,7 +36,7 @@
 /// The class performs no I/O and is not thread-safe.
 class RedirectCanary {
  public:
-  /// Creates a canary that allows the first redirects.
+  /// Creates an instance without a redirect target.
   /// @param failoverCycle The longest time until a redirected worker reports here again if every
   ///        controller that it tries accepts the request but does not respond.
   /// @param lease The duration of a worker's lease.
--- a/src/connectivity/zone_ack_log.cpp
+++ b/src/connectivity/zone_ack_log.cpp
@@ -119,7 +119,7 @@
 // Accounts for the heartbeats that a stopped peer may have acknowledged between its last response
 // and its end. A zone without a recent acknowledgement at the last response is excluded, because
 // the peer would have announced the next one immediately. If the last response is old, no zone is
-// excluded, because an announcement may have been lost.
+// excluded.
 void ZoneAckLog::addUntold(const PeerView& view, Instant endedAt) {
   if (!view.knownUpTo) return;
   const bool longUnknown = endedAt - *view.knownUpTo > kPeerAnswersWithin;
