--- a/src/leadership/cancellation_barrier.cpp
+++ b/src/leadership/cancellation_barrier.cpp
@@ -4,19 +4,19 @@
 
 namespace kestrelhoist {
 
-void CancellationBarrier::onPeerStatus(const MemberId& peer, Instant asked,
+void CancellationBarrier::onPeerStatus(const MemberId& peer, Instant sentAt,
                                        std::optional<Revision> newest, Revision cursor) {
   if (!newest || *newest > cursor) return;
-  auto& latest = askedAt_.try_emplace(peer, asked).first->second;
-  latest = std::max(latest, asked);
+  auto& latest = requestSentAt_.try_emplace(peer, sentAt).first->second;
+  latest = std::max(latest, sentAt);
 }
 
 std::optional<Instant> CancellationBarrier::snapshotTime() const {
   std::optional<Instant> earliest;
   for (const auto& peer : peers_) {
-    auto asked = askedAt_.find(peer.member);
-    if (asked == askedAt_.end()) return std::nullopt;
-    if (!earliest || asked->second < *earliest) earliest = asked->second;
+    auto sentAt = requestSentAt_.find(peer.member);
+    if (sentAt == requestSentAt_.end()) return std::nullopt;
+    if (!earliest || sentAt->second < *earliest) earliest = sentAt->second;
   }
   return earliest;
 }
--- a/src/leadership/cancellation_barrier.hpp
+++ b/src/leadership/cancellation_barrier.hpp
@@ -34,11 +34,11 @@
   explicit CancellationBarrier(const std::vector<Peer>& peers) : peers_(peers) {}
 
   /// Records a peer's response to a status request.
-  /// @param asked The time at which the request was sent.
+  /// @param sentAt The time at which the request was sent.
   /// @param newest The revision of the newest cancellation in the peer's records. It is empty while
   ///        those records are incomplete.
   /// @param cursor The revision up to which the local records are complete.
-  void onPeerStatus(const MemberId& peer, Instant asked, std::optional<Revision> newest,
+  void onPeerStatus(const MemberId& peer, Instant sentAt, std::optional<Revision> newest,
                     Revision cursor);
 
   /// Returns the time up to which all acknowledged cancellations are in the local records. The
@@ -47,7 +47,7 @@
 
  private:
   const std::vector<Peer>& peers_;
-  std::map<MemberId, Instant> askedAt_;
+  std::map<MemberId, Instant> requestSentAt_;
 };
 
 }  // namespace kestrelhoist
--- a/src/leadership/cancellation_barrier_test.cpp
+++ b/src/leadership/cancellation_barrier_test.cpp
@@ -9,36 +9,36 @@
 
 struct Told : testing::Test {
   std::vector<Peer> peers{{MemberId{"b"}, ZoneId{"b"}, "b:1"}, {MemberId{"c"}, ZoneId{"c"}, "c:1"}};
-  CancellationBarrier witnesses{peers};
-  void hear(const char* peer, std::int64_t asked, std::optional<Revision> newest) {
-    witnesses.onPeerStatus(MemberId{peer}, Instant{asked}, newest, Revision{100});
+  CancellationBarrier barrier{peers};
+  void receiveStatus(const char* peer, std::int64_t sentAt, std::optional<Revision> newest) {
+    barrier.onPeerStatus(MemberId{peer}, Instant{sentAt}, newest, Revision{100});
   }
 };
 
 TEST_F(Told, IsTheEarliestQuestionOfAllPeers) {
-  hear("b", 5000, Revision{100});
-  EXPECT_FALSE(witnesses.snapshotTime());  // c may have acknowledged any cancellation.
-  hear("c", 4000, Revision{7});
-  EXPECT_EQ(witnesses.snapshotTime(), Instant{4000});
-  hear("c", 6000, Revision{7});
-  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
-  hear("b", 3000, Revision{100});  // A late response does not lower the time.
-  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
+  receiveStatus("b", 5000, Revision{100});
+  EXPECT_FALSE(barrier.snapshotTime());  // c may have acknowledged any cancellation.
+  receiveStatus("c", 4000, Revision{7});
+  EXPECT_EQ(barrier.snapshotTime(), Instant{4000});
+  receiveStatus("c", 6000, Revision{7});
+  EXPECT_EQ(barrier.snapshotTime(), Instant{5000});
+  receiveStatus("b", 3000, Revision{100});  // A late response does not lower the time.
+  EXPECT_EQ(barrier.snapshotTime(), Instant{5000});
 }
 
 TEST_F(Told, APeerWithSomethingNewerIsNoWitness) {
-  hear("b", 9000, Revision{100});
-  hear("c", 5000, Revision{100});
-  hear("c", 9000, Revision{101});  // The local records lack this cancellation.
-  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
+  receiveStatus("b", 9000, Revision{100});
+  receiveStatus("c", 5000, Revision{100});
+  receiveStatus("c", 9000, Revision{101});  // The local records lack this cancellation.
+  EXPECT_EQ(barrier.snapshotTime(), Instant{5000});
 }
 
 TEST_F(Told, APeerThatHasNotReadAllIsNoWitness) {
-  hear("b", 9000, Revision{100});
-  hear("c", 5000, Revision{100});
+  receiveStatus("b", 9000, Revision{100});
+  receiveStatus("c", 5000, Revision{100});
   // c has just started and has not read what its earlier incarnation acknowledged.
-  hear("c", 9000, std::nullopt);
-  EXPECT_EQ(witnesses.snapshotTime(), Instant{5000});
+  receiveStatus("c", 9000, std::nullopt);
+  EXPECT_EQ(barrier.snapshotTime(), Instant{5000});
 }
 
 TEST(ReplicaCancellations, NewestIsOfWhatIsCancelledOnly) {
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -24,9 +24,9 @@
         stepDown(now);
         return Step::none;
       }
-      if (!renewing_ && now - lastRenew_ >= settings_.renewEvery) {
-        renewing_ = true;
-        lastRenew_ = now;
+      if (!renewalPending_ && now - lastRenewal_ >= settings_.renewInterval) {
+        renewalPending_ = true;
+        lastRenewal_ = now;
         return Step::renew;
       }
       return Step::none;
@@ -38,8 +38,8 @@
     // The state service has applied an earlier claim of this controller whose response was lost.
     role_ = Role::leader;
     token_ = view.token;
-    renewing_ = false;
-    lastRenew_ = Instant{};
+    renewalPending_ = false;
+    lastRenewal_ = Instant{};
     return Step::none;
   }
   if (now < candidateFrom_) return Step::none;
@@ -63,8 +63,8 @@
   if (result.outcome == CommitOutcome::applied) {
     role_ = Role::leader;
     token_ = FencingToken{result.revision.value};
-    renewing_ = false;
-    lastRenew_ = now;
+    renewalPending_ = false;
+    lastRenewal_ = now;
     return;
   }
   role_ = Role::follower;
@@ -75,7 +75,7 @@
 }
 
 void Election::onRenewed(LeaseOutcome outcome) {
-  renewing_ = false;
+  renewalPending_ = false;
   if (role_ == Role::leader && outcome == LeaseOutcome::gone) {
     role_ = Role::follower;
     lease_.reset();
@@ -85,7 +85,7 @@
 void Election::stepDown(Instant until) {
   role_ = Role::follower;
   lease_.reset();
-  renewing_ = false;
+  renewalPending_ = false;
   backOff(until);
 }
 
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -19,9 +19,9 @@
  public:
   struct Settings {
     MemberId self;
-    std::string incarnation;  ///< Identifies one start of the process uniquely.
-    Duration life{3000};      ///< Holds the duration of the leader's lease.
-    Duration renewEvery{750};
+    std::string incarnation;       ///< Identifies one start of the process uniquely.
+    Duration leaseDuration{3000};  ///< Holds the duration of the leader's lease.
+    Duration renewInterval{750};
   };
   /// Describes the leader key as of the newest read.
   struct View {
@@ -60,8 +60,8 @@
   FencingToken token_;
   FencingToken expectedToken_;
   std::optional<LeaseId> lease_;
-  bool renewing_ = false;
-  Instant lastRenew_{};
+  bool renewalPending_ = false;
+  Instant lastRenewal_{};
   Instant candidateFrom_{};
   std::uint64_t claims_ = 0;
 };
--- a/src/leadership/peer_membership.cpp
+++ b/src/leadership/peer_membership.cpp
@@ -8,7 +8,7 @@
 namespace {
 // A peer's successful read may have been sent slightly before the first failed read of this
 // controller, so a peer must have reached the state service at least this long after that failure.
-constexpr Duration kAnswerUnderWay{300};
+constexpr Duration kInFlightMargin{300};
 // A request that fails within this time was refused by the peer's host. It did not time out.
 constexpr Duration kMaxRefusalDelay{200};
 constexpr Duration kUnknownCloudAge{3600000};
@@ -70,48 +70,48 @@
     : runtime_(runtime), http_(http), peers_(platform.peers), zones_(platform.zones) {}
 
 void PeerMembership::start(std::function<PeerStatus()> own, Duration every) {
-  own_ = std::move(own);
-  every_ = every;
+  ownStatus_ = std::move(own);
+  exchangeInterval_ = every;
   exchangeStatus();
 }
 
 void PeerMembership::exchangeStatus() {
   for (const auto& peer : peers_) {
-    if (exchangeUnderWay_[peer.member]) continue;  // The last request is still pending.
-    exchangeUnderWay_[peer.member] = true;
+    if (exchangePending_[peer.member]) continue;  // The last request is still pending.
+    exchangePending_[peer.member] = true;
     sendStatus(peer, [this, member = peer.member,
-                      asked = runtime_.now()](const std::optional<Response>& r) {
-      exchangeUnderWay_[member] = false;
-      onExchanged(member, asked, r);
+                      sentAt = runtime_.now()](const std::optional<Response>& r) {
+      exchangePending_[member] = false;
+      onExchanged(member, sentAt, r);
     });
   }
-  runtime_.after(every_, [this] { exchangeStatus(); });
+  runtime_.after(exchangeInterval_, [this] { exchangeStatus(); });
 }
 
 void PeerMembership::announceStatus() {
-  if (!own_) return;
+  if (!ownStatus_) return;
   for (const auto& peer : peers_) {
     sendStatus(peer, [](const std::optional<Response>&) {});
   }
 }
 
 void PeerMembership::sendStatus(const Peer& peer, OnReply done) {
-  http_.send(peer.address, {"POST", kStatusPath, encodeBody(toJson(own_(), runtime_.now()))},
+  http_.send(peer.address, {"POST", kStatusPath, encodeBody(toJson(ownStatus_(), runtime_.now()))},
              kStatusTimeout, std::move(done));
 }
 
-void PeerMembership::onExchanged(const MemberId& peer, Instant asked,
+void PeerMembership::onExchanged(const MemberId& peer, Instant sentAt,
                                  const std::optional<Response>& response) {
   // A request over a partitioned link times out. Only a refused connection fails immediately.
   Instant now = runtime_.now();
-  if (!response && now - asked < kMaxRefusalDelay) {
+  if (!response && now - sentAt < kMaxRefusalDelay) {
     refusals_.try_emplace(peer, Refusals{now, now}).first->second.last = now;
     if (onRefused) onRefused(peer);
   }
   if (!response || response->status != 200) return;
   auto body = decodeBody(response->body);
   auto s = body ? recordStatus(*body) : std::nullopt;
-  if (s && s->member == peer && onAnswer) onAnswer(*s, asked);
+  if (s && s->member == peer && onAnswer) onAnswer(*s, sentAt);
 }
 
 std::optional<PeerStatus> PeerMembership::recordStatus(const Json& body) {
@@ -130,7 +130,7 @@
 
 void PeerMembership::logMalformedZoneAcks(const Json& body, const PeerStatus& status) {
   if (status.zoneAcks || !field(body, kZoneAcksField)) return;
-  if (!toldMalformedZoneAcks_.insert(status.member).second) return;
+  if (!loggedMalformedZoneAcks_.insert(status.member).second) return;
   logInfo("peer status has malformed zone acknowledgements; ignoring them", "peer", status.member);
 }
 
@@ -139,7 +139,7 @@
   if (!body) return jsonResponse(400, {{"error", "not CBOR"}});
   auto status = recordStatus(*body);
   if (status && onAnnouncement) onAnnouncement(*status);
-  return jsonResponse(200, toJson(own_(), runtime_.now()));
+  return jsonResponse(200, toJson(ownStatus_(), runtime_.now()));
 }
 
 void PeerMembership::notifyLeader(const MemberId& leader) {
@@ -194,13 +194,13 @@
          refused->second.last - refused->second.first > kMaxRestartDuration;
 }
 
-std::optional<MemberId> PeerMembership::peerReachingStore(Instant failing) const {
+std::optional<MemberId> PeerMembership::peerReachingStore(Instant failingSince) const {
   for (const auto& peer : peers_) {
     auto it = statuses_.find(peer.member);
     if (it == statuses_.end()) continue;
-    const auto& [seen, heardAt] = it->second;
-    bool current = runtime_.now() - heardAt < Duration{1500};
-    if (current && seen.ready && heardAt - seen.storeAge > failing + kAnswerUnderWay) {
+    const auto& [seen, receivedAt] = it->second;
+    bool current = runtime_.now() - receivedAt < Duration{1500};
+    if (current && seen.ready && receivedAt - seen.storeAge > failingSince + kInFlightMargin) {
       return peer.member;
     }
   }
--- a/src/leadership/peer_membership.hpp
+++ b/src/leadership/peer_membership.hpp
@@ -91,15 +91,15 @@
   /// takes no action until it has read the records. An exited process is restarted soon, however,
   /// so refusals over a long time come from a packet filter between the two controllers.
   bool mayBeAlive(const MemberId& peer) const;
-  /// Returns a peer that has reached the state service after `failing`, the time at which requests
-  /// of this controller began to fail. A peer that last reached it before that time may be affected
-  /// by the same outage.
-  std::optional<MemberId> peerReachingStore(Instant failing) const;
+  /// Returns a peer that has reached the state service after `failingSince`, the time at which
+  /// requests of this controller began to fail. A peer that last reached it before that time may be
+  /// affected by the same outage.
+  std::optional<MemberId> peerReachingStore(Instant failingSince) const;
   const std::map<MemberId, std::pair<PeerStatus, Instant>>& statuses() const { return statuses_; }
 
   /// Is called with each peer's response to a status request and the time at which the request was
   /// sent.
-  std::function<void(const PeerStatus&, Instant asked)> onAnswer;
+  std::function<void(const PeerStatus&, Instant sentAt)> onAnswer;
   /// Is called with each status that a peer sent on its own initiative.
   std::function<void(const PeerStatus&)> onAnnouncement;
   /// Is called when a peer refuses a connection.
@@ -108,23 +108,23 @@
  private:
   void exchangeStatus();
   void sendStatus(const Peer& peer, OnReply done);
-  void onExchanged(const MemberId& peer, Instant asked, const std::optional<Response>& response);
+  void onExchanged(const MemberId& peer, Instant sentAt, const std::optional<Response>& response);
   std::optional<PeerStatus> recordStatus(const Json& body);
   void logMalformedZoneAcks(const Json& body, const PeerStatus& status);
   Runtime& runtime_;
   HttpClient& http_;
   std::vector<Peer> peers_;
   std::vector<ZoneId> zones_;
-  std::set<MemberId> toldMalformedZoneAcks_;
+  std::set<MemberId> loggedMalformedZoneAcks_;
   std::map<MemberId, std::pair<PeerStatus, Instant>> statuses_;
-  std::map<MemberId, bool> exchangeUnderWay_;
+  std::map<MemberId, bool> exchangePending_;
   struct Refusals {
     Instant first, last;
   };
   /// Holds the first and last connection refusal of each peer since its last status.
   std::map<MemberId, Refusals> refusals_;
-  std::function<PeerStatus()> own_;
-  Duration every_{1000};
+  std::function<PeerStatus()> ownStatus_;
+  Duration exchangeInterval_{1000};
 };
 
 }  // namespace kestrelhoist
--- a/src/leadership/peer_membership_test.cpp
+++ b/src/leadership/peer_membership_test.cpp
@@ -17,14 +17,14 @@
   PeerMembership peers(runtime, runtime, platform);
   peers.start([] { return PeerStatus{MemberId{"me"}, {}, false, {}, {}, true}; }, Duration{500});
   clock.runUntil(10000);
-  auto hear = [&](int storeAgeMs) {
+  auto receiveStatus = [&](int storeAgeMs) {
     PeerStatus s{MemberId{"peer"}, {}, false, Duration{storeAgeMs}, {}, true};
     peers.onStatusRequest({"POST", "/mesh/hello", encodeBody(toJson(s))});
   };
   // The reads of this controller have failed since 9.0 s.
-  hear(1200);  // The peer last reached the state service at 8.8 s.
+  receiveStatus(1200);  // The peer last reached the state service at 8.8 s.
   EXPECT_FALSE(peers.peerReachingStore(Instant{9000}));
-  hear(400);  // The peer reached it at 9.6 s, after the failures here began.
+  receiveStatus(400);  // The peer reached it at 9.6 s, after the failures here began.
   EXPECT_EQ(peers.peerReachingStore(Instant{9000}), MemberId{"peer"});
   clock.runUntil(13000);  // The last status of the peer is too old.
   EXPECT_FALSE(peers.peerReachingStore(Instant{9000}));
