--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -40,7 +40,7 @@
   if (report.zone != platform_.zone) lastForeignWorker_ = lastWorker_;
   canary_.onReport(report.machine, lastWorker_);
   leaseLog_.onHeartbeat(report, lastWorker_);
-  workerTransport_.noteReport(report.address, report.zone, std::nullopt);
+  workerTransport_.recordHeartbeat(report.address, report.zone, std::nullopt);
   return lastWorker_;
 }
 
@@ -69,12 +69,12 @@
   HeartbeatView v;
   v.now = runtime_.now();
   v.leads = leader_ && election_.leads();
-  v.leaderLeaseLife = kLeaseLife;
+  v.maxLeaderKeyLifetime = kLeaseLife;
   v.renewUntil = renewUntil();
   v.contactAge = watcher_.contactAge();
   v.knownToken = lastToken_;
   v.reportedToken = report.token;
-  v.foreignZone = report.zone != platform_.zone;
+  v.workerInForeignZone = report.zone != platform_.zone;
   v.lease = platform_.workerLease;
   if (auto redirected = redirectedAt_.find(report.machine); redirected != redirectedAt_.end()) {
     v.sinceRedirect = v.now - redirected->second;
@@ -87,7 +87,7 @@
   }
   v.isolated = !peerMembership_.anyReachable(kPeerPresence) && v.contactAge >= kAnswersLocallyAfter;
   Instant cutOff = std::max(lastPeer_, v.now - v.contactAge);
-  v.foreignZonesReach = lastForeignWorker_ > cutOff + Duration{500} &&
+  v.foreignZonesReporting = lastForeignWorker_ > cutOff + Duration{500} &&
                         v.now - lastForeignWorker_ < 2 * platform_.reportEvery + Duration{3000};
   if (!v.leader) addUnreachableLeader(report, v);
   return v;
@@ -159,7 +159,7 @@
     stepDown("machine " + report.machine.value + " has seen a higher token", false, Duration{500});
     return reject();
   }
-  if (via) workerTransport_.noteReport(report.address, report.zone, via);
+  if (via) workerTransport_.recordHeartbeat(report.address, report.zone, via);
   return leader_->onReport(report, via.value_or(platform_.member),
                            watcher_.contactAge() < kStoreSilent);
 }
--- a/src/connectivity/connectivity_test.cpp
+++ b/src/connectivity/connectivity_test.cpp
@@ -14,19 +14,19 @@
 
 // Returns a view in which the records were read one second ago, the worker has the known token and
 // no other controller is reachable.
-HeartbeatView alone() {
+HeartbeatView viewWithoutPeers() {
   HeartbeatView v;
   v.now = Instant{100000};
   v.contactAge = Duration{1000};
   v.renewUntil = v.now + Duration{19000};
   v.knownToken = v.reportedToken = FencingToken{7};
-  v.leaderLeaseLife = Duration{3000};
+  v.maxLeaderKeyLifetime = Duration{3000};
   v.lease = Duration{12000};
   return v;
 }
 
 TEST(Route, TheLeaderIsAskedWhileItIsHeard) {
-  auto v = alone();
+  auto v = viewWithoutPeers();
   v.leader = kPeer;
   v.leaderForwards = true;
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::forward);
@@ -35,7 +35,7 @@
 }
 
 TEST(Route, ALeaderThatTakesNoReportsFromPeersGetsItsWorkers) {
-  auto v = alone();
+  auto v = viewWithoutPeers();
   v.leader = kPeer;
   v.leaderReachesWorkers = true;  // The leader has the previous version, or forwarding fails.
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::redirect);
@@ -48,26 +48,26 @@
 }
 
 TEST(Route, LeaseOnlyWithinTheBoundAndUnderAKnownToken) {
-  auto v = alone();
+  auto v = viewWithoutPeers();
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.renewUntil = v.now;
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
   v.renewUntil = v.now - Duration{1};  // The records may lack a cancellation for too long.
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
-  v = alone();
+  v = viewWithoutPeers();
   // The worker would ignore the response and keep reporting here until its lease expires.
   v.reportedToken = FencingToken{8};
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
-  v = alone();
+  v = viewWithoutPeers();
   v.knownToken = v.reportedToken = FencingToken{};
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
-  v = alone();
+  v = viewWithoutPeers();
   v.renewUntil.reset();
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
 }
 
 TEST(Route, AHolderThatRenewsOutOfSightGetsItsWorkers) {
-  auto v = alone();
+  auto v = viewWithoutPeers();
   v.unreachableLeader = kPeer;
   v.leaderUnreachableFor =
       Duration{2900};  // The leader key may exist this long after its owner stopped.
@@ -78,10 +78,10 @@
 }
 
 TEST(Route, CutOffAloneItKeepsItsZonesWorkersAndSendsOthersOn) {
-  auto v = alone();
+  auto v = viewWithoutPeers();
   v.isolated = true;
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
-  v.foreignZone = true;
+  v.workerInForeignZone = true;
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
   v.sinceRedirect = Duration{3000};
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::leaseOnly);
@@ -90,8 +90,8 @@
 // Guards against keeping the workers of the zone on an isolated controller. The leader declared
 // them dead, although they could have reported to it.
 TEST(Route, CutOffAloneItSendsItsZonesWorkersOnOnceOthersShowThatItIsNotTheZone) {
-  auto v = alone();
-  v.isolated = v.foreignZonesReach = true;
+  auto v = viewWithoutPeers();
+  v.isolated = v.foreignZonesReporting = true;
   EXPECT_EQ(routeHeartbeat(v).action, RouteAction::reject);
 }
 
@@ -131,9 +131,9 @@
   HeartbeatAckLog a;
   a.record(MachineId{"host-1"}, Instant{1000});
   a.record(MachineId{"host-1"}, Instant{900});
-  auto told = a.toJson(Instant{5000});
+  auto encoded = a.toJson(Instant{5000});
   // The receiver has another clock, and the log took some time to arrive.
-  auto read = HeartbeatAckLog::parse(told, Instant{777000});
+  auto read = HeartbeatAckLog::parse(encoded, Instant{777000});
   EXPECT_EQ(read.at(MachineId{"host-1"}), Instant{773000});
   a.expire(Instant{1000000});
   EXPECT_TRUE(a.entries().empty());
@@ -163,10 +163,10 @@
 };
 
 TEST_F(TwoControllers, EachReportGetsTheAnswerToItself) {
-  HeartbeatForwarder relay(runtime, *peers, MemberId{"me"});
+  HeartbeatForwarder forwarder(runtime, *peers, MemberId{"me"});
   std::map<int, int> answers;
   for (int n = 0; n < 200; ++n) {
-    relay.forward(kPeer, encodeBody({{"n", n}}), [&, n](std::optional<Response> r) {
+    forwarder.forward(kPeer, encodeBody({{"n", n}}), [&, n](std::optional<Response> r) {
       ASSERT_TRUE(r);
       answers[n] = decodeBody(r->body)->value("of", -1);
     });
@@ -181,24 +181,24 @@
 // forwarded to it any more, so its recovery was not noticed, and every worker was redirected to it.
 // It was found in the run `apart` at the site tfc-bratislava-fleet.
 TEST_F(TwoControllers, ALeaderThatDidNotAnswerIsTriedAgain) {
-  HeartbeatForwarder relay(runtime, *peers, MemberId{"me"});
+  HeartbeatForwarder forwarder(runtime, *peers, MemberId{"me"});
   network.cut("me", {"peer"}, sim::CutMode::hold, 6000);
   int unanswered = 0;
-  Instant began = runtime.now();
-  auto pass = [&] {
-    relay.forward(kPeer, encodeBody({{"n", 1}}),
-                  [&](std::optional<Response> r) { unanswered += !r; });
+  Instant startedAt = runtime.now();
+  auto forwardOne = [&] {
+    forwarder.forward(kPeer, encodeBody({{"n", 1}}),
+                      [&](std::optional<Response> r) { unanswered += !r; });
   };
   for (int i = 0; i < 5; ++i) {
-    pass();
+    forwardOne();
     clock.runUntil(clock.now() + 1000);
   }
   // Each heartbeat fails within the 4 s that a worker waits for its response.
   EXPECT_GE(unanswered, 2);
-  EXPECT_GT(relay.failingFor(kPeer), Duration{2000});
-  clock.runUntil(began.ms + 12000);
-  EXPECT_EQ(relay.failingFor(kPeer), Duration{0});
-  pass();
+  EXPECT_GT(forwarder.failingFor(kPeer), Duration{2000});
+  clock.runUntil(startedAt.ms + 12000);
+  EXPECT_EQ(forwarder.failingFor(kPeer), Duration{0});
+  forwardOne();
   clock.runUntil(clock.now() + 1000);
   EXPECT_EQ(unanswered, 5);
 }
@@ -206,23 +206,23 @@
 // Guards against declaring a worker unreachable while this controller cannot reach any worker. A
 // missing response is evidence only if another worker responds over the same path.
 TEST_F(TwoControllers, SilenceCountsOnlyWhereOthersWereReached) {
-  WorkerTransport line(runtime, runtime, *peers);
+  WorkerTransport transport(runtime, runtime, *peers);
   network.listen("live:9", [](const std::string&, const Request&, const Respond& respond) {
     respond(jsonResponse(200, Json::object()));
   });
   network.silence("dead");
-  std::vector<int> got;
-  auto ask = [&](const std::string& address) {
-    line.send(address, {"POST", "/commands", ""}, Duration{1500},
-              [&](std::optional<Response> r) { got.push_back(r ? r->status : 0); });
+  std::vector<int> statuses;
+  auto sendTo = [&](const std::string& address) {
+    transport.send(address, {"POST", "/commands", ""}, Duration{1500},
+                   [&](std::optional<Response> r) { statuses.push_back(r ? r->status : 0); });
   };
-  ask("dead:9");
+  sendTo("dead:9");
   clock.runUntil(clock.now() + 2000);
-  EXPECT_EQ(got, (std::vector{0}));
-  ask("dead:9");
-  ask("live:9");
+  EXPECT_EQ(statuses, (std::vector{0}));
+  sendTo("dead:9");
+  sendTo("live:9");
   clock.runUntil(clock.now() + 2000);
-  EXPECT_EQ(got, (std::vector{0, 200, kNotReached}));
+  EXPECT_EQ(statuses, (std::vector{0, 200, kNotReached}));
 }
 
 }  // namespace
--- a/src/connectivity/heartbeat_forwarder.cpp
+++ b/src/connectivity/heartbeat_forwarder.cpp
@@ -33,7 +33,7 @@
 
 void HeartbeatForwarder::forward(const MemberId& leader, std::string report, OnReply done) {
   PeerQueue& queue = queues_[leader];
-  queue.waiting.push_back({std::move(report), runtime_.now(), std::move(done)});
+  queue.heartbeats.push_back({std::move(report), runtime_.now(), std::move(done)});
   schedule(leader, kBatchDelay);
 }
 
@@ -48,9 +48,9 @@
 }
 
 void HeartbeatForwarder::dropExpired(PeerQueue& queue, Instant now) {
-  while (!queue.waiting.empty() && now - queue.waiting.front().since > kBatchTimeout) {
-    auto expired = std::move(queue.waiting.front());
-    queue.waiting.pop_front();
+  while (!queue.heartbeats.empty() && now - queue.heartbeats.front().queuedAt > kBatchTimeout) {
+    auto expired = std::move(queue.heartbeats.front());
+    queue.heartbeats.pop_front();
     expired.done(std::nullopt);
   }
 }
@@ -59,7 +59,7 @@
   PeerQueue& queue = queues_[leader];
   Instant now = runtime_.now();
   dropExpired(queue, now);
-  if (queue.waiting.empty()) return;
+  if (queue.heartbeats.empty()) return;
   if (queue.inFlight >= kMaxBatchesInFlight) return schedule(leader, kBusyRetryDelay);
   Batch batch = takeBatch(queue);
   ++queue.inFlight;
@@ -75,20 +75,20 @@
       [this, leader, sent = now, callbacks = std::move(batch.callbacks)](
           Instant, const Answer& answer) { onBatchResponse(leader, sent, callbacks, answer); });
   request->start({kHedgeDelay, kBatchTimeout}, onRepeated);
-  if (!queue.waiting.empty()) schedule(leader, Duration{0});
+  if (!queue.heartbeats.empty()) schedule(leader, Duration{0});
 }
 
 HeartbeatForwarder::Batch HeartbeatForwarder::takeBatch(PeerQueue& queue) {
   Batch batch;
   std::deque<std::string> reports;
   std::size_t bytes = 0;
-  while (!queue.waiting.empty() && reports.size() < kMaxBatchReports) {
-    auto& next = queue.waiting.front();
+  while (!queue.heartbeats.empty() && reports.size() < kMaxBatchReports) {
+    auto& next = queue.heartbeats.front();
     if (!reports.empty() && bytes + next.report.size() > kMaxBatchBytes) break;
     bytes += next.report.size();
     reports.push_back(std::move(next.report));
     batch.callbacks.push_back(std::move(next.done));
-    queue.waiting.pop_front();
+    queue.heartbeats.pop_front();
   }
   batch.body = encodeArray(reports);
   return batch;
@@ -117,7 +117,7 @@
       callbacks[i](jsonResponse(static_cast<int>(*status), answer->at("body")));
     }
   }
-  if (!queue.waiting.empty()) schedule(leader, Duration{0});
+  if (!queue.heartbeats.empty()) schedule(leader, Duration{0});
 }
 
 Duration HeartbeatForwarder::failingFor(const MemberId& leader) const {
--- a/src/connectivity/heartbeat_forwarder.hpp
+++ b/src/connectivity/heartbeat_forwarder.hpp
@@ -34,9 +34,9 @@
   std::function<void()> onRepeated;
 
  private:
-  struct Waiting {
+  struct QueuedHeartbeat {
     std::string report;
-    Instant since;
+    Instant queuedAt;
     OnReply done;
   };
   using Callbacks = std::vector<OnReply>;
@@ -45,7 +45,7 @@
     Callbacks callbacks;
   };
   struct PeerQueue {
-    std::deque<Waiting> waiting;
+    std::deque<QueuedHeartbeat> heartbeats;
     int inFlight = 0;
     bool scheduled = false;
     LinkHealth link;
--- a/src/connectivity/heartbeat_forwarder_test.cpp
+++ b/src/connectivity/heartbeat_forwarder_test.cpp
@@ -35,10 +35,10 @@
   std::pair<Duration, bool> forwardOne() {
     HeartbeatForwarder forwarder(runtime, *peers, MemberId{"me"});
     forwarder.onRepeated = [this] { ++repeats; };
-    const Instant begun = runtime.now();
+    const Instant startedAt = runtime.now();
     std::optional<std::pair<Duration, bool>> result;
     forwarder.forward(kLeader, encodeBody({{"n", 1}}), [&](const std::optional<Response>& answer) {
-      result.emplace(runtime.now() - begun, answer.has_value());
+      result.emplace(runtime.now() - startedAt, answer.has_value());
     });
     clock.runUntil(clock.now() + 4000);
     return result.value();
@@ -47,9 +47,9 @@
 
 TEST_F(LostAnswers, OneIsMadeUpForWithinTheWorkersPatience) {
   network.answersLostUntil["me"] = clock.now() + 300;
-  const auto [took, byLeader] = forwardOne();
+  const auto [duration, byLeader] = forwardOne();
   EXPECT_TRUE(byLeader);
-  EXPECT_LT(took, Duration{600});
+  EXPECT_LT(duration, Duration{600});
   EXPECT_EQ(batches, 2);
   EXPECT_EQ(repeats, 1);
 }
@@ -62,9 +62,9 @@
 
 TEST_F(LostAnswers, ALeaderThatStaysSilentIsGivenUpAsBefore) {
   network.answersLostUntil["me"] = clock.now() + 10000;
-  const auto [took, byLeader] = forwardOne();
+  const auto [duration, byLeader] = forwardOne();
   EXPECT_FALSE(byLeader);
-  EXPECT_LT(took, Duration{1600});
+  EXPECT_LT(duration, Duration{1600});
   EXPECT_EQ(batches, 2);
 }
 
--- a/src/connectivity/heartbeat_route.cpp
+++ b/src/connectivity/heartbeat_route.cpp
@@ -20,15 +20,15 @@
   if (!v.leader) {
     // The owner of the leader key still renews its lease, so it is running and only the link
     // between it and this controller is down.
-    if (v.unreachableLeader && v.leaderUnreachableFor > v.leaderLeaseLife && mayRedirectAgain &&
-        v.mayRedirect)
+    if (v.unreachableLeader && v.leaderUnreachableFor > v.maxLeaderKeyLifetime &&
+        mayRedirectAgain && v.mayRedirect)
       return {RouteAction::redirect, v.unreachableLeader};
     // This controller reaches neither the state service nor any peer, but workers of other zones
     // reach it. Therefore only the controller is isolated, not its zone, and all workers, including
     // those of its own zone, can report to the other controllers and get commands there. If they
     // stayed here on lease-only responses, the leader would consider them dead: in one such case it
     // gave up 8 to 16 of 24 replicas whose workers could have reported to it.
-    if (v.isolated && (v.foreignZone || v.foreignZonesReach) && mayRedirectAgain) {
+    if (v.isolated && (v.workerInForeignZone || v.foreignZonesReporting) && mayRedirectAgain) {
       return {RouteAction::reject, std::nullopt};
     }
   }
--- a/src/connectivity/heartbeat_route.hpp
+++ b/src/connectivity/heartbeat_route.hpp
@@ -25,7 +25,7 @@
   /// Holds how long `unreachableLeader` has been unreachable while owning the key.
   Duration leaderUnreachableFor{};
   /// Holds the longest time that the leader key can exist after its owner has stopped.
-  Duration leaderLeaseLife{};
+  Duration maxLeaderKeyLifetime{};
   /// Holds the time until which this controller may renew worker leases (see LeaseRenewal). It is
   /// empty if the records have not been read.
   std::optional<Instant> renewUntil;
@@ -33,12 +33,12 @@
   FencingToken knownToken;     ///< Holds the token of the newest known leader.
   FencingToken reportedToken;  ///< Holds the token that the worker sent.
   /// Is true if the worker and this controller are in different zones.
-  bool foreignZone{};
+  bool workerInForeignZone{};
   /// Is false if redirected workers are known not to reach `unreachableLeader`, or if this worker's
   /// lease might expire during the redirect (see RedirectCanary).
   bool mayRedirect = true;
   /// Is true if workers of other zones have sent heartbeats since this controller became isolated.
-  bool foreignZonesReach{};
+  bool foreignZonesReporting{};
   /// Is true if this controller has recently reached neither the state service nor any peer.
   bool isolated{};
   /// Holds the time since this worker was last redirected. It is empty if that never happened.
--- a/src/connectivity/peer_proxy.cpp
+++ b/src/connectivity/peer_proxy.cpp
@@ -24,22 +24,22 @@
 }
 
 PeerProxy::PeerProxy(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
-                     std::function<Duration(const PeerStatus&)> ageAt)
+                     std::function<Duration(const PeerStatus&)> serviceAge)
     : runtime_(runtime),
       http_(http),
       peerMembership_(peers),
       settings_(std::move(settings)),
-      ageAt_(std::move(ageAt)) {}
+      serviceAge_(std::move(serviceAge)) {}
 
 PeerProxyView PeerProxy::view() const {
   PeerProxyView v;
   v.failingSince = link_.failingSince();
   Instant now = runtime_.now();
   for (const auto& [member, seen] : peerMembership_.statuses()) {
-    const auto& [status, statusAt] = seen;
+    const auto& [status, receivedAt] = seen;
     auto block = blockedUntil_.find(member);
-    v.peers.push_back({member, status.supportsForwarding, statusAt - ageAt_(status),
-                       now - statusAt < kPeerStatusMaxAge,
+    v.peers.push_back({member, status.supportsForwarding, receivedAt - serviceAge_(status),
+                       now - receivedAt < kPeerStatusMaxAge,
                        block != blockedUntil_.end() && now < block->second});
   }
   return v;
@@ -47,16 +47,16 @@
 
 void PeerProxy::send(const std::string& address, Request request, Duration timeout, OnReply done) {
   if (!link_.failing() || address != settings_.address) {
-    return direct(std::move(request), timeout, std::move(done));
+    return sendDirectly(std::move(request), timeout, std::move(done));
   }
   auto peer = chooseProxyPeer(view());
-  if (peer.has_value() != viaPeer_) {
-    viaPeer_ = peer.has_value();
-    logInfo(viaPeer_ ? "direct link to service fails; proxying requests through peer"
-                     : "no peer reaches the service; using the direct link",
+  if (peer.has_value() != isProxying_) {
+    isProxying_ = peer.has_value();
+    logInfo(isProxying_ ? "direct link to service fails; proxying requests through peer"
+                        : "no peer reaches the service; using the direct link",
             "service", settings_.name, "peer", peer ? peer->value : "-");
   }
-  if (!peer) return direct(std::move(request), timeout, std::move(done));
+  if (!peer) return sendDirectly(std::move(request), timeout, std::move(done));
   probe();
   ++proxiedRequests_;
   request.path = "/mesh/" + settings_.name + request.path;
@@ -70,13 +70,13 @@
                        });
 }
 
-void PeerProxy::direct(Request request, Duration timeout, OnReply done) {
+void PeerProxy::sendDirectly(Request request, Duration timeout, OnReply done) {
   http_.send(settings_.address, std::move(request), timeout,
              [this, sent = runtime_.now(), done = std::move(done)](std::optional<Response> r) {
                bool up = r && r->status != 503;
                up ? link_.onAnswered(sent) : link_.onFailed(sent);
-               if (up && viaPeer_ && !link_.failing()) {
-                 viaPeer_ = false;
+               if (up && isProxying_ && !link_.failing()) {
+                 isProxying_ = false;
                  logInfo("direct link to service restored", "service", settings_.name);
                }
                done(std::move(r));
@@ -85,15 +85,15 @@
 
 void PeerProxy::probe() {
   Instant now = runtime_.now();
-  if (probing_ || now - probedAt_ < settings_.probeEvery) return;
-  probing_ = true;
+  if (isProbing_ || now - probedAt_ < settings_.probeEvery) return;
+  isProbing_ = true;
   probedAt_ = now;
-  direct(settings_.probe, settings_.probeEvery,
-         [this](const std::optional<Response>&) { probing_ = false; });
+  sendDirectly(settings_.probe, settings_.probeEvery,
+               [this](const std::optional<Response>&) { isProbing_ = false; });
 }
 
 void PeerProxy::serve(const Request& request, const Respond& respond) {
-  direct(request, kServeTimeout, [respond](std::optional<Response> r) {
+  sendDirectly(request, kServeTimeout, [respond](std::optional<Response> r) {
     respond(r ? std::move(*r) : Response{kNotReached, encodeBody(Json::object())});
   });
 }
--- a/src/connectivity/peer_proxy.hpp
+++ b/src/connectivity/peer_proxy.hpp
@@ -41,9 +41,10 @@
     Duration probeEvery{1000};
   };
   /// Creates a client for the service in `settings`.
-  /// @param ageAt Returns the time since a peer last reached the service directly, from its status.
+  /// @param serviceAge Returns the time since a peer last reached the service directly, from its
+  /// status.
   PeerProxy(Runtime& runtime, HttpClient& http, PeerMembership& peers, Settings settings,
-            std::function<Duration(const PeerStatus&)> ageAt);
+            std::function<Duration(const PeerStatus&)> serviceAge);
 
   void send(const std::string& address, Request request, Duration timeout, OnReply done) override;
   /// Sends a request of a peer to the service. The request always uses the direct link, so that
@@ -55,19 +56,19 @@
 
  private:
   PeerProxyView view() const;
-  void direct(Request request, Duration timeout, OnReply done);
+  void sendDirectly(Request request, Duration timeout, OnReply done);
   void probe();
 
   Runtime& runtime_;
   HttpClient& http_;
   PeerMembership& peerMembership_;
   Settings settings_;
-  std::function<Duration(const PeerStatus&)> ageAt_;
+  std::function<Duration(const PeerStatus&)> serviceAge_;
   LinkHealth link_;
   std::map<MemberId, Instant> blockedUntil_;
   Instant probedAt_{};
-  bool probing_ = false;
-  bool viaPeer_ = false;
+  bool isProbing_ = false;
+  bool isProxying_ = false;
   std::uint64_t proxiedRequests_ = 0;
 };
 
--- a/src/connectivity/redirect_canary.cpp
+++ b/src/connectivity/redirect_canary.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kScheduleSlack{1000};
 // A redirected worker that returns waits for three responses of this controller: the one before the
 // redirect, the redirect itself and the one after its return.
-constexpr int kAnswersOnDetour = 3;
+constexpr int kResponsesOnDetour = 3;
 
 }  // namespace
 
@@ -25,28 +25,28 @@
 // Returns an upper bound for the response time of this controller as seen by the worker. A worker
 // waits at least three quarters of the heartbeat interval between a response and its next
 // heartbeat.
-Duration RedirectCanary::slowestAnswer(const RedirectCandidate& worker) const {
+Duration RedirectCanary::maxResponseTime(const RedirectCandidate& worker) const {
   if (!worker.sinceAcknowledged) return kWorkerAnswerTimeout;
   return std::clamp(*worker.sinceAcknowledged - reportEvery_ * 3 / 4, Duration{0},
                     kWorkerAnswerTimeout);
 }
 
-bool RedirectCanary::outlivesDetour(const RedirectCandidate& worker) const {
+bool RedirectCanary::leaseOutlastsDetour(const RedirectCandidate& worker) const {
   if (worker.idle) return true;
   if (!leaseOutlastsCycle_ || !worker.sinceAcknowledged) return leaseOutlastsCycle_;
-  return *worker.sinceAcknowledged + kAnswersOnDetour * slowestAnswer(worker) + failoverCycle_ +
+  return *worker.sinceAcknowledged + kResponsesOnDetour * maxResponseTime(worker) + failoverCycle_ +
              kScheduleSlack <
          lease_;
 }
 
 bool RedirectCanary::mayRedirect(const MemberId& leader, const RedirectCandidate& worker,
                                  Instant now) const {
-  if (leader_ != leader) return outlivesDetour(worker);
+  if (leader_ != leader) return leaseOutlastsDetour(worker);
   if (returnedAt_ && now - *returnedAt_ < 2 * lease_) return false;
-  if (redirected_.empty()) return outlivesDetour(worker);
+  if (redirected_.empty()) return leaseOutlastsDetour(worker);
   // No canary reported here again in time, so the leader responds to the canaries.
   if (now > returnDue_) return true;
-  return redirected_.size() < kMaxCanaries && outlivesDetour(worker);
+  return redirected_.size() < kMaxCanaries && leaseOutlastsDetour(worker);
 }
 
 void RedirectCanary::onRedirected(const MemberId& leader, const RedirectCandidate& worker,
@@ -59,7 +59,7 @@
   if (redirected_.size() >= kMaxCanaries) return;
   // Besides the failover cycle, the redirect takes time to reach the worker, and the worker's next
   // heartbeat takes time to reach this controller.
-  const Instant due = now + failoverCycle_ + 2 * slowestAnswer(worker);
+  const Instant due = now + failoverCycle_ + 2 * maxResponseTime(worker);
   returnDue_ = redirected_.empty() ? due : std::max(returnDue_, due);
   redirected_.emplace(worker.machine, now);
 }
--- a/src/connectivity/redirect_canary.hpp
+++ b/src/connectivity/redirect_canary.hpp
@@ -31,7 +31,8 @@
 /// The link between the workers and this controller may also be slow. A worker sends its next
 /// heartbeat only after it has received the response to the previous one, so the time between two
 /// heartbeats is an upper bound for the response time. A worker with tasks is chosen as a canary
-/// only if its lease lasts for the whole detour with responses that take that long.
+/// only if its lease lasts until it has tried the redirect target and has returned to this
+/// controller, with responses that take that long.
 ///
 /// The class performs no I/O and is not thread-safe.
 class RedirectCanary {
@@ -53,8 +54,9 @@
   void onReport(const MachineId& machine, Instant now);
 
  private:
-  Duration slowestAnswer(const RedirectCandidate& worker) const;
-  bool outlivesDetour(const RedirectCandidate& worker) const;
+  Duration maxResponseTime(const RedirectCandidate& worker) const;
+  /// Returns whether the worker's lease lasts until it has returned from a failed redirect.
+  bool leaseOutlastsDetour(const RedirectCandidate& worker) const;
 
   Duration failoverCycle_, lease_, reportEvery_;
   /// Is true if a lease lasts longer than a whole failover cycle.
--- a/src/connectivity/redirect_canary_test.cpp
+++ b/src/connectivity/redirect_canary_test.cpp
@@ -1,5 +1,5 @@
-// Guards against a canary whose lease expires during the detour. The slow responses of the worker's
-// link were not taken into account (scenario deaf-leaders-slow-canary).
+// Guards against a canary whose lease expires before it returns from the redirect. The slow
+// responses of the worker's link were not taken into account (scenario deaf-leaders-slow-canary).
 #include "connectivity/redirect_canary.hpp"
 
 #include <gtest/gtest.h>
@@ -43,19 +43,21 @@
 }
 
 TEST(RedirectCanary, ACanaryThatComesBackKeepsTheOthersHere) {
-  RedirectCanary deaf = canary();
-  deaf.onRedirected(kLeader, busy("host-1", Duration{2300}), kNow);
-  deaf.onReport(MachineId{"host-1"}, kNow + Duration{10500});
-  EXPECT_FALSE(deaf.mayRedirect(kLeader, busy("host-2", Duration{2300}), kNow + Duration{20000}));
-  EXPECT_TRUE(deaf.mayRedirect(kLeader, busy("host-2", Duration{2300}), kNow + Duration{45600}));
+  RedirectCanary returning = canary();
+  returning.onRedirected(kLeader, busy("host-1", Duration{2300}), kNow);
+  returning.onReport(MachineId{"host-1"}, kNow + Duration{10500});
+  EXPECT_FALSE(
+      returning.mayRedirect(kLeader, busy("host-2", Duration{2300}), kNow + Duration{20000}));
+  EXPECT_TRUE(
+      returning.mayRedirect(kLeader, busy("host-2", Duration{2300}), kNow + Duration{45600}));
 }
 
 TEST(RedirectCanary, OnlyTwoAreOnTheirWayAtATime) {
-  RedirectCanary two = canary();
-  two.onRedirected(kLeader, busy("host-1", Duration{2300}), kNow);
-  EXPECT_TRUE(two.mayRedirect(kLeader, busy("host-2", Duration{2300}), kNow + Duration{100}));
-  two.onRedirected(kLeader, busy("host-2", Duration{2300}), kNow + Duration{100});
-  EXPECT_FALSE(two.mayRedirect(kLeader, busy("host-3", Duration{2300}), kNow + Duration{200}));
+  RedirectCanary limited = canary();
+  limited.onRedirected(kLeader, busy("host-1", Duration{2300}), kNow);
+  EXPECT_TRUE(limited.mayRedirect(kLeader, busy("host-2", Duration{2300}), kNow + Duration{100}));
+  limited.onRedirected(kLeader, busy("host-2", Duration{2300}), kNow + Duration{100});
+  EXPECT_FALSE(limited.mayRedirect(kLeader, busy("host-3", Duration{2300}), kNow + Duration{200}));
 }
 
 }  // namespace
--- a/src/connectivity/reporter_log.cpp
+++ b/src/connectivity/reporter_log.cpp
@@ -4,7 +4,7 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kForgetReporter{5 * 60 * 1000};
+constexpr Duration kReporterRetention{5 * 60 * 1000};
 }  // namespace
 
 void ReporterLog::record(const std::string& address, const ZoneId& zone, Instant at) {
@@ -22,11 +22,11 @@
   return nullptr;
 }
 
-std::optional<std::string> ReporterLog::newestBeside(const std::string& address, const ZoneId& zone,
+std::optional<std::string> ReporterLog::newestExcept(const std::string& address, const ZoneId& zone,
                                                      Instant now) const {
   if (auto own = newest_.find(zone); own != newest_.end()) {
     const Reporter* found = newestOf(own->second, address);
-    if (found && now - found->at <= freshFor_) return found->address;
+    if (found && now - found->at <= maxHeartbeatAge_) return found->address;
   }
   const Reporter* best = nullptr;
   for (const auto& [other, newest] : newest_) {
@@ -42,10 +42,10 @@
 }
 
 void ReporterLog::expire(Instant now) {
-  std::erase_if(known_, [&](const auto& k) { return now - k.second.at > kForgetReporter; });
+  std::erase_if(known_, [&](const auto& k) { return now - k.second.at > kReporterRetention; });
   for (auto& [zone, newest] : newest_) {
     for (auto& reporter : newest) {
-      if (reporter && now - reporter->at > kForgetReporter) reporter.reset();
+      if (reporter && now - reporter->at > kReporterRetention) reporter.reset();
     }
   }
 }
--- a/src/connectivity/reporter_log.hpp
+++ b/src/connectivity/reporter_log.hpp
@@ -17,14 +17,14 @@
 class ReporterLog {
  public:
   /// Creates an empty log. A worker is preferred as the newest one of its zone only if its last
-  /// heartbeat is no older than `freshFor`.
-  explicit ReporterLog(Duration freshFor) : freshFor_(freshFor) {}
+  /// heartbeat is no older than `maxHeartbeatAge`.
+  explicit ReporterLog(Duration maxHeartbeatAge) : maxHeartbeatAge_(maxHeartbeatAge) {}
 
   /// Records that a heartbeat of the worker at `address` arrived.
   void record(const std::string& address, const ZoneId& zone, Instant at);
   /// Returns the worker in the zone, other than the one at `address`, whose heartbeat is the
   /// newest. If that heartbeat is not recent, the search covers all zones.
-  std::optional<std::string> newestBeside(const std::string& address, const ZoneId& zone,
+  std::optional<std::string> newestExcept(const std::string& address, const ZoneId& zone,
                                           Instant now) const;
   /// Returns the zone of the worker at `address`, or no value if it sent no heartbeat recently.
   std::optional<ZoneId> zoneOf(const std::string& address) const;
@@ -45,7 +45,7 @@
   };
   static const Reporter* newestOf(const Newest& newest, const std::string& except);
 
-  const Duration freshFor_;
+  const Duration maxHeartbeatAge_;
   std::map<ZoneId, Newest> newest_;
   std::map<std::string, Known> known_;
 };
--- a/src/connectivity/reporter_log_test.cpp
+++ b/src/connectivity/reporter_log_test.cpp
@@ -9,17 +9,17 @@
 
 TEST(ReporterLog, PrefersTheZoneAndNeverNamesTheWorkerInQuestion) {
   ReporterLog log{Duration{1000}};
-  EXPECT_EQ(log.newestBeside("a1", kZoneA, Instant{5}), std::nullopt);
+  EXPECT_EQ(log.newestExcept("a1", kZoneA, Instant{5}), std::nullopt);
   log.record("a1", kZoneA, Instant{1});
-  EXPECT_EQ(log.newestBeside("a1", kZoneA, Instant{5}), std::nullopt);
+  EXPECT_EQ(log.newestExcept("a1", kZoneA, Instant{5}), std::nullopt);
   log.record("b1", kZoneB, Instant{2});
-  EXPECT_EQ(log.newestBeside("a1", kZoneA, Instant{5}), "b1");
+  EXPECT_EQ(log.newestExcept("a1", kZoneA, Instant{5}), "b1");
   log.record("a2", kZoneA, Instant{3});
   log.record("a1", kZoneA, Instant{4});
-  EXPECT_EQ(log.newestBeside("a1", kZoneA, Instant{5}), "a2");
-  EXPECT_EQ(log.newestBeside("a2", kZoneA, Instant{5}), "a1");
-  EXPECT_EQ(log.newestBeside("a3", kZoneA, Instant{5}), "a1");
-  EXPECT_EQ(log.newestBeside("x", ZoneId{"c"}, Instant{5}), "a1");
+  EXPECT_EQ(log.newestExcept("a1", kZoneA, Instant{5}), "a2");
+  EXPECT_EQ(log.newestExcept("a2", kZoneA, Instant{5}), "a1");
+  EXPECT_EQ(log.newestExcept("a3", kZoneA, Instant{5}), "a1");
+  EXPECT_EQ(log.newestExcept("x", ZoneId{"c"}, Instant{5}), "a1");
 }
 
 // Guards against choosing a worker that sends no heartbeats as the reference. A machine that was
@@ -28,8 +28,8 @@
   ReporterLog log{Duration{1000}};
   log.record("a1", kZoneA, Instant{0});
   log.record("b1", kZoneB, Instant{2000});
-  EXPECT_EQ(log.newestBeside("a2", kZoneA, Instant{1000}), "a1");
-  EXPECT_EQ(log.newestBeside("a2", kZoneA, Instant{2000}), "b1");
+  EXPECT_EQ(log.newestExcept("a2", kZoneA, Instant{1000}), "a1");
+  EXPECT_EQ(log.newestExcept("a2", kZoneA, Instant{2000}), "b1");
 }
 
 TEST(ReporterLog, ForgetsWhoHasNotReportedForLong) {
@@ -38,7 +38,7 @@
   EXPECT_EQ(log.zoneOf("a1"), kZoneA);
   log.expire(Instant{1000000});
   EXPECT_EQ(log.zoneOf("a1"), std::nullopt);
-  EXPECT_EQ(log.newestBeside("a2", kZoneA, Instant{1000000}), std::nullopt);
+  EXPECT_EQ(log.newestExcept("a2", kZoneA, Instant{1000000}), std::nullopt);
 }
 
 }  // namespace
--- a/src/connectivity/worker_transport.cpp
+++ b/src/connectivity/worker_transport.cpp
@@ -12,38 +12,38 @@
 constexpr Duration kDirectProbeTimeout{1500};
 // The link to the workers counts as failing only after this many consecutive failed requests, since
 // single machines die often.
-constexpr int kFailuresUntilLinkFails = 3;
-constexpr Duration kProbeEvery{2000};
-constexpr Duration kThroughPeerFor{6000};
+constexpr int kMinFailuresOfFailingLink = 3;
+constexpr Duration kDirectProbeInterval{2000};
+constexpr Duration kRelayPeriod{6000};
 // A peer responds with this status if neither the requested worker nor its reference worker
 // responded.
 constexpr int kPeerReachesNoWorker = 504;
-constexpr Duration kForgetNextHop{5 * 60 * 1000};
-// The response to a probe is overdue after kProbeAnswerDue and is still accepted until
-// kProbePatience. A worker gives up on its own requests after the latter time (see PROTOCOL,
+constexpr Duration kNextHopRetention{5 * 60 * 1000};
+// The response to a probe is overdue after kProbeOverdueAfter and is still accepted until
+// kProbeTimeout. A worker gives up on its own requests after the latter time (see PROTOCOL,
 // "Workers").
-constexpr Duration kProbeAnswerDue{1500};
-constexpr Duration kProbePatience = kWorkerAnswerTimeout;
+constexpr Duration kProbeOverdueAfter{1500};
+constexpr Duration kProbeTimeout = kWorkerAnswerTimeout;
 // After a late response, the next response of that worker is due after this many times the late
 // round trip.
 constexpr int kLateAnswerFactor = 2;
-constexpr Duration kForgetLateAnswer{5 * 60 * 1000};
+constexpr Duration kLateAnswerRetention{5 * 60 * 1000};
 // Two requests that are sent at most this long apart count as sent at the same time.
-constexpr Duration kSameTime{100};
-constexpr Duration kRetryPeerAfter{3000};
+constexpr Duration kSimultaneousWithin{100};
+constexpr Duration kPeerRetryDelay{3000};
 
-Response notReached() { return {kNotReached, encodeBody(Json::object())}; }
+Response notReachedResponse() { return {kNotReached, encodeBody(Json::object())}; }
 }  // namespace
 
 // A running worker sends its next heartbeat within 1.25 intervals after a response, and it waits
-// for that response no longer than kProbePatience (see PROTOCOL, "Workers"). A reference worker
+// for that response no longer than kProbeTimeout (see PROTOCOL, "Workers"). A reference worker
 // whose last heartbeat is older is unlikely to be running.
 WorkerTransport::WorkerTransport(Runtime& runtime, HttpClient& http, PeerMembership& peers,
                                  Duration reportEvery)
     : runtime_(runtime),
       http_(http),
       peerMembership_(peers),
-      reporters_(longestHeartbeatInterval(reportEvery) + kProbePatience) {}
+      reporters_(longestHeartbeatInterval(reportEvery) + kProbeTimeout) {}
 
 const char* toString(ProbeOutcome outcome) {
   switch (outcome) {
@@ -57,8 +57,8 @@
   return "";
 }
 
-void WorkerTransport::noteReport(const std::string& address, const ZoneId& zone,
-                                 const std::optional<MemberId>& via) {
+void WorkerTransport::recordHeartbeat(const std::string& address, const ZoneId& zone,
+                                      const std::optional<MemberId>& via) {
   reporters_.record(address, zone, runtime_.now());
   if (via) {
     nextHops_[address] = {*via, runtime_.now()};
@@ -70,20 +70,20 @@
 
 void WorkerTransport::expire() {
   std::erase_if(failedDirectly_,
-                [&](const auto& f) { return runtime_.now() - f.second > kThroughPeerFor; });
+                [&](const auto& f) { return runtime_.now() - f.second > kRelayPeriod; });
   std::erase_if(nextHops_,
-                [&](const auto& v) { return runtime_.now() - v.second.at > kForgetNextHop; });
+                [&](const auto& v) { return runtime_.now() - v.second.at > kNextHopRetention; });
   std::erase_if(lateAnswers_,
-                [&](const auto& l) { return runtime_.now() - l.second.at > kForgetLateAnswer; });
-  auto overdue = [&](const auto& sent) { return runtime_.now() - sent.second > kProbePatience; };
+                [&](const auto& l) { return runtime_.now() - l.second.at > kLateAnswerRetention; });
+  auto overdue = [&](const auto& sent) { return runtime_.now() - sent.second > kProbeTimeout; };
   std::erase_if(answeredDirectly_, overdue);
-  std::erase_if(referenceAskedAt_, overdue);
+  std::erase_if(referenceProbedAt_, overdue);
   reporters_.expire(runtime_.now());
 }
 
 bool WorkerTransport::reachedSince(Instant sent) const {
   return (link_.lastGood() && *link_.lastGood() >= sent) ||
-         std::any_of(throughPeer_.begin(), throughPeer_.end(),
+         std::any_of(lastAnsweredThrough_.begin(), lastAnsweredThrough_.end(),
                      [&](const auto& p) { return p.second >= sent; });
 }
 
@@ -97,10 +97,10 @@
   Instant now = runtime_.now();
   auto via = nextHops_.find(address);
   for (const auto& [member, seen] : peerMembership_.statuses()) {
-    const auto& [status, heardAt] = seen;
-    if (!status.supportsForwarding || now - heardAt >= kPeerStatusMaxAge) continue;
+    const auto& [status, receivedAt] = seen;
+    if (!status.supportsForwarding || now - receivedAt >= kPeerStatusMaxAge) continue;
     auto failed = failedThrough_.find(member);
-    bool degraded = failed != failedThrough_.end() && now - failed->second < kRetryPeerAfter;
+    bool degraded = failed != failedThrough_.end() && now - failed->second < kPeerRetryDelay;
     std::tuple rank{degraded, via == nextHops_.end() || via->second.peer != member,
                     status.workersAge};
     if (!best || rank < bestRank) {
@@ -112,17 +112,17 @@
 }
 
 // Returns the peer through which a request should go, or no value if it should go directly.
-std::optional<MemberId> WorkerTransport::detourFor(const std::string& address) const {
+std::optional<MemberId> WorkerTransport::relayPeerFor(const std::string& address) const {
   auto failed = failedDirectly_.find(address);
-  const bool failedLately =
-      failed != failedDirectly_.end() && runtime_.now() - failed->second < kThroughPeerFor;
-  if (!failedLately && link_.failures() < kFailuresUntilLinkFails) return std::nullopt;
+  const bool failedRecently =
+      failed != failedDirectly_.end() && runtime_.now() - failed->second < kRelayPeriod;
+  if (!failedRecently && link_.failures() < kMinFailuresOfFailingLink) return std::nullopt;
   return peerFor(address);
 }
 
 void WorkerTransport::send(const std::string& address, Request request, Duration timeout,
                            OnReply done) {
-  auto peer = detourFor(address);
+  auto peer = relayPeerFor(address);
   if (!peer) return sendDirectly(address, std::move(request), timeout, std::move(done));
   probeDirectLink(address);
   sendThrough(*peer, address, std::move(request), timeout, std::move(done));
@@ -130,7 +130,7 @@
 
 void WorkerTransport::probe(const std::string& address, const ZoneId& zone, Request request,
                             OnProbeResult done) {
-  auto peer = detourFor(address);
+  auto peer = relayPeerFor(address);
   if (!peer) return probeDirectly(address, zone, std::move(request), std::move(done));
   // The probe is sent on both paths, because the peer may have no reference worker. A probe can be
   // sent twice safely, since it contains no commands.
@@ -148,7 +148,7 @@
 // Probes a worker through a peer. The peer probes a reference worker of its own.
 void WorkerTransport::probeThrough(const MemberId& peer, const std::string& address,
                                    Request request, OnProbeResult done) {
-  sendThrough(peer, address, std::move(request), kProbeAnswerDue,
+  sendThrough(peer, address, std::move(request), kProbeOverdueAfter,
               [peer, done = std::move(done)](std::optional<Response> response) {
                 if (!response) return done({ProbeOutcome::unknown, std::nullopt, peer});
                 if (response->status == kNotReached) {
@@ -172,18 +172,18 @@
 void WorkerTransport::probeDirectly(const std::string& address, const ZoneId& zone, Request request,
                                     OnProbeResult done) {
   auto probe = std::make_shared<DirectProbe>(
-      DirectProbe{address, runtime_.now(), askReference(address, zone), std::move(done)});
+      DirectProbe{address, runtime_.now(), probeReference(address, zone), std::move(done)});
   runtime_.after(answerDueAfter(address), [this, probe] { onDirectProbeOverdue(probe); });
-  http_.send(address, std::move(request), kProbePatience,
+  http_.send(address, std::move(request), kProbeTimeout,
              [this, probe](const std::optional<Response>& response) {
-               response ? onDirectProbeAnswered(probe, *response) : onDirectProbeOver(probe);
+               response ? onDirectProbeAnswered(probe, *response) : onDirectProbeTimeout(probe);
              });
 }
 
 void WorkerTransport::onDirectProbeAnswered(const std::shared_ptr<DirectProbe>& probe,
                                             const Response& response) {
   probe->answered = true;
-  noteAnswered(probe->address, probe->sent);
+  recordAnswered(probe->address, probe->sent);
   failedDirectly_.erase(probe->address);
   if (probe->overdue) {
     lateAnswers_[probe->address] = {runtime_.now() - probe->sent, runtime_.now()};
@@ -203,7 +203,7 @@
 
 // Handles a probe without a response at its final timeout. On a slow link, the response of the
 // reference worker may have arrived only after the probe became overdue, so it is checked again.
-void WorkerTransport::onDirectProbeOver(const std::shared_ptr<DirectProbe>& probe) {
+void WorkerTransport::onDirectProbeTimeout(const std::shared_ptr<DirectProbe>& probe) {
   if (!probe->overdue || probe->unreachable || !probe->reference) return;
   if (!answeredSince(*probe->reference, probe->sent)) return;
   probe->unreachable = true;
@@ -212,27 +212,28 @@
 
 // Probes a reference worker and returns its address. Probes that are sent at the same time share
 // one request to the reference worker.
-std::optional<std::string> WorkerTransport::askReference(const std::string& address,
-                                                         const ZoneId& zone) {
-  auto reference = reporters_.newestBeside(address, zone, runtime_.now());
+std::optional<std::string> WorkerTransport::probeReference(const std::string& address,
+                                                           const ZoneId& zone) {
+  auto reference = reporters_.newestExcept(address, zone, runtime_.now());
   if (!reference) return std::nullopt;
   const Instant now = runtime_.now();
-  auto asked = referenceAskedAt_.find(*reference);
-  if (asked != referenceAskedAt_.end() && now - asked->second <= kSameTime) return reference;
-  referenceAskedAt_[*reference] = now;
-  http_.send(*reference, {"GET", "/inspect", ""}, kProbePatience,
+  auto probed = referenceProbedAt_.find(*reference);
+  if (probed != referenceProbedAt_.end() && now - probed->second <= kSimultaneousWithin)
+    return reference;
+  referenceProbedAt_[*reference] = now;
+  http_.send(*reference, {"GET", "/inspect", ""}, kProbeTimeout,
              [this, now, to = *reference](const std::optional<Response>& response) {
-               if (response) noteAnswered(to, now);
+               if (response) recordAnswered(to, now);
              });
   return reference;
 }
 
 bool WorkerTransport::answeredSince(const std::string& address, Instant sent) const {
   auto answered = answeredDirectly_.find(address);
-  return answered != answeredDirectly_.end() && answered->second >= sent - kSameTime;
+  return answered != answeredDirectly_.end() && answered->second >= sent - kSimultaneousWithin;
 }
 
-void WorkerTransport::noteAnswered(const std::string& address, Instant sent) {
+void WorkerTransport::recordAnswered(const std::string& address, Instant sent) {
   link_.onAnswered(sent);
   lastAnsweredRequest_ = std::max(lastAnsweredRequest_.value_or(sent), sent);
   Instant& newest = answeredDirectly_.try_emplace(address, sent).first->second;
@@ -241,20 +242,21 @@
 
 Duration WorkerTransport::answerDueAfter(const std::string& address) const {
   auto late = lateAnswers_.find(address);
-  if (late == lateAnswers_.end()) return kProbeAnswerDue;
-  return std::clamp(kLateAnswerFactor * late->second.roundTrip, kProbeAnswerDue, kProbePatience);
+  if (late == lateAnswers_.end()) return kProbeOverdueAfter;
+  return std::clamp(kLateAnswerFactor * late->second.roundTrip, kProbeOverdueAfter, kProbeTimeout);
 }
 
 void WorkerTransport::sendDirectly(const std::string& address, Request request, Duration timeout,
                                    OnReply done) {
-  http_.send(address, std::move(request), timeout,
-             [this, sent = runtime_.now(), address,
-              done = std::move(done)](std::optional<Response> response) {
-               response ? noteAnswered(address, sent) : link_.onFailed(sent);
-               if (!response) failedDirectly_[address] = sent;
-               const bool linkWorks = lastAnsweredRequest_ && *lastAnsweredRequest_ >= sent;
-               done(response || !linkWorks ? std::move(response) : std::optional(notReached()));
-             });
+  http_.send(
+      address, std::move(request), timeout,
+      [this, sent = runtime_.now(), address,
+       done = std::move(done)](std::optional<Response> response) {
+        response ? recordAnswered(address, sent) : link_.onFailed(sent);
+        if (!response) failedDirectly_[address] = sent;
+        const bool linkWorks = lastAnsweredRequest_ && *lastAnsweredRequest_ >= sent;
+        done(response || !linkWorks ? std::move(response) : std::optional(notReachedResponse()));
+      });
 }
 
 // Sends a read-only request to detect the recovery of the direct link. Commands are never sent on
@@ -262,11 +264,11 @@
 // has settled the command.
 void WorkerTransport::probeDirectLink(const std::string& address) {
   Instant now = runtime_.now();
-  if (now - probedAt_ < kProbeEvery) return;
+  if (now - probedAt_ < kDirectProbeInterval) return;
   probedAt_ = now;
   http_.send(address, {"GET", "/inspect", ""}, kDirectProbeTimeout,
              [this, now, address](const std::optional<Response>& response) {
-               if (response) noteAnswered(address, now);
+               if (response) recordAnswered(address, now);
              });
 }
 
@@ -280,7 +282,7 @@
                          // The status kNotReached means that the peer reaches other workers, but
                          // not this one.
                          if (response && response->status != kPeerReachesNoWorker) {
-                           if (response->status != kNotReached) throughPeer_[peer] = sent;
+                           if (response->status != kNotReached) lastAnsweredThrough_[peer] = sent;
                            return done(std::move(response));
                          }
                          failedThrough_[peer] = sent;
@@ -294,17 +296,17 @@
   // result.
   constexpr Duration kTimeout{1200};
   const Instant sent = runtime_.now();
-  auto reference = askReference(address, reporters_.zoneOf(address).value_or(ZoneId{}));
-  http_.send(
-      address, request, kTimeout,
-      [this, address, sent, reference, respond](std::optional<Response> response) {
-        if (response) {
-          noteAnswered(address, sent);
-          return respond(std::move(*response));
-        }
-        const bool works = reference && answeredSince(*reference, sent);
-        respond(works ? notReached() : Response{kPeerReachesNoWorker, encodeBody(Json::object())});
-      });
+  auto reference = probeReference(address, reporters_.zoneOf(address).value_or(ZoneId{}));
+  http_.send(address, request, kTimeout,
+             [this, address, sent, reference, respond](std::optional<Response> response) {
+               if (response) {
+                 recordAnswered(address, sent);
+                 return respond(std::move(*response));
+               }
+               const bool works = reference && answeredSince(*reference, sent);
+               respond(works ? notReachedResponse()
+                             : Response{kPeerReachesNoWorker, encodeBody(Json::object())});
+             });
 }
 
 }  // namespace kestrelhoist
--- a/src/connectivity/worker_transport.hpp
+++ b/src/connectivity/worker_transport.hpp
@@ -60,8 +60,8 @@
   /// directly is probed through a peer as well, and `done` receives the results of both paths.
   void probe(const std::string& address, const ZoneId& zone, Request request, OnProbeResult done);
   /// Records that a heartbeat of this worker arrived, either directly or through the peer `via`.
-  void noteReport(const std::string& address, const ZoneId& zone,
-                  const std::optional<MemberId>& via);
+  void recordHeartbeat(const std::string& address, const ZoneId& zone,
+                       const std::optional<MemberId>& via);
   /// Sends a request of a peer to a worker directly and passes the response to `respond`.
   void serve(const std::string& address, const Request& request, const Respond& respond);
   /// Returns the health of the direct link to the workers.
@@ -84,14 +84,14 @@
                      OnProbeResult done);
   void onDirectProbeAnswered(const std::shared_ptr<DirectProbe>& probe, const Response& response);
   void onDirectProbeOverdue(const std::shared_ptr<DirectProbe>& probe);
-  void onDirectProbeOver(const std::shared_ptr<DirectProbe>& probe);
+  void onDirectProbeTimeout(const std::shared_ptr<DirectProbe>& probe);
   void probeThrough(const MemberId& peer, const std::string& address, Request request,
                     OnProbeResult done);
-  std::optional<MemberId> detourFor(const std::string& address) const;
-  std::optional<std::string> askReference(const std::string& address, const ZoneId& zone);
+  std::optional<MemberId> relayPeerFor(const std::string& address) const;
+  std::optional<std::string> probeReference(const std::string& address, const ZoneId& zone);
   bool answeredSince(const std::string& address, Instant sent) const;
   Duration answerDueAfter(const std::string& address) const;
-  void noteAnswered(const std::string& address, Instant sent);
+  void recordAnswered(const std::string& address, Instant sent);
   void sendDirectly(const std::string& address, Request request, Duration timeout, OnReply done);
   void sendThrough(const MemberId& peer, const std::string& address, Request request,
                    Duration timeout, OnReply done);
@@ -104,7 +104,7 @@
   std::optional<Instant> lastAnsweredRequest_;
   /// Holds the send time of the newest direct request to which each worker responded, by address.
   std::map<std::string, Instant> answeredDirectly_;
-  std::map<std::string, Instant> referenceAskedAt_;
+  std::map<std::string, Instant> referenceProbedAt_;
   struct LateAnswer {
     Duration roundTrip{};
     Instant at;
@@ -112,7 +112,7 @@
   /// Holds the last late response of each worker, by address.
   std::map<std::string, LateAnswer> lateAnswers_;
   /// Holds the send time of the newest request to which a worker responded through each peer.
-  std::map<MemberId, Instant> throughPeer_;
+  std::map<MemberId, Instant> lastAnsweredThrough_;
   /// Holds the send time of the newest direct request to which each worker failed to respond, by
   /// address. The next request to that worker goes through a peer, since a partition may affect the
   /// direct path to some of the workers only.
--- a/src/connectivity/worker_transport_test.cpp
+++ b/src/connectivity/worker_transport_test.cpp
@@ -35,14 +35,14 @@
                        respond(jsonResponse(200, Json::object()));
                      });
     }
-    transport->noteReport("other:9", zoneA, std::nullopt);
+    transport->recordHeartbeat("other:9", zoneA, std::nullopt);
   }
   void probe() {
     outcomes.clear();
     transport->probe("probed:9", zoneA, {"POST", "/commands", ""},
                      [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
   }
-  void pass(std::int64_t ms) { clock.runUntil(clock.now() + ms); }
+  void advance(std::int64_t ms) { clock.runUntil(clock.now() + ms); }
   void slow(const std::set<std::string>& hosts, std::int64_t roundTripMs) {
     network.slowMs = roundTripMs / 2;
     network.cut("leader", hosts, sim::CutMode::slow, 1000000);
@@ -51,16 +51,16 @@
 
 TEST_F(ProbeOfWorker, ThatLivesIsAnswered) {
   probe();
-  pass(5000);
+  advance(5000);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::answered});
 }
 
 TEST_F(ProbeOfWorker, ThatIsDeadBesideALivingOneIsUnreachableAtItsDeadline) {
   network.silence("probed");
   probe();
-  pass(1600);
+  advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unreachable});
-  pass(5000);
+  advance(5000);
   EXPECT_EQ(outcomes.size(), 1U);
 }
 
@@ -68,8 +68,8 @@
   slow({"probed", "other"}, 3000);
   for (int i = 0; i < 3; ++i) {
     probe();
-    transport->noteReport("other:9", zoneA, std::nullopt);
-    pass(5000);
+    transport->recordHeartbeat("other:9", zoneA, std::nullopt);
+    advance(5000);
     EXPECT_EQ(std::count(outcomes.begin(), outcomes.end(), ProbeOutcome::unreachable), 0);
     ASSERT_FALSE(outcomes.empty());
     EXPECT_EQ(outcomes.back(), ProbeOutcome::answered);
@@ -80,28 +80,28 @@
   slow({"probed", "other"}, 3000);
   network.silence("probed");
   probe();
-  pass(1600);
+  advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
-  pass(2500);
+  advance(2500);
   EXPECT_EQ(outcomes, (Outcomes{ProbeOutcome::unknown, ProbeOutcome::unreachable}));
 }
 
 TEST_F(ProbeOfWorker, HeartbeatsOfOthersAreNoProofThatTheWayToWorkersIsOpen) {
   network.cut("leader", {"probed", "other"}, sim::CutMode::drop, 1000000);
   probe();
-  pass(500);
-  transport->noteReport("other:9", zoneA, std::nullopt);
-  pass(5000);
+  advance(500);
+  transport->recordHeartbeat("other:9", zoneA, std::nullopt);
+  advance(5000);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
 }
 
 TEST_F(ProbeOfWorker, InASlowZoneIsMeasuredByOthersOfThatZone) {
-  pass(1);
-  transport->noteReport("third:9", zoneB, std::nullopt);
+  advance(1);
+  transport->recordHeartbeat("third:9", zoneB, std::nullopt);
   slow({"probed", "other"}, 3000);
   network.silence("probed");
   probe();
-  pass(1600);
+  advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
 }
 
@@ -109,28 +109,28 @@
   transport->probe("probed:9", zoneB, {"POST", "/commands", ""},
                    [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
   network.silence("probed");
-  pass(1600);
+  advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unreachable});
 }
 
 TEST_F(ProbeOfWorker, ThatAnswersLateAloneIsAnsweredAndGivenMoreTimeAfterwards) {
   slow({"probed"}, 3000);
   probe();
-  pass(5000);
+  advance(5000);
   EXPECT_EQ(outcomes, (Outcomes{ProbeOutcome::unreachable, ProbeOutcome::answered}));
-  transport->noteReport("other:9", zoneA, std::nullopt);
+  transport->recordHeartbeat("other:9", zoneA, std::nullopt);
   probe();
-  pass(5000);
+  advance(5000);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::answered});
 }
 
 TEST_F(ProbeOfWorker, WithNobodyElseToAskProvesNothing) {
-  WorkerTransport alone(runtime, runtime, *peers);
-  alone.noteReport("probed:9", zoneA, std::nullopt);
+  WorkerTransport withoutReference(runtime, runtime, *peers);
+  withoutReference.recordHeartbeat("probed:9", zoneA, std::nullopt);
   network.silence("probed");
-  alone.probe("probed:9", zoneA, {"POST", "/commands", ""},
-              [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
-  pass(6000);
+  withoutReference.probe("probed:9", zoneA, {"POST", "/commands", ""},
+                         [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
+  advance(6000);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
 }
 
@@ -148,15 +148,16 @@
   status.member = peer;
   status.supportsForwarding = true;
   withPeer.start([&status] { return status; }, Duration{1000000});
-  WorkerTransport beside(runtime, runtime, withPeer);
+  WorkerTransport transportWithPeer(runtime, runtime, withPeer);
   network.silence("probed");
   for (int i = 0; i < 2; ++i) {
     outcomes.clear();
-    beside.noteReport("other:9", zoneA, std::nullopt);
+    transportWithPeer.recordHeartbeat("other:9", zoneA, std::nullopt);
     withPeer.onStatusRequest({"POST", "/mesh/hello", encodeBody(toJson(status))});
-    beside.probe("probed:9", zoneA, {"POST", "/commands", ""},
-                 [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
-    pass(2000);
+    transportWithPeer.probe(
+        "probed:9", zoneA, {"POST", "/commands", ""},
+        [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
+    advance(2000);
   }
   EXPECT_EQ(outcomes, (Outcomes{ProbeOutcome::unknown, ProbeOutcome::unreachable}));
 }
@@ -168,8 +169,8 @@
   auto serve = [&] {
     transport->serve("probed:9", {"POST", "/commands", ""},
                      [&](const Response& response) { statuses.push_back(response.status); });
-    transport->noteReport("other:9", zoneA, std::nullopt);
-    pass(2000);
+    transport->recordHeartbeat("other:9", zoneA, std::nullopt);
+    advance(2000);
   };
   network.silence("probed");
   serve();
--- a/src/connectivity/zone_ack_log.cpp
+++ b/src/connectivity/zone_ack_log.cpp
@@ -11,15 +11,15 @@
 
 // A peer that responded to a status request sent this recently is assumed to be running and to
 // report its acknowledgements.
-constexpr Duration kPeerAnswersWithin{2000};
+constexpr Duration kMaxResponseAge{2000};
 // An acknowledgement is announced immediately if it comes this long after the previous one of its
 // zone, so that the peers always have the newest acknowledgement of each zone to this accuracy. The
 // heartbeats of a zone with many machines never have such a gap.
-constexpr Duration kAnnouncedAfter{2000};
+constexpr Duration kAnnouncementGap{2000};
 // Every responding peer notices within this time that this process is new. The bounds that peers
 // report are used only after it, since earlier ones may not include all acknowledgements of this
 // controller's previous process.
-constexpr Duration kNoticedByPeers{2000};
+constexpr Duration kRestartNoticeDelay{2000};
 
 Json agesToJson(const std::map<ZoneId, Duration>& ages) {
   Json out = Json::object();
@@ -28,9 +28,9 @@
 }
 
 std::optional<Duration> ageFrom(const Json& v) {
-  constexpr std::int64_t kLongest = std::int64_t{1} << 53;
+  constexpr std::int64_t kMaxAgeMs = std::int64_t{1} << 53;
   if (!v.is_number_integer()) return std::nullopt;
-  if (v.is_number_unsigned() && v.get<std::uint64_t>() > kLongest) return std::nullopt;
+  if (v.is_number_unsigned() && v.get<std::uint64_t>() > kMaxAgeMs) return std::nullopt;
   const auto age = v.get<std::int64_t>();
   if (age < 0) return std::nullopt;
   return Duration{age};
@@ -70,65 +70,65 @@
   for (const auto& peer : platform.peers) {
     peers_[peer.member] = {peer.zone, std::nullopt, std::nullopt};
   }
-  for (const auto& zone : platform.zones) beforeStart_[zone] = startedAt;
+  for (const auto& zone : platform.zones) boundBeforeStart_[zone] = startedAt;
 }
 
-void ZoneAckLog::raise(const ZoneId& zone, Instant at) {
+void ZoneAckLog::raiseNewest(const ZoneId& zone, Instant at) {
   auto [entry, isNew] = newest_.try_emplace(zone, at);
   if (!isNew) entry->second = std::max(entry->second, at);
 }
 
 bool ZoneAckLog::onAcknowledged(const ZoneId& zone, Instant receivedAt) {
-  if (!beforeStart_.contains(zone))
+  if (!boundBeforeStart_.contains(zone))
     return false;  // The zone is not configured, so peers would reject it.
   auto before = newest_.find(zone);
-  const bool wasSilent = before == newest_.end() || receivedAt - before->second > kAnnouncedAfter;
-  raise(zone, receivedAt);
+  const bool wasSilent = before == newest_.end() || receivedAt - before->second > kAnnouncementGap;
+  raiseNewest(zone, receivedAt);
   return wasSilent;
 }
 
-void ZoneAckLog::onPeerAnswer(const MemberId& peer, Instant askedAt, Instant receivedAt,
+void ZoneAckLog::onPeerAnswer(const MemberId& peer, Instant requestSentAt, Instant receivedAt,
                               const std::optional<ZoneAckReport>& report) {
   auto entry = peers_.find(peer);
   if (entry == peers_.end() || !report) return;
   PeerView& view = entry->second;
   const Instant peerStartedAt = receivedAt - report->uptime;
-  if (view.knownUpTo && peerStartedAt > *view.knownUpTo) {
-    addUntold(view, std::min(peerStartedAt, view.endedAt.value_or(peerStartedAt)));
+  if (view.coveredUpTo && peerStartedAt > *view.coveredUpTo) {
+    addUnreportedAcks(view, std::min(peerStartedAt, view.refusedAt.value_or(peerStartedAt)));
   }
-  view.endedAt.reset();
-  view.knownUpTo = std::max(askedAt, view.knownUpTo.value_or(askedAt));
+  view.refusedAt.reset();
+  view.coveredUpTo = std::max(requestSentAt, view.coveredUpTo.value_or(requestSentAt));
   onPeerAnnouncement(receivedAt, *report);
-  if (askedAt < startedAt_ + kNoticedByPeers) return;
+  if (requestSentAt < startedAt_ + kRestartNoticeDelay) return;
   for (const auto& [zone, age] : report->boundAges) {
-    beforeStart_[zone] = std::min(beforeStart_[zone], receivedAt - age);
+    boundBeforeStart_[zone] = std::min(boundBeforeStart_[zone], receivedAt - age);
   }
 }
 
 void ZoneAckLog::onPeerAnnouncement(Instant receivedAt, const ZoneAckReport& report) {
-  for (const auto& [zone, age] : report.knownAges) raise(zone, receivedAt - age);
+  for (const auto& [zone, age] : report.knownAges) raiseNewest(zone, receivedAt - age);
 }
 
 void ZoneAckLog::onPeerRefused(const MemberId& peer, Instant at) {
   auto entry = peers_.find(peer);
-  if (entry == peers_.end() || entry->second.endedAt) return;
-  addUntold(entry->second, at);
-  entry->second.endedAt = at;
+  if (entry == peers_.end() || entry->second.refusedAt) return;
+  addUnreportedAcks(entry->second, at);
+  entry->second.refusedAt = at;
 }
 
 // Accounts for the heartbeats that a stopped peer may have acknowledged between its last response
 // and its end. A zone without a recent acknowledgement at the last response is excluded, because
 // the peer would have announced the next one immediately. If the last response is old, no zone is
 // excluded.
-void ZoneAckLog::addUntold(const PeerView& view, Instant endedAt) {
-  if (!view.knownUpTo) return;
-  const bool longUnknown = endedAt - *view.knownUpTo > kPeerAnswersWithin;
-  for (const auto& entry : beforeStart_) {
+void ZoneAckLog::addUnreportedAcks(const PeerView& view, Instant endedAt) {
+  if (!view.coveredUpTo) return;
+  const bool isResponseOld = endedAt - *view.coveredUpTo > kMaxResponseAge;
+  for (const auto& entry : boundBeforeStart_) {
     const ZoneId& zone = entry.first;
     auto newest = newest_.find(zone);
     const bool wasRecent =
-        newest != newest_.end() && *view.knownUpTo - newest->second <= kAnnouncedAfter;
-    if (longUnknown || wasRecent) raise(zone, endedAt);
+        newest != newest_.end() && *view.coveredUpTo - newest->second <= kAnnouncementGap;
+    if (isResponseOld || wasRecent) raiseNewest(zone, endedAt);
   }
 }
 
@@ -138,9 +138,9 @@
 bool ZoneAckLog::coversPeer(const PeerView& view, const MemberId& peer, const ZoneId& zone,
                             Instant now,
                             const std::function<bool(const MemberId&)>& mayBeAlive) const {
-  if (!view.knownUpTo) return false;
-  if (view.endedAt) return view.zone != zone && !mayBeAlive(peer);
-  return now - *view.knownUpTo <= kPeerAnswersWithin;
+  if (!view.coveredUpTo) return false;
+  if (view.refusedAt) return view.zone != zone && !mayBeAlive(peer);
+  return now - *view.coveredUpTo <= kMaxResponseAge;
 }
 
 bool ZoneAckLog::coversAllPeers(const ZoneId& zone, Instant now,
@@ -153,7 +153,7 @@
 std::map<ZoneId, Instant> ZoneAckLog::bounds(
     Instant now, const std::function<bool(const MemberId&)>& mayBeAlive) const {
   std::map<ZoneId, Instant> out;
-  for (const auto& [zone, before] : beforeStart_) {
+  for (const auto& [zone, before] : boundBeforeStart_) {
     if (!coversAllPeers(zone, now, mayBeAlive)) continue;
     auto newest = newest_.find(zone);
     out[zone] = newest == newest_.end() ? before : std::max(before, newest->second);
--- a/src/connectivity/zone_ack_log.hpp
+++ b/src/connectivity/zone_ack_log.hpp
@@ -54,8 +54,8 @@
   /// stopped before its next regular status, the peers would assume no newer acknowledgement.
   bool onAcknowledged(const ZoneId& zone, Instant receivedAt);
   /// Records a peer's response, received at `receivedAt`, to a status request that was sent at
-  /// `askedAt`. `report` is empty if the peer's version does not send one.
-  void onPeerAnswer(const MemberId& peer, Instant askedAt, Instant receivedAt,
+  /// `requestSentAt`. `report` is empty if the peer's version does not send one.
+  void onPeerAnswer(const MemberId& peer, Instant requestSentAt, Instant receivedAt,
                     const std::optional<ZoneAckReport>& report);
   /// Records a report that a peer sent on its own initiative. Its delay in transit is unknown, so
   /// it does not show until when the peer's acknowledgements are included.
@@ -77,13 +77,13 @@
     ZoneId zone;
     /// Holds the time up to which all acknowledgements of the peer are included in `newest_`. It is
     /// empty until the peer's first report.
-    std::optional<Instant> knownUpTo;
+    std::optional<Instant> coveredUpTo;
     /// Holds the time at which the peer first refused a connection after its last response. It is
     /// empty if the peer has refused none since.
-    std::optional<Instant> endedAt;
+    std::optional<Instant> refusedAt;
   };
-  void raise(const ZoneId& zone, Instant at);
-  void addUntold(const PeerView& view, Instant endedAt);
+  void raiseNewest(const ZoneId& zone, Instant at);
+  void addUnreportedAcks(const PeerView& view, Instant endedAt);
   bool coversPeer(const PeerView& view, const MemberId& peer, const ZoneId& zone, Instant now,
                   const std::function<bool(const MemberId&)>& mayBeAlive) const;
   bool coversAllPeers(const ZoneId& zone, Instant now,
@@ -95,7 +95,7 @@
   /// ruled out, since `startedAt_`.
   std::map<ZoneId, Instant> newest_;
   /// Maps each zone to an upper bound for the times of acknowledgements made before `startedAt_`.
-  std::map<ZoneId, Instant> beforeStart_;
+  std::map<ZoneId, Instant> boundBeforeStart_;
 };
 
 }  // namespace kestrelhoist
--- a/src/connectivity/zone_ack_log_test.cpp
+++ b/src/connectivity/zone_ack_log_test.cpp
@@ -29,22 +29,23 @@
 struct ZoneAcks : testing::Test {
   Platform platform = platformWithPeers();
   ZoneAckLog log{platform, Instant{0}};
-  std::set<MemberId> ended;
+  std::set<MemberId> refusingPeers;
 
-  static ZoneAckReport told(std::map<ZoneId, Duration> known, Duration uptime = Duration{kHourMs}) {
+  static ZoneAckReport reportWith(std::map<ZoneId, Duration> known,
+                                  Duration uptime = Duration{kHourMs}) {
     return {uptime, std::move(known), {}};
   }
-  void answers(const MemberId& peer, std::int64_t atMs, std::map<ZoneId, Duration> known,
-               Duration uptime = Duration{kHourMs}) {
-    log.onPeerAnswer(peer, Instant{atMs - 10}, Instant{atMs}, told(std::move(known), uptime));
+  void receiveResponse(const MemberId& peer, std::int64_t atMs, std::map<ZoneId, Duration> known,
+                       Duration uptime = Duration{kHourMs}) {
+    log.onPeerAnswer(peer, Instant{atMs - 10}, Instant{atMs}, reportWith(std::move(known), uptime));
   }
-  void refuses(const MemberId& peer, std::int64_t atMs) {
-    ended.insert(peer);
+  void refuseConnection(const MemberId& peer, std::int64_t atMs) {
+    refusingPeers.insert(peer);
     log.onPeerRefused(peer, Instant{atMs});
   }
   std::map<ZoneId, Instant> bounds(std::int64_t atMs) const {
     return log.bounds(Instant{atMs},
-                      [this](const MemberId& peer) { return !ended.contains(peer); });
+                      [this](const MemberId& peer) { return !refusingPeers.contains(peer); });
   }
   std::optional<Instant> boundOf(const ZoneId& zone, std::int64_t atMs) const {
     auto all = bounds(atMs);
@@ -53,72 +54,72 @@
 };
 
 TEST_F(ZoneAcks, OutliveTheLeaderThatGaveThem) {
-  answers(kLeader, kHourMs, {{kZoneC, Duration{5000}}, {kZoneA, Duration{100}}});
-  answers(kThird, kHourMs, {{kZoneB, Duration{100}}});
-  refuses(kLeader, kHourMs + 400);
-  answers(kThird, kHourMs + 500, {{kZoneB, Duration{100}}});
+  receiveResponse(kLeader, kHourMs, {{kZoneC, Duration{5000}}, {kZoneA, Duration{100}}});
+  receiveResponse(kThird, kHourMs, {{kZoneB, Duration{100}}});
+  refuseConnection(kLeader, kHourMs + 400);
+  receiveResponse(kThird, kHourMs + 500, {{kZoneB, Duration{100}}});
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 500), Instant{kHourMs - 5000});
 }
 
 TEST_F(ZoneAcks, OfAZoneThatWasOnTimeCountUntilTheLeadersEnd) {
-  answers(kLeader, kHourMs, {{kZoneC, Duration{1500}}});
-  answers(kThird, kHourMs, {});
-  refuses(kLeader, kHourMs + 400);
+  receiveResponse(kLeader, kHourMs, {{kZoneC, Duration{1500}}});
+  receiveResponse(kThird, kHourMs, {});
+  refuseConnection(kLeader, kHourMs + 400);
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 500), Instant{kHourMs + 400});
 }
 
 TEST_F(ZoneAcks, CountUntilTheEndOfALeaderThatWasNotHeardForLong) {
-  answers(kLeader, kHourMs, {{kZoneC, Duration{60000}}});
-  answers(kThird, kHourMs, {});
-  refuses(kLeader, kHourMs + 9000);
-  answers(kThird, kHourMs + 9000, {});
+  receiveResponse(kLeader, kHourMs, {{kZoneC, Duration{60000}}});
+  receiveResponse(kThird, kHourMs, {});
+  refuseConnection(kLeader, kHourMs + 9000);
+  receiveResponse(kThird, kHourMs + 9000, {});
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 9000), Instant{kHourMs + 9000});
 }
 
 TEST_F(ZoneAcks, AreUnknownWhileAControllerThatCannotBeAskedMayGiveThem) {
-  answers(kLeader, kHourMs, {{kZoneC, Duration{5000}}});
-  answers(kThird, kHourMs, {});
+  receiveResponse(kLeader, kHourMs, {{kZoneC, Duration{5000}}});
+  receiveResponse(kThird, kHourMs, {});
   EXPECT_TRUE(boundOf(kZoneC, kHourMs + 1900));
-  answers(kThird, kHourMs + 2500, {});
+  receiveResponse(kThird, kHourMs + 2500, {});
   EXPECT_TRUE(bounds(kHourMs + 2500).empty());  // The leader does not respond but may still run.
 }
 
 TEST_F(ZoneAcks, AreUnknownInTheZoneOfAControllerThatRefuses) {
-  answers(kLeader, kHourMs, {});
-  answers(kThird, kHourMs, {{kZoneC, Duration{5000}}, {kZoneB, Duration{5000}}});
-  refuses(kThird, kHourMs + 400);
-  answers(kLeader, kHourMs + 500, {});
+  receiveResponse(kLeader, kHourMs, {});
+  receiveResponse(kThird, kHourMs, {{kZoneC, Duration{5000}}, {kZoneB, Duration{5000}}});
+  refuseConnection(kThird, kHourMs + 400);
+  receiveResponse(kLeader, kHourMs + 500, {});
   EXPECT_FALSE(
       boundOf(kZoneB, kHourMs + 500));  // The peer may be partitioned together with its zone.
   EXPECT_TRUE(boundOf(kZoneC, kHourMs + 500));
-  ended.clear();  // The refusals last so long that a packet filter is the likelier cause.
+  refusingPeers.clear();  // The refusals last so long that a packet filter is the likelier cause.
   EXPECT_FALSE(boundOf(kZoneC, kHourMs + 500));
 }
 
 TEST_F(ZoneAcks, AreUnknownWhileAPeerOfAnEarlierVersionDoesNotTell) {
-  answers(kLeader, kHourMs, {});
+  receiveResponse(kLeader, kHourMs, {});
   log.onPeerAnswer(kThird, Instant{kHourMs}, Instant{kHourMs}, std::nullopt);
   EXPECT_TRUE(bounds(kHourMs).empty());
 }
 
 TEST_F(ZoneAcks, OfAControllerThatIsBackAtOnceCountUntilItsStart) {
-  answers(kThird, kHourMs, {});
-  answers(kLeader, kHourMs, {{kZoneC, Duration{60000}}, {kZoneA, Duration{100}}});
-  answers(kLeader, kHourMs + 500, {}, Duration{200});
+  receiveResponse(kThird, kHourMs, {});
+  receiveResponse(kLeader, kHourMs, {{kZoneC, Duration{60000}}, {kZoneA, Duration{100}}});
+  receiveResponse(kLeader, kHourMs + 500, {}, Duration{200});
   EXPECT_EQ(boundOf(kZoneA, kHourMs + 500), Instant{kHourMs + 300});
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 500), Instant{kHourMs - 60000});
 }
 
 TEST_F(ZoneAcks, ThatCameUnaskedAndLateMakeAZoneLookNewerNeverOlder) {
-  answers(kLeader, kHourMs, {{kZoneC, Duration{5000}}});
-  answers(kThird, kHourMs, {});
-  log.onPeerAnnouncement(Instant{kHourMs + 100}, told({{kZoneC, Duration{4000}}}));
+  receiveResponse(kLeader, kHourMs, {{kZoneC, Duration{5000}}});
+  receiveResponse(kThird, kHourMs, {});
+  log.onPeerAnnouncement(Instant{kHourMs + 100}, reportWith({{kZoneC, Duration{4000}}}));
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 100), Instant{kHourMs - 3900});
-  log.onPeerAnnouncement(Instant{kHourMs + 200}, told({{kZoneC, Duration{90000}}}));
+  log.onPeerAnnouncement(Instant{kHourMs + 200}, reportWith({{kZoneC, Duration{90000}}}));
   EXPECT_EQ(boundOf(kZoneC, kHourMs + 200), Instant{kHourMs - 3900});
   // A delayed status does not show that the peer has reported everything up to its arrival.
-  answers(kThird, kHourMs + 30000, {});
-  log.onPeerAnnouncement(Instant{kHourMs + 30000}, told({{kZoneC, Duration{5000}}}));
+  receiveResponse(kThird, kHourMs + 30000, {});
+  log.onPeerAnnouncement(Instant{kHourMs + 30000}, reportWith({{kZoneC, Duration{5000}}}));
   EXPECT_FALSE(boundOf(kZoneC, kHourMs + 30000));
 }
 
@@ -134,27 +135,27 @@
 // A controller that has just started has no record of the acknowledgements of its earlier process.
 // Its peers report bounds for them once they have noticed the restart.
 TEST_F(ZoneAcks, ComeBackFromPeersToAControllerThatStartedAnew) {
-  ZoneAckLog anew{platform, Instant{kHourMs}};
+  ZoneAckLog restarted{platform, Instant{kHourMs}};
   auto alive = [](const MemberId&) { return true; };
   ZoneAckReport report{Duration{kHourMs}, {{kZoneC, Duration{9000}}}, {{kZoneC, Duration{9000}}}};
   for (const auto& peer : {kLeader, kThird}) {
-    anew.onPeerAnswer(peer, Instant{kHourMs + 500}, Instant{kHourMs + 500}, report);
+    restarted.onPeerAnswer(peer, Instant{kHourMs + 500}, Instant{kHourMs + 500}, report);
   }
-  EXPECT_EQ(anew.bounds(Instant{kHourMs + 500}, alive).at(kZoneC), Instant{kHourMs});
+  EXPECT_EQ(restarted.bounds(Instant{kHourMs + 500}, alive).at(kZoneC), Instant{kHourMs});
   report.knownAges[kZoneC] = report.boundAges[kZoneC] = Duration{10500};
   for (const auto& peer : {kLeader, kThird}) {
-    anew.onPeerAnswer(peer, Instant{kHourMs + 2000}, Instant{kHourMs + 2000}, report);
+    restarted.onPeerAnswer(peer, Instant{kHourMs + 2000}, Instant{kHourMs + 2000}, report);
   }
-  EXPECT_EQ(anew.bounds(Instant{kHourMs + 2000}, alive).at(kZoneC), Instant{kHourMs - 8500});
+  EXPECT_EQ(restarted.bounds(Instant{kHourMs + 2000}, alive).at(kZoneC), Instant{kHourMs - 8500});
 }
 
 TEST_F(ZoneAcks, OfAControllerWithoutPeersBeginWithItsStart) {
   platform.peers.clear();
-  ZoneAckLog alone{platform, Instant{7000}};
+  ZoneAckLog withoutPeers{platform, Instant{7000}};
   auto alive = [](const MemberId&) { return true; };
-  EXPECT_EQ(alone.bounds(Instant{9000}, alive).at(kZoneC), Instant{7000});
-  alone.onAcknowledged(kZoneC, Instant{8000});
-  EXPECT_EQ(alone.bounds(Instant{9000}, alive).at(kZoneC), Instant{8000});
+  EXPECT_EQ(withoutPeers.bounds(Instant{9000}, alive).at(kZoneC), Instant{7000});
+  withoutPeers.onAcknowledged(kZoneC, Instant{8000});
+  EXPECT_EQ(withoutPeers.bounds(Instant{9000}, alive).at(kZoneC), Instant{8000});
 }
 
 TEST_F(ZoneAcks, AreReadBackAsTheyWereWritten) {
