--- a/src/connectivity/heartbeat_route.hpp
+++ b/src/connectivity/heartbeat_route.hpp
@@ -53,8 +53,7 @@
   /// The heartbeat is forwarded to the leader, whose commands are the response.
   forward,
   /// The heartbeat is answered without the leader. The response renews the lease and stops the
-  /// tasks
-  /// of ended jobs.
+  /// tasks of ended jobs.
   leaseOnly,
   /// The response is a 421 that names the controller to use.
   redirect,
--- a/src/connectivity/redirect_canary.cpp
+++ b/src/connectivity/redirect_canary.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::size_t kMaxCanaries = 2;
 constexpr Duration kScheduleSlack{1000};
-// A redirected worker that returns waits for three responses of this controller: the one before the
-// redirect, the redirect itself and the one after its return.
+// A redirected worker that returns to this controller waits for three responses of this controller:
+// the one before the redirect, the redirect itself and the one after its return.
 constexpr int kResponsesOnDetour = 3;
 
 }  // namespace
--- a/src/connectivity/redirect_canary.hpp
+++ b/src/connectivity/redirect_canary.hpp
@@ -59,7 +59,8 @@
   bool leaseOutlastsDetour(const RedirectCandidate& worker) const;
 
   Duration failoverCycle_, lease_, reportEvery_;
-  /// Is true if a lease lasts longer than a whole failover cycle.
+  /// Is true if a lease lasts longer than a worker needs to try every controller and to return
+  /// here.
   bool leaseOutlastsCycle_;
   /// Names the current redirect target.
   MemberId leader_;
--- a/src/connectivity/worker_transport.cpp
+++ b/src/connectivity/worker_transport.cpp
@@ -15,12 +15,12 @@
 constexpr int kMinFailuresOfFailingLink = 3;
 constexpr Duration kDirectProbeInterval{2000};
 constexpr Duration kRelayPeriod{6000};
-// A peer responds with this status if neither the requested worker nor its reference worker
-// responded.
+// A peer responds with this status if neither the requested worker nor the other worker that the
+// peer probed for comparison responded.
 constexpr int kPeerReachesNoWorker = 504;
 constexpr Duration kNextHopRetention{5 * 60 * 1000};
-// The response to a probe is overdue after kProbeOverdueAfter and is still accepted until
-// kProbeTimeout. A worker gives up on its own requests after the latter time (see PROTOCOL,
+// The response to a probe is overdue after kProbeOverdueAfter but is accepted until kProbeTimeout.
+// The latter is also the time that a worker waits for the response to its heartbeat (see PROTOCOL,
 // "Workers").
 constexpr Duration kProbeOverdueAfter{1500};
 constexpr Duration kProbeTimeout = kWorkerAnswerTimeout;
--- a/src/connectivity/worker_transport.hpp
+++ b/src/connectivity/worker_transport.hpp
@@ -67,7 +67,7 @@
   /// Returns the health of the direct link to the workers.
   const LinkHealth& link() const { return link_; }
   /// Returns whether a request sent at `sent` or later reached a worker, directly or through a
-  /// peer.
+  /// peer. A heartbeat that arrived directly at `sent` or later counts as well.
   bool reachedSince(Instant sent) const;
   /// Removes the record of which peers forwarded the workers' heartbeats.
   void forgetNextHops() { nextHops_.clear(); }
--- a/src/leadership/control_loop.hpp
+++ b/src/leadership/control_loop.hpp
@@ -16,9 +16,10 @@
 /// (LeaderContext::begin) and writes at least one key whose revision it compares.
 struct Commit {
   Transaction transaction;
-  std::function<void()>
-      onApplied;     ///< Is called once the replica has applied the transaction; may be null.
-  std::string what;  ///< Names the transaction in the log.
+  /// Is called once the replica has applied the transaction. It may be null.
+  std::function<void()> onApplied;
+  /// Names the transaction in the log.
+  std::string what;
 };
 
 /// Describes what a control loop does when the leader runs it. It does nothing, commits a
--- a/src/leadership/peer_membership.hpp
+++ b/src/leadership/peer_membership.hpp
@@ -39,8 +39,8 @@
   /// Holds the sender's time of day when it sent the status, or 0 if the status does not include
   /// it.
   std::int64_t wallMs{};
-  /// Holds `wallMs` minus the local steady clock at the time of receipt. The steady clock is never
-  /// set, so the offset changes only if the sender's wall clock does.
+  /// Holds `wallMs` minus the local steady clock at the time of receipt. The steady clock
+  /// never jumps.
   std::optional<std::int64_t> wallClockOffset = std::nullopt;
   /// Holds the newest revision of any cancellation in the sender's records (see
   /// CancellationBarrier). It is empty while those records are incomplete.
@@ -66,7 +66,7 @@
  public:
   PeerMembership(Runtime& runtime, HttpClient& http, const Platform& platform);
 
-  /// Starts sending the result of `own()` to every peer, now and then at the interval `every`.
+  /// Sends the result of `own()` to every peer immediately and then once per interval `every`.
   void start(std::function<PeerStatus()> own, Duration every);
   Response onStatusRequest(const Request& request);
   /// Sends this controller's status to every peer now, in addition to the regular exchange.
--- a/src/leadership/peer_membership_test.cpp
+++ b/src/leadership/peer_membership_test.cpp
@@ -30,9 +30,10 @@
   EXPECT_FALSE(peers.peerReachingStore(Instant{9000}));
 }
 
-// Guards against misjudging a controller that refuses connections. The leader waited in vain for a
-// partitioned zone whose controller had just ended. A controller behind a packet filter was assumed
-// dead, and the machines of its zone were released while tasks ran on them.
+// Guards against wrong conclusions from refused connections. The leader waited in vain for a
+// controller that had just exited in a partitioned zone. In another case it assumed that a
+// controller behind a packet filter was dead, and the machines of that zone were released while
+// tasks ran on them.
 TEST(PeerMembership, AFreshRefusalIsAnEndedPeerALongOneAFilter) {
   std::mt19937_64 random(1);
   sim::Clockwork clock;
