--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -108,7 +108,7 @@
   context.effectivePolicy = &policyReplica_;
   context.allMembersRead = [this](unsigned format) { return versions_.allAtLeast(format); };
   context.timeOfDay = [this] { return timeOfDay(); };
-  context.hasUnheardPeer = [this] {
+  context.hasUnreachablePeer = [this] {
     return std::any_of(platform_.peers.begin(), platform_.peers.end(), [this](const Peer& peer) {
       return !peerMembership_.recentStatus(peer.member, kPeerPresence) &&
              peerMembership_.mayBeAlive(peer.member);
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -129,7 +129,7 @@
 
 void Leader::detectFailures(Instant now) {
   if (context_.zoneAckBounds) fleet_.setZoneAckBounds(context_.zoneAckBounds(), now);
-  fleet_.setPeerUnheard(context_.hasUnheardPeer && context_.hasUnheardPeer());
+  fleet_.setPeerUnheard(context_.hasUnreachablePeer && context_.hasUnreachablePeer());
   fleet_.detectFailures(now, context_.catalogue ? &*context_.catalogue : nullptr,
                         mayHaveActingLeader_);
 }
--- a/src/leadership/leader_context.hpp
+++ b/src/leadership/leader_context.hpp
@@ -41,8 +41,8 @@
   bool planInvalidated = true;
   /// Schedules another cycle of the control loops.
   std::function<void()> scheduleCycle{};
-  /// Returns whether a request sent to a worker at the given instant or later was answered. A null
-  /// function counts as true.
+  /// Returns whether a worker was reached at the given instant or later (see
+  /// WorkerTransport::reachedSince()). A null function counts as true.
   std::function<bool(Instant)> workersReachedSince{};
   /// Points to the policy that is in force now. It is null if there is no policy.
   const EffectivePolicy* effectivePolicy = nullptr;
@@ -56,7 +56,7 @@
   std::function<std::map<ZoneId, Instant>()> zoneAckBounds{};
   /// Returns whether a peer that may be running has sent no status recently. A null function counts
   /// as false.
-  std::function<bool()> hasUnheardPeer{};
+  std::function<bool()> hasUnreachablePeer{};
   /// Is called, for each machine declared dead because its heartbeats stopped, with the time since
   /// its last heartbeat. It may be null.
   std::function<void(Duration)> onGivenUpForSilence{};
