--- a/src/dependencies/job_graph.cpp
+++ b/src/dependencies/job_graph.cpp
@@ -55,7 +55,7 @@
   dropIfPlain(node);
 }
 
-// True: the awaited job is cancelled.
+// Adds one dependency of the job. Returns true if the dependency is cancelled.
 bool JobGraph::addDependency(Node& node, const JobId& dependency) {
   Node* upstream = find(dependency);
   if (!upstream) {
@@ -68,7 +68,8 @@
     upstream = &nodeOf(dependency);
     if (input) {
       upstream->known = true;
-      upstream->dependenciesAdded = true;  // it awaits nothing, or it would have a node
+      // A job on record that has no node yet has no unfinished dependencies.
+      upstream->dependenciesAdded = true;
       upstream->input = *input;
       upstream->input.dependsOn.clear();
     }
@@ -98,7 +99,8 @@
   inheritUpstream(upstream);
 }
 
-// These and all that need them leave the graph as cancelled.
+// Removes these jobs and all their direct and indirect dependents from the graph and reports them
+// as cancelled.
 void JobGraph::cancelAll(const std::vector<Node*>& from) {
   std::vector<Node*> cancelled;
   std::vector<Node*> next = from;
@@ -129,7 +131,8 @@
   inheritUpstream(std::move(upstream));
 }
 
-// These have lost or gained dependents, or what their dependents need of them has changed.
+// Recomputes the states of these jobs after their dependents have changed, and passes each changed
+// state on to the dependencies of the job.
 void JobGraph::inheritUpstream(std::vector<Node*> from) {
   std::vector<Node*> next = from;
   while (!next.empty()) {
@@ -159,7 +162,7 @@
   return state;
 }
 
-// True: its state has changed.
+// Recomputes the job's state and reports it to the records. Returns true if it has changed.
 bool JobGraph::report(Node& node) {
   DependencyState state = stateOf(node);
   const bool differs = state != node.reported;
@@ -171,7 +174,7 @@
   return differs;
 }
 
-// Nothing is left to know of a job that awaits none and is awaited by none.
+// Removes a job from the graph that has neither dependencies nor dependents.
 void JobGraph::dropIfPlain(Node& node) {
   if (node.dependsOn.empty() && node.dependents.empty()) forget(node);
 }
--- a/src/dependencies/job_graph.hpp
+++ b/src/dependencies/job_graph.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Which unfinished jobs wait for which others. Pure and incremental: a change of one job costs
-/// what depends on it, not what is on record. Jobs that are over leave the graph, so history costs
-/// nothing.
+/// Maintains the dependency graph of the unfinished jobs incrementally. The cost of an update grows
+/// with the number of jobs connected to the updated job, not with the number of jobs on record.
+/// Jobs that have ended are removed from the graph.
 #pragma once
 
 #include <cstdint>
@@ -15,66 +15,72 @@
 
 namespace kestrelhoist {
 
-/// What the records say of one job.
+/// Holds the properties of one job that the dependency graph needs, taken from the job's records.
 struct DependencyInput {
-  std::vector<JobId> dependsOn;  ///< without repetitions
-  /// As decided so far; of a job that is cancelled through another: cancelled.
+  std::vector<JobId> dependsOn;  ///< Contains each job once.
+  /// Holds the effective phase. It is cancelled if a dependency of the job was cancelled.
   JobPhase phase = JobPhase::active;
-  std::int64_t endedAtMs{};  ///< of a job that is done; 0: not on record
+  /// Holds the wall-clock time at which the job was done. It is 0 if that time is not on record.
+  std::int64_t endedAtMs{};
   Priority priority = Priority::low;
-  Duration estimate{};                ///< from its first start to its end
-  std::optional<std::int64_t> dueMs;  ///< time of day
+  Duration estimate{};                ///< Estimates the time from the first task start to the end.
+  std::optional<std::int64_t> dueMs;  ///< Holds the wall-clock time of the job's deadline.
 };
 
-/// What follows for a job from the jobs that it awaits and from those that await it.
+/// Holds the state of a job that results from its direct and indirect dependencies and dependents.
 struct DependencyState {
-  bool blocked = false;    ///< a job that it awaits is not done
-  bool cancelled = false;  ///< a job that it awaits, directly or through others, is cancelled
-  /// Time of day of the end of the last job that it awaits; 0: none awaited.
+  bool blocked = false;    ///< Is true if a dependency is not done.
+  bool cancelled = false;  ///< Is true if a direct or indirect dependency is cancelled.
+  /// Holds the wall-clock time at which the last of the ended dependencies ended. It is 0 if none
+  /// has ended.
   std::int64_t readyAtMs = 0;
-  /// The highest of its own and of any job that needs it, directly or through others.
+  /// Holds the highest priority among the job itself and its direct and indirect dependents.
   Priority priority = Priority::low;
-  /// Until when it has to be done so that it and all that need it keep their deadlines.
+  /// Holds the wall-clock time by which the job must end so that the job and all its dependents can
+  /// meet their deadlines.
   std::optional<std::int64_t> latestEndMs;
-  bool hasDependents = false;  ///< an unfinished job awaits it
+  bool hasDependents = false;  ///< Is true if an unfinished job depends on the job.
   auto operator<=>(const DependencyState&) const = default;
 };
 
-/// The records that the graph is about.
+/// Gives the graph access to the job records and receives the states that it computes.
 class JobRecords {
  public:
   virtual ~JobRecords() = default;
-  /// The facts of a job, by the records; empty: not on record (yet).
+  /// Returns the properties of a job, or nothing if its records have not been read yet.
   virtual std::optional<DependencyInput> dependencyInputOf(const JobId& id) const = 0;
-  /// Told of each job on record whose state has changed.
+  /// Is called for each job on record whose state has changed.
   virtual void dependenciesChanged(const JobId& id, const DependencyState& state) = 0;
 };
 
+/// Represents the dependency graph. It contains the unfinished jobs that have dependencies or
+/// dependents.
 class JobGraph {
  public:
-  /// A job's record was read, for the first time or with a new phase.
+  /// Updates the graph after a job's record was read for the first time or with a new phase.
   void update(const JobId& id, const DependencyInput& input, JobRecords& records);
   void clear() { nodes_.clear(); }
 
-  /// Jobs of the graph: those that await others and those that are awaited, none of them over.
+  /// Returns the number of jobs in the graph.
   std::size_t size() const { return nodes_.size(); }
+  /// Returns the number of jobs that have an unfinished dependency.
   std::size_t blockedCount() const { return blocked_; }
-  /// The unfinished jobs that this one awaits directly.
+  /// Returns the unfinished jobs on which the job depends directly.
   std::vector<JobId> unfinishedDependencies(const JobId& id) const;
-  /// Calls back for each job that is held, with the unfinished jobs that it awaits.
+  /// Calls `visit` for each blocked job with the unfinished jobs on which it depends directly.
   void forEachBlocked(
       const std::function<void(const JobId&, const std::vector<JobId>&)>& visit) const;
 
  private:
   struct Node {
     JobId id;
-    bool known = false;              ///< its record was read
-    bool dependenciesAdded = false;  ///< what it awaits is in the graph
-    bool announced = false;          ///< the records were told of its state
-    bool cancelled = false;          ///< about to leave the graph so
+    bool known = false;              ///< Is true if the job's record was read.
+    bool dependenciesAdded = false;  ///< Is true if the job's dependencies are in the graph.
+    bool announced = false;          ///< Is true if dependenciesChanged was called for the job.
+    bool cancelled = false;          ///< Is true while cancelAll removes the job from the graph.
     DependencyInput input;
-    std::vector<Node*> dependsOn;   ///< unfinished ones
-    std::vector<Node*> dependents;  ///< unfinished ones
+    std::vector<Node*> dependsOn;   ///< Contains the unfinished direct dependencies.
+    std::vector<Node*> dependents;  ///< Contains the unfinished direct dependents.
     std::int64_t readyAtMs = 0;
     DependencyState reported;
   };
@@ -91,7 +97,7 @@
   void dropIfPlain(Node& node);
   void forget(const Node& node);
 
-  JobRecords* records_ = nullptr;  ///< during `update` only
+  JobRecords* records_ = nullptr;  ///< The pointer is valid only while `update` runs.
   std::unordered_map<JobId, std::unique_ptr<Node>> nodes_;
   std::size_t blocked_ = 0;
 };
--- a/src/dependencies/job_graph_test.cpp
+++ b/src/dependencies/job_graph_test.cpp
@@ -9,7 +9,7 @@
 namespace kestrelhoist {
 namespace {
 
-// A graph over records of its own, as the copy keeps them.
+// Holds job records and their dependency graph in place of the replica.
 struct Jobs : JobRecords {
   std::map<JobId, DependencyInput> records;
   std::map<JobId, DependencyState> states;
@@ -90,7 +90,8 @@
   EXPECT_FALSE(jobs.of(6).cancelled);
   EXPECT_FALSE(jobs.of(6).hasDependents);
   EXPECT_EQ(jobs.graph.size(), 0U);
-  EXPECT_EQ(jobs.reported, 7U);  // each of the cancelled, and 6, which nobody awaits any more
+  // The six cancelled jobs are reported, and job 6, which has lost its only dependent.
+  EXPECT_EQ(jobs.reported, 7U);
 }
 
 TEST(JobGraph, AJobThatNamesACancelledOneIsCancelledAtOnce) {
@@ -98,7 +99,7 @@
   jobs.accept(1, {});
   jobs.accept(2, {1});
   jobs.end(1, JobPhase::cancelled);
-  jobs.accept(3, {2});  // cancelled through another
+  jobs.accept(3, {2});  // Job 2 is cancelled because job 1 is.
   EXPECT_TRUE(jobs.of(3).cancelled);
   EXPECT_EQ(jobs.graph.size(), 0U);
 }
@@ -115,7 +116,7 @@
   jobs.accept(5, {3}, Priority::normal, 40000);
   EXPECT_EQ(jobs.of(1).latestEndMs, 20000);
   EXPECT_EQ(jobs.of(3).priority, Priority::high);
-  jobs.end(4, JobPhase::cancelled);  // by its own user: 2 has no dependent left, 3 has another
+  jobs.end(4, JobPhase::cancelled);  // Job 2 now has no dependents, and job 3 still has job 5.
   EXPECT_EQ(jobs.of(2).priority, Priority::low);
   EXPECT_EQ(jobs.of(3).priority, Priority::normal);
   EXPECT_EQ(jobs.of(1).priority, Priority::normal);
@@ -149,7 +150,7 @@
   EXPECT_EQ(jobs.graph.blockedCount(), 0U);
 }
 
-// Against a computation from scratch over all records.
+// Compares the incremental graph with a full computation over all records.
 RC_GTEST_PROP(JobGraphProperty, TellsWhatFollowsFromAllRecords, ()) {
   Jobs jobs;
   int count = 0;
--- a/src/dependencies/projected_demand.cpp
+++ b/src/dependencies/projected_demand.cpp
@@ -6,7 +6,8 @@
 namespace kestrelhoist {
 namespace {
 
-// When unfinished jobs are expected to end, from now on; each job is computed once.
+// Computes how long from now unfinished jobs are expected to take until they end. The result is
+// cached per job.
 class ExpectedEnds {
  public:
   explicit ExpectedEnds(const Replica& replica) : replica_(replica) {}
@@ -15,7 +16,8 @@
     if (auto known = ends_.find(id); known != ends_.end()) return known->second;
     const auto* job = replica_.job(id);
     if (!job) return kUnknown;
-    ends_[id] = kUnknown;  // of records that go round in a circle
+    // This entry ends the recursion if malformed records form a dependency cycle.
+    ends_[id] = kUnknown;
     Duration end =
         readyIn(replica_.dependencies().unfinishedDependencies(id)) + job->record.spec->estimate;
     ends_[id] = end;
--- a/src/dependencies/projected_demand.hpp
+++ b/src/dependencies/projected_demand.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Room that jobs will ask for, or leave, when the jobs that they await are done (DESIGN: waiting
-/// downstream jobs of a running upstream job add their room). Estimates of their owners, no
-/// promise.
+/// Projects which resources blocked jobs will request, and which resources their dependencies will
+/// free, when the dependencies end. The projection relies on the run times that job owners
+/// estimate.
 #pragma once
 
 #include <vector>
@@ -11,9 +11,10 @@
 
 namespace kestrelhoist {
 
-/// Of held jobs that are expected to become ready within `horizon`.
+/// Returns the demand of the blocked jobs whose dependencies are expected to end within `horizon`.
 std::vector<ProjectedDemand> demandOfJobsReadyWithin(const Replica& replica, Duration horizon);
-/// Of awaited jobs that run now and are expected to end within it.
+/// Returns the resources of the running dependencies of blocked jobs that are expected to end
+/// within `horizon`.
 std::vector<ProjectedDemand> demandOfDependenciesEndingWithin(const Replica& replica,
                                                               Duration horizon);
 
--- a/src/store/change_watcher.cpp
+++ b/src/store/change_watcher.cpp
@@ -9,9 +9,9 @@
 namespace kestrelhoist {
 namespace {
 
-// The state service mostly answers within 10 ms, sometimes within a few hundred (PROTOCOL).
+// The state service usually answers within 10 ms, and sometimes within a few hundred milliseconds.
 constexpr Duration kRepeatReadAfter{400};
-constexpr Duration kRepeatPageAfter{800};  // a page may be as large as 512 KiB
+constexpr Duration kRepeatPageAfter{800};  // A page may be as large as 512 KiB.
 constexpr Duration kPageTimeout{2000};
 constexpr Duration kRetryPageAfter{300};
 
@@ -56,13 +56,14 @@
     load(page.rows.back().key, false);
     return;
   }
-  // Later pages may be newer than the first; changes since the first page's epoch are read
-  // again, and the stamps of the keys sort out what is already here.
+  // Later pages may be newer than the first page. All changes since the revision of the first page
+  // are therefore read again, and the replica skips those whose modification revision it has
+  // already.
   replica_.advance(loadRevision_);
   loaded_ = true;
-  // Not when the last page was sent: pages are asked for again across refusals, and what was
-  // cancelled since the first one may be in none of them (leases would be renewed without knowing
-  // of it).
+  // The request time of the last page would be too late. Pages are retried while the state service
+  // refuses requests, and a cancellation committed after the first page may be in none of the
+  // pages. Worker leases would then be renewed for cancelled tasks.
   snapshotTime_ = loadSentAt_;
   logInfo("records loaded", "revision", loadRevision_, "jobs", replica_.jobs().size(), "machines",
           replica_.machines().size());
@@ -112,21 +113,23 @@
   reading_ = false;
   bool ok = r.kind == ChangesResult::Kind::ok;
   if (ok) {
-    if (failures_ > 0) logInfo("state service answers again", "failures", failures_);
+    if (failures_ > 0) logInfo("state service answers reads again", "failures", failures_);
     failures_ = 0;
     for (const auto& c : r.changes) replica_.apply(c);
     replica_.advance(r.revision);
     snapshotTime_ = sentAt;
     if (!r.changes.empty() && onApplied) onApplied(r.changes);
   } else if (r.kind == ChangesResult::Kind::tooOld) {
-    logInfo("changes are gone, reading all records again", "since", replica_.cursor());
+    logInfo(
+        "change feed no longer has the changes since the replica's revision; reloading all records",
+        "since", replica_.cursor());
     loaded_ = false;
     if (onReload) onReload();
     replica_.clear();
     load("", true);
   } else if (failures_++ == 0) {
     failingSince_ = sentAt;
-    logInfo("state service gave no usable answer to a read");
+    logInfo("read of the change feed failed");
   }
   auto served = std::exchange(served_, {});
   for (auto& f : served) f(ok);
--- a/src/store/change_watcher.hpp
+++ b/src/store/change_watcher.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Keeps the replica fresh: one read of changes at a time, which serves everyone who waits.
-/// Requests are hedged.
+/// Keeps the replica up to date by reading the change feed of the state service. One read is in
+/// flight at a time, and it serves all callers that wait for a linearizable read. Requests are
+/// hedged.
 #pragma once
 
 #include <functional>
@@ -10,40 +11,43 @@
 
 namespace kestrelhoist {
 
+/// Loads all records into the replica and then applies changes as they are committed.
 class ChangeWatcher {
  public:
   struct Settings {
-    Duration minGap{50};        ///< between the starts of two reads
-    Duration timeout{1000};     ///< of one read
-    Duration staleAfter{2000};  ///< without a successful read the store counts as out of reach
+    Duration minGap{50};     ///< Sets the minimum time between the starts of two reads.
+    Duration timeout{1000};  ///< Limits the duration of one read.
+    /// The state service counts as unreachable if no read has succeeded for this long.
+    Duration staleAfter{2000};
   };
   ChangeWatcher(Runtime& runtime, StoreClient& store, Replica& replica, Settings settings);
 
   void start();
-  /// Calls back true after a read that was sent after this call has been applied, false if that
-  /// read failed.
+  /// Calls `done` with true once a read that was sent after this call has been applied, and with
+  /// false if that read failed or the records are not loaded.
   void linearizableRead(std::function<void(bool)> done);
-  /// Reads at least this often.
+  /// Sets the interval at which changes are read if no caller waits for a read.
   void setInterval(Duration d) { interval_ = d; }
 
   bool loaded() const { return loaded_; }
-  /// Each change committed before this is in the copy: when the last successful read was sent, or
-  /// the first page of a load.
+  /// Returns a time such that the replica contains every change committed before it. It is the time
+  /// at which the last successful read, or the first page of the last load, was requested.
   Instant snapshotTime() const { return snapshotTime_; }
   Duration contactAge() const { return runtime_.now() - snapshotTime_; }
   bool reachable() const {
     return loaded_ && failures_ == 0 && contactAge() < settings_.staleAfter;
   }
-  /// When the first of the reads that fail now was sent.
+  /// Returns the time at which the first of the most recent consecutive failed reads was sent.
   Instant failingSince() const { return failingSince_; }
 
-  /// Called with changes that were just applied, before those who wait for the read that brought
-  /// them.
+  /// Is called with the changes that a read returned, after they were applied and before the
+  /// callers that wait for this read are called back.
   std::function<void(const std::vector<Change>&)> onApplied;
-  /// Called after changes were applied, and when the copy had to be thrown away.
+  /// Is called after the changes of a read were applied and its waiting callers were called back.
   std::function<void()> onChanged;
+  /// Is called before the replica is cleared because it must be loaded again.
   std::function<void()> onReload;
-  /// Called when a read is sent once more; may be null.
+  /// Is called when the hedge of a read is sent. The callback may be null.
   std::function<void()> onRepeated;
 
  private:
@@ -66,10 +70,12 @@
   Instant failingSince_{};
   Instant snapshotTime_{};
   Instant lastSent_{};
-  Revision loadRevision_;  ///< of the first page, and when it was asked for
-  Instant loadSentAt_{};
-  std::vector<std::function<void(bool)>> waiting_;  ///< for the next read
-  std::vector<std::function<void(bool)>> served_;   ///< by the read in flight
+  Revision loadRevision_;  ///< Holds the revision of the first page of the load.
+  Instant loadSentAt_{};   ///< Holds the time at which the first page of the load was requested.
+  /// Holds the callbacks of callers that wait for the next read.
+  std::vector<std::function<void(bool)>> waiting_;
+  /// Holds the callbacks of callers that wait for the read in flight.
+  std::vector<std::function<void(bool)>> served_;
 };
 
 }  // namespace kestrelhoist
--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -1,4 +1,5 @@
-// Until when the copy is known to be whole.
+// Tests that the change watcher loads the replica completely and reports its snapshot time
+// correctly.
 #include "store/change_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +20,7 @@
   Replica replica;
   ChangeWatcher watcher{runtime, store, replica, {}};
 
-  // As another controller.
+  // Writes a record as another controller would.
   void write(const std::string& key, const Json& data = Json::object()) {
     network.send(
         "node1", "state:1",
@@ -29,18 +30,20 @@
   }
 };
 
-// Leases were renewed from such a copy as if it were new: what was cancelled since its first page
-// is on none of its pages.
+// Guards against leases renewed for cancelled tasks. The state service refuses requests during a
+// load in pages, and a cancellation after the first page is in none of the pages. The snapshot time
+// must therefore be that of the first page.
 TEST_F(Load, ThatStraddlesARefusalIsAsOldAsItsFirstPage) {
   for (int i = 0; i < 300; ++i) write("kh/job/j-" + std::to_string(100000 + i));
   clock.runUntil(2000);
   watcher.start();
   Instant first = runtime.now();
-  clock.in(5, [this] { state.refuse("node0", 20000); });  // after the first page
+  clock.in(5, [this] { state.refuse("node0", 20000); });  // The first page has been read by then.
   clock.runUntil(2100);
   EXPECT_FALSE(watcher.loaded());
   write("kh/job/j-100000");
-  // The rest comes in a moment between two refusals, and no read of changes after it.
+  // The state service answers long enough for the remaining pages, and then refuses the reads of
+  // changes.
   while (!watcher.loaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
   ASSERT_TRUE(watcher.loaded());
   state.refuse("node0", 20000);
@@ -51,8 +54,9 @@
   EXPECT_LT(watcher.contactAge(), Duration{2000});
 }
 
-// All twelve replicas of a service that was accepted while a controller that had just come back
-// read the records were placed a second time by it (ran_twice on a day of operations, vhda).
+// Guards against tasks placed twice. A job was created while a restarted controller loaded the
+// records in pages, after the page of job records had been read. The controller missed the job's
+// placements and placed all tasks again.
 TEST_F(Load, ShowsTasksOfAJobThatWasCreatedMeanwhile) {
   for (int i = 0; i < 300; ++i) write("kh/job/j-" + std::to_string(100000 + i));
   clock.runUntil(2000);
@@ -65,7 +69,8 @@
   job.chunkSize = 100;
   TaskChunkRecord tasks;
   tasks.placed[0] = {MachineId{"host-000001"}, WorkerEpoch{1}, Attempt{300}};
-  // Behind the first page, which was asked for, before the second.
+  // The job is written after the first page was requested and before the second. Its key sorts
+  // before the keys of the second page.
   clock.in(5, [&] {
     write(keys::job(spec->id), toJson(job));
     write(keys::tasks(spec->id, 0), toJson(tasks));
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -22,7 +22,7 @@
   return {{"when", std::move(when)}, {"writes", std::move(writes)}};
 }
 
-// A malformed answer counts as none.
+// Returns the decoded body of the response, or nothing if there is no response or no valid body.
 std::optional<Json> bodyOf(const std::optional<Response>& r) {
   if (!r) return std::nullopt;
   auto body = decodeBody(r->body);
@@ -82,7 +82,7 @@
                auto body = bodyOf(r);
                auto revision = body ? countField(*body, "epoch") : std::nullopt;
                if (r->status == 200) {
-                 // A 200 that can't be read was still carried out, but at what revision?
+                 // The transaction was applied, but the malformed answer has no revision.
                  if (!revision) return done({CommitOutcome::unknown, {}});
                  return done({CommitOutcome::applied, Revision{*revision}});
                }
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Typed client of the state service.
+/// Sends typed requests to the state service over HTTP.
 #pragma once
 
 #include <functional>
@@ -12,33 +12,40 @@
 
 namespace kestrelhoist {
 
-/// A transaction may be 64 KiB altogether, in text form.
+/// Limits the JSON text of the transactions that controllers build. The state service accepts at
+/// most 64 KiB.
 inline constexpr std::size_t kMaxTransactionBytes = 56 * 1024;
 
+/// Requires that a key has a certain modification revision when a transaction is applied.
 struct Compare {
   std::string key;
-  Revision modRevision;  ///< 0: the key must not exist
+  Revision modRevision;  ///< Holds 0 if the key must not exist.
 };
 
+/// Sets or deletes one key in a transaction.
 struct Write {
   std::string key;
-  std::optional<Json> value;  ///< empty: drop
-  std::optional<LeaseId> lease;
+  std::optional<Json> value;     ///< Empty if the write deletes the key.
+  std::optional<LeaseId> lease;  ///< Names the lease whose expiry deletes the key, if any.
 };
 
+/// Describes a compare-and-swap transaction. All writes are applied together if all compares hold,
+/// and none is applied otherwise.
 struct Transaction {
   std::vector<Compare> compares;
   std::vector<Write> writes;
-  std::string requestId{};  ///< of the user's request that it is for, if it is for one
+  /// Holds the id of the user request that caused the transaction, or is empty.
+  std::string requestId{};
 };
 
+/// Describes the outcome of a transaction.
 enum class CommitOutcome {
-  applied,   ///< 200
-  conflict,  ///< 409: nothing was changed
-  refused,   ///< 429, 503: not carried out
-  noLease,   ///< 400 no such lease: not carried out
-  rejected,  ///< any other definite refusal: a fault of ours
-  unknown    ///< no answer: carried out, or not, or later
+  applied,   ///< The state service answered 200.
+  conflict,  ///< The state service answered 409 and changed nothing.
+  refused,   ///< The state service answered 429 or 503 and changed nothing.
+  noLease,   ///< The state service answered 400 because the lease does not exist.
+  rejected,  ///< The state service answered 400 because the transaction is invalid.
+  unknown    ///< The transaction may have been applied, or may still be applied later.
 };
 
 struct CommitResult {
@@ -46,18 +53,22 @@
   Revision revision;
 };
 
+/// Describes the value or the deletion of a key at one modification revision.
 struct Change {
   std::string key;
-  std::optional<Json> value;  ///< empty: dropped
+  std::optional<Json> value;  ///< Empty if the key was deleted.
   Revision modRevision;
 };
 
+/// Holds the result of a read of the change feed. The kind is `tooOld` if the state service no
+/// longer has all changes since the requested revision.
 struct ChangesResult {
   enum class Kind { ok, tooOld, failed } kind = Kind::failed;
   Revision revision;
   std::vector<Change> changes;
 };
 
+/// Holds one page of the keys with a common prefix. `more` is true if further pages follow.
 struct ListResult {
   bool ok = false;
   bool more = false;
@@ -65,15 +76,19 @@
   std::vector<Change> rows;
 };
 
+/// Holds the result of a read of one key.
 struct GetResult {
   bool ok = false;
-  std::optional<Json> value;  ///< empty: no such key
+  std::optional<Json> value;  ///< Empty if the key does not exist.
 };
 
 const char* toString(CommitOutcome outcome);
 
+/// Describes the outcome of a lease renewal. The outcome is `gone` if the state service answered
+/// that the lease does not exist, and `failed` if there was no usable answer.
 enum class LeaseOutcome { ok, gone, failed };
 
+/// Sends requests to the state service. Each method sends one request and calls `done` once.
 class StoreClient {
  public:
   StoreClient(Runtime& runtime, HttpClient& http, std::string address, double requestsPerS);
@@ -89,9 +104,11 @@
   void renewLease(LeaseId id, Duration timeout, std::function<void(LeaseOutcome)> done);
   void dropLease(LeaseId id);
 
-  std::function<void(CommitOutcome)> onCommitted;  ///< of each transaction; may be null
+  /// Is called with the outcome of each transaction. The callback may be null.
+  std::function<void(CommitOutcome)> onCommitted;
 
-  /// Whether a request may be sent now within this node's share of the rate.
+  /// Takes one request from this controller's share of the state service's rate limit. Returns
+  /// false if the share is used up.
   bool mayAsk() { return budget_.take(runtime_.now(), 1); }
 
  private:
--- a/src/store/commit_confirmation_test.cpp
+++ b/src/store/commit_confirmation_test.cpp
@@ -1,5 +1,5 @@
-// Guards against: replicas placed by a transaction whose answer was lost were launched seconds
-// later.
+// Guards against late launches. If the answer to a placement transaction was lost, the placed tasks
+// were launched only seconds later.
 #include "store/commit_confirmation.hpp"
 
 #include <gtest/gtest.h>
--- a/src/store/machine_index.cpp
+++ b/src/store/machine_index.cpp
@@ -20,7 +20,7 @@
 void MachineIndex::addTask(const TaskId& task, const TaskPlacement& placement,
                            const JobState& job) {
   auto [it, isNew] = machines_.try_emplace(placement.machine);
-  // On no rental (yet): nobody can tell where it is, so it gets no work.
+  // Without a rental the machine's type and zone are unknown, so it must get no work.
   if (isNew) it->second.draining = true;
   it->second.tasks.push_back({{task, placement.attempt}, placement.workerEpoch, &job});
 }
@@ -33,7 +33,7 @@
   eraseIfUnused(it);
 }
 
-// Machines that are on no rental and have no task on record are forgotten.
+// Erases a machine that no rental lists and no task is placed on.
 void MachineIndex::eraseIfUnused(Machines::iterator machine) {
   if (machine->second.rental.empty() && machine->second.tasks.empty()) machines_.erase(machine);
 }
@@ -41,7 +41,7 @@
 void MachineIndex::applyRental(const RentalId& id, const Json* value) {
   auto record = value ? rentalRecordFrom(id, *value) : std::nullopt;
   if (value && !record) {
-    logError("rental record can't be read", "rental", id);
+    logError("rental record is malformed; ignoring it", "rental", id);
     return;
   }
   if (record) addMachinesOf(*record);
--- a/src/store/machine_index.hpp
+++ b/src/store/machine_index.hpp
@@ -1,4 +1,6 @@
-/// The machines of the replica: indexed by id, joined from rentals and from placed tasks.
+/// \file
+/// Indexes the machines of the replica by id. It combines the records of rentals and the placements
+/// of tasks.
 #pragma once
 
 #include <cstdint>
@@ -11,47 +13,53 @@
 
 struct JobState;
 
-/// A task that may be on a machine. The job stays where it is for as long as the replica does.
+/// Describes a task that may be on a machine.
 struct PlacedTask {
   AttemptId id;
   WorkerEpoch workerEpoch;
+  /// Points into the replica. The pointer stays valid while the task is in the index.
   const JobState* job{};
 };
 
-/// What is on record of a machine: by its rental, and by its tasks.
+/// Holds the data of a machine that come from the records of its rental and of its placed tasks.
 struct MachineState {
   RentalId rental;
   TypeId type;
   ZoneId zone;
   bool spot{};
-  bool draining{};            ///< its release was or will be asked for: it never gets work again
-  std::int64_t rentedAtMs{};  ///< time of day
+  /// Is true if the machine's termination was or will be requested, or its rental is unknown. A
+  /// draining machine gets no work.
+  bool draining{};
+  std::int64_t rentedAtMs{};  ///< Holds the wall-clock time of the rental request.
   std::vector<PlacedTask> tasks;
 
-  /// Returns the task of this attempt, or null. Valid until the replica next changes.
+  /// Returns the task of this attempt, or null if it is not on this machine. The pointer is valid
+  /// until the replica next changes.
   const PlacedTask* find(const AttemptId& id) const;
 };
 
-/// Rentals by id, and machines by id. A machine is known while it is on a rental or has a task.
+/// Indexes rentals and machines by id. A machine is in the index while a rental lists it or a task
+/// is placed on it.
 class MachineIndex {
  public:
   const std::map<MachineId, MachineState>& machines() const { return machines_; }
   const std::map<RentalId, RentalRecord>& rentals() const { return rentals_; }
-  /// Returns the machine, or null if it is not known.
+  /// Returns the machine, or null if it is not in the index.
   const MachineState* find(const MachineId& id) const;
 
-  /// Adds a task that may now be on a machine. `job` must outlive the index's entry of the task.
+  /// Adds a task that was placed on a machine. `job` must stay valid until the task is removed.
   void addTask(const TaskId& task, const TaskPlacement& placement, const JobState& job);
   void removeTask(const TaskId& task, const TaskPlacement& placement);
 
-  /// Takes in a rental's record, or its removal if `value` is null. An unreadable record is logged
+  /// Applies a rental's record, or its deletion if `value` is null. An unreadable record is logged
   /// and ignored.
   void applyRental(const RentalId& id, const Json* value);
 
  private:
   using Machines = std::map<MachineId, MachineState>;
   void addMachinesOf(const RentalRecord& record);
-  /// Machines that were on the previous record of the rental and are not on `record` (null: none).
+  /// Removes the rental from the machines that its previous record lists and `record` does not.
+  /// `record` is null if the rental was deleted.
   void detachMissing(const RentalId& id, const RentalRecord* record);
   void eraseIfUnused(Machines::iterator machine);
 
--- a/src/store/parts_test.cpp
+++ b/src/store/parts_test.cpp
@@ -1,5 +1,5 @@
-// Parts of stretches in a controller's copy: records for smaller limits beside those of the version
-// before, which stay as they are.
+// Tests how the replica combines sub-chunk records, which are written for smaller value limits,
+// with the chunk records of the previous version, which are never written again.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,9 +12,9 @@
 namespace {
 
 const JobId kJobId{"j-000001"};
-constexpr std::uint32_t kStretch = 137;  // of the version that wrote the file
+constexpr std::uint32_t kStretch = 137;  // The records in the data file have this chunk size.
 
-// As the version in production writes them (tests/data).
+// Returns the records that an earlier version wrote in production, from a file in tests/data.
 Json oldRecords() {
   std::ifstream in(std::string(SOURCE_PATH) + "/tests/data/records-9a9f422.json");
   return Json::parse(in);
@@ -32,7 +32,8 @@
   return {MachineId{machine}, WorkerEpoch{1}, Attempt{attempt}};
 }
 
-// A part of tasks 137 to 163: the first is finished, the second placed anew, no other on a machine.
+// Returns a sub-chunk record of the tasks 137 to 163. The first task is finished, the second has a
+// new placement, and the others are not placed.
 Change partOfSecondStretch(std::uint64_t modRevision) {
   TaskChunkRecord part;
   part.finished.set(0);
@@ -54,7 +55,8 @@
   return v;
 }
 
-// What the copy tells by machine is what it tells by task.
+// Checks that the replica's placements by machine match those by task, and that the count of
+// finished tasks is correct.
 void expectSound(const Replica& replica) {
   std::size_t tasks = 0;
   for (const auto& [id, machine] : replica.machines()) {
@@ -101,7 +103,8 @@
   std::sort(changes.begin(), changes.end(),
             [](const auto& a, const auto& b) { return a.key < b.key; });
   do {
-    // A job's record always comes first; the rest may be read in any order of pages.
+    // The job record is always read first. The chunk and sub-chunk records may be read in any
+    // order.
     Replica replica;
     for (const auto& c : changes) {
       if (c.key.starts_with(keys::kJob)) replica.apply(c);
@@ -126,7 +129,7 @@
   for (const auto& c : changesFrom(oldRecords())) replica.apply(c);
   replica.apply(partOfSecondStretch(100));
   View before = viewOf(replica);
-  // A copy of a write that was under way: it puts everything of the stretch on another machine.
+  // A delayed write of the chunk record places the tasks of the sub-chunk on another machine.
   TaskChunkRecord late;
   for (std::uint32_t i = 0; i < 27; ++i) late.placed[kStretch + i] = on("m-8", 4000);
   auto old = replica.tasksOf(*replica.job(kJobId), kStretch + 27, 2 * kStretch, false);
@@ -145,7 +148,7 @@
   EXPECT_EQ(replica.modRevisionOf(partOfSecondStretch(100).key), Revision{});
   EXPECT_EQ(replica.orphanSubChunks().size(), 1U);
   for (const auto& c : changesFrom(oldRecords())) replica.apply(c);
-  replica.apply(partOfSecondStretch(100));  // read again as a change
+  replica.apply(partOfSecondStretch(100));  // The change feed returns the record again.
   EXPECT_TRUE(replica.orphanSubChunks().empty());
   EXPECT_EQ(viewOf(replica).placed.at(kStretch + 1).machine.value, "m-9");
   expectSound(replica);
--- a/src/store/record_handler.hpp
+++ b/src/store/record_handler.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How a slice's records get into a controller's copy: it registers, owns its keys and their form,
-/// and takes in changes of them. The copy itself knows bytes, keys and stamps.
+/// Defines the interface through which a module receives the records of its own keys from the
+/// replica. The replica does not interpret the values of these records.
 #pragma once
 
 #include <string>
@@ -10,13 +10,16 @@
 
 namespace kestrelhoist {
 
+/// Receives the records of the keys that it owns.
 class RecordHandler {
  public:
   virtual ~RecordHandler() = default;
+  /// Returns whether this handler receives the record of the key.
   virtual bool owns(const std::string& key) const = 0;
-  /// `value` null: the key was dropped. What can't be read is kept out, and told in the log.
+  /// Applies a new value of the key, or its deletion if `value` is null. The handler logs a
+  /// malformed value and does not keep it.
   virtual void apply(const std::string& key, const Json* value, Revision modRevision) = 0;
-  /// The copy begins anew.
+  /// Removes all records. The replica calls this before it loads all records again.
   virtual void clear() = 0;
 };
 
--- a/src/store/record_keys.cpp
+++ b/src/store/record_keys.cpp
@@ -7,7 +7,7 @@
 namespace kestrelhoist::keys {
 namespace {
 
-// Takes a number off the front of `text`; nothing if there is none.
+// Removes a leading number from `text` and returns it. Returns nothing if `text` starts with none.
 std::optional<std::uint32_t> takeNumber(std::string_view& text) {
   std::uint32_t number = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -16,7 +16,8 @@
   return number;
 }
 
-// What follows the job's id and its slash; nothing if the key has no slash there.
+// Returns the text after the job id and the slash that follows it. Returns nothing if no slash
+// follows the job id.
 std::optional<std::string_view> afterJob(const std::string& key, const std::string& prefix) {
   auto slash = key.find('/', prefix.size());
   if (slash == std::string::npos) return std::nullopt;
--- a/src/store/record_keys.hpp
+++ b/src/store/record_keys.hpp
@@ -1,7 +1,8 @@
-/// The keys of the records in the state service: how they are made and how they are read.
+/// \file
+/// Formats and parses the keys of the records in the state service.
 ///
-/// The keys are on disk in production, so their form never changes. Pure functions, safe to call
-/// from any thread.
+/// Records under these keys are stored in production, so the format of a key never changes. All
+/// functions are pure and thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,8 @@
 
 namespace kestrelhoist {
 
-/// A half-open range of task indexes of one job: `first` is in it, `end` is one past the last.
+/// Represents a half-open range of task indexes of one job. The range contains `first` but not
+/// `end`.
 struct TaskRange {
   std::uint32_t first{};
   std::uint32_t end{};
@@ -30,43 +32,45 @@
 inline const std::string kRental = "kh/rental/";
 inline const std::string kAwaits = "kh/awaits/";
 
-/// The key of a job's own record.
+/// Returns the key of a job's record.
 std::string job(const JobId& id);
-/// The key of one chunk of a job's tasks.
+/// Returns the key of the record of one task chunk.
 std::string tasks(const JobId& id, std::uint32_t chunk);
-/// The key of one part of a dependency list that does not fit into the job's own record.
+/// Returns the key of one part of a dependency list that does not fit into the job's record.
 std::string awaits(const JobId& id, std::uint32_t part);
-/// The key of a sub-chunk: the tasks from `first` to before `last`.
+/// Returns the key of the sub-chunk that contains the tasks from `first` up to, but not including,
+/// `last`.
 std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last);
-/// The key of a rental.
+/// Returns the key of a rental's record.
 std::string rental(const RentalId& id);
 
-/// What the key of a chunk of tasks names.
+/// Holds the job and the chunk number that the key of a task chunk contains.
 struct TaskChunkKey {
   JobId job;
   std::uint32_t chunk{};
 };
 
-/// What the key of a sub-chunk names.
+/// Holds the job and the task range that the key of a sub-chunk contains.
 struct SubChunkKey {
   JobId job;
   TaskRange range;
 };
 
-/// What the key of a part of a dependency list names.
+/// Holds the job and the part number that the key of a part of a dependency list contains.
 struct DependencyPartKey {
   JobId job;
   std::uint32_t part{};
 };
 
-/// Each of these reads a whole key that begins with the prefix of its kind. They return nothing if
-/// the rest of the key is malformed.
+/// Parses a key that begins with kTasks. Returns nothing if the rest of the key is malformed.
 [[nodiscard]] std::optional<TaskChunkKey> parseTasks(const std::string& key);
+/// Parses a key that begins with kSubChunk. Returns nothing if the rest of the key is malformed.
 [[nodiscard]] std::optional<SubChunkKey> parseSubChunk(const std::string& key);
+/// Parses a key that begins with kAwaits. Returns nothing if the rest of the key is malformed.
 [[nodiscard]] std::optional<DependencyPartKey> parseAwaits(const std::string& key);
 
-/// Returns the job of a key whose form is `prefix`, job id, '/' and anything. The rest of the key
-/// is not checked.
+/// Returns the job id in a key that consists of `prefix`, a job id, '/' and further text. The
+/// further text is not checked.
 JobId jobOf(const std::string& key, const std::string& prefix);
 
 }  // namespace keys
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -66,7 +66,8 @@
 }  // namespace
 
 std::uint32_t chunkSizeFor(std::size_t valueBytes) {
-  constexpr std::size_t kPerTask = 56;  // in text form, alone on a machine
+  // A task that shares its machine with no other task takes this many bytes of JSON text.
+  constexpr std::size_t kPerTask = 56;
   constexpr std::size_t kBesides = 512;
   std::size_t fits = valueBytes > kBesides ? (valueBytes - kBesides) / kPerTask : 0;
   return static_cast<std::uint32_t>(std::clamp<std::size_t>(fits, 8, TaskBits::kMost));
@@ -76,7 +77,7 @@
   std::size_t n = 64 + finished.hexSize();
   const TaskPlacement* row = nullptr;
   for (const auto& [index, p] : placed) {
-    n += 14;  // a run of its own at worst
+    n += 14;  // Bounds the bytes of a run, which at worst contains only this task.
     if (!row || *row != p) n += p.machine.value.size() + 32;
     row = &p;
   }
@@ -96,7 +97,8 @@
   return v;
 }
 
-// A row for each machine, session and attempt: then first and length of each run of tasks.
+// Writes one row per placement. A row holds the machine, the worker epoch and the attempt, followed
+// by the first index and the length of each run of consecutive tasks with this placement.
 Json toJson(const TaskChunkRecord& r) {
   Json rows = Json::array();
   std::map<TaskPlacement, std::size_t> at;
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -1,4 +1,6 @@
-/// The values of the records in the state service and their codecs; record_keys.hpp has the keys.
+/// \file
+/// Defines the values of the records in the state service and converts them to and from JSON. The
+/// keys of these records are defined in record_keys.hpp.
 #pragma once
 
 #include <map>
@@ -16,7 +18,8 @@
 
 namespace kestrelhoist {
 
-/// Finished tasks of one stretch of a job, a bit each; written as hex digits.
+/// Marks the finished tasks of one task chunk with one bit per task. The stored form is a string of
+/// hex digits.
 class TaskBits {
  public:
   static constexpr std::uint32_t kMost = 4096;
@@ -31,75 +34,93 @@
   std::vector<std::uint8_t> bytes_;
 };
 
-/// Of a member's job: whose it is, and what the member calls it. The key has a name that the
-/// service made of both (memberJob).
+/// Identifies the member who submitted a job and the member's own reference for the job. The job id
+/// is derived from both (see memberJob).
 struct JobOwner {
   Owner owner;
   std::string ref;
 };
 
+/// Holds the stored state of one job, apart from that of its tasks.
 struct JobRecord {
   std::shared_ptr<const JobSpec> spec;
   JobPhase phase = JobPhase::active;
-  std::int64_t acceptedAtMs{};              ///< time of day, to order and to judge deadlines only
-  std::uint32_t chunkSize{};                ///< how many of its tasks share one TaskChunkRecord
-  std::shared_ptr<const FlowPart> flow{};   ///< if its tasks are instances of a flow
-  std::shared_ptr<const JobOwner> owner{};  ///< if a member submitted it with a key
-  std::int64_t endedAtMs{};                 ///< time of day of its end; 0: not known
-  /// The jobs that it awaits are in so many records of their own; 0: in its description.
+  /// Holds the wall-clock time at which the job was accepted. The time is used only to order jobs
+  /// and to compute deadlines.
+  std::int64_t acceptedAtMs{};
+  /// Holds the number of tasks that share one TaskChunkRecord.
+  std::uint32_t chunkSize{};
+  /// Null unless the job's tasks are instances of a flow.
+  std::shared_ptr<const FlowPart> flow{};
+  /// Null unless a member submitted the job with a key.
+  std::shared_ptr<const JobOwner> owner{};
+  /// Holds the wall-clock time at which the job ended. It is 0 if that time is not on record.
+  std::int64_t endedAtMs{};
+  /// Holds the number of separate records that list the job's dependencies. It is 0 if the job spec
+  /// lists them all.
   std::uint32_t dependencyParts{};
 };
 
-/// Where a task may be.
+/// Names the machine, the worker epoch and the attempt for which a task was placed. The task may or
+/// may not have started there.
 struct TaskPlacement {
   MachineId machine;
-  WorkerEpoch workerEpoch;  ///< the worker's session that it was placed in
+  WorkerEpoch workerEpoch;  ///< Identifies the worker session that received the task.
   Attempt attempt;
   auto operator<=>(const TaskPlacement&) const = default;
 };
 
-/// One stretch of a job's tasks: which are finished, and which may be on machines. A change of
-/// many tasks of a job, on any number of machines, is one write.
+/// Holds the stored state of the tasks in one chunk or sub-chunk of a job. The record lists the
+/// finished tasks and the tasks that may be on machines, so that one write can change many tasks on
+/// any number of machines.
 ///
-/// A stretch whose record may outgrow the state service's limit since that was lowered is never
-/// written again: parts of it are, each a record of this form under a key that names its first task
-/// and the one past its last. A part says all there is to know of its tasks; what the stretch's own
-/// record says of them is out of date.
+/// If the state service's limit on values was lowered, the record of an older chunk may grow beyond
+/// the new limit. Such a chunk record is never written again. Changes of its tasks are written to
+/// sub-chunk records, whose keys contain the first task index and the index one past the last task.
+/// A sub-chunk record is complete for its tasks, and the chunk record is out of date for them.
 struct TaskChunkRecord {
   TaskBits finished;
-  std::map<std::uint32_t, TaskPlacement> placed;  ///< by the task's number
-  /// Of flows' jobs only.
-  std::map<std::uint32_t, std::uint32_t> failures;  ///< of tasks that are not finished
-  Use use;                                          ///< of attempts that have ended
+  /// Maps task indexes to placements.
+  std::map<std::uint32_t, TaskPlacement> placed;
+  /// Maps the indexes of unfinished tasks to their numbers of failures. Only jobs of flows use this
+  /// field.
+  std::map<std::uint32_t, std::uint32_t> failures;
+  /// Holds the total resource use of attempts that have ended. Only jobs of flows use this field.
+  Use use;
 
-  /// Of the value in text form, an upper bound for as many finished tasks: what the limits of the
-  /// state service count.
+  /// Returns an upper bound of the record's size as JSON text, which is the size that the state
+  /// service limits. The bound holds until the finished bits need more bytes.
   std::size_t bytes() const;
 };
 
-/// How many tasks a stretch may have, so that each of them on a machine of its own still fits.
+/// Returns how many tasks a chunk may have so that its record fits into `valueBytes` even if every
+/// task is on a different machine.
 std::uint32_t chunkSizeFor(std::size_t valueBytes);
 
-/// A rental: written before it is asked for, then the machines that it brought, until the last of
-/// them is gone. Machines that nobody expected are adopted as a rental of their own.
+/// Describes a request to rent machines and lists the machines that the cloud granted. The record
+/// is written before the request is sent, and it is deleted once none of its machines is left.
+/// Machines that the cloud lists without any rental are recorded as a new rental.
 struct RentalRecord {
   struct Member {
     MachineId id;
-    bool draining{};  ///< its release was or will be asked for: never gets work again
+    /// Is true if the machine's termination was or will be requested. A draining machine never gets
+    /// work again.
+    bool draining{};
   };
   RentalId id;
   TypeId type;
   ZoneId zone;
   bool spot{};
   std::uint32_t count{};
-  std::int64_t atMs{};  ///< time of day
-  bool answered{};      ///< `machines` holds what came of it
+  std::int64_t atMs{};  ///< Holds the wall-clock time of the request.
+  bool answered{};      ///< Is true if `machines` lists the granted machines.
   std::vector<Member> machines;
 };
 
+/// Names the leader. The modification revision of the leader's record is the fencing token.
 struct LeaderRecord {
   MemberId member;
-  std::string incarnation;  ///< tells apart the lives of a process
+  std::string incarnation;  ///< Distinguishes successive processes of the same controller.
 };
 
 Json toJson(const JobRecord& r);
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -41,13 +41,14 @@
 
 void Replica::apply(const Change& c) {
   if (c.modRevision <= modRevisionOf(c.key)) return;
-  // Our own commits are applied before the feed reaches them: an older event of the feed must
-  // not bring back a key that we have dropped since.
+  // A controller applies its own commits before the change feed returns them. An older change from
+  // the feed must not restore a key that one of these commits deleted.
   if (auto d = drops_.find(c.key); d != drops_.end() && c.modRevision <= d->second) return;
-  // A load in pages can show tasks of a job that was created after the page of jobs was read. Its
-  // creation and these tasks are read again as changes, in order: until then this key is not known
-  // at all. (Its stamp was, so the change was taken for an old one, and all tasks of that job were
-  // placed twice.)
+  // A load reads pages one after the other, so it can return the task chunk of a job that was
+  // created after the page of job records was read. The records of the job and of the chunk are
+  // read again in order from the change feed, so the chunk is ignored here. Its modification
+  // revision must not be stored either: the later change would count as old, and all tasks of the
+  // job would be placed twice.
   if (c.value && c.key.starts_with(keys::kTasks) && !knowsJobOf(c.key, keys::kTasks)) return;
   if (c.value && c.key.starts_with(keys::kSubChunk) && !knowsJobOf(c.key, keys::kSubChunk)) {
     orphanSubChunks_[c.key] = c.modRevision;
@@ -96,7 +97,7 @@
 
 void Replica::setJob(const JobId& id, const Json* value, Revision modRevision) {
   if (!value) {
-    // Users' jobs are never dropped; a flow's are once all of their tasks are off every machine.
+    // Only jobs of flows are deleted, and only after no task of the job is placed on any machine.
     auto it = jobs_.find(id);
     if (it == jobs_.end() || !it->second.record.flow || !it->second.placed.empty()) return;
     if (it->second.subChunks) {
@@ -112,7 +113,7 @@
   }
   auto record = jobRecordFrom(id, *value);
   if (!record) {
-    logError("job record can't be read", "job", id);
+    logError("job record is malformed; ignoring it", "job", id);
     return;
   }
   JobState& job = jobs_[id];
@@ -140,7 +141,7 @@
   const Json* list = field(*value, "jobs");
   auto jobs = list ? jobIdsFrom(*list) : std::nullopt;
   if (!jobs) {
-    logError("dependency list can't be read", "key", key);
+    logError("dependency list record is malformed; ignoring it", "key", key);
     return;
   }
   dependencyParts_[parsed->job][parsed->part] = std::move(*jobs);
@@ -148,8 +149,8 @@
   if (it != jobs_.end()) updateDependencies(it->second, parsed->job);
 }
 
-// Takes in the dependencies of a job, and its end. A job whose dependency list is not wholly read
-// stays blocked.
+// Passes the job's dependencies and its phase to the dependency graph. A job stays blocked until
+// all parts of its dependency list have been read.
 void Replica::updateDependencies(JobState& job, const JobId& id) {
   auto input = dependencyInputOf(id);
   job.dependenciesUnread = !input;
@@ -208,7 +209,8 @@
   machines_.addTask({id, index}, placed, job);
 }
 
-// By value: the placement may be an element of the map that is changed here.
+// The placement is passed by value because the caller's placement may be an element of job.placed,
+// which this function changes.
 void Replica::removePlacement(const JobId& id, JobState& job, std::uint32_t index,
                               TaskPlacement placed) {
   job.placed.erase(index);
@@ -221,14 +223,15 @@
   const JobId& id = parsed->job;
   auto record = value ? taskChunkRecordFrom(*value) : std::optional(TaskChunkRecord{});
   if (!record) {
-    logError("task chunk record can't be read", "key", key);
+    logError("task chunk record is malformed; ignoring it", "key", key);
     return;
   }
   auto it = jobs_.find(id);
-  // A job's record is written, and read, before those of its tasks.
-  if (it == jobs_.end() && !value) return;  // dropped together with its job
+  // The chunk may have been deleted together with its job.
+  if (it == jobs_.end() && !value) return;
+  // A job's record is written and read before the records of its task chunks.
   if (it == jobs_.end() || it->second.record.chunkSize == 0) {
-    logError("task chunk record of an unknown job", "key", key);
+    logError("task chunk record belongs to an unknown job; ignoring it", "key", key);
     return;
   }
   JobState& job = it->second;
@@ -247,7 +250,8 @@
 
 void Replica::applyTaskChunk(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
                              TaskChunkRecord record) {
-  // The record of a chunk is out of date for tasks that are in a sub-chunk.
+  // The record of a chunk is out of date for tasks that are in a sub-chunk, so it must not change
+  // them.
   auto covers = [&](std::uint32_t index) { return !wholeChunk || !job.subChunkOf(index); };
   applyPlacements(id, job, range, wholeChunk, record.placed);
   const std::uint32_t number = range.first / job.record.chunkSize;
@@ -296,14 +300,14 @@
   const auto& [id, range] = *parsed;
   auto it = jobs_.find(id);
   orphanSubChunks_.erase(key);
-  // Dropped only after its job.
+  // A sub-chunk is deleted only after its job, so its deletion changes nothing else.
   if (it == jobs_.end() || !value) return;
   JobState& job = it->second;
   auto record = taskChunkRecordFrom(*value);
   const std::uint32_t chunkSize = job.record.chunkSize;
   if (!record || chunkSize == 0 || range.first >= range.end ||
       range.first / chunkSize != (range.end - 1) / chunkSize) {
-    logError("sub-chunk record can't be read", "key", key);
+    logError("sub-chunk record is malformed; ignoring it", "key", key);
     return;
   }
   if (!job.subChunks) job.subChunks = std::make_unique<std::map<std::uint32_t, std::uint32_t>>();
@@ -313,7 +317,8 @@
   settle(job, id);
 }
 
-// Jobs that are over and off every machine keep only what users may still ask for.
+// Updates the index of live jobs. A job that is not live keeps only the data that users can still
+// request.
 void Replica::settle(JobState& job, const JobId& id) {
   bool live = job.active() || !job.placed.empty();
   if (live) {
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -1,5 +1,6 @@
-/// Every node's replica of all records, kept by reading changes; never older than the reads that
-/// were waited for.
+/// \file
+/// Defines the in-memory copy of all records of the state service that each controller keeps.
+/// ChangeWatcher keeps it up to date.
 #pragma once
 
 #include <algorithm>
@@ -19,28 +20,32 @@
 
 namespace kestrelhoist {
 
-/// The replica of all records. Used on the event loop of its node only.
+/// Holds a controller's replica of all records. The class is not thread-safe and is used on the
+/// controller's event loop only.
 class Replica : private JobRecords {
  public:
-  /// Applies one change unless something as new is already here.
+  /// Applies one change unless the replica has the same or a newer modification revision of the
+  /// key.
   void apply(const Change& change);
-  /// Notes that every change up to `revision` has been applied.
+  /// Records that every change up to `revision` has been applied.
   void advance(Revision revision);
-  /// Forgets all records; the registered handlers stay.
+  /// Removes all records, including those of the registered handlers. The handlers stay registered.
   void clear();
 
-  /// Registers a handler of records that the replica only passes on. It must outlive the replica.
+  /// Registers a handler, which then receives the changes of its keys. It must outlive the replica.
   void add(RecordHandler& handler) { handlers_.push_back(&handler); }
 
+  /// Returns the revision up to which all changes have been applied.
   Revision cursor() const { return cursor_; }
-  /// Returns the newest revision at which a job or flow that is cancelled in this replica was
-  /// created or changed.
+  /// Returns the newest modification revision of all jobs and flows that are cancelled in this
+  /// replica.
   Revision newestCancellation() const {
     return std::max(newestCancelledJob_, flows_.newestCancellation());
   }
-  /// Whether a flow is cancelled and some of its jobs are not yet: what is here does not stop its
-  /// tasks.
+  /// Returns whether a cancelled flow still has active jobs. The tasks of these jobs are not
+  /// stopped until the job records are cancelled too.
   bool flowCancellationUnderWay() const;
+  /// Returns the modification revision of the key, or 0 if the replica does not have the key.
   Revision modRevisionOf(const std::string& key) const;
 
   const std::map<JobId, JobState>& jobs() const { return jobs_; }
@@ -48,10 +53,12 @@
   const std::map<MachineId, MachineState>& machines() const { return machines_.machines(); }
   const MachineState* machine(const MachineId& id) const { return machines_.find(id); }
   const std::map<RentalId, RentalRecord>& rentals() const { return machines_.rentals(); }
-  /// See JobState::tasksOf.
+  /// Returns the result of JobState::tasksOf for the tasks from `first` up to, but not including,
+  /// `last`.
   TaskChunkRecord tasksOf(const JobState& job, std::uint32_t first, std::uint32_t last,
                           bool whole) const;
-  /// Returns the sub-chunks of jobs that are no longer on record: modification revisions by key.
+  /// Returns the sub-chunk records whose job has no record. The map contains their modification
+  /// revisions by key.
   const std::map<std::string, Revision>& orphanSubChunks() const { return orphanSubChunks_; }
   const std::optional<LeaderRecord>& leader() const { return leader_; }
   FencingToken leaderToken() const { return FencingToken{modRevisionOf(keys::kLeader).value}; }
@@ -65,11 +72,12 @@
   const KeyRing& keyRing() const { return keyRing_; }
   const JobIndex& memberJobs() const { return memberJobs_; }
   JobIndex& memberJobs() { return memberJobs_; }
-  /// Returns the controllers' secret for cursors; empty until one of them has made it.
+  /// Returns the secret with which controllers encrypt cursors. It is empty until a controller has
+  /// created it.
   const std::string& cursorKey() const { return cursorKey_; }
-  /// Returns which unfinished jobs wait for which others.
+  /// Returns the dependency graph of the unfinished jobs.
   const JobGraph& dependencies() const { return graph_; }
-  /// Returns the jobs that are active or still on a machine.
+  /// Returns the jobs that are active or have a task that may still be on a machine.
   const std::map<JobId, JobState*>& live() const { return live_; }
 
  private:
@@ -77,8 +85,8 @@
   void setJob(const JobId& id, const Json* value, Revision modRevision);
   void setTasks(const std::string& key, const Json* value, Revision modRevision);
   void setSubChunk(const std::string& key, const Json* value, Revision modRevision);
-  /// Takes in what a record says of these tasks: of a chunk, except for those in sub-chunks, or of
-  /// a sub-chunk.
+  /// Applies the record of a chunk or sub-chunk to the tasks in `range`. The record of a chunk does
+  /// not change tasks that are in a sub-chunk.
   void applyTaskChunk(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
                       TaskChunkRecord record);
   void applyPlacements(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
@@ -98,11 +106,12 @@
   Revision cursor_;
   Revision newestCancelledJob_;
   std::unordered_map<std::string, Revision> modRevisions_;
-  std::unordered_map<std::string, Revision> drops_;  ///< newer than the cursor
+  /// Holds the revisions of deletions that are newer than the cursor.
+  std::unordered_map<std::string, Revision> drops_;
   std::map<JobId, JobState> jobs_;
   std::map<JobId, JobState*> live_;
   JobGraph graph_;
-  /// Parts of dependency lists, until the job is over.
+  /// Holds the separately stored parts of dependency lists by part number, until the job ends.
   std::map<JobId, std::map<std::uint32_t, std::vector<JobId>>> dependencyParts_;
   std::map<std::string, Revision> orphanSubChunks_;
   MachineIndex machines_;
--- a/src/versions/versions.cpp
+++ b/src/versions/versions.cpp
@@ -20,7 +20,8 @@
 void MemberVersions::apply(const std::string& key, const Json* value, Revision) {
   MemberId member{key.substr(keys::kVersion.size())};
   auto format = value ? countField(*value, "format") : std::nullopt;
-  if (value && !format) logError("version record can't be read", "member", member);
+  if (value && !format)
+    logError("version record is malformed; assuming format 1", "member", member);
   if (format) {
     formats_[member] = static_cast<unsigned>(std::min(*format, kMostFormat));
   } else {
@@ -51,10 +52,11 @@
   t.writes.push_back({key, Json{{"format", kRecordFormat}}, std::nullopt});
   store_.commit(t, kTimeout, [this, t](const CommitResult& r) {
     if (r.outcome == CommitOutcome::applied) {
-      logInfo("format of records told", "format", kRecordFormat);
+      logInfo("record format of this controller written to the state service", "format",
+              kRecordFormat);
       replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
     }
-    // Also after an answer: until the feed shows it, or what else is there.
+    // After any outcome, the next attempt waits until the change feed may have returned the record.
     runtime_.after(kRetry, [this] { asked_ = false; });
   });
 }
--- a/src/versions/versions.hpp
+++ b/src/versions/versions.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which format of records each controller's version of the program knows. While two versions serve
-/// side by side, forms that the older one can't read are not written.
+/// Tracks which record format each controller can read. While two versions of the program run side
+/// by side, controllers do not write records in a format that the older version can't read.
 #pragma once
 
 #include <map>
@@ -18,10 +18,12 @@
 inline std::string version(const MemberId& member) { return kVersion + member.value; }
 }  // namespace keys
 
-/// What this version of the program reads and writes. Versions that write no record know 1.
+/// Names the newest record format that this version of the program reads and writes. A controller
+/// without a version record supports format 1 only.
 inline constexpr unsigned kRecordFormat = 2;
 
-/// A controller's copy of what is on record of all members of the settings.
+/// Holds the record formats that the controllers in the settings support, as read from their
+/// version records.
 class MemberVersions : public RecordHandler {
  public:
   explicit MemberVersions(const Platform& platform);
@@ -30,9 +32,11 @@
   void apply(const std::string& key, const Json* value, Revision modRevision) override;
   void clear() override { formats_.clear(); }
 
-  /// Whether each member, this one included, has told that it knows this format. What it once told
-  /// holds: a process that ends comes back with the same version or a newer one.
+  /// Returns whether every controller in the settings, including this one, supports the format. The
+  /// record of a stopped controller stays valid, because the controller restarts with the same
+  /// version or a newer one.
   bool allAtLeast(unsigned format) const;
+  /// Returns the format in the controller's version record, or nothing if there is no such record.
   std::optional<unsigned> formatOf(const MemberId& member) const;
 
  private:
@@ -40,14 +44,14 @@
   std::map<MemberId, unsigned> formats_;
 };
 
-/// Puts this controller's own format on record, once it has read the records and only if another or
-/// none is there.
+/// Writes this controller's version record if the record is missing or contains another format.
 class VersionWriter {
  public:
   VersionWriter(Runtime& runtime, StoreClient& store, Replica& replica,
                 const MemberVersions& versions, const MemberId& member);
 
-  /// Of a controller whose copy is loaded.
+  /// Writes the version record if necessary. The caller calls this periodically once the replica
+  /// has been loaded.
   void onTimer();
 
  private:
