--- a/src/jobs/submission.cpp
+++ b/src/jobs/submission.cpp
@@ -124,7 +124,7 @@
          (t.writes.empty() || bytes + platform_.valueBytes <= kMaxTransactionBytes)) {
     Json value = {{"jobs", jobIdsToJson(submission->dependencyParts[next])}};
     bytes += platform_.valueBytes;
-    t.writes.push_back({keys::awaits(id, next), std::move(value), std::nullopt});
+    t.writes.push_back({keys::dependencyPart(id, next), std::move(value), std::nullopt});
     ++next;
   }
   ++inProgress_;
--- a/src/store/record_keys.cpp
+++ b/src/store/record_keys.cpp
@@ -32,8 +32,8 @@
   return kTasks + id.value + "/" + std::to_string(chunk);
 }
 
-std::string awaits(const JobId& id, std::uint32_t part) {
-  return kAwaits + id.value + "/" + std::to_string(part);
+std::string dependencyPart(const JobId& id, std::uint32_t part) {
+  return kDependencyPart + id.value + "/" + std::to_string(part);
 }
 
 std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last) {
@@ -61,12 +61,12 @@
   return SubChunkKey{jobOf(key, kSubChunk), {*first, *end}};
 }
 
-std::optional<DependencyPartKey> parseAwaits(const std::string& key) {
-  auto rest = afterJob(key, kAwaits);
+std::optional<DependencyPartKey> parseDependencyPart(const std::string& key) {
+  auto rest = afterJob(key, kDependencyPart);
   if (!rest) return std::nullopt;
   auto part = takeNumber(*rest);
   if (!part) return std::nullopt;
-  return DependencyPartKey{jobOf(key, kAwaits), *part};
+  return DependencyPartKey{jobOf(key, kDependencyPart), *part};
 }
 
 JobId jobOf(const std::string& key, const std::string& prefix) {
--- a/src/store/record_keys.hpp
+++ b/src/store/record_keys.hpp
@@ -30,14 +30,14 @@
 inline const std::string kTasks = "kh/tasks/";
 inline const std::string kSubChunk = "kh/part/";
 inline const std::string kRental = "kh/rental/";
-inline const std::string kAwaits = "kh/awaits/";
+inline const std::string kDependencyPart = "kh/awaits/";
 
 /// Returns the key of a job's record.
 std::string job(const JobId& id);
 /// Returns the key of the record of one task chunk.
 std::string tasks(const JobId& id, std::uint32_t chunk);
 /// Returns the key of one part of a dependency list that does not fit into the job's record.
-std::string awaits(const JobId& id, std::uint32_t part);
+std::string dependencyPart(const JobId& id, std::uint32_t part);
 /// Returns the key of the sub-chunk that contains the tasks from `first` up to, but not including,
 /// `last`.
 std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last);
@@ -66,8 +66,9 @@
 [[nodiscard]] std::optional<TaskChunkKey> parseTasks(const std::string& key);
 /// Parses a key that begins with kSubChunk. Returns nothing if the rest of the key is malformed.
 [[nodiscard]] std::optional<SubChunkKey> parseSubChunk(const std::string& key);
-/// Parses a key that begins with kAwaits. Returns nothing if the rest of the key is malformed.
-[[nodiscard]] std::optional<DependencyPartKey> parseAwaits(const std::string& key);
+/// Parses a key that begins with kDependencyPart. Returns nothing if the rest of the key is
+/// malformed.
+[[nodiscard]] std::optional<DependencyPartKey> parseDependencyPart(const std::string& key);
 
 /// Returns the job id in a key that consists of `prefix`, a job id, '/' and further text. The
 /// further text is not checked.
--- a/src/store/record_keys_test.cpp
+++ b/src/store/record_keys_test.cpp
@@ -12,7 +12,7 @@
   ASSERT_TRUE(tasks);
   EXPECT_EQ(tasks->job, kJobId);
   EXPECT_EQ(tasks->chunk, 12U);
-  auto awaits = keys::parseAwaits(keys::awaits(kJobId, 3));
+  auto awaits = keys::parseDependencyPart(keys::dependencyPart(kJobId, 3));
   ASSERT_TRUE(awaits);
   EXPECT_EQ(awaits->job, kJobId);
   EXPECT_EQ(awaits->part, 3U);
@@ -27,7 +27,7 @@
   EXPECT_FALSE(keys::parseTasks("kh/tasks/j-000001"));
   EXPECT_FALSE(keys::parseTasks("kh/tasks/j-000001/"));
   EXPECT_FALSE(keys::parseTasks("kh/tasks/j-000001/x"));
-  EXPECT_FALSE(keys::parseAwaits("kh/awaits/j-000001/-1"));
+  EXPECT_FALSE(keys::parseDependencyPart("kh/awaits/j-000001/-1"));
   EXPECT_FALSE(keys::parseSubChunk("kh/part/j-000001/137"));
   EXPECT_FALSE(keys::parseSubChunk("kh/part/j-000001/137-"));
   EXPECT_FALSE(keys::parseSubChunk("kh/part/j-000001/-164"));
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -66,7 +66,7 @@
     setJob(JobId{rest(keys::kJob)}, value, c.modRevision);
   } else if (c.key.starts_with(keys::kTasks)) {
     setTasks(c.key, value, c.modRevision);
-  } else if (c.key.starts_with(keys::kAwaits)) {
+  } else if (c.key.starts_with(keys::kDependencyPart)) {
     setDependencyPart(c.key, value);
   } else if (c.key.starts_with(keys::kSubChunk)) {
     setSubChunk(c.key, value, c.modRevision);
@@ -136,7 +136,7 @@
 }
 
 void Replica::setDependencyPart(const std::string& key, const Json* value) {
-  auto parsed = keys::parseAwaits(key);
+  auto parsed = keys::parseDependencyPart(key);
   if (!parsed || !value) return;
   const Json* list = field(*value, "jobs");
   auto jobs = list ? jobIdsFrom(*list) : std::nullopt;
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -93,7 +93,7 @@
        [](const auto& id, const Json& v) { return written(jobRecordFrom(JobId{id}, v)); }},
       {keys::kTasks, [](const auto&, const Json& v) { return written(taskChunkRecordFrom(v)); }},
       {keys::kSubChunk, [](const auto&, const Json& v) { return written(taskChunkRecordFrom(v)); }},
-      {keys::kAwaits, [](const auto&, const Json& v) { return rewriteDependencies(v); }},
+      {keys::kDependencyPart, [](const auto&, const Json& v) { return rewriteDependencies(v); }},
       {keys::kRental,
        [](const auto& id, const Json& v) { return written(rentalRecordFrom(RentalId{id}, v)); }},
       {keys::kLeader, [](const auto&, const Json& v) { return written(leaderRecordFrom(v)); }},
@@ -226,7 +226,7 @@
     replica.apply({keyOf(entry), record, kAnyRevision});
     ASSERT_TRUE(replica.job(id)) << whereOf(entry);
     EXPECT_TRUE(replica.job(id)->dependenciesUnread);
-    auto parts = recordsWith(keys::kAwaits + id.value + "/");
+    auto parts = recordsWith(keys::kDependencyPart + id.value + "/");
     ASSERT_EQ(parts.size(), record.at("awaits_parts").get<std::size_t>());
     for (const auto& part : parts) {
       replica.apply({keyOf(part), part.at("value"), kAnyRevision});
