--- a/src/members/members_test.cpp
+++ b/src/members/members_test.cpp
@@ -49,7 +49,7 @@
   spec->tasks = 1;
   JobRecord r{spec, JobPhase::active, 5,
               8,    nullptr,          std::make_shared<const JobOwner>(JobOwner{kAna, "j-1"})};
-  auto back = jobRecordFrom(spec->id, toJson(r));
+  auto back = jobRecordFromJson(spec->id, toJson(r));
   ASSERT_TRUE(back && back->owner);
   EXPECT_EQ(back->owner->owner, kAna);
   EXPECT_EQ(back->owner->ref, "j-1");
--- a/src/store/machine_index.cpp
+++ b/src/store/machine_index.cpp
@@ -39,7 +39,7 @@
 }
 
 void MachineIndex::applyRental(const RentalId& id, const Json* value) {
-  auto record = value ? rentalRecordFrom(id, *value) : std::nullopt;
+  auto record = value ? rentalRecordFromJson(id, *value) : std::nullopt;
   if (value && !record) {
     logError("rental record is malformed; ignoring it", "rental", id);
     return;
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -144,7 +144,7 @@
 
 Json toJson(const LeaderRecord& r) { return {{"member", r.member.value}, {"boot", r.incarnation}}; }
 
-std::optional<JobRecord> jobRecordFrom(const JobId& id, const Json& v) {
+std::optional<JobRecord> jobRecordFromJson(const JobId& id, const Json& v) {
   const Json* spec = field(v, "spec");
   auto phase = textField(v, "phase");
   if (!spec || !phase) return std::nullopt;
@@ -174,7 +174,7 @@
   return r;
 }
 
-std::optional<TaskChunkRecord> taskChunkRecordFrom(const Json& v) {
+std::optional<TaskChunkRecord> taskChunkRecordFromJson(const Json& v) {
   auto done = textField(v, "done");
   auto bits = done ? TaskBits::fromHex(*done) : std::nullopt;
   const Json* rows = field(v, "on");
@@ -210,7 +210,7 @@
   return r;
 }
 
-std::optional<RentalRecord> rentalRecordFrom(const RentalId& id, const Json& v) {
+std::optional<RentalRecord> rentalRecordFromJson(const RentalId& id, const Json& v) {
   auto type = textField(v, "type");
   auto zone = textField(v, "zone");
   auto spot = boolField(v, "spot");
@@ -237,7 +237,7 @@
   return r;
 }
 
-std::optional<LeaderRecord> leaderRecordFrom(const Json& v) {
+std::optional<LeaderRecord> leaderRecordFromJson(const Json& v) {
   auto member = textField(v, "member");
   if (!member) return std::nullopt;
   return LeaderRecord{MemberId{*member}, textField(v, "boot").value_or("")};
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -127,9 +127,9 @@
 Json toJson(const TaskChunkRecord& r);
 Json toJson(const RentalRecord& r);
 Json toJson(const LeaderRecord& r);
-std::optional<JobRecord> jobRecordFrom(const JobId& id, const Json& v);
-std::optional<TaskChunkRecord> taskChunkRecordFrom(const Json& v);
-std::optional<RentalRecord> rentalRecordFrom(const RentalId& id, const Json& v);
-std::optional<LeaderRecord> leaderRecordFrom(const Json& v);
+std::optional<JobRecord> jobRecordFromJson(const JobId& id, const Json& v);
+std::optional<TaskChunkRecord> taskChunkRecordFromJson(const Json& v);
+std::optional<RentalRecord> rentalRecordFromJson(const RentalId& id, const Json& v);
+std::optional<LeaderRecord> leaderRecordFromJson(const Json& v);
 
 }  // namespace kestrelhoist
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -83,7 +83,7 @@
   } else if (flows_.apply(c.key, value, c.modRevision)) {
     return;
   } else if (c.key == keys::kLeader) {
-    leader_ = value ? leaderRecordFrom(*value) : std::nullopt;
+    leader_ = value ? leaderRecordFromJson(*value) : std::nullopt;
   } else if (c.key == keys::kCatalogue) {
     catalogue_ = c.value;
   } else if (c.key == keys::kForecast) {
@@ -111,7 +111,7 @@
     jobs_.erase(it);
     return;
   }
-  auto record = jobRecordFrom(id, *value);
+  auto record = jobRecordFromJson(id, *value);
   if (!record) {
     logError("job record is malformed; ignoring it", "job", id);
     return;
@@ -221,7 +221,7 @@
   auto parsed = keys::parseTasks(key);
   if (!parsed) return;
   const JobId& id = parsed->job;
-  auto record = value ? taskChunkRecordFrom(*value) : std::optional(TaskChunkRecord{});
+  auto record = value ? taskChunkRecordFromJson(*value) : std::optional(TaskChunkRecord{});
   if (!record) {
     logError("task chunk record is malformed; ignoring it", "key", key);
     return;
@@ -303,7 +303,7 @@
   // A sub-chunk is deleted only after its job, so its deletion changes nothing else.
   if (it == jobs_.end() || !value) return;
   JobState& job = it->second;
-  auto record = taskChunkRecordFrom(*value);
+  auto record = taskChunkRecordFromJson(*value);
   const std::uint32_t chunkSize = job.record.chunkSize;
   if (!record || chunkSize == 0 || range.first >= range.end ||
       range.first / chunkSize != (range.end - 1) / chunkSize) {
--- a/tests/scenario_late_messages.cpp
+++ b/tests/scenario_late_messages.cpp
@@ -72,7 +72,7 @@
     auto slash = task.find('/');
     auto index = static_cast<std::uint32_t>(std::stoul(task.substr(slash + 1)));
     for (const auto& key : w.state.keysBelow(keys::kTasks + task.substr(0, slash + 1))) {
-      auto record = taskChunkRecordFrom(*w.state.valueOf(key));
+      auto record = taskChunkRecordFromJson(*w.state.valueOf(key));
       auto placed = record->placed.find(index);
       if (placed == record->placed.end()) continue;
       auto worker = w.workers.find(placed->second.machine.value);
@@ -151,7 +151,7 @@
   std::map<std::string, int> onRecord;
   for (const auto& key : w.state.keysBelow(keys::kRental)) {
     auto record =
-        rentalRecordFrom(RentalId{key.substr(keys::kRental.size())}, *w.state.valueOf(key));
+        rentalRecordFromJson(RentalId{key.substr(keys::kRental.size())}, *w.state.valueOf(key));
     if (!record) return key + " can't be read";
     if (!record->answered) return key + " is not answered";
     for (const auto& m : record->machines) {
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -90,13 +90,15 @@
 const std::vector<RecordForm>& writtenForms() {
   static const std::vector<RecordForm> forms{
       {keys::kJob,
-       [](const auto& id, const Json& v) { return written(jobRecordFrom(JobId{id}, v)); }},
-      {keys::kTasks, [](const auto&, const Json& v) { return written(taskChunkRecordFrom(v)); }},
-      {keys::kSubChunk, [](const auto&, const Json& v) { return written(taskChunkRecordFrom(v)); }},
+       [](const auto& id, const Json& v) { return written(jobRecordFromJson(JobId{id}, v)); }},
+      {keys::kTasks,
+       [](const auto&, const Json& v) { return written(taskChunkRecordFromJson(v)); }},
+      {keys::kSubChunk,
+       [](const auto&, const Json& v) { return written(taskChunkRecordFromJson(v)); }},
       {keys::kDependencyPart, [](const auto&, const Json& v) { return rewriteDependencies(v); }},
-      {keys::kRental,
-       [](const auto& id, const Json& v) { return written(rentalRecordFrom(RentalId{id}, v)); }},
-      {keys::kLeader, [](const auto&, const Json& v) { return written(leaderRecordFrom(v)); }},
+      {keys::kRental, [](const auto& id,
+                         const Json& v) { return written(rentalRecordFromJson(RentalId{id}, v)); }},
+      {keys::kLeader, [](const auto&, const Json& v) { return written(leaderRecordFromJson(v)); }},
       {keys::kCatalogue, [](const auto&, const Json& v) { return written(catalogueFrom(v)); }},
       {keys::kForecast, [](const auto&, const Json& v) { return rewriteForecast(v); }},
       {keys::kPolicy, [](const auto&, const Json& v) { return written(policyVersionFrom(v)); }},
@@ -196,7 +198,7 @@
 TEST(StoredRecords, of_jobs_and_their_tasks_are_read_field_by_field) {
   for (const auto& entry : recordsWith(keys::kJob)) {
     const Json& record = entry.at("value");
-    auto job = jobRecordFrom(JobId{keyOf(entry).substr(keys::kJob.size())}, record);
+    auto job = jobRecordFromJson(JobId{keyOf(entry).substr(keys::kJob.size())}, record);
     ASSERT_TRUE(job) << whereOf(entry);
     EXPECT_EQ(job->acceptedAtMs, record.at("at").get<std::int64_t>());
     EXPECT_EQ(job->chunkSize, record.at("stretch").get<std::uint32_t>());
@@ -206,7 +208,7 @@
     EXPECT_EQ(job->dependencyParts, record.value("awaits_parts", 0U));
   }
   for (const auto& entry : recordsWith(keys::kTasks)) {
-    auto chunk = taskChunkRecordFrom(entry.at("value"));
+    auto chunk = taskChunkRecordFromJson(entry.at("value"));
     ASSERT_TRUE(chunk) << whereOf(entry);
     std::uint32_t placed = 0;
     for (const auto& row : entry.at("value").at("on")) {
