--- a/src/cloud/scaling_loop_rentals.cpp
+++ b/src/cloud/scaling_loop_rentals.cpp
@@ -92,7 +92,7 @@
     record.zone = offering.zone;
     record.spot = offering.spot;
     record.count = static_cast<std::uint32_t>(record.machines.size());
-    record.atMs = context_.runtime.wallMillis();
+    record.requestedAtMs = context_.runtime.wallMillis();
     record.answered = true;
     logInfo("machines adopted", "count", record.count, "zone", offering.zone);
     transaction.write(record.id, toJson(record));
--- a/src/placement/placement_transaction.cpp
+++ b/src/placement/placement_transaction.cpp
@@ -31,7 +31,7 @@
   Draft draft{
       &job, range, context_.replica.tasksOf(job, range.first, range.last, !range.isSubChunk),
       0,    0,     false};
-  std::size_t size = draft.record.bytes() + (range.last - range.first) / 4 + 2;
+  std::size_t size = draft.record.maxEncodedBytes() + (range.last - range.first) / 4 + 2;
   if (bytes_ + size + kBytesPerWrite > kMaxTransactionBytes && !drafts_.empty()) {
     // The flag keeps the refusal cheap: thousands of placements may ask again.
     full_ = true;
--- a/src/store/machine_index.cpp
+++ b/src/store/machine_index.cpp
@@ -60,7 +60,7 @@
     machine.type = record.type;
     machine.zone = record.zone;
     machine.spot = record.spot;
-    machine.rentedAtMs = record.atMs;
+    machine.rentedAtMs = record.requestedAtMs;
     machine.draining = member.draining;
   }
 }
@@ -69,7 +69,7 @@
   auto previous = rentals_.find(id);
   if (previous == rentals_.end()) return;
   for (const auto& member : previous->second.machines) {
-    auto isSame = [&](const RentalRecord::Member& other) { return other.id == member.id; };
+    auto isSame = [&](const RentalRecord::RentedMachine& other) { return other.id == member.id; };
     if (record && std::any_of(record->machines.begin(), record->machines.end(), isSame)) continue;
     auto it = machines_.find(member.id);
     if (it == machines_.end() || it->second.rental != id) continue;
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -42,7 +42,7 @@
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
     return -1;
   };
-  if (text.size() % 2 != 0 || text.size() > kMost / 4) return std::nullopt;
+  if (text.size() % 2 != 0 || text.size() > kMaxBits / 4) return std::nullopt;
   TaskBits bits;
   for (std::size_t i = 0; i < text.size(); i += 2) {
     int high = digit(text[i]), low = digit(text[i + 1]);
@@ -70,10 +70,10 @@
   constexpr std::size_t kPerTask = 56;
   constexpr std::size_t kBesides = 512;
   std::size_t fits = valueBytes > kBesides ? (valueBytes - kBesides) / kPerTask : 0;
-  return static_cast<std::uint32_t>(std::clamp<std::size_t>(fits, 8, TaskBits::kMost));
+  return static_cast<std::uint32_t>(std::clamp<std::size_t>(fits, 8, TaskBits::kMaxBits));
 }
 
-std::size_t TaskChunkRecord::bytes() const {
+std::size_t TaskChunkRecord::maxEncodedBytes() const {
   std::size_t n = 64 + finished.hexSize();
   const TaskPlacement* row = nullptr;
   for (const auto& [index, p] : placed) {
@@ -132,7 +132,7 @@
             {"zone", r.zone.value},
             {"spot", r.spot},
             {"count", r.count},
-            {"at", r.atMs}};
+            {"at", r.requestedAtMs}};
   if (r.answered) {
     Json machines = Json::array(), draining = Json::array();
     for (const auto& m : r.machines) (m.draining ? draining : machines).push_back(m.id.value);
@@ -159,7 +159,7 @@
   r.endedAtMs = static_cast<std::int64_t>(countField(v, "ended").value_or(0));
   r.dependencyParts = static_cast<std::uint32_t>(countField(v, "awaits_parts").value_or(0));
   auto chunk = countField(v, "stretch");
-  if (!chunk || *chunk < 1 || *chunk > TaskBits::kMost) return std::nullopt;
+  if (!chunk || *chunk < 1 || *chunk > TaskBits::kMaxBits) return std::nullopt;
   r.chunkSize = static_cast<std::uint32_t>(*chunk);
   if (const Json* flow = field(v, "flow")) {
     auto part = flowPartFrom(*flow);
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -22,7 +22,7 @@
 /// hex digits.
 class TaskBits {
  public:
-  static constexpr std::uint32_t kMost = 4096;
+  static constexpr std::uint32_t kMaxBits = 4096;
   void set(std::uint32_t offset, bool on = true);
   bool test(std::uint32_t offset) const;
   std::uint32_t count() const;
@@ -90,7 +90,7 @@
 
   /// Returns an upper bound of the record's size as JSON text, which is the size that the state
   /// service limits. The bound holds until the finished bits need more bytes.
-  std::size_t bytes() const;
+  std::size_t maxEncodedBytes() const;
 };
 
 /// Returns how many tasks a chunk may have so that its record fits into `valueBytes` even if every
@@ -101,7 +101,7 @@
 /// is written before the request is sent, and it is deleted once none of its machines is left.
 /// Machines that the cloud lists without any rental are recorded as a new rental.
 struct RentalRecord {
-  struct Member {
+  struct RentedMachine {
     MachineId id;
     /// Is true if the machine's termination was or will be requested. A draining machine never gets
     /// work again.
@@ -112,9 +112,9 @@
   ZoneId zone;
   bool spot{};
   std::uint32_t count{};
-  std::int64_t atMs{};  ///< Holds the wall-clock time of the request.
-  bool answered{};      ///< Is true if `machines` lists the granted machines.
-  std::vector<Member> machines;
+  std::int64_t requestedAtMs{};  ///< Holds the wall-clock time of the request.
+  bool answered{};               ///< Is true if `machines` lists the granted machines.
+  std::vector<RentedMachine> machines;
 };
 
 /// Names the leader. The modification revision of the leader's record is the fencing token.
