--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -84,7 +84,7 @@
   metrics_->gauges = [this] {
     MetricGauges g;
     members_->fill(g);
-    g.liveJobs = static_cast<double>(replica_.live().size());
+    g.liveJobs = static_cast<double>(replica_.liveJobs().size());
     g.machines = static_cast<double>(replica_.machines().size());
     g.leading = leads() ? 1 : 0;
     g.storeAgeS = toSeconds(std::min(Duration{3600000}, watcher_.contactAge()));
@@ -114,7 +114,7 @@
   };
   watcher_.start();
   peerMembership_.onAnswer = [this](const PeerStatus& s, Instant asked) {
-    cancellationBarrier_.onPeerStatus(s.member, asked, s.newestCancellation, replica_.cursor());
+    cancellationBarrier_.onPeerStatus(s.member, asked, s.newestCancellation, replica_.revision());
     zoneAcks_.onPeerAnswer(s.member, asked, runtime_.now(), s.zoneAcks);
     leaseLog_.adopt(s.uncertainLeases);
   };
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -129,7 +129,7 @@
   auto end = [this](const JobId& id) {
     const auto* job = replica_.job(id);
     if (!job || job->active()) return JobEnd::none;
-    return job->modRevision <= replica_.cursor() ? JobEnd::known : JobEnd::notReadBack;
+    return job->modRevision <= replica_.revision() ? JobEnd::known : JobEnd::notReadBack;
   };
   return jsonResponse(
       200, reportResponseToJson(lastToken_,
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -237,7 +237,8 @@
   // yet.
   if (auto barrier = cancellationBarrier_.snapshotTime();
       barrier && *barrier > asOf && watcher_.contactAge() > kStoreSilent &&
-      replica_.newestCancellation() <= replica_.cursor() && !replica_.flowCancellationUnderWay()) {
+      replica_.newestCancellation() <= replica_.revision() &&
+      !replica_.isFlowCancellationInProgress()) {
     asOf = *barrier;
   }
   return renewal_.until(asOf);
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -249,7 +249,7 @@
   sent->settled = true;
   const Commit& commit = sent->commit;
   // What the change feed has brought already may have been changed again since.
-  if (revision > context_.replica.cursor()) {
+  if (revision > context_.replica.revision()) {
     for (const auto& write : commit.transaction.writes) {
       context_.replica.apply({write.key, write.value, revision});
     }
--- a/src/app/pending_explanation.cpp
+++ b/src/app/pending_explanation.cpp
@@ -37,11 +37,11 @@
                        const JobState& job, const JobId& id) {
   Json reasons = Json::array();
   if (!context.initialRoundOver) {
-    addReason(reasons, "the new leader waits for the report round", job.waiting());
+    addReason(reasons, "the new leader waits for the report round", job.waitingCount());
   } else if (job.blockedOnDependencies()) {
     addReason(reasons, toString(PendingReason::dependencies), job.tasks);
   } else if (!context.watcher.reachable()) {
-    addReason(reasons, "the state service is out of reach", job.waiting());
+    addReason(reasons, "the state service is out of reach", job.waitingCount());
   } else {
     for (const auto& group : pendingReasons.of(id)) {
       addReason(reasons, toString(group.why), group.tasks);
--- a/src/fleet/lease_end_prober.cpp
+++ b/src/fleet/lease_end_prober.cpp
@@ -74,7 +74,7 @@
 bool LeaseEndProber::hasProductionReplica(const Machine& machine) const {
   const auto* record = context_.replica.machine(machine.id);
   return record && std::any_of(record->tasks.begin(), record->tasks.end(), [](const auto& task) {
-           const auto& spec = task.job->orderedSpec();
+           const auto& spec = task.job->effectiveSpec();
            return spec && spec->kind == JobKind::service && spec->priority == Priority::production;
          });
 }
--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -219,7 +219,7 @@
 }
 
 bool FlowLoop::endable(const JobState& job) const {
-  return job.placed.empty() && (!job.active() || job.waiting() == 0);
+  return job.placed.empty() && (!job.active() || job.waitingCount() == 0);
 }
 
 // A job's end: its record and those of its tasks go, and what it used is counted, once. The
@@ -292,7 +292,7 @@
   Instant endedSince{};
   for (const auto& [jobId, open] : run.jobs) {
     const auto* job = context_.replica.job(jobId);
-    queued += job->waiting();
+    queued += job->waitingCount();
     running += job->placed.size();
     if (!open.pending.empty() || !endable(*job)) continue;
     if (ended++ == 0 || open.endedAt < endedSince) endedSince = open.endedAt;
--- a/src/leadership/cancellation_barrier_test.cpp
+++ b/src/leadership/cancellation_barrier_test.cpp
@@ -55,7 +55,7 @@
   };
   EXPECT_EQ(at(JobPhase::active, 3), Revision{});
   EXPECT_EQ(at(JobPhase::cancelled, 8), Revision{8});
-  EXPECT_EQ(r.cursor(), Revision{});  // an own commit, not read back yet
+  EXPECT_EQ(r.revision(), Revision{});  // an own commit, not read back yet
   r.clear();
   EXPECT_EQ(r.newestCancellation(), Revision{});
 }
--- a/src/members/job_lists.cpp
+++ b/src/members/job_lists.cpp
@@ -25,7 +25,7 @@
 MemberService::Page MemberService::page(const Owner& owner, const ChangePlace& since,
                                         const JobFilter& filter) const {
   Page page;
-  Revision seen = replica_.cursor();
+  Revision seen = replica_.revision();
   page.next = {std::max(seen, since.revision), JobId{}};
   const auto* order = replica_.memberJobs().of(owner);
   if (!order) return page;
@@ -82,10 +82,10 @@
     }
     // "now": only the place.
     if (since == "now") {
-      return respond(answer(caller.owner, {Json::array(), {replica_.cursor(), JobId{}}, false}));
+      return respond(answer(caller.owner, {Json::array(), {replica_.revision(), JobId{}}, false}));
     }
     auto from = since.empty() ? std::optional(ChangePlace{}) : seal_->open(caller.owner, since);
-    if (!from || from->revision > replica_.cursor()) {
+    if (!from || from->revision > replica_.revision()) {
       return respond(jsonResponse(410, {{"error", "no such place: start again without since"}}));
     }
     Page first = page(caller.owner, *from, filter);
@@ -114,7 +114,7 @@
   auto numbers = watches_.of(owner);
   if (numbers.empty()) return;
   const auto* order = replica_.memberJobs().of(owner);
-  if (order && !order->empty() && order->rbegin()->first > replica_.cursor()) {
+  if (order && !order->empty() && order->rbegin()->first > replica_.revision()) {
     watches_.defer(owner);
   }
   for (auto number : numbers) {
--- a/src/placement/confirmed_outcomes.cpp
+++ b/src/placement/confirmed_outcomes.cpp
@@ -172,7 +172,8 @@
   if (job->record.flow) {
     // Its dependents wait, but many ends at once are few writes.
     if (context_.runtime.now() - pending.since >= kFlowOutcomesWait) return true;
-    return done != finished_.end() && done->second >= job->placed.size() && job->waiting() == 0;
+    return done != finished_.end() && done->second >= job->placed.size() &&
+           job->waitingCount() == 0;
   }
   if (context_.runtime.now() - pending.since >= kOutcomesWait) return true;
   return done != finished_.end() && job->finishedCount + done->second >= job->tasks;
--- a/src/placement/plan_input_builder.cpp
+++ b/src/placement/plan_input_builder.cpp
@@ -54,7 +54,7 @@
 }
 
 void PlanInputBuilder::addWaitingJobs() {
-  for (const auto& [id, job] : context_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.liveJobs()) {
     if (!job->active() || !job->record.spec) continue;
     // A job that is blocked has no part of its team's limit or guarantee, and is no demand: only
     // work that is ready counts.
@@ -75,7 +75,7 @@
   if (auto entry = outcomes_.requeued().find(id); entry != outcomes_.requeued().end()) {
     result.requeued = entry->second;
   }
-  std::uint32_t waiting = job.waiting() + result.requeued;
+  std::uint32_t waiting = job.waitingCount() + result.requeued;
   if (waiting == 0) return result;
   if (auto pause = outcomes_.pausedUntil(id); pause && now_ < *pause) {
     pendingReasons_.note(id, outcomes_.refused(id) ? PendingReason::refused : PendingReason::errors,
@@ -94,7 +94,7 @@
 
 void PlanInputBuilder::addJob(const JobState& job, const WaitingTasks& tasks) {
   PlanJob planJob;
-  planJob.spec = job.orderedSpec();
+  planJob.spec = job.effectiveSpec();
   const JobSpec& spec = *planJob.spec;
   planJob.acceptedAtMs = job.readyAtMs();
   planJob.waiting = tasks.toPlace;
@@ -181,7 +181,7 @@
                                 const Machine* machine) {
   for (const auto& task : record.tasks) {
     if (machine && machine->session.outcomes.contains(task.id)) continue;  // proven to have ended
-    const auto& spec = task.job->orderedSpec();
+    const auto& spec = task.job->effectiveSpec();
     if (!spec) continue;
     input_.used[task.job->team] += spec->perTask;
     planMachine.free -= spec->perTask;
@@ -196,7 +196,7 @@
 // whether it may be stopped.
 void PlanInputBuilder::addUsableTask(PlanMachine& planMachine, const Machine& machine,
                                      const PlacedTask& task, bool stopping) const {
-  const auto& spec = task.job->orderedSpec();
+  const auto& spec = task.job->effectiveSpec();
   auto runTime = observedRunTime(machine, task.id, now_);
   if (mayReserve_ && spec->kind != JobKind::service) {
     planMachine.ends.push_back({remainingSeconds(*spec, runTime), spec->perTask});
@@ -264,15 +264,16 @@
   // Yielding jobs with no waiting tasks use their part of the bound, too.
   double usedByOthers = 0;
   double demandOfPreferred = 0;
-  for (const auto& [id, job] : context_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.liveJobs()) {
     if (!job->active() || !job->record.spec) continue;
     int adjustment = context_.effectivePolicy->priorityAdjustment(*job->record.spec);
     double share = job->record.spec->perTask.shareOf(largest);
     auto placed = static_cast<double>(job->placed.size());
     if (adjustment > 0) {
-      demandOfPreferred += share * (placed + (job->blockedOnDependencies() ? 0 : job->waiting()));
+      demandOfPreferred +=
+          share * (placed + (job->blockedOnDependencies() ? 0 : job->waitingCount()));
     }
-    if (adjustment < 0 && job->waiting() == 0) usedByOthers += share * placed;
+    if (adjustment < 0 && job->waitingCount() == 0) usedByOthers += share * placed;
   }
   auto allowed = context_.effectivePolicy->machinesForYielding(usableMachines, demandOfPreferred);
   if (!allowed) return;
--- a/src/placement/task_loop.cpp
+++ b/src/placement/task_loop.cpp
@@ -8,7 +8,7 @@
 
 void TaskLoop::sendStops() {
   std::set<MachineId> machines;
-  for (const auto& [id, job] : context_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.liveJobs()) {
     if (job->active() && !(job->record.flow && !job->record.flow->dropped.empty())) continue;
     for (const auto& [index, placed] : job->placed) {
       if (job->active() && !job->isDropped(index)) continue;
@@ -42,7 +42,7 @@
                                                  const PlanInput& input, const Plan& plan) {
   PlacedMachines result;
   Instant now = context_.runtime.now();
-  context_.latestRevision = std::max(context_.latestRevision, context_.replica.cursor());
+  context_.latestRevision = std::max(context_.latestRevision, context_.replica.revision());
   std::map<std::size_t, std::uint32_t> nextTask;  // by job: the first task that may be free
   for (const auto& placement : plan.placements) {
     const PlanJob& planned = input.jobs[placement.job];
--- a/src/policy/policy_loop.cpp
+++ b/src/policy/policy_loop.cpp
@@ -113,7 +113,7 @@
   // What ran when this leader came is no start.
   if (startsSince_ != Instant{}) s.starts = std::move(starts);
   startsSince_ = now;
-  for (const auto& [id, job] : context_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.liveJobs()) {
     if (!job->active() || !job->record.spec || !replica_.protects(*job->record.spec)) continue;
     std::uint32_t up = 0;
     for (const auto& [index, at] : job->placed) {
@@ -130,7 +130,7 @@
 // Machines' worth of what those who go first take or wait for.
 double PolicyLoop::prioritizedMachines() const {
   double sum = 0;
-  for (const auto& [id, job] : context_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.liveJobs()) {
     if (!job->active() || !job->record.spec || replica_.priorityAdjustment(*job->record.spec) != 1)
       continue;
     double share = 1;
@@ -139,7 +139,7 @@
         share = std::min(share, job->record.spec->perTask.shareOf(type.capacity));
       }
     }
-    sum += share * static_cast<double>(job->placed.size() + job->waiting());
+    sum += share * static_cast<double>(job->placed.size() + job->waitingCount());
   }
   return sum;
 }
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -61,7 +61,7 @@
   std::size_t kept = 0;
   std::map<std::string, std::pair<std::size_t, std::size_t>> periods;
   for (const auto& p : policy.calendar.periods) periods[p.name];
-  for (const auto& [id, job] : replica_.live()) {
+  for (const auto& [id, job] : replica_.liveJobs()) {
     if (!job->active() || !job->record.spec) continue;
     const JobSpec& spec = *job->record.spec;
     bool service = spec.kind == JobKind::service;
--- a/src/store/change_watcher.cpp
+++ b/src/store/change_watcher.cpp
@@ -101,7 +101,7 @@
   lastSent_ = runtime_.now();
   served_ = std::exchange(waiting_, {});
   auto send = [this](Duration timeout, std::function<void(ChangesResult)> done) {
-    store_.changes(keys::kRoot, replica_.cursor(), timeout, std::move(done));
+    store_.changes(keys::kRoot, replica_.revision(), timeout, std::move(done));
   };
   auto failed = [](const ChangesResult& r) { return r.kind == ChangesResult::Kind::failed; };
   auto done = [this](Instant sentAt, ChangesResult r) { onRead(sentAt, std::move(r)); };
@@ -122,7 +122,7 @@
   } else if (r.kind == ChangesResult::Kind::tooOld) {
     logInfo(
         "change feed no longer has the changes since the replica's revision; reloading all records",
-        "since", replica_.cursor());
+        "since", replica_.revision());
     loaded_ = false;
     if (onReload) onReload();
     replica_.clear();
--- a/src/store/job_state.cpp
+++ b/src/store/job_state.cpp
@@ -49,7 +49,7 @@
   return record.flow && failuresOf(index) > record.flow->retries;
 }
 
-std::uint32_t JobState::waiting() const {
+std::uint32_t JobState::waitingCount() const {
   std::uint32_t settled =
       finishedCount + static_cast<std::uint32_t>(placed.size()) + abandonedCount();
   return settled < tasks ? tasks - settled : 0;
--- a/src/store/job_state.hpp
+++ b/src/store/job_state.hpp
@@ -37,7 +37,7 @@
   DependencyState state;
   /// Holds the job's spec. The priority in it is raised to that of the highest-priority job that
   /// depends on this one.
-  std::shared_ptr<const JobSpec> ordered;
+  std::shared_ptr<const JobSpec> effectiveSpec;
 };
 
 /// Holds the replica's state of one job.
@@ -78,8 +78,8 @@
   std::int64_t readyAtMs() const;
   /// Returns the job's spec, in which the priority is raised to that of the highest-priority job
   /// that depends on this one.
-  const std::shared_ptr<const JobSpec>& orderedSpec() const {
-    return dependencies && dependencies->ordered ? dependencies->ordered : record.spec;
+  const std::shared_ptr<const JobSpec>& effectiveSpec() const {
+    return dependencies && dependencies->effectiveSpec ? dependencies->effectiveSpec : record.spec;
   }
   bool isFinished(std::uint32_t index) const;
   /// Returns the sub-chunk that contains the task, or nothing if no sub-chunk does.
@@ -94,7 +94,7 @@
     return isFinished(index) || (record.flow && (isDropped(index) || isGivenUp(index)));
   }
   /// Returns the number of tasks that are neither settled nor placed on a machine.
-  std::uint32_t waiting() const;
+  std::uint32_t waitingCount() const;
   std::uint32_t failuresOf(std::uint32_t index) const;
   /// Builds the record for the tasks in `range`, which must lie within one chunk. The record is
   /// that of the chunk if `wholeChunk` is set, and that of the sub-chunk starting at `range.first`
--- a/src/store/record_keys.cpp
+++ b/src/store/record_keys.cpp
@@ -36,8 +36,8 @@
   return kDependencyPart + id.value + "/" + std::to_string(part);
 }
 
-std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last) {
-  return kSubChunk + id.value + "/" + std::to_string(first) + "-" + std::to_string(last);
+std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t end) {
+  return kSubChunk + id.value + "/" + std::to_string(first) + "-" + std::to_string(end);
 }
 
 std::string rental(const RentalId& id) { return kRental + id.value; }
--- a/src/store/record_keys.hpp
+++ b/src/store/record_keys.hpp
@@ -39,8 +39,8 @@
 /// Returns the key of one part of a dependency list that does not fit into the job's record.
 std::string dependencyPart(const JobId& id, std::uint32_t part);
 /// Returns the key of the sub-chunk that contains the tasks from `first` up to, but not including,
-/// `last`.
-std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last);
+/// `end`.
+std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t end);
 /// Returns the key of a rental's record.
 std::string rental(const RentalId& id);
 
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -16,7 +16,7 @@
   return it == modRevisions_.end() ? Revision{} : it->second;
 }
 
-bool Replica::flowCancellationUnderWay() const {
+bool Replica::isFlowCancellationInProgress() const {
   return std::any_of(flows_.live().begin(), flows_.live().end(), [this](const FlowId& id) {
     const auto* flow = flows_.find(id);
     if (!flow || !flow->head || flow->head->phase != FlowPhase::cancelled) return false;
@@ -35,22 +35,22 @@
 }
 
 void Replica::advance(Revision revision) {
-  if (revision > cursor_) cursor_ = revision;
-  std::erase_if(drops_, [&](const auto& d) { return d.second <= cursor_; });
+  if (revision > revision_) revision_ = revision;
+  std::erase_if(deletions_, [&](const auto& d) { return d.second <= revision_; });
 }
 
 void Replica::apply(const Change& c) {
   if (c.modRevision <= modRevisionOf(c.key)) return;
   // A controller applies its own commits before the change feed returns them. An older change from
   // the feed must not restore a key that one of these commits deleted.
-  if (auto d = drops_.find(c.key); d != drops_.end() && c.modRevision <= d->second) return;
+  if (auto d = deletions_.find(c.key); d != deletions_.end() && c.modRevision <= d->second) return;
   // A load reads pages one after the other, so it can return the task chunk of a job that was
   // created after the page of job records was read. The records of the job and of the chunk are
   // read again in order from the change feed, so the chunk is ignored here. Its modification
   // revision must not be stored either: the later change would count as old, and all tasks of the
   // job would be placed twice.
-  if (c.value && c.key.starts_with(keys::kTasks) && !knowsJobOf(c.key, keys::kTasks)) return;
-  if (c.value && c.key.starts_with(keys::kSubChunk) && !knowsJobOf(c.key, keys::kSubChunk)) {
+  if (c.value && c.key.starts_with(keys::kTasks) && !hasJobOf(c.key, keys::kTasks)) return;
+  if (c.value && c.key.starts_with(keys::kSubChunk) && !hasJobOf(c.key, keys::kSubChunk)) {
     orphanSubChunks_[c.key] = c.modRevision;
     return;
   }
@@ -58,7 +58,7 @@
     modRevisions_[c.key] = c.modRevision;
   } else {
     modRevisions_.erase(c.key);
-    drops_[c.key] = c.modRevision;
+    deletions_[c.key] = c.modRevision;
   }
   const Json* value = c.value ? &*c.value : nullptr;
   auto rest = [&](const std::string& prefix) { return c.key.substr(prefix.size()); };
@@ -76,8 +76,9 @@
     keyRing_.apply(KeyId{rest(keys::kKey)}, value, c.modRevision);
   } else if (c.key == keys::kCursorKey) {
     cursorKey_ = value ? textField(*value, "secret").value_or("") : "";
-  } else if (auto handler = std::find_if(handlers_.begin(), handlers_.end(),
-                                         [&](const RecordHandler* s) { return s->owns(c.key); });
+  } else if (auto handler = std::find_if(
+                 handlers_.begin(), handlers_.end(),
+                 [&](const RecordHandler* candidate) { return candidate->owns(c.key); });
              handler != handlers_.end()) {
     (*handler)->apply(c.key, value, c.modRevision);
   } else if (flows_.apply(c.key, value, c.modRevision)) {
@@ -91,7 +92,7 @@
   }
 }
 
-bool Replica::knowsJobOf(const std::string& key, const std::string& prefix) const {
+bool Replica::hasJobOf(const std::string& key, const std::string& prefix) const {
   return jobs_.contains(keys::jobOf(key, prefix));
 }
 
@@ -101,13 +102,13 @@
     auto it = jobs_.find(id);
     if (it == jobs_.end() || !it->second.record.flow || !it->second.placed.empty()) return;
     if (it->second.subChunks) {
-      for (const auto& [first, last] : *it->second.subChunks) {
-        std::string key = keys::subChunk(id, first, last);
+      for (const auto& [first, end] : *it->second.subChunks) {
+        std::string key = keys::subChunk(id, first, end);
         orphanSubChunks_[key] = modRevisionOf(key);
       }
     }
     flows_.dropJob(it->second.record.flow->flow, id);
-    live_.erase(id);
+    liveJobs_.erase(id);
     jobs_.erase(it);
     return;
   }
@@ -132,7 +133,7 @@
   }
   if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
   updateDependencies(job, id);
-  settle(job, id);
+  updateLiveJobs(job, id);
 }
 
 void Replica::setDependencyPart(const std::string& key, const Json* value) {
@@ -189,18 +190,18 @@
   if (!job.dependencies) job.dependencies = std::make_unique<JobDependencies>();
   job.dependencies->state = state;
   const JobSpec& spec = *job.record.spec;
-  job.dependencies->ordered = job.record.spec;
+  job.dependencies->effectiveSpec = job.record.spec;
   if (state.priority > spec.priority) {
     JobSpec raised = spec;
     raised.priority = state.priority;
-    job.dependencies->ordered = std::make_shared<const JobSpec>(std::move(raised));
+    job.dependencies->effectiveSpec = std::make_shared<const JobSpec>(std::move(raised));
   }
-  if (state.cancelled) settle(job, id);
+  if (state.cancelled) updateLiveJobs(job, id);
 }
 
-TaskChunkRecord Replica::tasksOf(const JobState& job, std::uint32_t first, std::uint32_t last,
-                                 bool whole) const {
-  return job.tasksOf({first, last}, whole);
+TaskChunkRecord Replica::tasksOf(const JobState& job, std::uint32_t first, std::uint32_t end,
+                                 bool wholeChunk) const {
+  return job.tasksOf({first, end}, wholeChunk);
 }
 
 void Replica::addPlacement(const JobId& id, JobState& job, std::uint32_t index,
@@ -245,7 +246,7 @@
       if (!job.subChunkOf(index)) removePlacement(id, job, index, placed);
     }
   }
-  settle(job, id);
+  updateLiveJobs(job, id);
 }
 
 void Replica::applyTaskChunk(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
@@ -314,17 +315,17 @@
   (*job.subChunks)[range.first] = range.end;
   applyTaskChunk(id, job, range, false, std::move(*record));
   if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
-  settle(job, id);
+  updateLiveJobs(job, id);
 }
 
 // Updates the index of live jobs. A job that is not live keeps only the data that users can still
 // request.
-void Replica::settle(JobState& job, const JobId& id) {
+void Replica::updateLiveJobs(JobState& job, const JobId& id) {
   bool live = job.active() || !job.placed.empty();
   if (live) {
-    live_[id] = &job;
+    liveJobs_[id] = &job;
   } else {
-    live_.erase(id);
+    liveJobs_.erase(id);
     job.finished.clear();
     if (job.record.phase != JobPhase::active) job.dependencies.reset();
     if (job.record.phase == JobPhase::done) job.finishedCount = job.tasks;
--- a/src/store/replica.hpp
+++ b/src/store/replica.hpp
@@ -36,7 +36,7 @@
   void add(RecordHandler& handler) { handlers_.push_back(&handler); }
 
   /// Returns the revision up to which all changes have been applied.
-  Revision cursor() const { return cursor_; }
+  Revision revision() const { return revision_; }
   /// Returns the newest modification revision of all jobs and flows that are cancelled in this
   /// replica.
   Revision newestCancellation() const {
@@ -44,7 +44,7 @@
   }
   /// Returns whether a cancelled flow still has active jobs. The tasks of these jobs are not
   /// stopped until the job records are cancelled too.
-  bool flowCancellationUnderWay() const;
+  bool isFlowCancellationInProgress() const;
   /// Returns the modification revision of the key, or 0 if the replica does not have the key.
   Revision modRevisionOf(const std::string& key) const;
 
@@ -54,9 +54,9 @@
   const MachineState* machine(const MachineId& id) const { return machines_.find(id); }
   const std::map<RentalId, RentalRecord>& rentals() const { return machines_.rentals(); }
   /// Returns the result of JobState::tasksOf for the tasks from `first` up to, but not including,
-  /// `last`.
-  TaskChunkRecord tasksOf(const JobState& job, std::uint32_t first, std::uint32_t last,
-                          bool whole) const;
+  /// `end`.
+  TaskChunkRecord tasksOf(const JobState& job, std::uint32_t first, std::uint32_t end,
+                          bool wholeChunk) const;
   /// Returns the sub-chunk records whose job has no record. The map contains their modification
   /// revisions by key.
   const std::map<std::string, Revision>& orphanSubChunks() const { return orphanSubChunks_; }
@@ -78,10 +78,10 @@
   /// Returns the dependency graph of the unfinished jobs.
   const JobGraph& dependencies() const { return graph_; }
   /// Returns the jobs that are active or have a task that may still be on a machine.
-  const std::map<JobId, JobState*>& live() const { return live_; }
+  const std::map<JobId, JobState*>& liveJobs() const { return liveJobs_; }
 
  private:
-  bool knowsJobOf(const std::string& key, const std::string& prefix) const;
+  bool hasJobOf(const std::string& key, const std::string& prefix) const;
   void setJob(const JobId& id, const Json* value, Revision modRevision);
   void setTasks(const std::string& key, const Json* value, Revision modRevision);
   void setSubChunk(const std::string& key, const Json* value, Revision modRevision);
@@ -94,7 +94,7 @@
   void addPlacement(const JobId& id, JobState& job, std::uint32_t index,
                     const TaskPlacement& placed);
   void removePlacement(const JobId& id, JobState& job, std::uint32_t index, TaskPlacement placed);
-  void settle(JobState& job, const JobId& id);
+  void updateLiveJobs(JobState& job, const JobId& id);
   void setDependencyPart(const std::string& key, const Json* value);
   void updateDependencies(JobState& job, const JobId& id);
   std::optional<DependencyInput> dependencyInputOf(const JobId& id) const override;
@@ -103,13 +103,13 @@
   std::vector<RecordHandler*> handlers_;
   Interned<ImageId> images_;
   Interned<TeamId> teams_;
-  Revision cursor_;
+  Revision revision_;
   Revision newestCancelledJob_;
   std::unordered_map<std::string, Revision> modRevisions_;
-  /// Holds the revisions of deletions that are newer than the cursor.
-  std::unordered_map<std::string, Revision> drops_;
+  /// Holds the revisions of deletions that are newer than `revision_`.
+  std::unordered_map<std::string, Revision> deletions_;
   std::map<JobId, JobState> jobs_;
-  std::map<JobId, JobState*> live_;
+  std::map<JobId, JobState*> liveJobs_;
   JobGraph graph_;
   /// Holds the separately stored parts of dependency lists by part number, until the job ends.
   std::map<JobId, std::map<std::uint32_t, std::vector<JobId>>> dependencyParts_;
