--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -18,7 +18,7 @@
   ChangeWatcher::Settings s;
   // Reads of all nodes together take at most about half of the state service's rate.
   double gapS = static_cast<double>(p.nodes()) / (0.5 * p.stateRequestsPerS);
-  s.minGap = std::max(Duration{10}, fromSeconds(gapS));
+  s.minReadInterval = std::max(Duration{10}, fromSeconds(gapS));
   s.timeout = kStoreTimeout;
   s.staleAfter = staleAfter;
   return s;
@@ -87,7 +87,7 @@
     g.liveJobs = static_cast<double>(replica_.liveJobs().size());
     g.machines = static_cast<double>(replica_.machines().size());
     g.leading = leads() ? 1 : 0;
-    g.storeAgeS = toSeconds(std::min(Duration{3600000}, watcher_.contactAge()));
+    g.storeAgeS = toSeconds(std::min(Duration{3600000}, watcher_.snapshotAge()));
     return g;
   };
 }
@@ -148,7 +148,7 @@
   Instant now = runtime_.now();
   if (members_ && lastTimer_ != Instant{}) members_->onTimer(kTick, now - lastTimer_);
   lastTimer_ = now;
-  if (watcher_.loaded()) versionWriter_.onTimer();
+  if (watcher_.isLoaded()) versionWriter_.onTimer();
   if (peerMembership_.anyReachable(kPeerPresence)) lastPeer_ = now;
   trackUnreachableLeader(now);
   if (now - expiredAt_ > kExpireEvery) expireWorkers(now);
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -71,7 +71,7 @@
   v.leads = leader_ && election_.leads();
   v.leaderLeaseLife = kLeaseLife;
   v.renewUntil = renewUntil();
-  v.contactAge = watcher_.contactAge();
+  v.contactAge = watcher_.snapshotAge();
   v.knownToken = lastToken_;
   v.reportedToken = report.token;
   v.foreignZone = report.zone != platform_.zone;
@@ -161,7 +161,7 @@
   }
   if (via) workerTransport_.noteReport(report.address, report.zone, via);
   return leader_->onReport(report, via.value_or(platform_.member),
-                           watcher_.contactAge() < kStoreSilent);
+                           watcher_.snapshotAge() < kStoreSilent);
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -21,8 +21,8 @@
 
 void Controller::runElection() {
   Instant now = runtime_.now();
-  if (!watcher_.loaded()) return;
-  Election::View view{watcher_.contactAge() < Duration{1000}, replica_.leader(),
+  if (!watcher_.isLoaded()) return;
+  Election::View view{watcher_.snapshotAge() < Duration{1000}, replica_.leader(),
                       replica_.leaderToken()};
   if (defersCandidacy(view)) return;
   bool led = election_.leads();
@@ -191,10 +191,10 @@
       return stepDown("member " + member.value + " knows a higher token", false, Duration{500});
     }
   }
-  if (watcher_.loaded() && !mayRenew()) {
+  if (watcher_.isLoaded() && !mayRenew()) {
     return stepDown("no contact with the state service for too long", false, Duration{1000});
   }
-  if (watcher_.loaded() && watcher_.contactAge() > kStoreSilent &&
+  if (watcher_.isLoaded() && watcher_.snapshotAge() > kStoreSilent &&
       peerMembership_.peerReachingStore(watcher_.failingSince())) {
     return stepDown("the state service answers others but not this node", false, Duration{3000});
   }
@@ -230,13 +230,13 @@
 }
 
 std::optional<Instant> Controller::renewUntil() const {
-  if (!watcher_.loaded()) return std::nullopt;
+  if (!watcher_.isLoaded()) return std::nullopt;
   Instant asOf = watcher_.snapshotTime();
   // Running work need not end when nobody can have told of a cancellation that is not known here.
   // Own commits that were not read back yet may hide placements, and a flow's are not effective
   // yet.
   if (auto barrier = cancellationBarrier_.snapshotTime();
-      barrier && *barrier > asOf && watcher_.contactAge() > kStoreSilent &&
+      barrier && *barrier > asOf && watcher_.snapshotAge() > kStoreSilent &&
       replica_.newestCancellation() <= replica_.revision() &&
       !replica_.isFlowCancellationInProgress()) {
     asOf = *barrier;
--- a/src/app/controller_peer_api.cpp
+++ b/src/app/controller_peer_api.cpp
@@ -84,9 +84,9 @@
   s.supportsForwarding = true;
   s.wallMs = runtime_.wallMillis();
   s.workersAge = std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastWorker_));
-  if (watcher_.loaded()) s.newestCancellation = replica_.newestCancellation();
+  if (watcher_.isLoaded()) s.newestCancellation = replica_.newestCancellation();
   s.zoneAcks = zoneAcks_.report(runtime_.now(), peerMayBeAlive());
-  s.ready = watcher_.loaded() && jobs_.catalogue() != nullptr;
+  s.ready = watcher_.isLoaded() && jobs_.catalogue() != nullptr;
   if (leader_) s.uncertainLeases = leader_->fleet().uncertainLeases();
   s.hasLostWorkers = leader_ && reportingMachines() > 0 &&
                      s.workersAge > platform_.reportEvery * 3 / 2 + Duration{500};
--- a/src/app/controller_user_api.cpp
+++ b/src/app/controller_user_api.cpp
@@ -26,7 +26,7 @@
       !path.starts_with("/v2/flows/tasks/")) {
     return respond(jsonResponse(403, {{"error", "members come with TLS, see docs/members.md"}}));
   }
-  if (isUserRequest && !watcher_.reachable()) {
+  if (isUserRequest && !watcher_.isReachable()) {
     if (auto peer = peerMembership_.peerReachingStore(watcher_.failingSince())) {
       return forwardToPeer(*peer, request, respond);
     }
@@ -78,10 +78,10 @@
 }
 
 Response Controller::ready() {
-  bool serves = watcher_.loaded() && jobs_.catalogue();
+  bool serves = watcher_.isLoaded() && jobs_.catalogue();
   // A common outage must not take all nodes out of the balancer; a node that alone lost the
   // state service passes requests on to its peers; one that hears nobody steps out.
-  if (serves && !watcher_.reachable() && watcher_.contactAge() > kStoreSilent) {
+  if (serves && !watcher_.isReachable() && watcher_.snapshotAge() > kStoreSilent) {
     serves = peerMembership_.anyReachable(kPeerPresence);
   }
   return jsonResponse(serves ? 200 : 503, Json::object());
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -168,7 +168,7 @@
 
 // The control loops take turns, so that a busy one cannot starve the others.
 void Leader::cycle() {
-  if (stepUnderWay_ || deposed() || !context_.watcher.reachable()) return;
+  if (stepUnderWay_ || deposed() || !context_.watcher.isReachable()) return;
   for (std::size_t i = 0; i < loops_.size(); ++i) {
     std::size_t at = (nextLoop_ + i) % loops_.size();
     LoopStep step = loops_[at]->next();
--- a/src/app/pending_explanation.cpp
+++ b/src/app/pending_explanation.cpp
@@ -40,7 +40,7 @@
     addReason(reasons, "the new leader waits for the report round", job.waitingCount());
   } else if (job.blockedOnDependencies()) {
     addReason(reasons, toString(PendingReason::dependencies), job.tasks);
-  } else if (!context.watcher.reachable()) {
+  } else if (!context.watcher.isReachable()) {
     addReason(reasons, "the state service is out of reach", job.waitingCount());
   } else {
     for (const auto& group : pendingReasons.of(id)) {
--- a/src/fleet/command_dispatcher.cpp
+++ b/src/fleet/command_dispatcher.cpp
@@ -21,7 +21,7 @@
   const Instant now = context_.runtime.now();
   WorkerSession& session = machine->session;
   if (now - session.lastReportAt > context_.platform.workerLease) return false;
-  auto commands = fleet_.commandsFor(*machine, now, context_.watcher.reachable());
+  auto commands = fleet_.commandsFor(*machine, now, context_.watcher.isReachable());
   // A late `clear` could make the worker forget what a late launch then starts again.
   std::erase_if(commands, [](const WorkerCommand& command) {
     return command.operation == WorkerCommand::Operation::clear;
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -173,7 +173,7 @@
         if (result.outcome == CommitOutcome::conflict && triesLeft > 0) {
           return cancel(id, triesLeft - 1, request, respond);
         }
-        if (result.outcome == CommitOutcome::refused && triesLeft > 0 && watcher_.reachable()) {
+        if (result.outcome == CommitOutcome::refused && triesLeft > 0 && watcher_.isReachable()) {
           runtime_.after(kRetryDelay, [this, id, triesLeft, request, respond] {
             cancel(id, triesLeft - 1, request, respond);
           });
--- a/src/jobs/submission.cpp
+++ b/src/jobs/submission.cpp
@@ -29,7 +29,7 @@
   if (const auto* job = known(id); job && !job->active()) {
     return respond(stateResponse(id, *job, 200));
   }
-  if (!watcher_.loaded()) return respond(retryLater(503));
+  if (!watcher_.isLoaded()) return respond(retryLater(503));
 
   auto parsed = parseSubmission(*body);
   std::optional<Response> refusal = refusalOf(parsed, member);
@@ -159,7 +159,7 @@
         return answerAfterRead(id, respond, [respond] { respond(retryLater(503)); });
       case CommitOutcome::refused:
         // Rate limit or outage. One more try soon, unless reads fail as well.
-        if (triesLeft > 0 && watcher_.reachable()) {
+        if (triesLeft > 0 && watcher_.isReachable()) {
           runtime_.after(kRetryDelay, [this, submission, triesLeft, respond] {
             create(submission, triesLeft - 1, respond);
           });
--- a/src/members/service.cpp
+++ b/src/members/service.cpp
@@ -88,7 +88,7 @@
   // Made on another controller a moment ago: read first.
   if (!entry && !same && !sure) return std::nullopt;
   // A revocation that this copy has not heard of must not be outlived for longer than stated.
-  if (watcher_.contactAge() > settings_.keyTrust) return retryLater(503);
+  if (watcher_.snapshotAge() > settings_.keyTrust) return retryLater(503);
   auto caller = callerOf(credential->id);
   if (!same || !caller) return noKey();
   return *caller;
@@ -239,7 +239,7 @@
 void MemberService::onTimer(Duration due, Duration took) {
   gauge_.note(due, took);
   turns_.pump();
-  if (watcher_.loaded() && replica_.cursorKey().empty()) makeCursorKey();
+  if (watcher_.isLoaded() && replica_.cursorKey().empty()) makeCursorKey();
 }
 
 void MemberService::fill(MetricGauges& g) const {
--- a/src/store/change_watcher.cpp
+++ b/src/store/change_watcher.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 // The state service usually answers within 10 ms, and sometimes within a few hundred milliseconds.
-constexpr Duration kRepeatReadAfter{400};
-constexpr Duration kRepeatPageAfter{800};  // A page may be as large as 512 KiB.
+constexpr Duration kReadHedgeDelay{400};
+constexpr Duration kPageHedgeDelay{800};  // A page may be as large as 512 KiB.
 constexpr Duration kPageTimeout{2000};
-constexpr Duration kRetryPageAfter{300};
+constexpr Duration kPageRetryDelay{300};
 
 }  // namespace
 
@@ -36,17 +36,17 @@
     onPage(since, first, sentAt, page);
   };
   std::make_shared<HedgedRequest<ListResult>>(runtime_, send, failed, done)
-      ->start({kRepeatPageAfter, kPageTimeout}, onRepeated);
+      ->start({kPageHedgeDelay, kPageTimeout}, onRepeated);
 }
 
 void ChangeWatcher::onPage(const std::string& since, bool first, Instant sentAt,
                            const ListResult& page) {
   if (!page.ok) {
-    ++failures_;
-    runtime_.after(kRetryPageAfter, [this, since, first] { load(since, first); });
+    ++consecutiveFailures_;
+    runtime_.after(kPageRetryDelay, [this, since, first] { load(since, first); });
     return;
   }
-  failures_ = 0;
+  consecutiveFailures_ = 0;
   if (first) {
     loadRevision_ = page.revision;
     loadSentAt_ = sentAt;
@@ -72,18 +72,19 @@
 
 void ChangeWatcher::poll() {
   runtime_.after(std::min(interval_, Duration{250}), [this] { poll(); });
-  if (loaded_ && !reading_ && runtime_.now() - lastSent_ >= interval_ - Duration{10}) read();
+  if (loaded_ && !readInFlight_ && runtime_.now() - lastReadSentAt_ >= interval_ - Duration{10})
+    read();
 }
 
 void ChangeWatcher::linearizableRead(std::function<void(bool)> done) {
   if (!loaded_) return done(false);
-  waiting_.push_back(std::move(done));
+  nextReadCallbacks_.push_back(std::move(done));
   schedule();
 }
 
 void ChangeWatcher::schedule() {
-  if (reading_ || scheduled_) return;
-  Duration wait = settings_.minGap - (runtime_.now() - lastSent_);
+  if (readInFlight_ || scheduled_) return;
+  Duration wait = settings_.minReadInterval - (runtime_.now() - lastReadSentAt_);
   if (wait.count() <= 0) {
     read();
     return;
@@ -91,30 +92,31 @@
   scheduled_ = true;
   runtime_.after(wait, [this] {
     scheduled_ = false;
-    if (!reading_ && !waiting_.empty()) read();
+    if (!readInFlight_ && !nextReadCallbacks_.empty()) read();
   });
 }
 
 void ChangeWatcher::read() {
   if (!loaded_) return;
-  reading_ = true;
-  lastSent_ = runtime_.now();
-  served_ = std::exchange(waiting_, {});
+  readInFlight_ = true;
+  lastReadSentAt_ = runtime_.now();
+  inFlightReadCallbacks_ = std::exchange(nextReadCallbacks_, {});
   auto send = [this](Duration timeout, std::function<void(ChangesResult)> done) {
     store_.changes(keys::kRoot, replica_.revision(), timeout, std::move(done));
   };
   auto failed = [](const ChangesResult& r) { return r.kind == ChangesResult::Kind::failed; };
   auto done = [this](Instant sentAt, ChangesResult r) { onRead(sentAt, std::move(r)); };
   std::make_shared<HedgedRequest<ChangesResult>>(runtime_, send, failed, done)
-      ->start({kRepeatReadAfter, settings_.timeout}, onRepeated);
+      ->start({kReadHedgeDelay, settings_.timeout}, onRepeated);
 }
 
 void ChangeWatcher::onRead(Instant sentAt, ChangesResult r) {
-  reading_ = false;
+  readInFlight_ = false;
   bool ok = r.kind == ChangesResult::Kind::ok;
   if (ok) {
-    if (failures_ > 0) logInfo("state service answers reads again", "failures", failures_);
-    failures_ = 0;
+    if (consecutiveFailures_ > 0)
+      logInfo("state service answers reads again", "failures", consecutiveFailures_);
+    consecutiveFailures_ = 0;
     for (const auto& c : r.changes) replica_.apply(c);
     replica_.advance(r.revision);
     snapshotTime_ = sentAt;
@@ -127,14 +129,14 @@
     if (onReload) onReload();
     replica_.clear();
     load("", true);
-  } else if (failures_++ == 0) {
+  } else if (consecutiveFailures_++ == 0) {
     failingSince_ = sentAt;
     logInfo("read of the change feed failed");
   }
-  auto served = std::exchange(served_, {});
-  for (auto& f : served) f(ok);
+  auto callbacks = std::exchange(inFlightReadCallbacks_, {});
+  for (auto& callback : callbacks) callback(ok);
   if (ok && !r.changes.empty() && onChanged) onChanged();
-  if (!waiting_.empty()) schedule();
+  if (!nextReadCallbacks_.empty()) schedule();
 }
 
 }  // namespace kestrelhoist
--- a/src/store/change_watcher.hpp
+++ b/src/store/change_watcher.hpp
@@ -15,8 +15,8 @@
 class ChangeWatcher {
  public:
   struct Settings {
-    Duration minGap{50};     ///< Sets the minimum time between the starts of two reads.
-    Duration timeout{1000};  ///< Limits the duration of one read.
+    Duration minReadInterval{50};  ///< Sets the minimum time between the starts of two reads.
+    Duration timeout{1000};        ///< Limits the duration of one read.
     /// The state service counts as unreachable if no read has succeeded for this long.
     Duration staleAfter{2000};
   };
@@ -29,13 +29,13 @@
   /// Sets the interval at which changes are read if no caller waits for a read.
   void setInterval(Duration d) { interval_ = d; }
 
-  bool loaded() const { return loaded_; }
+  bool isLoaded() const { return loaded_; }
   /// Returns a time such that the replica contains every change committed before it. It is the time
   /// at which the last successful read, or the first page of the last load, was requested.
   Instant snapshotTime() const { return snapshotTime_; }
-  Duration contactAge() const { return runtime_.now() - snapshotTime_; }
-  bool reachable() const {
-    return loaded_ && failures_ == 0 && contactAge() < settings_.staleAfter;
+  Duration snapshotAge() const { return runtime_.now() - snapshotTime_; }
+  bool isReachable() const {
+    return loaded_ && consecutiveFailures_ == 0 && snapshotAge() < settings_.staleAfter;
   }
   /// Returns the time at which the first of the most recent consecutive failed reads was sent.
   Instant failingSince() const { return failingSince_; }
@@ -64,18 +64,18 @@
   Settings settings_;
   Duration interval_{1000};
   bool loaded_ = false;
-  bool reading_ = false;
+  bool readInFlight_ = false;
   bool scheduled_ = false;
-  int failures_ = 0;
+  int consecutiveFailures_ = 0;
   Instant failingSince_{};
   Instant snapshotTime_{};
-  Instant lastSent_{};
+  Instant lastReadSentAt_{};
   Revision loadRevision_;  ///< Holds the revision of the first page of the load.
   Instant loadSentAt_{};   ///< Holds the time at which the first page of the load was requested.
   /// Holds the callbacks of callers that wait for the next read.
-  std::vector<std::function<void(bool)>> waiting_;
+  std::vector<std::function<void(bool)>> nextReadCallbacks_;
   /// Holds the callbacks of callers that wait for the read in flight.
-  std::vector<std::function<void(bool)>> served_;
+  std::vector<std::function<void(bool)>> inFlightReadCallbacks_;
 };
 
 }  // namespace kestrelhoist
--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -40,18 +40,18 @@
   Instant first = runtime.now();
   clock.in(5, [this] { state.refuse("node0", 20000); });  // The first page has been read by then.
   clock.runUntil(2100);
-  EXPECT_FALSE(watcher.loaded());
+  EXPECT_FALSE(watcher.isLoaded());
   write("kh/job/j-100000");
   // The state service answers long enough for the remaining pages, and then refuses the reads of
   // changes.
-  while (!watcher.loaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
-  ASSERT_TRUE(watcher.loaded());
+  while (!watcher.isLoaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
+  ASSERT_TRUE(watcher.isLoaded());
   state.refuse("node0", 20000);
   clock.runUntil(clock.now() + 1000);
   EXPECT_EQ(watcher.snapshotTime(), first);
-  EXPECT_GE(watcher.contactAge(), Duration{20000});
+  EXPECT_GE(watcher.snapshotAge(), Duration{20000});
   clock.runUntil(clock.now() + 21000);
-  EXPECT_LT(watcher.contactAge(), Duration{2000});
+  EXPECT_LT(watcher.snapshotAge(), Duration{2000});
 }
 
 // Guards against tasks placed twice. A job was created while a restarted controller loaded the
@@ -77,7 +77,7 @@
     state.refuse("node0", 100);
   });
   clock.runUntil(5000);
-  ASSERT_TRUE(watcher.loaded());
+  ASSERT_TRUE(watcher.isLoaded());
   ASSERT_TRUE(replica.job(spec->id));
   EXPECT_EQ(replica.job(spec->id)->placed.size(), 1U);
 }
