--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -80,7 +80,7 @@
   members_ = std::make_unique<MemberService>(runtime_, store_, watcher_, replica_, platform_,
                                              settings_.members, jobs_, flows_, metrics_.get(),
                                              std::hash<std::string>{}(incarnation));
-  store_.onCommitted = [this](CommitOutcome o) { metrics_->committed(toString(o), leads()); };
+  store_.onCommitOutcome = [this](CommitOutcome o) { metrics_->committed(toString(o), leads()); };
   metrics_->gauges = [this] {
     MetricGauges g;
     members_->fill(g);
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -174,7 +174,7 @@
   logInfo("stepped down as leader", "token", election_.token(), "why", why);
   lastToken_ = std::max(lastToken_, election_.token());
   auto lease = election_.lease();
-  if (dropLease && lease) store_.dropLease(*lease);
+  if (dropLease && lease) store_.revokeLease(*lease);
   election_.stepDown(runtime_.now() + backOff);
   watcher_.setInterval(kFollowerRead);
   // Not from within one of its own calls.
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -73,7 +73,7 @@
 
 void Election::onRenewed(LeaseOutcome outcome) {
   renewing_ = false;
-  if (role_ == Role::leader && outcome == LeaseOutcome::gone) {
+  if (role_ == Role::leader && outcome == LeaseOutcome::notFound) {
     role_ = Role::follower;
     lease_.reset();
   }
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -73,7 +73,8 @@
                          std::function<void(CommitResult)> done) {
   budget_.take(runtime_.now(), 1);
   http_.send(address_, {"POST", "/commit", encodeBody(transactionBody(t)), "", t.requestId},
-             timeout, [observe = onCommitted, answer = std::move(done)](std::optional<Response> r) {
+             timeout,
+             [observe = onCommitOutcome, answer = std::move(done)](std::optional<Response> r) {
                auto done = [&](const CommitResult& result) {
                  if (observe) observe(result.outcome);
                  answer(result);
@@ -164,7 +165,7 @@
 
 void StoreClient::get(const std::string& key, Duration timeout,
                       std::function<void(GetResult)> done) {
-  if (!mayAsk()) return done({});
+  if (!tryAcquireRequest()) return done({});
   http_.send(address_, {"GET", "/store/" + key, ""}, timeout,
              [done = std::move(done)](std::optional<Response> r) {
                if (r && r->status == 404) return done({true, std::nullopt});
@@ -175,10 +176,10 @@
              });
 }
 
-void StoreClient::grantLease(Duration life, Duration timeout,
+void StoreClient::grantLease(Duration timeToLive, Duration timeout,
                              std::function<void(std::optional<LeaseId>)> done) {
   budget_.take(runtime_.now(), 1);
-  http_.send(address_, {"POST", "/leases", encodeBody({{"life_ms", life.count()}})}, timeout,
+  http_.send(address_, {"POST", "/leases", encodeBody({{"life_ms", timeToLive.count()}})}, timeout,
              [done = std::move(done)](std::optional<Response> r) {
                auto body = r && r->status == 200 ? bodyOf(r) : std::nullopt;
                auto id = body ? countField(*body, "ticket") : std::nullopt;
@@ -192,12 +193,12 @@
              {"POST", "/leases/" + std::to_string(id.value) + "/renew", encodeBody(Json::object())},
              timeout, [done = std::move(done)](std::optional<Response> r) {
                if (r && r->status == 200) return done(LeaseOutcome::ok);
-               if (r && r->status == 404) return done(LeaseOutcome::gone);
+               if (r && r->status == 404) return done(LeaseOutcome::notFound);
                done(LeaseOutcome::failed);
              });
 }
 
-void StoreClient::dropLease(LeaseId id) {
+void StoreClient::revokeLease(LeaseId id) {
   budget_.take(runtime_.now(), 1);
   http_.send(address_, {"DELETE", "/leases/" + std::to_string(id.value), ""}, Duration{2000},
              [](const std::optional<Response>&) {});
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -84,9 +84,9 @@
 
 const char* toString(CommitOutcome outcome);
 
-/// Describes the outcome of a lease renewal. The outcome is `gone` if the state service answered
-/// that the lease does not exist, and `failed` if there was no usable answer.
-enum class LeaseOutcome { ok, gone, failed };
+/// Describes the outcome of a lease renewal. The outcome is `notFound` if the state service
+/// answered that the lease does not exist, and `failed` if there was no usable answer.
+enum class LeaseOutcome { ok, notFound, failed };
 
 /// Sends requests to the state service. Each method sends one request and calls `done` once.
 class StoreClient {
@@ -99,17 +99,17 @@
   void list(const std::string& prefix, const std::string& since, Duration timeout,
             std::function<void(ListResult)> done);
   void get(const std::string& key, Duration timeout, std::function<void(GetResult)> done);
-  void grantLease(Duration life, Duration timeout,
+  void grantLease(Duration timeToLive, Duration timeout,
                   std::function<void(std::optional<LeaseId>)> done);
   void renewLease(LeaseId id, Duration timeout, std::function<void(LeaseOutcome)> done);
-  void dropLease(LeaseId id);
+  void revokeLease(LeaseId id);
 
   /// Is called with the outcome of each transaction. The callback may be null.
-  std::function<void(CommitOutcome)> onCommitted;
+  std::function<void(CommitOutcome)> onCommitOutcome;
 
   /// Takes one request from this controller's share of the state service's rate limit. Returns
   /// false if the share is used up.
-  bool mayAsk() { return budget_.take(runtime_.now(), 1); }
+  bool tryAcquireRequest() { return budget_.take(runtime_.now(), 1); }
 
  private:
   Runtime& runtime_;
--- a/src/versions/versions.cpp
+++ b/src/versions/versions.cpp
@@ -44,7 +44,7 @@
     : runtime_(runtime), store_(store), replica_(replica), versions_(versions), member_(member) {}
 
 void VersionWriter::onTimer() {
-  if (asked_ || versions_.formatOf(member_) == kRecordFormat || !store_.mayAsk()) return;
+  if (asked_ || versions_.formatOf(member_) == kRecordFormat || !store_.tryAcquireRequest()) return;
   asked_ = true;
   std::string key = keys::version(member_);
   Transaction t;
