--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -45,7 +45,7 @@
   bool leads() const { return leader_ != nullptr; }
   const Replica& replica() const { return replica_; }
   const PolicyReplica& policy() const { return policyReplica_; }
-  const MemberVersions& versions() const { return versions_; }
+  const ControllerVersions& versions() const { return versions_; }
 
  private:
   /// controller.cpp
@@ -133,7 +133,7 @@
   CloudClient cloud_;
   Replica replica_;
   PolicyReplica policyReplica_;
-  MemberVersions versions_;
+  ControllerVersions versions_;
   VersionWriter versionWriter_;
   ChangeWatcher watcher_;
   JobService jobs_;
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -106,7 +106,7 @@
     return workerTransport_.reachedSince(sent);
   };
   context.effectivePolicy = &policyReplica_;
-  context.allMembersRead = [this](unsigned format) { return versions_.allAtLeast(format); };
+  context.allMembersRead = [this](unsigned format) { return versions_.allSupport(format); };
   context.timeOfDay = [this] { return timeOfDay(); };
   context.hasUnheardPeer = [this] {
     return std::any_of(platform_.peers.begin(), platform_.peers.end(), [this](const Peer& peer) {
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -35,7 +35,8 @@
 }
 
 JobService::JobService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher,
-                       Replica& replica, const Platform& platform, const MemberVersions& versions)
+                       Replica& replica, const Platform& platform,
+                       const ControllerVersions& versions)
     : runtime_(runtime),
       store_(store),
       watcher_(watcher),
--- a/src/jobs/service.hpp
+++ b/src/jobs/service.hpp
@@ -21,7 +21,7 @@
 class JobService {
  public:
   JobService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
-             const Platform& platform, const MemberVersions& versions);
+             const Platform& platform, const ControllerVersions& versions);
 
   /// Answers /v2/runs and below; returns false if the path is not one of these. `member` is the
   /// member that asks, within its own space of names; null for a user without a key.
@@ -73,7 +73,7 @@
   ChangeWatcher& watcher_;
   Replica& replica_;
   const Platform& platform_;
-  const MemberVersions& versions_;
+  const ControllerVersions& versions_;
   RateBudget writes_;
   std::size_t inProgress_ = 0;
   mutable std::optional<Catalogue> catalogue_;
--- a/src/jobs/submission.cpp
+++ b/src/jobs/submission.cpp
@@ -76,7 +76,7 @@
 std::optional<Response> JobService::refusalOfDependencies(
     const std::vector<JobId>& dependsOn) const {
   if (dependsOn.empty()) return std::nullopt;
-  if (!versions_.allAtLeast(kFormatWithDependencies)) return retryLater(503);
+  if (!versions_.allSupport(kFormatWithDependencies)) return retryLater(503);
   for (const auto& dependency : dependsOn) {
     const auto* job = known(dependency);
     if (job && job->record.spec->kind == JobKind::service) {
--- a/src/versions/versions.hpp
+++ b/src/versions/versions.hpp
@@ -24,9 +24,9 @@
 
 /// Holds the record formats that the controllers in the settings support, as read from their
 /// version records.
-class MemberVersions : public RecordHandler {
+class ControllerVersions : public RecordHandler {
  public:
-  explicit MemberVersions(const Platform& platform);
+  explicit ControllerVersions(const Platform& platform);
 
   bool owns(const std::string& key) const override;
   void apply(const std::string& key, const Json* value, Revision modRevision) override;
@@ -35,12 +35,12 @@
   /// Returns whether every controller in the settings, including this one, supports the format. The
   /// record of a stopped controller stays valid, because the controller restarts with the same
   /// version or a newer one.
-  bool allAtLeast(unsigned format) const;
+  bool allSupport(unsigned format) const;
   /// Returns the format in the controller's version record, or nothing if there is no such record.
   std::optional<unsigned> formatOf(const MemberId& member) const;
 
  private:
-  std::vector<MemberId> members_;
+  std::vector<MemberId> controllers_;
   std::map<MemberId, unsigned> formats_;
 };
 
@@ -48,7 +48,7 @@
 class VersionWriter {
  public:
   VersionWriter(Runtime& runtime, StoreClient& store, Replica& replica,
-                const MemberVersions& versions, const MemberId& member);
+                const ControllerVersions& versions, const MemberId& member);
 
   /// Writes the version record if necessary. The caller calls this periodically once the replica
   /// has been loaded.
@@ -58,9 +58,9 @@
   Runtime& runtime_;
   StoreClient& store_;
   Replica& replica_;
-  const MemberVersions& versions_;
+  const ControllerVersions& versions_;
   const MemberId member_;
-  bool asked_ = false;
+  bool writeInProgress_ = false;
 };
 
 }  // namespace kestrelhoist
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -204,13 +204,13 @@
 
 bool World::allKnowFormat(unsigned format) const {
   return std::all_of(nodes_.begin(), nodes_.end(), [&](const Node& n) {
-    return !n.controller || n.controller->versions().allAtLeast(format);
+    return !n.controller || n.controller->versions().allSupport(format);
   });
 }
 
 bool World::noneKnowsFormat(unsigned format) const {
   return std::none_of(nodes_.begin(), nodes_.end(), [&](const Node& n) {
-    return n.controller && n.controller->versions().allAtLeast(format);
+    return n.controller && n.controller->versions().allSupport(format);
   });
 }
 
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -286,7 +286,7 @@
 
 TEST(StoredRecords, of_versions_are_read) {
   for (const auto& entry : recordsWith(keys::kVersion)) {
-    MemberVersions versions{Platform{}};
+    ControllerVersions versions{Platform{}};
     const Json& record = entry.at("value");
     versions.apply(keyOf(entry), &record, kAnyRevision);
     EXPECT_EQ(versions.formatOf(MemberId{keyOf(entry).substr(keys::kVersion.size())}),
