--- a/src/dependencies/job_graph.cpp
+++ b/src/dependencies/job_graph.cpp
@@ -18,7 +18,7 @@
   return it == nodes_.end() ? nullptr : it->second.get();
 }
 
-JobGraph::Node& JobGraph::nodeOf(const JobId& id) {
+JobGraph::Node& JobGraph::findOrCreate(const JobId& id) {
   auto [it, isNew] = nodes_.try_emplace(id);
   if (isNew) {
     it->second = std::make_unique<Node>();
@@ -35,12 +35,12 @@
     return;
   }
   if (!node && input.dependsOn.empty()) return;
-  if (!node) node = &nodeOf(id);
+  if (!node) node = &findOrCreate(id);
   if (!node->dependenciesAdded) addDependencies(*node, input);
 }
 
 void JobGraph::addDependencies(Node& node, const DependencyInput& input) {
-  node.known = true;
+  node.hasRecord = true;
   node.dependenciesAdded = true;
   node.input = input;
   bool cancelled = false;
@@ -50,9 +50,9 @@
     cancelAll({&node});
     return;
   }
-  report(node);
-  inheritUpstream(node.dependsOn);
-  dropIfPlain(node);
+  updateState(node);
+  propagateUpstream(node.dependsOn);
+  removeIfIsolated(node);
 }
 
 // Adds one dependency of the job. Returns true if the dependency is cancelled.
@@ -65,9 +65,9 @@
       return false;
     }
     if (input && input->phase == JobPhase::cancelled) return true;
-    upstream = &nodeOf(dependency);
+    upstream = &findOrCreate(dependency);
     if (input) {
-      upstream->known = true;
+      upstream->hasRecord = true;
       // A job on record that has no node yet has no unfinished dependencies.
       upstream->dependenciesAdded = true;
       upstream->input = *input;
@@ -91,12 +91,12 @@
     removeFrom(dependent->dependsOn, &node);
     dependent->readyAtMs = std::max(dependent->readyAtMs, endedAtMs);
   }
-  forget(node);
+  remove(node);
   for (Node* dependent : dependents) {
-    report(*dependent);
-    dropIfPlain(*dependent);
+    updateState(*dependent);
+    removeIfIsolated(*dependent);
   }
-  inheritUpstream(upstream);
+  propagateUpstream(upstream);
 }
 
 // Removes these jobs and all their direct and indirect dependents from the graph and reports them
@@ -123,26 +123,26 @@
     DependencyState state;
     state.cancelled = true;
     state.priority = node->input.priority;
-    bool known = node->known;
+    bool hasRecord = node->hasRecord;
     JobId id = node->id;
-    forget(*node);
-    if (known) records_->dependenciesChanged(id, state);
+    remove(*node);
+    if (hasRecord) records_->dependenciesChanged(id, state);
   }
-  inheritUpstream(std::move(upstream));
+  propagateUpstream(std::move(upstream));
 }
 
 // Recomputes the states of these jobs after their dependents have changed, and passes each changed
 // state on to the dependencies of the job.
-void JobGraph::inheritUpstream(std::vector<Node*> from) {
+void JobGraph::propagateUpstream(std::vector<Node*> from) {
   std::vector<Node*> next = from;
   while (!next.empty()) {
     Node* node = next.back();
     next.pop_back();
-    if (report(*node)) next.insert(next.end(), node->dependsOn.begin(), node->dependsOn.end());
+    if (updateState(*node)) next.insert(next.end(), node->dependsOn.begin(), node->dependsOn.end());
   }
   std::sort(from.begin(), from.end());
   from.erase(std::unique(from.begin(), from.end()), from.end());
-  for (Node* node : from) dropIfPlain(*node);
+  for (Node* node : from) removeIfIsolated(*node);
 }
 
 DependencyState JobGraph::stateOf(const Node& node) {
@@ -150,46 +150,46 @@
   state.blocked = !node.dependsOn.empty();
   state.readyAtMs = node.readyAtMs;
   state.priority = node.input.priority;
-  state.latestEndMs = node.input.dueMs;
+  state.latestEndMs = node.input.deadlineMs;
   state.hasDependents = !node.dependents.empty();
   for (const Node* dependent : node.dependents) {
-    const DependencyState& needs = dependent->reported;
-    state.priority = std::max(state.priority, needs.priority);
-    if (!needs.latestEndMs) continue;
-    std::int64_t latestEnd = *needs.latestEndMs - dependent->input.estimate.count();
+    const DependencyState& dependentState = dependent->reported;
+    state.priority = std::max(state.priority, dependentState.priority);
+    if (!dependentState.latestEndMs) continue;
+    std::int64_t latestEnd = *dependentState.latestEndMs - dependent->input.estimate.count();
     state.latestEndMs = std::min(state.latestEndMs.value_or(latestEnd), latestEnd);
   }
   return state;
 }
 
 // Recomputes the job's state and reports it to the records. Returns true if it has changed.
-bool JobGraph::report(Node& node) {
+bool JobGraph::updateState(Node& node) {
   DependencyState state = stateOf(node);
   const bool differs = state != node.reported;
-  blocked_ += state.blocked ? 1 : 0;
-  blocked_ -= node.reported.blocked ? 1 : 0;
+  blockedCount_ += state.blocked ? 1 : 0;
+  blockedCount_ -= node.reported.blocked ? 1 : 0;
   node.reported = state;
-  const bool firstTime = node.known && !std::exchange(node.announced, node.known);
-  if (node.known && (differs || firstTime)) records_->dependenciesChanged(node.id, state);
+  const bool firstTime = node.hasRecord && !std::exchange(node.stateReported, node.hasRecord);
+  if (node.hasRecord && (differs || firstTime)) records_->dependenciesChanged(node.id, state);
   return differs;
 }
 
 // Removes a job from the graph that has neither dependencies nor dependents.
-void JobGraph::dropIfPlain(Node& node) {
-  if (node.dependsOn.empty() && node.dependents.empty()) forget(node);
+void JobGraph::removeIfIsolated(Node& node) {
+  if (node.dependsOn.empty() && node.dependents.empty()) remove(node);
 }
 
-void JobGraph::forget(const Node& node) {
-  blocked_ -= node.reported.blocked ? 1 : 0;
+void JobGraph::remove(const Node& node) {
+  blockedCount_ -= node.reported.blocked ? 1 : 0;
   nodes_.erase(JobId{node.id});
 }
 
 std::vector<JobId> JobGraph::unfinishedDependencies(const JobId& id) const {
-  std::vector<JobId> open;
+  std::vector<JobId> unfinished;
   auto it = nodes_.find(id);
-  if (it == nodes_.end()) return open;
-  for (const Node* dependency : it->second->dependsOn) open.push_back(dependency->id);
-  return open;
+  if (it == nodes_.end()) return unfinished;
+  for (const Node* dependency : it->second->dependsOn) unfinished.push_back(dependency->id);
+  return unfinished;
 }
 
 void JobGraph::forEachBlocked(
--- a/src/dependencies/job_graph.hpp
+++ b/src/dependencies/job_graph.hpp
@@ -23,8 +23,8 @@
   /// Holds the wall-clock time at which the job was done. It is 0 if that time is not on record.
   std::int64_t endedAtMs{};
   Priority priority = Priority::low;
-  Duration estimate{};                ///< Estimates the time from the first task start to the end.
-  std::optional<std::int64_t> dueMs;  ///< Holds the wall-clock time of the job's deadline.
+  Duration estimate{};  ///< Estimates the time from the first task start to the end.
+  std::optional<std::int64_t> deadlineMs;  ///< Holds the wall-clock time of the job's deadline.
 };
 
 /// Holds the state of a job that results from its direct and indirect dependencies and dependents.
@@ -64,7 +64,7 @@
   /// Returns the number of jobs in the graph.
   std::size_t size() const { return nodes_.size(); }
   /// Returns the number of jobs that have an unfinished dependency.
-  std::size_t blockedCount() const { return blocked_; }
+  std::size_t blockedCount() const { return blockedCount_; }
   /// Returns the unfinished jobs on which the job depends directly.
   std::vector<JobId> unfinishedDependencies(const JobId& id) const;
   /// Calls `visit` for each blocked job with the unfinished jobs on which it depends directly.
@@ -74,9 +74,9 @@
  private:
   struct Node {
     JobId id;
-    bool known = false;              ///< Is true if the job's record was read.
+    bool hasRecord = false;          ///< Is true if the job's record was read.
     bool dependenciesAdded = false;  ///< Is true if the job's dependencies are in the graph.
-    bool announced = false;          ///< Is true if dependenciesChanged was called for the job.
+    bool stateReported = false;      ///< Is true if dependenciesChanged was called for the job.
     bool cancelled = false;          ///< Is true while cancelAll removes the job from the graph.
     DependencyInput input;
     std::vector<Node*> dependsOn;   ///< Contains the unfinished direct dependencies.
@@ -86,20 +86,20 @@
   };
 
   Node* find(const JobId& id);
-  Node& nodeOf(const JobId& id);
+  Node& findOrCreate(const JobId& id);
   void addDependencies(Node& node, const DependencyInput& input);
   bool addDependency(Node& node, const JobId& dependency);
   void finish(Node& node, bool cancelled, std::int64_t endedAtMs);
   void cancelAll(const std::vector<Node*>& from);
-  void inheritUpstream(std::vector<Node*> from);
+  void propagateUpstream(std::vector<Node*> from);
   static DependencyState stateOf(const Node& node);
-  bool report(Node& node);
-  void dropIfPlain(Node& node);
-  void forget(const Node& node);
+  bool updateState(Node& node);
+  void removeIfIsolated(Node& node);
+  void remove(const Node& node);
 
   JobRecords* records_ = nullptr;  ///< The pointer is valid only while `update` runs.
   std::unordered_map<JobId, std::unique_ptr<Node>> nodes_;
-  std::size_t blocked_ = 0;
+  std::size_t blockedCount_ = 0;
 };
 
 }  // namespace kestrelhoist
--- a/src/dependencies/job_graph_test.cpp
+++ b/src/dependencies/job_graph_test.cpp
@@ -31,12 +31,12 @@
 
   static JobId id(int n) { return JobId{"j-" + std::to_string(n)}; }
   void accept(int n, std::vector<int> dependsOn, Priority priority = Priority::low,
-              std::optional<std::int64_t> dueMs = std::nullopt) {
+              std::optional<std::int64_t> deadlineMs = std::nullopt) {
     DependencyInput input;
     for (int a : dependsOn) input.dependsOn.push_back(id(a));
     input.priority = priority;
     input.estimate = Duration{10000};
-    input.dueMs = dueMs;
+    input.deadlineMs = deadlineMs;
     records[id(n)] = input;
     graph.update(id(n), input, *this);
   }
--- a/src/store/job_state.cpp
+++ b/src/store/job_state.cpp
@@ -14,8 +14,8 @@
 
 JobPhase JobState::phase() const {
   bool active = record.phase == JobPhase::active;
-  bool throughAnother = active && dependencies && dependencies->state.cancelled;
-  return throughAnother ? JobPhase::cancelled : record.phase;
+  bool cancelledByDependency = active && dependencies && dependencies->state.cancelled;
+  return cancelledByDependency ? JobPhase::cancelled : record.phase;
 }
 
 std::int64_t JobState::readyAtMs() const {
--- a/src/store/parts_test.cpp
+++ b/src/store/parts_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 const JobId kJobId{"j-000001"};
-constexpr std::uint32_t kStretch = 137;  // The records in the data file have this chunk size.
+constexpr std::uint32_t kChunkSize = 137;  // The records in the data file have this chunk size.
 
 // Returns the records that an earlier version wrote in production, from a file in tests/data.
 Json oldRecords() {
@@ -28,17 +28,18 @@
   return changes;
 }
 
-TaskPlacement on(const std::string& machine, std::uint64_t attempt) {
+TaskPlacement placementOn(const std::string& machine, std::uint64_t attempt) {
   return {MachineId{machine}, WorkerEpoch{1}, Attempt{attempt}};
 }
 
 // Returns a sub-chunk record of the tasks 137 to 163. The first task is finished, the second has a
 // new placement, and the others are not placed.
-Change partOfSecondStretch(std::uint64_t modRevision) {
-  TaskChunkRecord part;
-  part.finished.set(0);
-  part.placed[kStretch + 1] = on("m-9", 5000);
-  return {keys::subChunk(kJobId, kStretch, kStretch + 27), toJson(part), Revision{modRevision}};
+Change subChunkOfSecondChunk(std::uint64_t modRevision) {
+  TaskChunkRecord subChunk;
+  subChunk.finished.set(0);
+  subChunk.placed[kChunkSize + 1] = placementOn("m-9", 5000);
+  return {keys::subChunk(kJobId, kChunkSize, kChunkSize + 27), toJson(subChunk),
+          Revision{modRevision}};
 }
 
 struct View {
@@ -57,7 +58,7 @@
 
 // Checks that the replica's placements by machine match those by task, and that the count of
 // finished tasks is correct.
-void expectSound(const Replica& replica) {
+void expectConsistent(const Replica& replica) {
   std::size_t tasks = 0;
   for (const auto& [id, machine] : replica.machines()) {
     tasks += machine.tasks.size();
@@ -79,12 +80,12 @@
   Replica replica;
   for (const auto& c : changesFrom(oldRecords())) replica.apply(c);
   const JobState& job = *replica.job(kJobId);
-  EXPECT_EQ(job.record.chunkSize, kStretch);
+  EXPECT_EQ(job.record.chunkSize, kChunkSize);
   EXPECT_EQ(job.finishedCount, 60U);
   EXPECT_EQ(job.placed.size(), 206U);
   EXPECT_EQ(job.placed.at(299).machine.value, "m-100299");
   EXPECT_EQ(replica.rentals().at(RentalId{"r-17-4"}).machines.size(), 50U);
-  expectSound(replica);
+  expectConsistent(replica);
   auto records = oldRecords();
   auto page = unpackPage(records["kh/flowp/w-1/0123456789abcdef/0"].get<std::string>());
   ASSERT_TRUE(page);
@@ -94,7 +95,7 @@
 
 TEST(Parts, count_in_whatever_order_they_are_read) {
   auto changes = changesFrom(oldRecords());
-  changes.push_back(partOfSecondStretch(100));
+  changes.push_back(subChunkOfSecondChunk(100));
   std::erase_if(changes, [](const Change& c) {
     return !c.key.starts_with(keys::kJob) && !c.key.starts_with(keys::kTasks) &&
            !c.key.starts_with(keys::kSubChunk);
@@ -113,45 +114,45 @@
       if (c.key.starts_with(keys::kTasks) || c.key.starts_with(keys::kSubChunk)) replica.apply(c);
     }
     View view = viewOf(replica);
-    expectSound(replica);
+    expectConsistent(replica);
     if (!first) first = view;
     ASSERT_EQ(view, *first);
   } while (std::next_permutation(changes.begin(), changes.end(),
                                  [](const auto& a, const auto& b) { return a.key < b.key; }));
-  EXPECT_TRUE(first->finished[kStretch]);
-  EXPECT_EQ(first->placed.at(kStretch + 1).machine.value, "m-9");
-  EXPECT_FALSE(first->placed.contains(kStretch + 2));
-  EXPECT_TRUE(first->placed.contains(kStretch + 27));
+  EXPECT_TRUE(first->finished[kChunkSize]);
+  EXPECT_EQ(first->placed.at(kChunkSize + 1).machine.value, "m-9");
+  EXPECT_FALSE(first->placed.contains(kChunkSize + 2));
+  EXPECT_TRUE(first->placed.contains(kChunkSize + 27));
 }
 
 TEST(Parts, what_the_stretch_says_of_them_later_does_not_count) {
   Replica replica;
   for (const auto& c : changesFrom(oldRecords())) replica.apply(c);
-  replica.apply(partOfSecondStretch(100));
+  replica.apply(subChunkOfSecondChunk(100));
   View before = viewOf(replica);
   // A delayed write of the chunk record places the tasks of the sub-chunk on another machine.
   TaskChunkRecord late;
-  for (std::uint32_t i = 0; i < 27; ++i) late.placed[kStretch + i] = on("m-8", 4000);
-  auto old = replica.tasksOf(*replica.job(kJobId), kStretch + 27, 2 * kStretch, false);
+  for (std::uint32_t i = 0; i < 27; ++i) late.placed[kChunkSize + i] = placementOn("m-8", 4000);
+  auto old = replica.tasksOf(*replica.job(kJobId), kChunkSize + 27, 2 * kChunkSize, false);
   late.placed.insert(old.placed.begin(), old.placed.end());
-  for (std::uint32_t i = 27; i < kStretch; ++i) {
+  for (std::uint32_t i = 27; i < kChunkSize; ++i) {
     if (old.finished.test(i - 27)) late.finished.set(i);
   }
   replica.apply({keys::tasks(kJobId, 1), toJson(late), Revision{101}});
   EXPECT_EQ(viewOf(replica), before);
-  expectSound(replica);
+  expectConsistent(replica);
 }
 
 TEST(Parts, of_a_job_that_is_not_known_yet_are_not_known_either) {
   Replica replica;
-  replica.apply(partOfSecondStretch(100));
-  EXPECT_EQ(replica.modRevisionOf(partOfSecondStretch(100).key), Revision{});
+  replica.apply(subChunkOfSecondChunk(100));
+  EXPECT_EQ(replica.modRevisionOf(subChunkOfSecondChunk(100).key), Revision{});
   EXPECT_EQ(replica.orphanSubChunks().size(), 1U);
   for (const auto& c : changesFrom(oldRecords())) replica.apply(c);
-  replica.apply(partOfSecondStretch(100));  // The change feed returns the record again.
+  replica.apply(subChunkOfSecondChunk(100));  // The change feed returns the record again.
   EXPECT_TRUE(replica.orphanSubChunks().empty());
-  EXPECT_EQ(viewOf(replica).placed.at(kStretch + 1).machine.value, "m-9");
-  expectSound(replica);
+  EXPECT_EQ(viewOf(replica).placed.at(kChunkSize + 1).machine.value, "m-9");
+  expectConsistent(replica);
 }
 
 TEST(Parts, pages_of_states_fit_the_smaller_limit) {
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -53,7 +53,7 @@
 }
 
 namespace {
-const char* phaseWord(JobPhase p) {
+const char* phaseName(JobPhase p) {
   switch (p) {
     case JobPhase::done:
       return "done";
@@ -67,9 +67,10 @@
 
 std::uint32_t chunkSizeFor(std::size_t valueBytes) {
   // A task that shares its machine with no other task takes this many bytes of JSON text.
-  constexpr std::size_t kPerTask = 56;
-  constexpr std::size_t kBesides = 512;
-  std::size_t fits = valueBytes > kBesides ? (valueBytes - kBesides) / kPerTask : 0;
+  constexpr std::size_t kBytesPerTask = 56;
+  constexpr std::size_t kOverheadBytes = 512;
+  std::size_t fits =
+      valueBytes > kOverheadBytes ? (valueBytes - kOverheadBytes) / kBytesPerTask : 0;
   return static_cast<std::uint32_t>(std::clamp<std::size_t>(fits, 8, TaskBits::kMaxBits));
 }
 
@@ -87,7 +88,7 @@
 
 Json toJson(const JobRecord& r) {
   Json v = {{"spec", jobSpecToJson(*r.spec)},
-            {"phase", phaseWord(r.phase)},
+            {"phase", phaseName(r.phase)},
             {"at", r.acceptedAtMs},
             {"stretch", r.chunkSize}};
   if (r.flow) v["flow"] = toJson(*r.flow);
@@ -101,9 +102,9 @@
 // by the first index and the length of each run of consecutive tasks with this placement.
 Json toJson(const TaskChunkRecord& r) {
   Json rows = Json::array();
-  std::map<TaskPlacement, std::size_t> at;
+  std::map<TaskPlacement, std::size_t> rowOfPlacement;
   for (const auto& [index, p] : r.placed) {
-    auto [row, isNew] = at.try_emplace(p, rows.size());
+    auto [row, isNew] = rowOfPlacement.try_emplace(p, rows.size());
     if (isNew) rows.push_back({p.machine.value, p.workerEpoch.value, p.attempt.value});
     Json& runs = rows[row->second];
     auto n = runs.size();
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -170,7 +170,7 @@
   input.endedAtMs = job.record.endedAtMs;
   input.priority = spec.priority;
   input.estimate = spec.estimate;
-  if (spec.deadline) input.dueMs = job.record.acceptedAtMs + spec.deadline->count();
+  if (spec.deadline) input.deadlineMs = job.record.acceptedAtMs + spec.deadline->count();
   input.dependsOn = spec.dependsOn;
   if (job.record.dependencyParts == 0 || job.record.phase != JobPhase::active) return input;
   auto parts = dependencyParts_.find(id);
