--- a/src/store/change_watcher.hpp
+++ b/src/store/change_watcher.hpp
@@ -47,7 +47,8 @@
   std::function<void()> onChanged;
   /// Is called before the replica is cleared because it must be loaded again.
   std::function<void()> onReload;
-  /// Is called when the hedge of a read is sent. The callback may be null.
+  /// Is called when a read is sent a second time because its answer is late. The callback may be
+  /// null.
   std::function<void()> onRepeated;
 
  private:
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -45,7 +45,7 @@
   refused,   ///< The state service answered 429 or 503 and changed nothing.
   noLease,   ///< The state service answered 400 because the lease does not exist.
   rejected,  ///< The state service answered 400 because the transaction is invalid.
-  unknown    ///< The transaction may have been applied, or may still be applied later.
+  unknown    ///< No usable answer arrived, so the transaction may or may not be applied.
 };
 
 struct CommitResult {
--- a/src/store/machine_index.hpp
+++ b/src/store/machine_index.hpp
@@ -21,7 +21,7 @@
   const JobState* job{};
 };
 
-/// Holds the data of a machine that come from the records of its rental and of its placed tasks.
+/// Holds the state of a machine as given by the records of its rental and of its placed tasks.
 struct MachineState {
   RentalId rental;
   TypeId type;
