--- a/src/failures/failure_attribution.cpp
+++ b/src/failures/failure_attribution.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr Duration kFirstPause{1000};
 constexpr Duration kLongestPause{60000};
-// Long enough for another machine to be rented and to boot.
+// The exclusion lasts long enough for another machine to be rented and to boot.
 constexpr Duration kExclusion{120000};
 
 Duration pauseOf(int rounds) {
@@ -26,8 +26,8 @@
   auto it = trials_.find(job);
   if (it == trials_.end()) return;
   Trial& trial = it->second;
-  // It works elsewhere, so where it failed it was the machine; but of a job that failed everywhere
-  // for a while (a flaky image) the machines are not to blame.
+  // The job's first success shows that its earlier failures were caused by the machines. A suspect
+  // job is an exception: it failed on all machines for some time, for example due to a flaky image.
   if (!trial.suspect && !known) {
     for (const auto& [m, charged] : trial.failedOn) {
       if (m != machine) charge(m, kSoundFailed - charged);
@@ -42,7 +42,8 @@
   Trial& trial = trials_[job];
   trial.sound = sound_.contains(job);
   if (trial.suspect) noteTrial(trial, machine, now >= trial.until);
-  // What fails in one round counts once: an array's tasks all fail within moments.
+  // Failures within one pause count as one round, because all tasks of a job array fail within
+  // moments.
   if (!trial.sound || trial.suspect || trial.failedOn.contains(machine)) {
     if (now >= trial.until) {
       trial.rounds = std::min(trial.rounds + 1, kMostRounds);
@@ -59,7 +60,7 @@
     charge(machine, weight);
   }
   if (trial.failedOn.size() < (trial.sound ? kSoundSuspect : kUnknownSuspect)) return;
-  // It fails wherever it goes: what it was charged to machines is taken back.
+  // The job fails on every machine, so its failures no longer count against the machines.
   trial.suspect = true;
   for (auto& [m, charged] : trial.failedOn) charge(m, -std::exchange(charged, 0.0));
   if (now >= trial.until) {
@@ -137,7 +138,8 @@
   Trial& trial = trials_[job];
   trial.suspect = true;
   trial.rounds = std::clamp(rounds, 1, kMostRounds);
-  // Its last failure may be as old as the window: half of the pause on average.
+  // The stored record may be up to one forecast interval old, so on average half of the pause is
+  // over.
   trial.until = now + pauseOf(trial.rounds) / 2;
 }
 
--- a/src/failures/failure_attribution.hpp
+++ b/src/failures/failure_attribution.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Who is at fault when a task ends in error: its job or its machine? Pure: outcomes and time in,
-/// judgement out. Errors: DESIGN says nothing of them; PROTOCOL, "Workers", `error`: mostly the
-/// machine is faulty, but a job submitted with a mistake fails on every machine until its user
-/// cancels it. The ways weighed, and the figures behind the weights: docs/evidence.md.
+/// Attributes task errors to jobs or to machines. Most errors are caused by a faulty machine, but a
+/// job that was submitted with a mistake fails on every machine until its user cancels it (see
+/// `error` under "Workers" in PROTOCOL). The module does no input or output. docs/evidence.md
+/// compares the alternatives and derives the weights.
 #pragma once
 
 #include <map>
@@ -14,74 +14,91 @@
 
 namespace kestrelhoist {
 
+/// Keeps a fault score for each machine and the recent failures of each job. A job that fails on
+/// several machines without a success becomes suspect: its tasks are retried in small numbers and
+/// with growing pauses, and its failures no longer count against machines.
 class FailureAttribution {
  public:
-  /// A task of this job has ended on this machine. `ownWork`: its tasks do different things (a
-  /// flow's instances), so the end of one says nothing of the others.
+  /// Records that a task of the job succeeded on the machine.
   void succeeded(const JobId& job, const MachineId& machine);
+  /// Records that a task of the job ended in error on the machine.
+  /// @param ownWork Whether each task of the job does different work, as the instances of a flow
+  ///        do. The outcome of one task then predicts nothing about the job's other tasks.
   void failed(const JobId& job, const MachineId& machine, Instant now, bool ownWork);
-  /// Forgets jobs that are over.
+  /// Removes the state of all jobs for which `active` returns false.
   template <class Active>
   void sweep(Active active) {
     std::erase_if(sound_, [&](const JobId& job) { return !active(job); });
     std::erase_if(trials_, [&](const auto& t) { return !active(t.first); });
   }
+  /// Removes the machine's fault score and its entries in the failures of jobs.
   void forgetMachine(const MachineId& machine);
 
-  /// What speaks against the machine is too much to be chance and mistaken jobs.
+  /// Returns whether the machine's fault score is too high to be explained by chance and by jobs
+  /// that were submitted with mistakes.
   bool faulty(const MachineId& machine) const;
-  /// It failed on several machines, and nowhere else did it succeed since.
+  /// Returns whether the job failed on several machines and has not succeeded on any machine since.
   bool suspect(const JobId& job) const;
-  /// Of a suspect job: how many of its tasks may be on machines at a time, and from when on.
+  /// Returns how many tasks of a suspect job may be placed on machines at the same time. Empty if
+  /// the job is not suspect.
   std::optional<std::uint32_t> mostAtOnce(const JobId& job) const;
-  /// Not before this; empty: now.
+  /// Returns the time before which no task of the job is started. Empty if the job is not paused.
   std::optional<Instant> pausedUntil(const JobId& job) const;
-  /// Machines on which it failed and has not succeeded since: others tell more.
+  /// Returns the machines on which the job failed since its last success. A trial on another
+  /// machine gives more evidence about whether the job or the machine is at fault.
   std::vector<MachineId> avoids(const JobId& job) const;
-  /// A machine on which a suspect job must not be tried now. Its trials failed there alone for
-  /// several rounds, so whether the job or this machine is at fault can only be told elsewhere.
-  /// Ends after a while, so that a job for which there is no other machine is not left without
-  /// trials.
+  /// Returns the machine on which a suspect job must not be tried now, if there is one. The last
+  /// rounds of the job's trials all failed on this machine, so only a trial on another machine can
+  /// show whether the job or the machine is at fault. The exclusion expires, so that a job that can
+  /// run on no other machine is tried again.
   std::optional<MachineId> excludes(const JobId& job, Instant now) const;
 
-  /// What outlives a leader, in the record of the windows: suspect jobs and their rounds. At most
-  /// `most`, those of the longest pauses first.
+  /// Returns suspect jobs with their numbers of failed rounds, at most `most` of them; jobs with
+  /// more rounds come first. The leader stores them in the forecast record for its successor.
   std::map<JobId, int> suspects(std::size_t most) const;
+  /// Restores a suspect job that the previous leader stored, with its number of failed rounds.
   void adopt(const JobId& job, int rounds, Instant now);
 
  private:
-  /// Weight against a machine, as logarithms of how much likelier an outcome is on a faulty machine
-  /// than on a sound one (Page's cumulative sum: never below 0, so no machine is acquitted for
-  /// good).
-  static constexpr double kSoundFailed = 3.2;    ///< a job that has succeeded elsewhere
-  static constexpr double kUnknownFailed = 2.2;  ///< a job of which nothing else is known yet
+  /// The score of one outcome is the logarithm of its likelihood ratio between a faulty and a
+  /// healthy machine. A machine's fault score is Page's cumulative sum of them: it never falls
+  /// below 0, so earlier successes cannot outweigh later failures.
+  ///
+  /// This score applies to a failure of a job that has succeeded on another machine.
+  static constexpr double kSoundFailed = 3.2;
+  /// This score applies to a failure of a job that has not succeeded yet.
+  static constexpr double kUnknownFailed = 2.2;
   static constexpr double kSucceeded = -1.2;
   static constexpr double kFaulty = 5.3;
-  /// Machines on which a job fails, with no success between, until it is suspect.
+  /// A job that has never succeeded becomes suspect once it failed on this many machines.
   static constexpr std::size_t kUnknownSuspect = 2;
+  /// A job that has succeeded becomes suspect once it failed on this many machines since.
   static constexpr std::size_t kSoundSuspect = 3;
-  static constexpr std::size_t kRemembered = 16;  ///< machines of a job
+  /// For each job, at most this many machines on which it failed are stored.
+  static constexpr std::size_t kRemembered = 16;
   static constexpr std::uint32_t kTrials = 2;
   static constexpr int kMostRounds = 7;
-  /// Rounds of trials on one machine alone, until the next trial has to be on another.
+  /// After this many rounds of trials on the same machine, the next trial is on another machine.
   static constexpr int kRoundsOnOneMachine = 2;
 
+  /// The failures of one job since its last success.
   struct Trial {
-    bool sound{};  ///< has succeeded somewhere
+    bool sound{};  ///< Whether the job has ever succeeded.
     bool suspect{};
-    int rounds{};     ///< of failures since the last success
-    Instant until{};  ///< no trial before
-    std::map<MachineId, double>
-        failedOn{};       ///< since the last success, with what was charged for it
-    MachineId triedOn{};  ///< the only machine of the last rounds of trials
-    int roundsOnOne{};    ///< how many rounds failed on `triedOn` alone
+    int rounds{};     ///< Counts the rounds of failures since the job's last success.
+    Instant until{};  ///< No task of the job is started before this time.
+    /// Machines on which the job failed since its last success, each with the score that these
+    /// failures added to the machine's fault score.
+    std::map<MachineId, double> failedOn{};
+    MachineId triedOn{};  ///< The machine on which the last rounds of trials failed.
+    int roundsOnOne{};    ///< Counts the successive rounds that failed on that one machine.
   };
   static void noteTrial(Trial& trial, const MachineId& machine, bool newRound);
   void charge(const MachineId& machine, double weight);
 
-  std::map<JobId, Trial> trials_;  ///< jobs with failures since their last success
-  std::set<JobId> sound_;          ///< jobs that have succeeded
-  std::map<MachineId, double> against_;
+  std::map<JobId, Trial> trials_;        ///< Jobs that have failed since their last success.
+  std::set<JobId> sound_;                ///< Jobs that have succeeded at least once.
+  std::map<MachineId, double> against_;  ///< The fault scores of machines, all above 0.
 };
 
 }  // namespace kestrelhoist
--- a/src/failures/failure_attribution_test.cpp
+++ b/src/failures/failure_attribution_test.cpp
@@ -19,19 +19,19 @@
   }
   EXPECT_TRUE(e.suspect(job(1)));
   for (int m = 0; m < 12; ++m) EXPECT_FALSE(e.faulty(machine(m)));
-  // What fails in one round counts once.
+  // The failures of one round are counted once.
   EXPECT_LE(*e.pausedUntil(job(1)), at(12));
 }
 
-// A mended job was tried again and again on the one machine that was left, which erred, and its
-// user waited for ever (pipeline-faulty-machine).
+// Guards against a job that never finishes although its mistake was corrected: all its trials were
+// placed on the one remaining machine, which was faulty (pipeline-faulty-machine).
 TEST(FailureAttribution, ASuspectJobThatFailsOnOneMachineAloneIsTriedElsewhereForAWhile) {
   FailureAttribution e;
   e.failed(job(1), machine(1), at(0), false);
-  e.failed(job(1), machine(2), at(0.1), false);  // suspect from here on
+  e.failed(job(1), machine(2), at(0.1), false);  // From here on the job is suspect.
   EXPECT_FALSE(e.excludes(job(1), at(1)));
   e.failed(job(1), machine(1), at(10), false);
-  e.failed(job(1), machine(1), at(10.1), false);  // the same round
+  e.failed(job(1), machine(1), at(10.1), false);  // This failure belongs to the same round.
   EXPECT_FALSE(e.excludes(job(1), at(11)));
   e.failed(job(1), machine(1), at(30), false);
   EXPECT_EQ(e.excludes(job(1), at(31)), machine(1));
@@ -51,8 +51,8 @@
   EXPECT_FALSE(e.excludes(job(1), at(500)));
 }
 
-// Found on the operators' days: two mistaken jobs on one machine, with no success between, gave it
-// up.
+// Guards against giving up a healthy machine because two jobs with mistakes failed on it and no
+// task succeeded there in between.
 TEST(FailureAttribution, ManyMistakenJobsCondemnNoMachine) {
   FailureAttribution e;
   for (int j = 0; j < 40; ++j) {
@@ -75,7 +75,7 @@
   FailureAttribution e;
   e.failed(job(1), machine(7), at(5), false);
   e.failed(job(2), machine(7), at(5), false);
-  EXPECT_FALSE(e.faulty(machine(7)));  // may be two mistaken jobs
+  EXPECT_FALSE(e.faulty(machine(7)));  // Both jobs may have mistakes.
   EXPECT_EQ(e.avoids(job(1)).size(), 1U);
   e.succeeded(job(1), machine(8));
   EXPECT_TRUE(e.faulty(machine(7)));
@@ -98,8 +98,8 @@
   EXPECT_FALSE(e.faulty(machine(6)));
 }
 
-// One success does not make up for a sound job's failure: a machine that fails now and then is
-// found.
+// A success lowers the fault score by less than a failure raises it, so a machine that fails
+// intermittently is detected.
 TEST(FailureAttribution, AMachineIsNeverAcquittedForGood) {
   FailureAttribution e;
   int until = 0;
@@ -112,8 +112,8 @@
   EXPECT_LE(until, 3);
 }
 
-// One failure in a hundred is chance: of machines on which 500 tasks end so, few are given up (each
-// costs one rental).
+// A healthy machine on which 1% of 500 tasks fail by chance is rarely given up. Each machine that
+// is given up costs one rental.
 TEST(FailureAttribution, ChanceCondemnsFew) {
   std::mt19937 random(3);
   int condemned = 0;
@@ -146,7 +146,7 @@
   }
   EXPECT_EQ(last, 60);
   EXPECT_EQ(e.mostAtOnce(job(1)), 2U);
-  e.succeeded(job(1), machine(9));  // a flaky image, say
+  e.succeeded(job(1), machine(9));  // The image may have been flaky.
   EXPECT_FALSE(e.mostAtOnce(job(1)));
   EXPECT_FALSE(e.pausedUntil(job(1)));
   for (int m = 0; m < 9; ++m) EXPECT_FALSE(e.faulty(machine(m)));
@@ -170,8 +170,8 @@
   EXPECT_GT(*next.pausedUntil(job(1)), at(5));
 }
 
-// Drawn fleets: a share of the jobs mistaken, a few machines faulty. None of the sound machines may
-// be given up, all the faulty ones that get enough work must be.
+// In random fleets some jobs have mistakes and a few machines are faulty. No healthy machine may be
+// given up, and every faulty machine that receives enough work must be.
 TEST(FailureAttribution, DrawnFleets) {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
--- a/src/forecast/forecast.cpp
+++ b/src/forecast/forecast.cpp
@@ -7,7 +7,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr double kRates[Forecast::kPredictors] = {0.02, 0.08, 0.2};
-constexpr double kForget = 0.15;  // of the residual; a burst fades within a minute or so
+// The residual decays by this share per interval, so the effect of a burst lasts about a minute.
+constexpr double kForget = 0.15;
 constexpr double kMaxWeight = 2.0;
 }  // namespace
 
@@ -25,7 +26,7 @@
   recent_.push_back(demand);
   ++seen_;
   if (recent_.size() > horizon_) {
-    // What was known `horizon` windows ago, against what came.
+    // Compares the prediction made `horizon` intervals ago with the observed demand.
     double base = recent_[recent_.size() - 1 - horizon_];
     auto x = inputs(horizon_);
     double power = std::inner_product(x.begin(), x.end(), x.begin(), 1.0);
@@ -39,8 +40,8 @@
         w[i] = std::clamp(w[i] + kRates[p] * error * x[i] / power, -kMaxWeight, kMaxWeight);
       }
     }
-    // One surprise counts a bounded amount: DESIGN names the swarm that inflates the spread, so
-    // that renting goes on for demand already gone.
+    // The error of one interval is bounded. Without the bound a burst of jobs inflates the spread,
+    // and machines are still rented after the burst is over (a weakness that DESIGN names).
     double surprise = std::min(meanError * meanError, 4.0 * residual_ + 1.0);
     residual_ += kForget * (surprise - residual_);
   }
--- a/src/forecast/forecast.hpp
+++ b/src/forecast/forecast.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// Demand forecast for one kind of demand on a machine type, after Aquatope's dropout network:
-/// a few small linear predictors over recent windows, run many times with random inputs dropped;
-/// the mean and spread of the runs are the forecast. Pure; randomness is seeded by the caller.
+/// Forecasts one kind of demand for a machine type, modelled on Aquatope's dropout network. A few
+/// small linear predictors run many times over the demand of recent forecast intervals, each time
+/// with random inputs dropped. The mean and spread of the runs are the forecast. The caller seeds
+/// the random numbers.
 #pragma once
 
 #include <deque>
@@ -12,46 +13,54 @@
 
 namespace kestrelhoist {
 
+/// A predicted demand in machines.
 struct Prediction {
   double mean{};
   double spread{};
 };
 
+/// Learns from the demand of each interval and predicts the demand `horizon` intervals ahead.
 class Forecast {
  public:
-  static constexpr std::size_t kInputs = 5;      ///< windows a predictor looks at
-  static constexpr std::size_t kPredictors = 3;  ///< with different learning rates
-  static constexpr std::size_t kRuns = 24;       ///< runs with dropped inputs
-  static constexpr double kDrop = 0.25;
+  static constexpr std::size_t kInputs =
+      5;  ///< A predictor reads the changes of this many intervals.
+  static constexpr std::size_t kPredictors = 3;  ///< The predictors differ in their learning rates.
+  static constexpr std::size_t kRuns = 24;       ///< A prediction takes this many runs.
+  static constexpr double kDrop = 0.25;          ///< The probability that a run drops an input.
 
   Forecast() = default;
   explicit Forecast(std::size_t horizon) : horizon_(horizon) {}
 
-  /// Ends a window in which `demand` (in machines) was seen; learns from how the predictions
-  /// made `horizon` windows ago turned out.
+  /// Adds the demand, in machines, of the interval that ends now. Updates the predictors by the
+  /// errors of the predictions that they made `horizon` intervals ago.
   void observe(double demand);
-  /// A new leader's windows that nobody recorded: filled with present demand and not learned
-  /// from, so that it does not rent for demand that has moved (DESIGN names this weakness).
+  /// Fills the intervals that no leader recorded before a failover with the present demand. The
+  /// predictors do not learn from them, so that the new leader does not rent machines for demand
+  /// that has changed meanwhile (a weakness that DESIGN names).
   void skip(std::size_t windows, double demand);
+  /// Predicts the demand `horizon` intervals ahead.
   Prediction predict(std::mt19937_64& random) const;
+  /// Returns the number of intervals that were observed.
   std::size_t windows() const { return seen_; }
   std::size_t horizon() const { return horizon_; }
   void setHorizon(std::size_t h) { horizon_ = h; }
 
   Json toJson() const;
-  /// False (and unchanged) if the value can't be read.
+  /// Restores the state that toJson() wrote. Returns false and changes nothing if the value is
+  /// malformed.
   bool fromJson(const Json& v);
 
  private:
   using Weights = std::vector<double>;
-  /// Differences of recent windows that end `ago` windows before now, newest first.
+  /// Returns the changes in demand between successive intervals, newest first. The newest change
+  /// ends `ago` intervals before now.
   std::vector<double> inputs(std::size_t ago) const;
 
   std::size_t horizon_ = 6;
   std::size_t seen_ = 0;
-  std::deque<double> recent_;  ///< newest last
+  std::deque<double> recent_;  ///< The demand of recent intervals, newest last.
   std::vector<Weights> weights_ = std::vector<Weights>(kPredictors, Weights(kInputs, 0.0));
-  double residual_ = 0;  ///< smoothed squared error at the horizon
+  double residual_ = 0;  ///< The smoothed squared error of predictions at the horizon.
 };
 
 }  // namespace kestrelhoist
