--- a/src/cloud/catalogue.hpp
+++ b/src/cloud/catalogue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Machine types as the cloud offers them.
+/// The machine types that the cloud offers.
 #pragma once
 
 #include <optional>
@@ -10,6 +10,7 @@
 
 namespace kestrelhoist {
 
+/// A machine type with its resources, prices, boot time and zones.
 struct MachineType {
   TypeId id;
   Resources capacity;
@@ -21,13 +22,17 @@
   std::vector<ZoneId> zones;
 };
 
+/// All machine types of the cloud.
 struct Catalogue {
   std::vector<MachineType> types;
+  /// Returns the machine type with this id. Null if the cloud does not offer it.
   const MachineType* find(const TypeId& id) const;
 };
 
-/// From the cloud's answer, and from the record, which keeps the same form.
+/// Parses the cloud's answer or the stored catalogue, which have the same format. Returns an empty
+/// value if the JSON is malformed.
 std::optional<Catalogue> catalogueFrom(const Json& body);
+/// Returns the catalogue in the format that catalogueFrom() parses.
 Json toJson(const Catalogue& c);
 
 }  // namespace kestrelhoist
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr Duration kTimeout{4000};
 constexpr Duration kRepeatPageAfter{500};
-constexpr int kPage = 500;  // the most that the cloud allows
+constexpr int kPage = 500;  // The cloud allows no larger page.
 
 std::optional<ListedMachine> listedFrom(const Json& v) {
   auto id = textField(v, "ref");
@@ -82,8 +82,8 @@
 
 void CloudClient::list(OnList done) { listPage("", {}, std::move(done)); }
 
-// A read may be carried out twice: a lost answer would hold up a new leader, which learns the
-// addresses of the machines here.
+// Sends a second request if the first is not answered soon. A lost answer would otherwise delay a
+// new leader, which reads the addresses of the machines from this list.
 void CloudClient::listPage(const std::string& since, std::vector<ListedMachine> sofar,
                            OnList done) {
   std::string path = "/hosts?page=" + std::to_string(kPage);
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Typed client of the cloud.
+/// Typed client of the cloud's HTTP API, which rents, lists and terminates machines.
 #pragma once
 
 #include <functional>
@@ -10,6 +10,7 @@
 
 namespace kestrelhoist {
 
+/// An entry of the cloud's list of machines.
 struct ListedMachine {
   MachineId id;
   std::string address;
@@ -20,22 +21,29 @@
   Duration age{};
 };
 
+/// The cloud's answer to a rental; `failed` also stands for a missing answer.
 struct RentalResult {
   enum class Kind { rented, noCapacity, rejected, failed } kind = Kind::failed;
   std::vector<MachineId> machines;
 };
 
+/// Sends requests to the cloud without blocking and passes the decoded answers to callbacks.
 class CloudClient {
  public:
   CloudClient(Runtime& runtime, HttpClient& http, std::string address, double requestsPerS);
 
+  /// Takes one request from the rate budget. Returns false if the budget is used up.
   bool mayAsk() { return budget_.take(runtime_.now(), 1); }
+  /// Reads the machine types; the result is empty if the request failed.
   void types(std::function<void(std::optional<Catalogue>)> done);
+  /// Requests the machines of a rental. The cloud rents no machine twice for one rental id.
   void requestMachines(const RentalRecord& rental, std::function<void(RentalResult)> done);
-  /// True: the machines and all that was on them are gone.
+  /// Terminates machines. The result is true if the cloud confirmed that they and all their tasks
+  /// have ended.
   void release(const std::vector<MachineId>& machines, std::function<void(bool)> done);
-  /// Receives the whole list; empty if the cloud gave none.
+  /// Receives the whole list of machines. Empty if the request failed.
   using OnList = std::function<void(std::optional<std::vector<ListedMachine>>)>;
+  /// Reads the list of machines, page by page.
   void list(OnList done);
 
  private:
--- a/src/cloud/client_test.cpp
+++ b/src/cloud/client_test.cpp
@@ -24,7 +24,7 @@
     });
   }
 
-  // How long the list takes; empty if there is none.
+  // Returns how long reading the machine list takes. Empty if no list arrives.
   std::optional<Duration> listTakes() {
     CloudClient cloud(runtime, runtime, "cloud:1", 10);
     const Instant begun = runtime.now();
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -7,7 +7,7 @@
 namespace kestrelhoist {
 namespace {
 
-// The cheapest allowed type that holds a task.
+// Returns the allowed machine type on which a task costs the least. Null if no type can hold it.
 const MachineType* cheapest(const Catalogue& catalogue, const Resources& perTask,
                             const JobSpec* spec) {
   const MachineType* best = nullptr;
@@ -21,15 +21,17 @@
   return best;
 }
 
-// A task that is a bit more than a half of a machine takes a whole one.
+// Returns how many machines the tasks fill. Only whole tasks fit on a machine, so a task that needs
+// slightly more than half of a machine counts as a whole machine.
 double machinesFor(const MachineType& type, const Resources& perTask, std::uint32_t tasks) {
   double perMachine = std::floor(1.0 / std::max(1e-6, perTask.shareOf(type.capacity)) + 1e-6);
   return tasks / std::max(1.0, perMachine);
 }
 
-// Where machines would help a job's waiting tasks; empty: anywhere. Of a service that is spread, at
-// most half may be in one zone: three of six replicas waited for ever beside an idle machine in the
-// zone of the three others, which counted as room for them.
+// Returns the zones in which machines can run the job's waiting tasks. Empty if all zones can. At
+// most half of the replicas of a spread service may be placed in one zone. When this was ignored,
+// three of six replicas waited forever: an idle machine counted as free for them, but it was in the
+// zone of the three other replicas.
 std::set<ZoneId> zonesLeft(const LeaderContext& context, Fleet& fleet, const JobState& job,
                            const MachineType& type) {
   const JobSpec& spec = *job.record.spec;
@@ -61,7 +63,7 @@
   }
 }
 
-// What is booked on machines, leaving out tasks that are known to have ended.
+// Adds the resources of tasks that are placed on machines, except tasks with a confirmed outcome.
 void addBookedResources(const LeaderContext& context, const Fleet& fleet, DemandByType& demand) {
   for (const auto& [id, record] : context.replica.machines()) {
     const MachineType* type = context.catalogue->find(record.type);
@@ -90,8 +92,8 @@
   }
 }
 
-// A job's next trial must not go to the machine that it excludes, so what is free there is no room
-// for it: counted as booked, so that another machine is rented.
+// The next trial of a suspect job must not be placed on the machine that the job excludes. Counts
+// the free resources of that machine as booked, so that another machine is rented for the job.
 void addExcludedMachine(const LeaderContext& context, const Fleet& fleet, const JobSpec& spec,
                         std::set<MachineId>& counted, DemandByType& demand) {
   auto excluded = fleet.failureAttribution().excludes(spec.id, context.runtime.now());
--- a/src/cloud/demand.hpp
+++ b/src/cloud/demand.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Demand by machine type, in machines: booked resources, and resources of tasks that wait.
+/// Computes the demand for each machine type, in machines, from the resources of placed tasks and
+/// of tasks that wait for a machine.
 #pragma once
 
 #include "cloud/scaling_decision.hpp"
@@ -8,14 +9,15 @@
 
 namespace kestrelhoist {
 
-/// For how long an offering counts as capacity-constrained after it was refused.
+/// An offering counts as capacity-constrained for this long after the cloud refused it.
 inline constexpr Duration kConstrainedMemory{60000};
 
-/// Present demand. `unplaced`: the number of tasks that found no resources, by job.
+/// Returns the present demand by machine type.
+/// @param unplaced The number of tasks of each job that the planner could not place.
 std::map<TypeId, TypeDemand> demandNow(const LeaderContext& context, Fleet& fleet,
                                        const std::map<JobId, std::uint32_t>& unplaced);
 
-/// Tasks that will ask for resources, or free them, without being on any machine's record yet.
+/// Tasks that are expected to need or to free resources soon and that are not placed on a machine.
 struct ProjectedDemand {
   Resources perTask;
   std::uint32_t tasks{};
@@ -24,11 +26,12 @@
 
 /// Demand in machines of one type.
 struct MachineDemand {
-  double firm{};      ///< Needs ordinary machines.
-  double flexible{};  ///< May use spot machines.
+  double firm{};      ///< Demand that only on-demand machines can serve.
+  double flexible{};  ///< Demand that spot machines may serve.
 };
 
-/// Converts projected demand to machines of the type that suits each best.
+/// Converts projected demand to machines; each task counts for the machine type on which it is
+/// cheapest.
 std::map<TypeId, MachineDemand> demandInMachines(const Catalogue& catalogue,
                                                  const std::vector<ProjectedDemand>& projected);
 
--- a/src/cloud/forecast_loop.cpp
+++ b/src/cloud/forecast_loop.cpp
@@ -9,7 +9,8 @@
 
 void ForecastLoop::onTimer() {
   if (!context_.initialRoundOver || !context_.catalogue) return;
-  // A leader that ends before the interval's turn must not take along what it knows of them.
+  // Records a change of the suspected zones at once. If the leader ended before the interval does,
+  // the next leader would not know of the change.
   if (suspectedZonesChanged()) dirty_ = true;
   if (context_.runtime.now() >= ends_) {
     turn();
@@ -53,8 +54,8 @@
         std::max(1.0, std::ceil(toSeconds(type.boot) / toSeconds(context_.settings.window))));
     auto [it, isNew] =
         forecasts_.series.try_emplace(type.id, DemandSeries{Forecast(horizon), Forecast(horizon)});
-    // DESIGN names it: refused rents leave tasks waiting and push the forecast toward room that
-    // can't come. While every zone refuses, waiting work is not taken for demand.
+    // Waiting tasks do not count as demand while the cloud refuses this type in every zone. They
+    // would otherwise raise the forecast to machines that cannot be rented (see DESIGN).
     auto allRefused = [&](bool spot) {
       return std::all_of(type.zones.begin(), type.zones.end(), [&](const ZoneId& z) {
         auto r = scaling_.refused().find({type.id, z, spot});
@@ -72,7 +73,8 @@
   scaling_.decide(true);
 }
 
-// With less of what a new leader can learn again: first suspects, then types' series.
+// Returns the record within the size limit of a value. If it is too large, leaves out first suspect
+// jobs and then forecasts of machine types, because a new leader can learn both again.
 Json ForecastLoop::fitting(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const {
   Json value = toJson(suspected);
   for (const char* list : {"suspect", "types"}) {
@@ -90,15 +92,17 @@
   for (const auto& [type, series] : forecasts_.series) {
     types[type.value] = {{"firm", series.firm.toJson()}, {"flexible", series.flexible.toJson()}};
   }
-  // Since when a zone is silent: a leader that never heard its machines can't know how long their
-  // tasks can run (day `zone`: cut, then the leader ended; 1,712 tasks were over for 25 s before
-  // the next leader gave them up).
+  // The record says since when each suspected zone is unreachable. A new leader that has received
+  // no heartbeat from a zone cannot know when the leases of its workers expire. Without the record,
+  // 1,712 tasks had ended 25 s before the new leader rescheduled them (scenario day `zone`: the
+  // zone was cut off, then the leader ended).
   Instant now = context_.runtime.now();
   Json silent = Json::object();
   for (const auto& [zone, at] : suspected) {
     silent[zone.value] = context_.runtime.wallMillis() - (now - at).count();
   }
-  // Jobs that fail wherever they go: a new leader need not learn it again at their full width.
+  // The record names suspect jobs, so that a new leader does not first start all of their tasks
+  // again.
   constexpr std::size_t kMostSuspects = 32;
   Json suspect = Json::object();
   for (const auto& [job, rounds] : fleet_.failureAttribution().suspects(kMostSuspects)) {
@@ -110,7 +114,7 @@
           {"suspect", std::move(suspect)}};
 }
 
-// The windows that an earlier leader left, with the gap since then closed at present demand.
+// Restores the stored forecasts and fills the intervals since then with the present demand.
 void ForecastLoop::load() {
   const auto& stored = context_.replica.forecast();
   if (loaded_ || !stored || !context_.catalogue) return;
@@ -136,7 +140,7 @@
     series.flexible.skip(missed, d.flexibleOnSpot + d.flexibleOnOrdinary + d.flexibleWaiting);
     forecasts_.series.insert_or_assign(type.id, std::move(series));
   }
-  logInfo("forecast taken over", "windows_behind", missed);
+  logInfo("demand forecast restored", "windows_behind", missed);
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/forecast_loop.hpp
+++ b/src/cloud/forecast_loop.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The forecast's windows: demand is recorded at each turn, kept in one state value, and rented
-/// for.
+/// Maintains the demand forecasts: adds the demand at the end of each forecast interval, stores the
+/// forecasts in one record, and starts the scaling decision.
 #pragma once
 
 #include <set>
@@ -9,6 +9,7 @@
 
 namespace kestrelhoist {
 
+/// Ends the forecast intervals and keeps the forecast record up to date.
 class ForecastLoop : public ControlLoop {
  public:
   ForecastLoop(LeaderContext& context, Fleet& fleet, PlanningLoop& planning, ScalingLoop& scaling,
@@ -21,16 +22,18 @@
     ends_ = context_.electedAt + context_.settings.window;
   }
 
+  /// Commits the catalogue and the forecast record if they have changed.
   LoopStep next() override;
   void onTimer() override;
-  /// Takes over the windows that an earlier leader left.
+  /// Restores the forecasts that the previous leader stored.
   void load();
 
  private:
   void turn();
-  /// Whether zones fell silent, or came back, since the record was last written.
+  /// Returns whether the suspected zones differ from those in the last written record.
   bool suspectedZonesChanged() const;
-  /// The record, which names these zones as silent since then.
+  /// Returns the forecast record.
+  /// @param suspected The suspected zones, each with the time of its last sign of life.
   Json toJson(const std::map<ZoneId, Instant>& suspected) const;
   Json fitting(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const;
 
@@ -41,7 +44,7 @@
   DemandForecasts& forecasts_;
   Instant ends_{};
   bool dirty_ = false;
-  std::set<ZoneId> recordedSuspects_;  ///< zones that the record names as silent
+  std::set<ZoneId> recordedSuspects_;  ///< The suspected zones in the record.
   bool loaded_ = false;
 };
 
--- a/src/cloud/machine_list_loop.cpp
+++ b/src/cloud/machine_list_loop.cpp
@@ -19,7 +19,7 @@
   asked_ = true;
   context_.cloud.types(context_.whileLeading([this](std::optional<Catalogue> c) {
     if (!c) {
-      logInfo("the cloud did not tell its machine types");
+      logInfo("machine types not received from the cloud; retrying");
       context_.runtime.after(kRetry, context_.whileLeading([this] { asked_ = false; }));
       return;
     }
@@ -35,7 +35,7 @@
   context_.cloud.list(context_.whileLeading([this](std::optional<std::vector<ListedMachine>> list) {
     listing_ = false;
     if (!list) {
-      logInfo("the cloud gave no machine list");
+      logInfo("machine list not received from the cloud");
       return;
     }
     Instant now = context_.runtime.now();
--- a/src/cloud/machine_list_loop.hpp
+++ b/src/cloud/machine_list_loop.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads the cloud's machine types and its list of machines.
+/// Reads the machine types and the list of rented machines from the cloud.
 #pragma once
 
 #include "cloud/client.hpp"
@@ -7,6 +7,7 @@
 
 namespace kestrelhoist {
 
+/// Reads the machine types once and the list of machines periodically.
 class MachineListLoop : public ControlLoop {
  public:
   MachineListLoop(LeaderContext& context, Fleet& fleet, InitialRound& initialRound)
@@ -22,7 +23,7 @@
   LeaderContext& context_;
   Fleet& fleet_;
   InitialRound& initialRound_;
-  bool asked_ = false;  ///< the types
+  bool asked_ = false;  ///< Whether the machine types were requested.
   Instant nextList_{};
   bool listing_ = false;
 };
--- a/src/cloud/scaling_decision.cpp
+++ b/src/cloud/scaling_decision.cpp
@@ -6,15 +6,16 @@
 namespace kestrelhoist {
 namespace {
 
-// Flexible work can wait for a boot and often runs on machines that cost several times its spot
-// price, so for it the spread multiple is zero: the mean, and present demand as the floor.
+// This multiple of the spread is zero for flexible work, so its target is the mean of the forecast
+// and at least the present demand. Flexible work can wait until a machine has booted, and it often
+// runs on machines that cost several times their spot price.
 constexpr double kFlexible = 0.0;
 
 int ceilMachines(double share) { return static_cast<int>(std::ceil(std::max(0.0, share) - 1e-6)); }
 
 struct PoolState {
-  int have{};   // counts toward the target: up, booting in time, ordered
-  int inUse{};  // with something on them
+  int have{};   // Counts machines that are running, booting on time, or requested from the cloud.
+  int inUse{};  // Counts machines that have tasks.
   std::map<ZoneId, int> perZone;
 };
 
@@ -35,8 +36,8 @@
   return p;
 }
 
-// Spreads `count` rentals over the zones that are not refused, the emptiest first; `only`: in
-// these.
+// Adds up to `count` rentals to the decision. Each one goes to the zone with the fewest machines
+// among those that are not refused. If `only` is set, other zones are left out.
 void scaleOut(const ScalingInput& in, bool spot, int count, PoolState& pool, ScalingDecision& out,
               const std::set<ZoneId>* only = nullptr) {
   std::map<ZoneId, std::uint32_t> add;
@@ -68,7 +69,8 @@
     if (m.idle && !m.keep && m.up && m.age >= in.minimumCharge) idle.push_back(&m);
   }
   while (surplus-- > 0 && !idle.empty()) {
-    // From the zone with the most machines, the newest first: its cache is the coldest.
+    // Terminates the newest machine of the zone with the most machines, because its image cache
+    // holds the least.
     auto best = std::max_element(idle.begin(), idle.end(), [&](const auto* a, const auto* b) {
       int x = perZone[a->offering.zone], y = perZone[b->offering.zone];
       return x != y ? x < y : a->age > b->age;
@@ -92,15 +94,15 @@
                              d.flexibleOnSpot + d.flexibleOnOrdinary + d.flexibleWaiting);
   bool spotOffered =
       in.useSpot && std::any_of(in.type->zones.begin(), in.type->zones.end(), [&](const ZoneId& z) {
-        // Not by the pause alone: zones whose pauses end in
-        // turn would keep the work waiting for ever.
+        // Checks `constrained` instead of `refused`, whose pauses are shorter. If the pauses of
+        // zones ended one after another, the work would wait for spot machines forever.
         return !in.constrained.contains({in.type->id, z, true});
       });
   out.spotTarget = std::max(ceilMachines(flexible - d.flexibleOnOrdinary),
                             spot.inUse + ceilMachines(d.flexibleWaiting));
   if (!in.useSpot) out.spotTarget = spot.inUse;
 
-  // Flexible demand that spot machines can't meet now goes to ordinary ones.
+  // Flexible demand that spot machines cannot meet now is met by on-demand machines.
   double overflow =
       spotOffered ? d.flexibleOnOrdinary : std::max(d.flexibleOnOrdinary, flexible - spot.have);
   double waitingHere =
@@ -111,7 +113,8 @@
   out.ordinaryTarget = std::max(out.ordinaryNeeded, ordinary.inUse + ceilMachines(waitingHere));
 
   for (const auto& [zones, need] : d.pinnedWaiting) {
-    // Room elsewhere does not help this work: machines of its zones that are still to come do.
+    // This work can only use machines in `zones`, so free machines in other zones do not count.
+    // Machines that are booting or requested in these zones do.
     int coming = 0;
     for (const auto& m : in.machines) coming += zones.contains(m.offering.zone) && !m.up && !m.late;
     for (const auto& [offering, n] : in.pendingRentals) {
--- a/src/cloud/scaling_decision.hpp
+++ b/src/cloud/scaling_decision.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// How many machines to rent and which idle ones to give back, after DESIGN: toward mean +
-/// k * spread of the forecast, never below present demand, counting booting machines. Pure.
+/// Decides how many machines of one type to rent and which idle machines to terminate. The target
+/// is the forecast's mean + k * spread (see DESIGN), and never less than the present demand.
+/// Booting machines count as available. The module does no input or output.
 #pragma once
 
 #include <map>
@@ -12,7 +13,8 @@
 
 namespace kestrelhoist {
 
-/// A thing that can be refused: a type in a zone, spot or ordinary.
+/// What the cloud grants or refuses as one: a machine type in a zone, on the spot or the on-demand
+/// market.
 struct InstanceOffering {
   TypeId type;
   ZoneId zone;
@@ -20,50 +22,60 @@
   auto operator<=>(const InstanceOffering&) const = default;
 };
 
+/// A rented machine as the scaling decision sees it.
 struct ScalingMachine {
   MachineId id;
   InstanceOffering offering;
-  bool up{};    ///< has reported
-  bool late{};  ///< booting for so long that it no longer counts
-  bool idle{};  ///< nothing on it or meant for it
-  bool keep{};  ///< for what it holds (pools)
+  bool up{};    ///< Whether the machine has sent a heartbeat.
+  bool late{};  ///< Whether it has been booting for so long that it no longer counts as available.
+  bool idle{};  ///< Whether no task is placed on the machine.
+  bool keep{};  ///< Whether the policy keeps the machine warm because of its images.
   Duration age{};
 };
 
-/// Demand in machines. Firm work needs ordinary machines; flexible work may use spot.
+/// The demand for one machine type, in machines. Firm work needs on-demand machines; flexible work
+/// may also use spot machines.
 struct TypeDemand {
-  Prediction firm, flexible;  ///< of the horizon
+  Prediction firm, flexible;  ///< The predicted demand at the forecast horizon.
+  /// Demand of firm tasks that are placed on machines, and of those that wait for a machine.
   double firmBooked{}, firmWaiting{};
+  /// Demand of flexible tasks placed on spot machines, placed on on-demand machines, and waiting.
   double flexibleOnSpot{}, flexibleOnOrdinary{}, flexibleWaiting{};
-  /// Part of the waiting that only machines in one of these zones help.
+  /// The part of the waiting demand that only machines in one of these zones can serve.
   std::map<std::set<ZoneId>, double> pinnedWaiting;
 };
 
+/// What decideScaling() needs to know about one machine type.
 struct ScalingInput {
   const MachineType* type{};
-  std::vector<ScalingMachine> machines;                      ///< of this type, not leaving
-  std::map<InstanceOffering, std::uint32_t> pendingRentals;  ///< rentals asked for, not answered
-  std::set<InstanceOffering> refused;                        ///< not to be asked now
-  std::set<InstanceOffering> constrained;  ///< refused lately: asked for one at a time
+  std::vector<ScalingMachine> machines;  ///< Machines of this type that are not draining.
+  std::map<InstanceOffering, std::uint32_t>
+      pendingRentals;                  ///< Machines of rentals without an answer.
+  std::set<InstanceOffering> refused;  ///< Offerings that must not be requested now.
+  /// Offerings that the cloud refused recently; they are requested one machine at a time.
+  std::set<InstanceOffering> constrained;
   TypeDemand demand;
   double spreadMultiple = 1.0;
   bool useSpot = true;
-  bool scaleIn{};  ///< the window turns
-  Duration minimumCharge{60000};
+  bool scaleIn{};                 ///< Whether idle machines may be terminated in this decision.
+  Duration minimumCharge{60000};  ///< The cloud charges each machine for at least this time.
 };
 
+/// Machines to be rented from one offering.
 struct ScaleOut {
   InstanceOffering offering;
   std::uint32_t count{};
 };
 
+/// What to rent and what to terminate for one machine type.
 struct ScalingDecision {
   std::vector<ScaleOut> rentals;
   std::vector<MachineId> scaleIn;
   int ordinaryTarget{}, spotTarget{};
-  int ordinaryNeeded{};  ///< if all work were packed as tightly as it goes
+  int ordinaryNeeded{};  ///< The target if all work were packed onto as few machines as possible.
 };
 
+/// Decides for one machine type; see the file's comment.
 ScalingDecision decideScaling(const ScalingInput& in);
 
 }  // namespace kestrelhoist
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -7,8 +7,10 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kCheckInterval{1000};
-constexpr Duration kRefusedPause{15000};  // before the same offering is tried again
-constexpr double kLateBootFactor = 1.7;   // times the boot time: no longer counted on
+// A refused offering is not requested again for this long.
+constexpr Duration kRefusedPause{15000};
+// A machine that has been booting for this multiple of its type's boot time no longer counts.
+constexpr double kLateBootFactor = 1.7;
 }  // namespace
 
 void ScalingLoop::decide(bool intervalEnds) {
@@ -18,7 +20,7 @@
                 [&](const auto& entry) { return now - entry.second > kConstrainedMemory; });
   auto demand = demandNow(context_, fleet_, planning_.unplaced());
   wanted_.clear();
-  // Work that finds no room needs the machines that were cordoned.
+  // Tasks that could not be placed may use the machines that were cordoned for consolidation.
   if (!planning_.unplaced().empty()) fleet_.cordoned().clear();
   for (const auto& type : context_.catalogue->types) {
     ScalingInput input = inputFor(type, demand[type.id], intervalEnds);
@@ -32,8 +34,8 @@
   if (!wanted_.empty()) context_.scheduleCycle();
 }
 
-// While machines are lost in masses nothing is given back or emptied: what competes with repair
-// waits.
+// During a mass failure no machine is terminated or consolidated, so that the capacity is available
+// for replacing lost tasks.
 bool ScalingLoop::inMassFailure() const {
   return context_.effectivePolicy && context_.effectivePolicy->massFailure();
 }
@@ -73,8 +75,8 @@
   }
 }
 
-// DESIGN: waiting downstream jobs of a running upstream job add their room. Their upstream's room
-// is free by then.
+// Adds the demand of jobs whose dependencies end within the horizon, less the resources that these
+// dependencies free by then (see DESIGN).
 void ScalingLoop::addProjectedDemand(const MachineType& type, TypeDemand& demand) const {
   if (!upcoming || !ending) return;
   const Duration horizon = type.boot + type.boot / 2;
@@ -97,7 +99,7 @@
     input.constrained.insert(offering);
     if (now - at < kRefusedPause) input.refused.insert(offering);
   }
-  // What is rented into a zone that is cut off can't be reached either.
+  // New machines in an unreachable zone would be unreachable, too.
   for (const auto& zone : fleet_.unreachableZones()) {
     input.refused.insert({type.id, zone, false});
     input.refused.insert({type.id, zone, true});
@@ -123,8 +125,8 @@
   out.offering = {machine.type, machine.zone, machine.spot};
   out.up = machine.hasReported();
   out.age = context_.runtime.now() - machine.rentedAt;
-  // Only what the cloud lists as booting can be late: a new leader has no reports yet of machines
-  // that are up, and would rent them all a second time.
+  // Only a machine that the cloud lists as booting can be late. A new leader has not yet received
+  // heartbeats of running machines; if they counted as late, it would rent all of them again.
   out.late = !out.up && machine.listed == Listed::booting &&
              toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
   out.idle = !record || record->tasks.empty();
@@ -157,7 +159,7 @@
 void ScalingLoop::apply(const ScalingInput& input, const ScalingDecision& decision) {
   std::size_t have = input.machines.size();
   for (const auto& [offering, count] : input.pendingRentals) have += count;
-  const std::size_t limit = context_.settings.maxMachines;  // 0: none
+  const std::size_t limit = context_.settings.maxMachines;  // Zero means that there is no limit.
   for (const auto& rental : decision.rentals) {
     std::uint32_t count = rental.count;
     if (limit > 0) {
--- a/src/cloud/scaling_loop.hpp
+++ b/src/cloud/scaling_loop.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Rents machines by the forecast and gives idle ones back.
+/// Rents machines according to the demand forecast and terminates idle machines.
 #pragma once
 
 #include "cloud/client.hpp"
@@ -11,8 +11,8 @@
 
 class RentalTransaction;
 
-/// A rental is decided anew until it is asked for; it is on record before the cloud is asked for
-/// it, and again with the machines that came of it.
+/// Decides at least once a second which machines to rent. Writes the record of a rental before it
+/// requests the machines from the cloud, and adds the machines to the record after the answer.
 class ScalingLoop : public ControlLoop {
  public:
   ScalingLoop(LeaderContext& context, Fleet& fleet, CommandDispatcher& dispatcher,
@@ -23,22 +23,23 @@
         planning_(planning),
         forecasts_(forecasts) {}
 
-  /// Commits rental records: results, machines that were on no record, and new rentals.
+  /// Commits rental records: the cloud's answers, machines that had no record, and new rentals.
   LoopStep next() override;
   void onTimer() override { startRentals(); }
-  /// Decides what to rent and, when a forecast interval ends, what to give back.
+  /// Decides which machines to rent and, if a forecast interval ends now, which to terminate.
   void decide(bool intervalEnds);
-  /// Decides between the ends of intervals, once a second.
+  /// Calls decide() once a second between the ends of forecast intervals.
   void check();
-  /// Demand that will begin, and that will end, within a time; empty functions if nobody can tell.
+  /// These functions return the demand that begins, or ends, within the given time. They are empty
+  /// if no such estimate is available.
   std::function<std::vector<ProjectedDemand>(Duration)> upcoming, ending;
-  /// What stands between a job without resources and machines that it may use.
+  /// Returns why a job that does not fit on any machine must wait for more machines.
   PendingReason resourcesReason(const JobSpec& spec) const;
-  /// Offerings that were refused, and when last.
+  /// Returns the offerings that the cloud refused, each with the time of its last refusal.
   const std::map<InstanceOffering, Instant>& refused() const { return refused_; }
 
  private:
-  /// Rental records (scaling_loop_rentals.cpp).
+  /// These functions maintain rental records (scaling_loop_rentals.cpp).
   std::vector<RentalId> recordResults(RentalTransaction& transaction);
   void recordAdoptedMachines(RentalTransaction& transaction);
   void adoptMachine(const MachineId& id, bool draining,
@@ -48,7 +49,7 @@
   void startRentals();
   void onRentalAnswered(const RentalRecord& rental, const RentalResult& result);
 
-  /// Decisions (scaling_loop.cpp).
+  /// These functions decide what to rent and what to terminate (scaling_loop.cpp).
   bool inMassFailure() const;
   ScalingInput inputFor(const MachineType& type, const TypeDemand& present, bool intervalEnds);
   void addForecast(const MachineType& type, TypeDemand& demand);
@@ -59,7 +60,7 @@
   void logInterval(const ScalingInput& input, const ScalingDecision& decision) const;
   void consolidateSurplus(const ScalingInput& input, const ScalingDecision& decision);
   void apply(const ScalingInput& input, const ScalingDecision& decision);
-  /// Consolidation (scaling_loop_consolidation.cpp).
+  /// Empties up to `surplus` machines of a type (scaling_loop_consolidation.cpp).
   void consolidateMachines(const TypeId& type, std::size_t surplus);
 
   LeaderContext& context_;
@@ -67,11 +68,11 @@
   CommandDispatcher& dispatcher_;
   PlanningLoop& planning_;
   DemandForecasts& forecasts_;
-  std::map<InstanceOffering, std::uint32_t>
-      wanted_;  ///< machines to be rented, by the last decision
-  std::set<RentalId> asked_;
-  std::map<RentalId, RentalResult> results_;     ///< to be committed
-  std::map<InstanceOffering, Instant> refused_;  ///< when last
+  /// Machines to be rented, according to the last decision.
+  std::map<InstanceOffering, std::uint32_t> wanted_;
+  std::set<RentalId> asked_;                  ///< Rentals that were requested from the cloud.
+  std::map<RentalId, RentalResult> results_;  ///< The cloud's answers that are not committed yet.
+  std::map<InstanceOffering, Instant> refused_;  ///< The time of the last refusal by offering.
   std::uint64_t count_ = 0;
   Instant nextCheck_{};
 };
--- a/src/cloud/scaling_loop_consolidation.cpp
+++ b/src/cloud/scaling_loop_consolidation.cpp
@@ -6,10 +6,10 @@
 
 namespace kestrelhoist {
 
-// Moves the replicas of machines that hold few of them to where their images are, so that whole
-// machines fall idle and can be given back.
+// Cordons machines that hold few service replicas and moves these replicas to machines that have
+// their images. The cordoned machines become idle and can be terminated.
 void ScalingLoop::consolidateMachines(const TypeId& type, std::size_t surplus) {
-  constexpr double kMoveShare = 0.02;  // of all replicas, at one turn
+  constexpr double kMoveShare = 0.02;  // The share of all replicas that one call may move.
   constexpr std::size_t kMoveAtLeast = 4;
   Instant now = context_.runtime.now();
   std::erase_if(fleet_.cordoned(), [&](const MachineId& id) { return !fleet_.find(id); });
--- a/src/cloud/scaling_loop_rentals.cpp
+++ b/src/cloud/scaling_loop_rentals.cpp
@@ -1,5 +1,5 @@
-// The rentals of the scaling loop: each is on record before the cloud is asked for it, and again
-// with the machines that came of it.
+// The rentals of the scaling loop. The record of a rental is written before the machines are
+// requested from the cloud, and the rented machines are added to it after the answer.
 #include <algorithm>
 #include <utility>
 
@@ -34,7 +34,8 @@
  private:
   LeaderContext& context_;
   Transaction transaction_;
-  std::size_t bytes_ = 1024;  // for what is not counted one by one
+  std::size_t bytes_ =
+      1024;  // Includes an allowance for the parts of the records that are not counted.
 };
 
 LoopStep ScalingLoop::next() {
@@ -80,7 +81,8 @@
   return ended;
 }
 
-// Machines that nobody expected go on record before they can be used.
+// Writes rental records for machines that no rental record names, because only recorded machines
+// can be used.
 void ScalingLoop::recordAdoptedMachines(RentalTransaction& transaction) {
   std::map<InstanceOffering, RentalRecord> adopted;
   for (const auto& id : fleet_.unrecorded()) adoptMachine(id, false, adopted);
@@ -94,19 +96,20 @@
     record.count = static_cast<std::uint32_t>(record.machines.size());
     record.atMs = context_.runtime.wallMillis();
     record.answered = true;
-    logInfo("machines adopted", "count", record.count, "zone", offering.zone);
+    logInfo("machines without a rental record adopted", "count", record.count, "zone",
+            offering.zone);
     transaction.write(record.id, toJson(record));
   }
 }
 
 void ScalingLoop::adoptMachine(const MachineId& id, bool draining,
                                std::map<InstanceOffering, RentalRecord>& adopted) const {
-  constexpr std::size_t kMaxAdopted = 50;  // of a kind at a time, for the size of the value
+  constexpr std::size_t kMaxAdopted = 50;  // This limit per offering bounds the size of the value.
   const Machine* machine = fleet_.find(id);
   const auto* known = context_.replica.machine(id);
   if (!machine || machine->type.empty() || (known && !known->rental.empty())) return;
   InstanceOffering offering{machine->type, machine->zone, machine->spot};
-  // While a rental of this kind has no answer on record yet, the machine is likely its own.
+  // While a rental of the same offering has no recorded answer, the machine probably belongs to it.
   for (const auto& [rentalId, rental] : context_.replica.rentals()) {
     if (!rental.answered && InstanceOffering{rental.type, rental.zone, rental.spot} == offering) {
       return;
@@ -117,10 +120,11 @@
   record.machines.push_back({id, draining});
 }
 
-// Writes no more rentals than the cloud takes calls for in a second: what is still wanted later is
-// decided anew until then, so that few calls carry many machines each.
+// Keeps at most as many rentals pending as the cloud accepts calls per second. Later decisions
+// combine the remaining machines into few calls with many machines each.
 std::size_t ScalingLoop::recordNewRentals(RentalTransaction& transaction) {
-  constexpr std::uint32_t kMaxPerCall = 50;  // machines that the cloud rents in one call
+  constexpr std::uint32_t kMaxPerCall =
+      50;  // The cloud rents at most this many machines in one call.
   std::size_t pending = 0;
   for (const auto& [id, rental] : context_.replica.rentals()) {
     if (!rental.answered && !results_.contains(id)) ++pending;
@@ -128,7 +132,8 @@
   const auto limit = static_cast<std::size_t>(std::max(1.0, context_.platform.cloudRequestsPerS));
   std::size_t written = 0;
   while (!wanted_.empty() && pending + written < limit && !transaction.full()) {
-    // Work that needs ordinary machines can use no others; then the most that one call brings.
+    // On-demand machines come first, because firm work can use no others. Among offerings of one
+    // market, the one with the most machines comes first.
     auto next = std::max_element(wanted_.begin(), wanted_.end(), [](const auto& a, const auto& b) {
       if (a.first.spot != b.first.spot) return a.first.spot;
       return a.second < b.second;
@@ -151,7 +156,7 @@
   return written;
 }
 
-// The id is unique for ever: fencing tokens are, and the counter is within one.
+// The id is never used again: fencing tokens are unique, and so is the counter for one token.
 RentalId ScalingLoop::nextRentalId(const std::string& prefix) {
   return RentalId{prefix + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
 }
@@ -171,7 +176,8 @@
   const Instant now = context_.runtime.now();
   const InstanceOffering offering{rental.type, rental.zone, rental.spot};
   if (result.kind == RentalResult::Kind::failed) {
-    // After an error or no answer the same id is asked for again, which rents nothing twice.
+    // After an error or a timeout the request is repeated with the same id. The cloud rents no
+    // machine twice for one id.
     context_.runtime.after(kRetry, context_.whileLeading([this, id = rental.id] {
       asked_.erase(id);
       startRentals();
--- a/src/cloud/termination_loop.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -9,12 +9,12 @@
 namespace {
 constexpr Duration kRetry{1000};
 
-// The rental records that one commit changes: one write for all machines of a rental.
+// Collects the changed rental records of one commit. All machines of a rental share one write.
 class RentalDrafts {
  public:
   explicit RentalDrafts(const LeaderContext& context) : context_(context) {}
 
-  // Null if there is no such record, or no room for one more in the transaction.
+  // Returns the draft of a record. Null if the record does not exist or the transaction is full.
   RentalRecord* find(const RentalId& id) {
     auto rental = context_.replica.rentals().find(id);
     if (rental == context_.replica.rentals().end()) return nullptr;
@@ -37,7 +37,8 @@
   std::map<RentalId, RentalRecord> drafts_;
 };
 
-// Removes terminated machines whose tasks are off the record. Returns those that have no entry now.
+// Removes the entries of terminated machines that have no task on record. Returns the terminated
+// machines that have no entry any more.
 std::vector<MachineId> removeTerminated(const LeaderContext& context,
                                         const std::set<MachineId>& terminated,
                                         RentalDrafts& drafts) {
@@ -56,7 +57,7 @@
   return removed;
 }
 
-// Marks machines as draining, so that they get no more work. Returns how many.
+// Marks machines as draining, so that they get no more tasks. Returns the number of new marks.
 std::size_t markDraining(const LeaderContext& context, const Fleet& fleet,
                          const std::set<MachineId>& terminated, RentalDrafts& drafts) {
   std::size_t marked = 0;
@@ -75,8 +76,8 @@
 
 }  // namespace
 
-// A machine is first marked as draining; after the cloud's 200, and once its tasks are off the
-// record, its entry is removed.
+// A machine is first marked as draining. Its entry is removed once the cloud has confirmed the
+// termination and the machine has no task on record.
 LoopStep TerminationLoop::next() {
   RentalDrafts drafts(context_);
   std::vector<MachineId> removed = removeTerminated(context_, terminated_, drafts);
@@ -99,8 +100,8 @@
       std::to_string(marked) + " machines leaving, " + std::to_string(removed.size()) + " gone"});
 }
 
-// Asks for the release of machines whose mark is on record. The answer 200 is the one fence for
-// silent machines: they and all that was on them are gone.
+// Requests the termination of machines that are recorded as draining. Only the cloud's answer 200
+// proves that an unreachable machine and its tasks have ended.
 void TerminationLoop::start() {
   if (!terminationUnderWay_.empty()) return;
   constexpr std::size_t kMostNames = 100;
@@ -113,14 +114,14 @@
   terminationUnderWay_.insert(batch.begin(), batch.end());
   context_.cloud.release(batch, context_.whileLeading([this, batch](bool ok) {
     if (!ok) {
-      logInfo("release got no 200, asking again", "machines", batch.size());
+      logInfo("machine termination not confirmed; retrying", "machines", batch.size());
       context_.runtime.after(kRetry,
                              context_.whileLeading([this] { terminationUnderWay_.clear(); }));
       return;
     }
     terminationUnderWay_.clear();
     for (const auto& id : batch) {
-      logInfo("machine released", "machine", id);
+      logInfo("machine terminated", "machine", id);
       if (const auto* state = context_.replica.machine(id)) {
         for (const auto& t : state->tasks) outcomes_.note(t, AttemptOutcome::lost);
       }
