--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -11,12 +11,13 @@
 constexpr Duration kTick{100};
 constexpr Duration kStatusExchangeEvery{500};
 constexpr Duration kExpireEvery{30000};
-// Beyond this age, the time when a peer last reached a service counts as unknown.
+// If a peer's last contact to a service is older than this, it is unknown whether the peer can
+// reach the service.
 constexpr Duration kUnknownAfter{10000};
 
 ChangeWatcher::Settings watcherSettings(const Platform& p, Duration staleAfter) {
   ChangeWatcher::Settings s;
-  // Reads of all nodes together take at most about half of the state service's rate.
+  // The reads of all controllers together use at most about half of the state service's rate limit.
   double gapS = static_cast<double>(p.nodes()) / (0.5 * p.stateRequestsPerS);
   s.minGap = std::max(Duration{10}, fromSeconds(gapS));
   s.timeout = kStoreTimeout;
@@ -46,8 +47,8 @@
       cloudProxy_(
           runtime, http, peerMembership_,
           {"cloud", platform.cloudAddress, {"GET", "/machine_types", ""}, 3 * kStoreTimeout},
-          // Only leaders call the cloud, so a follower's age is mostly unknown, and it is worth a
-          // try.
+          // Only leaders call the cloud, so for most followers it is unknown whether they can reach
+          // it. An unknown age counts as zero, so that these peers are tried first.
           [](const PeerStatus& s) {
             return s.cloudAge < kUnknownAfter ? s.cloudAge : Duration{0};
           }),
@@ -156,7 +157,7 @@
   watchLeadership();
 }
 
-// Tracks since when the holder of the leader key, if it is a peer, has been unreachable.
+// Tracks since when the holder of the leader key has been unreachable, if the holder is a peer.
 void Controller::trackUnreachableLeader(Instant now) {
   const auto& keyHolder = replica_.leader();
   if (!keyHolder || keyHolder->member == platform_.member ||
@@ -167,7 +168,7 @@
   }
 }
 
-// Drops the state of workers that have not reported for long.
+// Removes the state of workers that have not sent a heartbeat for a long time.
 void Controller::expireWorkers(Instant now) {
   expiredAt_ = now;
   ackLog_.expire(now);
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,4 +1,5 @@
-/// One controller process: the election, the user API, the workers' heartbeats and the mesh.
+/// \file
+/// One controller: takes part in the election and serves users, workers and peers.
 #pragma once
 
 #include <memory>
@@ -21,25 +22,27 @@
 
 namespace kestrelhoist {
 
-/// Wires the parts of one controller together and dispatches requests to them. Single-threaded: all
-/// calls and callbacks run on the thread of `runtime`. The constructor's arguments must outlive it.
-/// The member functions are implemented in the files named in the private section.
+/// Connects the components of one controller and dispatches requests to them. The class is
+/// single-threaded: all calls and callbacks run on the thread of `runtime`. The constructor's
+/// arguments must outlive the controller. Comments in the private section name the files that
+/// implement the member functions.
 class Controller {
  public:
-  /// @param incarnation Must differ between restarts of a process.
+  /// @param incarnation An identifier that differs after each restart of the process.
   Controller(Runtime& runtime, HttpClient& http, PlanRunner& planner, const Platform& platform,
              const OperatorSettings& settings, const std::string& incarnation);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  /// Starts reading records and taking part in elections.
+  /// Starts to read records and to take part in elections.
   void start();
-  /// Serves users, workers and health checks. `secure` says that the request came over TLS.
+  /// Serves users, workers and health checks.
+  /// @param secure Whether the request arrived over TLS.
   void onApi(const Request& request, const Respond& respond, bool secure = false);
-  /// Serves the other controllers.
+  /// Serves the requests of peers.
   void onMesh(const Request& request, const Respond& respond);
 
-  /// The metrics in the Prometheus text format.
+  /// Returns the metrics in the Prometheus text format. Empty if members are disabled.
   std::string metricsText() { return metrics_ ? metrics_->text() : ""; }
 
   bool leads() const { return leader_ != nullptr; }
@@ -48,7 +51,7 @@
   const MemberVersions& versions() const { return versions_; }
 
  private:
-  /// controller.cpp
+  /// The next functions are implemented in controller.cpp.
   void enableMembers(const std::string& incarnation);
   void onTimer();
   void trackUnreachableLeader(Instant now);
@@ -56,62 +59,68 @@
   void countRepeat(const char* what);
   void onRecordsChanged();
 
-  /// controller_leadership.cpp
+  /// The next functions are implemented in controller_leadership.cpp.
   void runElection();
   bool defersCandidacy(const Election::View& view);
-  /// How long the candidacy is deferred in favour of controllers that receive heartbeats.
+  /// Returns how long the candidacy is deferred in favour of controllers that receive heartbeats.
   Duration candidacyDelay() const;
   void claimLeadership();
   void renewLeadership();
   void beginLeadership();
   void startLeader();
-  /// Asks peers for the acknowledgement times of workers that this new leader has not heard from.
+  /// Requests from all peers the times at which they last acknowledged each worker's heartbeat.
   void requestAckTimesFromPeers();
-  /// Asks peers for what they know of workers' leases.
+  /// Requests from all peers the workers' leases that they have recorded.
   void requestLeasesFromPeers();
   void stepDown(const std::string& why, bool dropLease, Duration backOff);
   void watchLeadership();
   void watchWorkers();
-  /// Until when worker leases may be renewed; empty if not at all. Checked for every 200 to a
-  /// worker.
+  /// Returns until when workers' leases may be renewed. Empty if they must not be renewed. This is
+  /// checked before each heartbeat is acknowledged.
   std::optional<Instant> renewUntil() const;
   bool mayRenew() const;
-  /// How many machines have reported to this leader.
+  /// Returns how many machines have reported to this leader.
   std::size_t reportingMachines() const;
 
-  /// controller_user_api.cpp
+  /// The next functions are implemented in controller_user_api.cpp.
   void onUserRequest(const std::string& path, const Request& request, const Respond& respond,
                      bool secure);
   bool isUserPath(const std::string& path) const;
   void forwardToPeer(const MemberId& peer, const Request& request, const Respond& respond);
-  /// Answers a user's request from this node's own records; false if the path is not a user path.
+  /// Answers a user's request from this controller's own records. Returns false if the path does
+  /// not belong to the user API.
+  /// @param hold Whether the request may be held until a watched record changes.
   bool answerUser(const Request& request, const Respond& respond, bool hold);
-  /// Wraps a response callback so that it adds the leader's explanation of why tasks wait.
+  /// Returns a callback that adds the leader's pending reasons to the answer for a job.
   Respond withReasons(const Respond& respond);
   Response ready();
 
-  /// controller_heartbeats.cpp
+  /// The next functions are implemented in controller_heartbeats.cpp.
   void onHeartbeat(const Request& request, const Respond& respond);
   Instant noteHeartbeat(const Report& report);
   void noteAcknowledged(const MachineId& machine, const ZoneId& zone, Instant receivedAt);
   HeartbeatView heartbeatView(const Report& report) const;
   void addUnreachableLeader(const Report& report, HeartbeatView& v) const;
   RedirectCandidate redirectCandidate(const Report& report) const;
-  /// Answers as the leader. `via` is the peer that forwarded the heartbeat.
+  /// Answers a heartbeat as the leader.
+  /// @param via The peer that forwarded the heartbeat. Empty if the worker sent it to this
+  /// controller.
   Response serveReport(const Report& report, const std::optional<MemberId>& via);
   Response answerUnforwarded(const Report& report);
   Response answerLocally(const Report& report, const Route& route);
   Response leaseOnlyResponse(const Report& report) const;
   Response redirect(const Report& report, const std::optional<MemberId>& to);
 
-  /// controller_peer_api.cpp
+  /// The next functions are implemented in controller_peer_api.cpp.
   bool onMeshService(const Request& request, const Respond& respond);
   PeerStatus status() const;
-  /// PeerMembership::mayBeAlive() as a function of the peer.
+  /// Returns a function that calls PeerMembership::mayBeAlive() for a peer.
   std::function<bool(const MemberId&)> peerMayBeAlive() const;
-  /// Per zone, an instant after which no controller acknowledged a heartbeat; see ZoneAckLog.
+  /// Returns for each zone a time after which no controller has acknowledged a heartbeat of the
+  /// zone's workers; see ZoneAckLog.
   std::map<ZoneId, Instant> zoneAckBounds() const;
-  /// The median time of day of this controller and its peers, in milliseconds since 1970.
+  /// Returns the median wall clock time of this controller and its peers, in milliseconds since
+  /// 1970.
   std::int64_t timeOfDay() const;
 
   Runtime& runtime_;
@@ -139,19 +148,19 @@
   JobService jobs_;
   FlowService flows_;
   PolicyService policy_;
-  std::unique_ptr<Metrics> metrics_;        ///< null if members are disabled
-  std::unique_ptr<MemberService> members_;  ///< null if members are disabled
+  std::unique_ptr<Metrics> metrics_;        ///< Null if members are disabled.
+  std::unique_ptr<MemberService> members_;  ///< Null if members are disabled.
   Instant lastTimer_{};
   Instant expiredAt_{};
   Election election_;
   std::unique_ptr<Leader> leader_;
   bool beginningLeadership_ = false;
-  FencingToken lastToken_;       ///< of the newest known leader
-  Instant lastWorker_{};         ///< last heartbeat from any worker
-  Instant lastForeignWorker_{};  ///< last heartbeat from a worker of another zone
-  Instant lastPeer_{};           ///< last time that any peer was reachable
+  FencingToken lastToken_;       ///< The token of the newest known leader.
+  Instant lastWorker_{};         ///< The time of the last heartbeat.
+  Instant lastForeignWorker_{};  ///< The time of the last heartbeat from a worker of another zone.
+  Instant lastPeer_{};           ///< The last time at which a peer was reachable.
   RedirectCanary canary_;
-  std::map<MachineId, Instant> redirectedAt_;  ///< when each worker was last redirected
+  std::map<MachineId, Instant> redirectedAt_;  ///< The time of the last redirect of each worker.
   std::optional<Instant> leaderUnreachableSince_;
   Instant started_{};
   std::optional<Instant> leaderMissingSince_;
--- a/src/app/controller_constants.hpp
+++ b/src/app/controller_constants.hpp
@@ -1,23 +1,29 @@
-/// Time constants that several parts of a controller share.
+/// \file
+/// Constants that several files of the controller share.
 #pragma once
 
 #include "base/types.hpp"
 
 namespace kestrelhoist {
 
-/// How often the records are read.
+/// A follower reads changes of the records at this interval.
 inline constexpr Duration kFollowerRead{500};
+/// The leader reads changes of the records at this interval.
 inline constexpr Duration kLeaderRead{250};
+/// A request to the state service fails after this time.
 inline constexpr Duration kStoreTimeout{1000};
-inline constexpr Duration kStoreSilent{
-    2000};  // without contact for so long, the service counts as unreachable
-/// Of the leader's lease.
+/// The state service counts as unreachable after this time without contact.
+inline constexpr Duration kStoreSilent{2000};
+/// The leader's lease expires this long after its last renewal.
 inline constexpr Duration kLeaseLife{3000};
+/// The leader renews its lease at this interval.
 inline constexpr Duration kLeaseRenew{700};
-inline constexpr Duration kPeerPresence{2000};    ///< a peer with a status this recent is reachable
-inline constexpr Duration kForwardTimeout{1800};  ///< of requests forwarded to a peer
+/// A peer counts as reachable if its last status is not older than this.
+inline constexpr Duration kPeerPresence{2000};
+/// A request that was forwarded to a peer fails after this time.
+inline constexpr Duration kForwardTimeout{1800};
 
-/// Path at which a controller tells a new leader what it knows of workers' leases.
+/// A new leader requests the workers' leases that a peer has recorded at this path.
 inline constexpr const char* kLeasesPath = "/mesh/leases";
 
 }  // namespace kestrelhoist
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -1,4 +1,4 @@
-// Workers' heartbeats: accepts them and carries out the route that routeHeartbeat() chooses.
+// Receives workers' heartbeats and carries out the route that routeHeartbeat() chooses.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -8,9 +8,10 @@
 namespace kestrelhoist {
 namespace {
 
-// Without contact to the state service for so long, this controller answers in place of the leader.
+// After this time without contact to the state service, this controller answers heartbeats in place
+// of the leader.
 constexpr Duration kAnswersLocallyAfter{1500};
-// When the leader has not answered forwarded heartbeats for so long, it may not receive them.
+// After this time without an answer to forwarded heartbeats, the leader may not receive them.
 constexpr Duration kForwardingDegradedAfter{3000};
 
 }  // namespace
@@ -47,11 +48,12 @@
 void Controller::noteAcknowledged(const MachineId& machine, const ZoneId& zone,
                                   Instant receivedAt) {
   ackLog_.record(machine, receivedAt);
-  // Peers would take the zone for silent if this controller ended before its next status.
+  // Announces the acknowledgement at once. If this controller ended before its next status
+  // exchange, peers would assume that the zone's workers had not been answered.
   if (zoneAcks_.onAcknowledged(zone, receivedAt)) peerMembership_.announceStatus();
 }
 
-// Answers a heartbeat whose forwarding failed, as if there were no reachable leader.
+// Answers a heartbeat whose forwarding failed in the same way as when no leader is reachable.
 Response Controller::answerUnforwarded(const Report& report) {
   HeartbeatView v = heartbeatView(report);
   if (v.leads) return serveReport(report, std::nullopt);
@@ -59,7 +61,7 @@
   return answerLocally(report, routeHeartbeat(v));
 }
 
-// Answers without the leader.
+// Answers a heartbeat without involving the leader.
 Response Controller::answerLocally(const Report& report, const Route& route) {
   if (route.action == RouteAction::leaseOnly) return leaseOnlyResponse(report);
   return redirect(report, route.to);
@@ -93,7 +95,7 @@
   return v;
 }
 
-// Adds to the view a holder of the leader key that is unreachable from here.
+// Adds the holder of the leader key to the view if this controller cannot reach it.
 void Controller::addUnreachableLeader(const Report& report, HeartbeatView& v) const {
   const auto& keyHolder = replica_.leader();
   if (v.contactAge >= kAnswersLocallyAfter || !keyHolder || keyHolder->member == platform_.member ||
@@ -102,8 +104,9 @@
   }
   v.unreachableLeader = keyHolder->member;
   v.leaderUnreachableFor = v.now - *leaderUnreachableSince_;
-  // A worker that has just come from a failover cycle has spent most of its lease, so it is
-  // answered here first (16 of 24 replicas were left when it was redirected again at once).
+  // A worker that has just tried several controllers has little of its lease left. It is answered
+  // here before it may be redirected: when workers were redirected at once, only 16 of 24 replicas
+  // kept running.
   const RedirectCandidate worker = redirectCandidate(report);
   bool fresh =
       worker.sinceAcknowledged &&
@@ -121,10 +124,10 @@
   return worker;
 }
 
-// A worker keeps its lease while no leader can be asked, under the token that it and this
-// controller know. Nothing is launched or cleared, and nothing is proven by it. Tasks of jobs that
-// are known to be over are stopped, those included that it may still be told to launch: whoever
-// keeps leases up must not keep up what was cancelled.
+// Renews the worker's lease while no leader is reachable, under the newest token known to this
+// controller. The answer launches and clears no task. It stops tasks of jobs that have ended, also
+// tasks that the worker may yet receive a launch command for, so that the renewed lease does not
+// keep cancelled tasks running.
 Response Controller::leaseOnlyResponse(const Report& report) const {
   auto end = [this](const JobId& id) {
     const auto* job = replica_.job(id);
@@ -151,7 +154,8 @@
   auto reject = [] { return jsonResponse(421, Json::object()); };
   if (!leader_ || !election_.leads()) return reject();
   if (!mayRenew()) {
-    // A node that hung finds reports waiting before its timers: the bound holds for each answer.
+    // After a pause of the process, queued heartbeats are handled before its timers run. The check
+    // is therefore repeated for each answer.
     stepDown("no contact with the state service for too long", false, Duration{1000});
     return reject();
   }
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -1,5 +1,5 @@
-// The election and the lifecycle of leadership: becoming leader, checking whether to continue, and
-// stepping down.
+// The election and the lifecycle of leadership: a controller becomes leader, checks whether it may
+// remain leader, and steps down.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -11,9 +11,9 @@
 namespace kestrelhoist {
 namespace {
 
-// Several machines do not stop reporting at the same moment unless the network path to them is cut.
-// There is then no need to wait until they report elsewhere, which costs each worker part of its
-// lease.
+// If at least this many machines stop reporting at the same time, the network path to them is cut.
+// The leader then steps down without waiting until they report to another controller, because each
+// worker's lease runs down during the wait.
 constexpr std::size_t kSeveralMachines = 3;
 constexpr HedgeTimes kLeasesRequest{Duration{300}, Duration{2000}};
 
@@ -36,7 +36,7 @@
   if (election_.leads() && !leader_) beginLeadership();
 }
 
-// Candidates that receive heartbeats stand first; the others follow a little later.
+// Returns whether to wait, so that a candidate that receives heartbeats can be elected first.
 bool Controller::defersCandidacy(const Election::View& view) {
   if (election_.leads() || !view.fresh || view.leader) {
     leaderMissingSince_.reset();
@@ -47,17 +47,18 @@
   return now - *leaderMissingSince_ < candidacyDelay();
 }
 
-// A controller that used to receive heartbeats and no longer does is cut off from the workers. As
-// leader it would take all of them for dead (203 healthy machines were released within a second),
-// so it leaves the others time to read that the leadership is free. A controller that has just
-// started does not know yet whether it is cut off.
+// A controller that no longer receives heartbeats is cut off from the workers. As leader it would
+// treat all of them as dead (once, 203 healthy machines were terminated within a second), so it
+// gives its peers time to read that there is no leader. A controller that has just started does not
+// know yet whether it is cut off and waits for a shorter time.
 Duration Controller::candidacyDelay() const {
   Duration sinceHeartbeat = runtime_.now() - lastWorker_;
   if (sinceHeartbeat < heartbeatDueAfter(platform_.reportEvery)) return Duration{0};
   return lastWorker_ < started_ ? Duration{400} : Duration{1500};
 }
 
-// Grants the lease first, then writes the key with it on the condition that nobody holds the key.
+// Requests the leader's lease first. Then writes the leader key with this lease, on the condition
+// that no controller holds the key.
 void Controller::claimLeadership() {
   store_.grantLease(kLeaseLife, kStoreTimeout, [this](std::optional<LeaseId> lease) {
     election_.onGranted(lease);
@@ -85,7 +86,7 @@
   });
 }
 
-// Acts only once everything up to the election has been read.
+// Starts the leader only after a linearizable read that includes the record of its election.
 void Controller::beginLeadership() {
   if (beginningLeadership_ || leader_ || !election_.leads()) return;
   beginningLeadership_ = true;
@@ -131,9 +132,9 @@
   requestLeasesFromPeers();
 }
 
-// For a worker that no controller answers any more, the last acknowledgement tells how long it has
-// been unreachable. Without it a new leader would count from its own election, and the worker's
-// tasks would be long over before they are rescheduled.
+// The last acknowledgement of a worker's heartbeat shows since when the worker has been
+// unreachable. Without it a new leader would count from its own election, and it would reschedule
+// the worker's tasks long after they have ended.
 void Controller::requestAckTimesFromPeers() {
   for (const auto& peer : platform_.peers) {
     peerMembership_.send(
@@ -149,7 +150,8 @@
   }
 }
 
-// The previous version answers 404: then only the acknowledgement times tell of leases.
+// Peers of the previous version answer 404. The leader then estimates the leases from the
+// acknowledgement times alone.
 void Controller::requestLeasesFromPeers() {
   using Answer = std::optional<Response>;
   for (const auto& peer : platform_.peers) {
@@ -177,7 +179,7 @@
   if (dropLease && lease) store_.dropLease(*lease);
   election_.stepDown(runtime_.now() + backOff);
   watcher_.setInterval(kFollowerRead);
-  // Not from within one of its own calls.
+  // The leader is destroyed later, because this function may run within a call of the leader.
   if (leader_) {
     std::shared_ptr<Leader> old(std::move(leader_));
     runtime_.after(Duration{0}, [old] {});
@@ -201,8 +203,8 @@
   if (leader_) watchWorkers();
 }
 
-// Steps down when no worker reports although there are some: this controller is cut off from them,
-// or all have ended.
+// Steps down if workers should report but none does, because this controller may be cut off from
+// them.
 void Controller::watchWorkers() {
   std::size_t reporting = reportingMachines();
   bool expectsHeartbeats =
@@ -211,16 +213,17 @@
   Duration sinceHeartbeat =
       runtime_.now() - std::max(lastWorker_, leader_->fleet().lastReportOfAny());
   Duration timeout = platform_.reportEvery * 3 / 2 + Duration{2000};
-  // After a failover workers first give up on the old leader (4 s) and try nodes in turn (1 s
-  // each). A new leader that resigned meanwhile, because they were heard elsewhere in passing,
-  // would cost all of them their leases.
+  // After a failover each worker waits 4 s for the old leader and then tries the controllers one
+  // after another, 1 s each. Heartbeats that reach other controllers meanwhile must not make the
+  // new leader step down, because all workers' leases would expire.
   if (reporting == 0) timeout += Duration{6000};
   if (!expectsHeartbeats || sinceHeartbeat < timeout) return;
   bool anyPeer = platform_.peers.empty() || peerMembership_.anyReachable(kPeerPresence);
   bool peersReceiveHeartbeats = false;
   for (const auto& peer : platform_.peers) {
     const auto* s = peerMembership_.recentStatus(peer.member, kPeerPresence);
-    // A peer that receives heartbeats forwards them to here; another leader would receive no more.
+    // This peer forwards the heartbeats that it receives to this leader. A different leader would
+    // receive no more heartbeats than this one.
     if (s && s->supportsForwarding && sinceHeartbeat < timeout + platform_.workerLease / 2) return;
     peersReceiveHeartbeats = peersReceiveHeartbeats || (s && s->workersAge < sinceHeartbeat);
   }
@@ -232,9 +235,10 @@
 std::optional<Instant> Controller::renewUntil() const {
   if (!watcher_.loaded()) return std::nullopt;
   Instant asOf = watcher_.snapshotTime();
-  // Running work need not end when nobody can have told of a cancellation that is not known here.
-  // Own commits that were not read back yet may hide placements, and a flow's are not effective
-  // yet.
+  // While the state service is unreachable, leases may still be renewed up to the time for which
+  // the peers' answers rule out a cancellation that this controller has not read. This does not
+  // hold while a cancellation committed here has not been read back, because placements may be
+  // missing from the replica, or while the cancellation of a flow is incomplete.
   if (auto barrier = cancellationBarrier_.snapshotTime();
       barrier && *barrier > asOf && watcher_.contactAge() > kStoreSilent &&
       replica_.newestCancellation() <= replica_.cursor() && !replica_.flowCancellationUnderWay()) {
--- a/src/app/controller_peer_api.cpp
+++ b/src/app/controller_peer_api.cpp
@@ -1,4 +1,4 @@
-// The mesh API between controllers: status exchange, forwarded requests and proxying.
+// The API between controllers: exchanges statuses, serves forwarded requests and proxies requests.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -17,7 +17,7 @@
   if (policy_.handle(request, respond) || onMeshService(request, respond)) return;
   const std::string user = "/mesh/user";
   if (path.starts_with(user + "/")) {
-    // Answered from this node's own reads; never passed on again.
+    // The request is answered from this controller's own records and never forwarded again.
     Request inner = request;
     inner.path = request.path.substr(user.size());
     if (answerUser(inner, respond, false)) return;
@@ -25,7 +25,7 @@
   respond(jsonResponse(404, {{"error", "no such path"}}));
 }
 
-// Serves peers whose own links fail.
+// Serves requests from peers whose own connections fail, and the requests of a new leader.
 bool Controller::onMeshService(const Request& request, const Respond& respond) {
   auto below = [&](const std::string& prefix) -> std::optional<Request> {
     if (!request.path.starts_with(prefix + "/")) return std::nullopt;
@@ -74,7 +74,8 @@
   s.token =
       std::max(election_.leads() ? election_.token() : FencingToken{}, replica_.leaderToken());
   s.leading = leader_ != nullptr;
-  // By its own links: what peers reach for it is not for others to build on.
+  // Only direct connections count, because peers must not rely on a service that this controller
+  // reaches through another peer.
   auto ageOf = [now = runtime_.now()](const LinkHealth& link) {
     if (!link.lastGood()) return Duration{3600000};
     return std::clamp(now - *link.lastGood(), Duration{0}, Duration{3600000});
@@ -101,8 +102,8 @@
   return zoneAcks_.bounds(runtime_.now(), peerMayBeAlive());
 }
 
-// The middle of what this controller's clock and its peers' say: one whose clock steps by minutes
-// neither opens a period nor closes one.
+// The median prevents a single clock that jumps by minutes from opening or closing a calendar
+// period.
 std::int64_t Controller::timeOfDay() const {
   std::vector<std::int64_t> clocks{runtime_.wallMillis()};
   for (const auto& peer : platform_.peers) {
--- a/src/app/controller_user_api.cpp
+++ b/src/app/controller_user_api.cpp
@@ -1,4 +1,4 @@
-// The user-facing API, including the health check.
+// The API for users, workers and health checks.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -79,8 +79,9 @@
 
 Response Controller::ready() {
   bool serves = watcher_.loaded() && jobs_.catalogue();
-  // A common outage must not take all nodes out of the balancer; a node that alone lost the
-  // state service passes requests on to its peers; one that hears nobody steps out.
+  // A controller that has lost the state service stays ready while it reaches a peer: it can
+  // forward requests, and an outage of the state service must not remove all controllers from the
+  // load balancer. It is not ready if it reaches no peer either.
   if (serves && !watcher_.reachable() && watcher_.contactAge() > kStoreSilent) {
     serves = peerMembership_.anyReachable(kPeerPresence);
   }
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -11,17 +11,17 @@
 namespace {
 constexpr Duration kTick{250};
 constexpr std::int64_t kTimersPerFailureDetection = 2;
-constexpr double kLeaderWriteShare = 0.7;  // the rest is for users' requests
+constexpr double kLeaderWriteShare = 0.7;  // The rest is reserved for users' requests.
 constexpr Duration kCommitTimeout{1500};
 constexpr Duration kRetry{200};
 constexpr Duration kRejectedRetry{1000};
-// Workers count as reachable when something sent within this time reached one.
+// Workers count as reachable if a request sent within this time has reached one of them.
 constexpr Duration kWorkersReachableWithin{3000};
-// Fields of the forecast record in which the previous leader left its suspicions.
+// These fields of the forecast record hold the suspected zones and the suspect jobs.
 constexpr const char* kSuspectedZonesField = "silent";
 constexpr const char* kSuspectedJobsField = "suspect";
 
-// Whether the worker's next report will differ by what these commands do.
+// Returns whether the commands change which tasks the worker's next report lists.
 bool changesTasks(const std::vector<WorkerCommand>& commands) {
   return std::any_of(commands.begin(), commands.end(), [](const WorkerCommand& command) {
     return command.operation != WorkerCommand::Operation::clear;
@@ -110,7 +110,7 @@
   if (!zones) return;
   for (const auto& [zone, since] : zones->items()) {
     if (!since.is_number_integer()) continue;
-    // The time of day is only approximate; it decides merely when releases are requested.
+    // The wall clock may be inaccurate, but this time only affects when terminations are requested.
     Duration ago{
         std::max<std::int64_t>(0, context_.runtime.wallMillis() - since.get<std::int64_t>())};
     fleet_.restoreSuspectedZone(ZoneId{zone}, context_.electedAt - ago);
@@ -166,7 +166,8 @@
   }));
 }
 
-// The control loops take turns, so that a busy one cannot starve the others.
+// Each cycle starts with the loop after the one that acted last, so that a busy loop cannot starve
+// the others.
 void Leader::cycle() {
   if (stepUnderWay_ || deposed() || !context_.watcher.reachable()) return;
   for (std::size_t i = 0; i < loops_.size(); ++i) {
@@ -180,9 +181,9 @@
   }
 }
 
-// One read can bring both the election of another leader and what that leader has written since. A
-// leader that was cut off must not take those records for its own (flow-faults 1 and 12: a job
-// created by the new leader had inputs that were not done in the old leader's view).
+// One read can return both the election of another leader and the records that it has written
+// since. The old leader must not act on those records as if they were its own: in flow-faults 1 and
+// 12 a job created by the new leader had inputs that were not done in the old leader's view.
 bool Leader::deposed() const { return context_.replica.leaderToken() != context_.token; }
 
 void Leader::notifyLoops(bool changedByOthers) {
@@ -202,8 +203,8 @@
   }
 }
 
-// Sends the same transaction until its outcome is known. Each one writes a key that it conditions
-// on, so of several sends at most one is applied, and after a 200 or 409 none can be applied later.
+// Repeats the transaction until its outcome is known. The transaction writes a key that it also
+// compares, so it is applied at most once, and it cannot be applied after an answer of 200 or 409.
 void Leader::send(const SentCommitPtr& sent) {
   if (sent->settled) return;
   const Transaction& transaction = sent->commit.transaction;
@@ -219,18 +220,18 @@
     case CommitOutcome::applied:
       return onCommitApplied(sent, result.revision);
     case CommitOutcome::conflict:
-      logInfo("commit in conflict, reading again", "what", sent->commit.what);
+      logInfo("commit conflicted; reading the records again", "what", sent->commit.what);
       return rereadRecords(sent);
     case CommitOutcome::rejected:
     case CommitOutcome::noLease:
       logError("commit rejected", "what", sent->commit.what);
-      // The limits may have fallen since; an earlier send may have been applied before that.
+      // An earlier send may have been applied before the state service lowered its limits.
       context_.runtime.after(kRejectedRetry,
                              context_.whileLeading([this, sent] { rereadRecords(sent); }));
       return;
     case CommitOutcome::refused:
     case CommitOutcome::unknown:
-      logDebug("commit without result, sending again", "refused",
+      logDebug("commit outcome unknown; sending it again", "refused",
                result.outcome == CommitOutcome::refused, "what", sent->commit.what);
       context_.runtime.after(kRetry, context_.whileLeading([this, sent] { send(sent); }));
       return;
@@ -248,7 +249,8 @@
 void Leader::onCommitApplied(const SentCommitPtr& sent, Revision revision) {
   sent->settled = true;
   const Commit& commit = sent->commit;
-  // What the change feed has brought already may have been changed again since.
+  // Skips changes that the change feed has already delivered, because their records may have
+  // changed again since.
   if (revision > context_.replica.cursor()) {
     for (const auto& write : commit.transaction.writes) {
       context_.replica.apply({write.key, write.value, revision});
@@ -262,8 +264,8 @@
   scheduleCycle();
 }
 
-// Reads what a failed commit did not know of, and ends its step. The read may show that an earlier
-// send of it was applied.
+// Reads the changes that made a commit fail and ends the step of the commit. The read may show that
+// an earlier send of the commit was applied.
 void Leader::rereadRecords(const SentCommitPtr& sent) {
   if (sent->settled) return;
   context_.watcher.linearizableRead(context_.whileLeading([this, sent](bool) {
@@ -275,15 +277,16 @@
   }));
 }
 
-Response Leader::onReport(const Report& report, const MemberId& receivedBy, bool sure) {
+Response Leader::onReport(const Report& report, const MemberId& receivedBy, bool mayLaunch) {
   if (fleet_.isReleased(report.machine)) {
-    // The machine has certainly been released; this heartbeat was delayed in the network.
+    // The cloud has confirmed the termination of the machine, so the network delayed this
+    // heartbeat.
     return jsonResponse(503, {{"error", "released"}});
   }
   Instant now = context_.runtime.now();
   const Machine* before = fleet_.find(report.machine);
   bool wasUsable = before && fleet_.usable(*before, now);
-  auto commands = fleet_.onReport(report, receivedBy, now, sure);
+  auto commands = fleet_.onReport(report, receivedBy, now, mayLaunch);
   Machine& m = *fleet_.find(report.machine);
   if (!wasUsable && fleet_.usable(m, now)) {
     context_.planInvalidated = true;
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -1,4 +1,5 @@
-/// The leader's work: schedules the control loops and commits their transactions.
+/// \file
+/// The work of the leader: runs the control loops and commits their transactions.
 #pragma once
 
 #include "cloud/forecast_loop.hpp"
@@ -11,32 +12,36 @@
 
 namespace kestrelhoist {
 
-/// Runs the control loops in turn and commits one transaction at a time; each loop makes its own
-/// decisions. An instance lives from the election to the step-down. Single-threaded.
+/// Runs the control loops one after another and commits one transaction at a time. Each loop makes
+/// its own decisions. An instance exists from the election until the leader steps down. The class
+/// is single-threaded.
 class Leader {
  public:
-  /// @param mayHaveActingLeader Whether a controller in the zone may be answering its workers while
-  ///        it is unreachable from here.
+  /// @param mayHaveActingLeader Returns whether an unreachable controller in the zone may be
+  ///        answering the heartbeats of the zone's workers.
   Leader(const LeaderContext& context, PlanRunner& planner, PolicyReplica& policy,
          std::function<bool(const ZoneId&)> mayHaveActingLeader);
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  /// Answers a worker's heartbeat that `receivedBy` received. `sure` says that the state service
-  /// was reached a moment ago.
-  Response onReport(const Report& report, const MemberId& receivedBy, bool sure);
-  /// The replica has taken in these changes from the change feed. They may show that the commit
-  /// under way was applied although its answer is lost.
+  /// Answers the heartbeat of a worker.
+  /// @param receivedBy The controller to which the worker sent the heartbeat.
+  /// @param mayLaunch Whether the state service was reached recently, so that this controller is
+  ///        sure to be the leader and may launch tasks.
+  Response onReport(const Report& report, const MemberId& receivedBy, bool mayLaunch);
+  /// Handles changes that the replica has applied from the change feed. They may show that the
+  /// current commit was applied although its answer was lost.
   void onChangesApplied(const std::vector<Change>& changes);
-  /// The same, once those who waited for the read were called.
+  /// Handles changes of the replica's records after all callbacks that waited for the read have
+  /// run.
   void onRecordsChanged();
-  /// Explains why tasks of the job wait; see explainPending().
+  /// Returns the reasons why tasks of the job wait; see explainPending().
   Json why(const JobId& job);
   FencingToken token() const { return context_.token; }
   Fleet& fleet() { return fleet_; }
 
  private:
-  /// A commit that was sent, until its outcome is known.
+  /// A commit whose outcome is unknown until `settled` is true.
   struct SentCommit {
     Commit commit;
     bool settled = false;
@@ -44,13 +49,15 @@
   using SentCommitPtr = std::shared_ptr<SentCommit>;
 
   void connectLoops();
-  /// Reads what the previous leader stored with the forecast.
+  /// Restores the suspected zones that the previous leader stored in the forecast record.
   void restoreSuspectedZones(const Json& forecast);
+  /// Restores the suspect jobs that the previous leader stored in the forecast record.
   void restoreFailureAttribution(const Json& forecast);
   void detectFailures(Instant now);
   void onTimer();
   void scheduleCycle();
   void cycle();
+  /// Returns whether the replica shows that this leadership has ended.
   bool deposed() const;
   void notifyLoops(bool changedByOthers);
   void commit(Commit commit);
@@ -78,12 +85,12 @@
   ForecastLoop forecast_;
   FlowLoop flows_;
   PolicyLoop policy_;
-  std::vector<ControlLoop*> loops_;  ///< in the order in which they take turns
+  std::vector<ControlLoop*> loops_;  ///< All loops, in the order in which they run.
   RateBudget writes_;
-  SentCommitPtr sent_;         ///< the newest commit; null before the first
-  bool stepUnderWay_ = false;  ///< a commit or an asynchronous step is under way
+  SentCommitPtr sent_;         ///< The newest commit. Null before the first one.
+  bool stepUnderWay_ = false;  ///< Whether a commit or an asynchronous step is in progress.
   bool cycleScheduled_ = false;
-  std::size_t nextLoop_ = 0;  ///< index of the loop that comes first in the next cycle
+  std::size_t nextLoop_ = 0;  ///< The index of the loop that runs first in the next cycle.
   std::int64_t timerCount_ = 0;
 };
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// kestrelhoist: a controller of a cluster scheduler.
+// The main program of kestrelhoist, which runs one controller of a cluster scheduler.
 #include <malloc.h>
 
 #include <CLI/CLI.hpp>
@@ -42,7 +42,8 @@
                         logFormat == "json" ? kh::LogFormat::json : kh::LogFormat::text)) {
     kh::logInfo("LOG_LEVEL is not one of error, info, debug: using info");
   }
-  // One arena for both threads, and freed memory goes back: the smallest machine has 40 MB.
+  // Both threads share one arena, and freed memory is returned to the system, because the smallest
+  // machine has only 40 MB.
   mallopt(M_ARENA_MAX, 1);
   mallopt(M_TRIM_THRESHOLD, 256 * 1024);
 
--- a/src/app/pending_explanation.cpp
+++ b/src/app/pending_explanation.cpp
@@ -11,7 +11,7 @@
   if (tasks > 0) reasons.push_back({{"why", why}, {"tasks", tasks}});
 }
 
-// Counts the tasks that are placed on a machine but have not started there, by reason.
+// Counts by pending reason the tasks that are placed on a machine but do not run there yet.
 TaskCounts countPlacedButNotRunning(const JobState& job, const JobId& id, Fleet& fleet,
                                     Instant now) {
   TaskCounts counts;
@@ -32,7 +32,7 @@
   return counts;
 }
 
-// Why the tasks that are not placed wait.
+// Returns the pending reasons of the tasks that are not placed on a machine.
 Json reasonsOfUnplaced(const LeaderContext& context, const PendingReasons& pendingReasons,
                        const JobState& job, const JobId& id) {
   Json reasons = Json::array();
--- a/src/app/pending_explanation.hpp
+++ b/src/app/pending_explanation.hpp
@@ -1,3 +1,4 @@
+/// \file
 /// Explains to operators why tasks of a job are not running yet.
 #pragma once
 
@@ -7,9 +8,10 @@
 
 namespace kestrelhoist {
 
-/// Returns the explanation that `kestrelhoist-admin why` shows: the leader, for how many seconds it
-/// has led, why how many tasks of the job wait, its unfinished dependencies, and the slack up to
-/// its latest end if dependent jobs set one.
+/// Returns the explanation that `kestrelhoist-admin why` shows. It names the leader and for how
+/// many seconds it has led, the number of waiting tasks for each pending reason, and the job's
+/// unfinished dependencies. If dependent jobs limit the end of this job, it also contains the
+/// remaining slack.
 Json explainPending(const LeaderContext& context, Fleet& fleet,
                     const PendingReasons& pendingReasons, const JobId& id);
 
--- a/src/app/servers.cpp
+++ b/src/app/servers.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 constexpr Duration kCertificatesEvery{2000};
-// A request has this long to arrive; users give up after 5 s.
+// A request must arrive completely within this time. Users' clients time out after 5 s.
 constexpr Duration kSlowest{8000};
 constexpr Duration kIdle{60000};
 // The share of all sockets that members' connections may use.
 constexpr double kUsersShare = 0.8;
-// The share of all sockets above which connections are closed after their responses, and our own
-// idle connections are closed, too.
+// Above this share of open sockets, the server closes each connection after its response, and the
+// controller closes its own idle client connections.
 constexpr double kCrowded = 0.75;
 constexpr Duration kCrowdedFor{1000};
 
-// Replaces "{member}" by this controller's name.
+// Replaces "{member}" in a path with the name of this controller.
 std::string expandMember(std::string path, const MemberId& member) {
   const std::string mark = "{member}";
   for (auto at = path.find(mark); at != std::string::npos; at = path.find(mark)) {
@@ -28,7 +28,7 @@
   return path;
 }
 
-// Returns the address whose port is `offset` above that of `address`.
+// Returns the address with its port increased by `offset`.
 std::string addressAbove(const std::string& address, int offset) {
   auto parts = splitAddress(address);
   if (!parts || parts->second + offset > 65535) {
@@ -67,7 +67,7 @@
 }
 
 void Servers::serveApi(ServerLimits limits) {
-  // Workers connect here, too; the socket limit bounds members only.
+  // Workers connect to this server, too, and the socket limit must apply to members only.
   limits.highestSocket = 0;
   limits.crowdedSocket =
       std::max(16, static_cast<int>(static_cast<double>(platform_.maxConnections) * kCrowded));
@@ -83,7 +83,7 @@
 void Servers::closeIdleConnections() {
   if (loop_.now() - crowdedAt_ < kCrowdedFor) return;
   crowdedAt_ = loop_.now();
-  logDebug("many sockets are open, closing idle ones");
+  logDebug("many sockets are open; closing idle connections");
   loop_.after(Duration{0}, [&http = http_] { http.closeIdle(); });
 }
 
--- a/src/app/servers.hpp
+++ b/src/app/servers.hpp
@@ -1,5 +1,6 @@
-/// The listening servers of one controller: one for users and workers, one for the other
-/// controllers and, if the operator has members, one for users over TLS and one for metrics.
+/// \file
+/// The HTTP servers of one controller. One serves users and workers, and one serves peers. If
+/// members are enabled, another one can serve users over TLS and another one metrics.
 #pragma once
 
 #include "app/controller.hpp"
@@ -8,7 +9,8 @@
 
 namespace kestrelhoist {
 
-/// Owns the HTTP servers and their TLS contexts. The constructor's arguments must outlive it.
+/// Owns the HTTP servers and their TLS contexts. The constructor's arguments must outlive this
+/// object.
 class Servers {
  public:
   /// Throws std::runtime_error if an address cannot be bound or a certificate is invalid.
