--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -118,12 +118,12 @@
 }
 
 void Leader::restoreFailureAttribution(const Json& forecast) {
-  const Json* suspects = field(forecast, kSuspectedJobsField);
-  if (!suspects) return;
-  for (const auto& [id, rounds] : suspects->items()) {
+  const Json* suspectJobs = field(forecast, kSuspectedJobsField);
+  if (!suspectJobs) return;
+  for (const auto& [id, rounds] : suspectJobs->items()) {
     const auto* job = context_.replica.job(JobId{id});
     if (!job || !job->active() || !rounds.is_number_integer()) continue;
-    fleet_.failureAttribution().adopt(JobId{id}, rounds.get<int>(), context_.electedAt);
+    fleet_.failureAttribution().restoreSuspect(JobId{id}, rounds.get<int>(), context_.electedAt);
   }
 }
 
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -96,7 +96,7 @@
 // the free resources of that machine as booked, so that another machine is rented for the job.
 void addExcludedMachine(const LeaderContext& context, const Fleet& fleet, const JobSpec& spec,
                         std::set<MachineId>& counted, DemandByType& demand) {
-  auto excluded = fleet.failureAttribution().excludes(spec.id, context.runtime.now());
+  auto excluded = fleet.failureAttribution().excludedMachine(spec.id, context.runtime.now());
   if (!excluded || !counted.insert(*excluded).second) return;
   const auto* record = context.replica.machine(*excluded);
   const MachineType* type = record ? context.catalogue->find(record->type) : nullptr;
--- a/src/cloud/forecast_loop.cpp
+++ b/src/cloud/forecast_loop.cpp
@@ -9,8 +9,8 @@
 
 void ForecastLoop::onTimer() {
   if (!context_.initialRoundOver || !context_.catalogue) return;
-  // Records a change of the suspected zones at once. If the leader ended before the interval does,
-  // the next leader would not know of the change.
+  // A change of the suspected zones is recorded at once. If the leader ended before the forecast
+  // interval does, the next leader would otherwise not know of the change.
   if (suspectedZonesChanged()) dirty_ = true;
   if (context_.runtime.now() >= ends_) {
     turn();
@@ -103,9 +103,9 @@
   }
   // The record names suspect jobs, so that a new leader does not first start all of their tasks
   // again.
-  constexpr std::size_t kMostSuspects = 32;
+  constexpr std::size_t kMaxSuspects = 32;
   Json suspect = Json::object();
-  for (const auto& [job, rounds] : fleet_.failureAttribution().suspects(kMostSuspects)) {
+  for (const auto& [job, rounds] : fleet_.failureAttribution().suspectJobs(kMaxSuspects)) {
     suspect[job.value] = rounds;
   }
   return {{"at", context_.runtime.wallMillis()},
--- a/src/failures/failure_attribution_test.cpp
+++ b/src/failures/failure_attribution_test.cpp
@@ -17,8 +17,8 @@
     e.failed(job(1), machine(m), at(10 + 0.01 * m), false);
     e.failed(job(1), machine(m), at(10.2), false);
   }
-  EXPECT_TRUE(e.suspect(job(1)));
-  for (int m = 0; m < 12; ++m) EXPECT_FALSE(e.faulty(machine(m)));
+  EXPECT_TRUE(e.isSuspect(job(1)));
+  for (int m = 0; m < 12; ++m) EXPECT_FALSE(e.isFaulty(machine(m)));
   // The failures of one round are counted once.
   EXPECT_LE(*e.pausedUntil(job(1)), at(12));
 }
@@ -29,26 +29,26 @@
   FailureAttribution e;
   e.failed(job(1), machine(1), at(0), false);
   e.failed(job(1), machine(2), at(0.1), false);  // From here on the job is suspect.
-  EXPECT_FALSE(e.excludes(job(1), at(1)));
+  EXPECT_FALSE(e.excludedMachine(job(1), at(1)));
   e.failed(job(1), machine(1), at(10), false);
   e.failed(job(1), machine(1), at(10.1), false);  // This failure belongs to the same round.
-  EXPECT_FALSE(e.excludes(job(1), at(11)));
+  EXPECT_FALSE(e.excludedMachine(job(1), at(11)));
   e.failed(job(1), machine(1), at(30), false);
-  EXPECT_EQ(e.excludes(job(1), at(31)), machine(1));
-  EXPECT_EQ(e.excludes(job(1), *e.pausedUntil(job(1)) + Duration{119000}), machine(1));
-  EXPECT_FALSE(e.excludes(job(1), *e.pausedUntil(job(1)) + Duration{121000}));
+  EXPECT_EQ(e.excludedMachine(job(1), at(31)), machine(1));
+  EXPECT_EQ(e.excludedMachine(job(1), *e.pausedUntil(job(1)) + Duration{119000}), machine(1));
+  EXPECT_FALSE(e.excludedMachine(job(1), *e.pausedUntil(job(1)) + Duration{121000}));
   e.failed(job(1), machine(3), at(100), false);
-  EXPECT_FALSE(e.excludes(job(1), at(101)));
+  EXPECT_FALSE(e.excludedMachine(job(1), at(101)));
   e.succeeded(job(1), machine(3));
-  EXPECT_FALSE(e.excludes(job(1), at(102)));
+  EXPECT_FALSE(e.excludedMachine(job(1), at(102)));
 }
 
 TEST(FailureAttribution, AJobThatIsNotSuspectExcludesNoMachine) {
   FailureAttribution e;
   e.succeeded(job(1), machine(2));
   for (int i = 0; i < 5; ++i) e.failed(job(1), machine(1), at(100 * i), false);
-  EXPECT_FALSE(e.suspect(job(1)));
-  EXPECT_FALSE(e.excludes(job(1), at(500)));
+  EXPECT_FALSE(e.isSuspect(job(1)));
+  EXPECT_FALSE(e.excludedMachine(job(1), at(500)));
 }
 
 // Guards against giving up a healthy machine because two jobs with mistakes failed on it and no
@@ -58,33 +58,33 @@
   for (int j = 0; j < 40; ++j) {
     for (int m = 0; m < 3; ++m) e.failed(job(j), machine(m), at(j), false);
   }
-  for (int m = 0; m < 3; ++m) EXPECT_FALSE(e.faulty(machine(m)));
+  for (int m = 0; m < 3; ++m) EXPECT_FALSE(e.isFaulty(machine(m)));
 }
 
 TEST(FailureAttribution, AMachineOnWhichSoundJobsFailIsFaulty) {
   FailureAttribution e;
   for (int j = 1; j <= 2; ++j) e.succeeded(job(j), machine(1));
   e.failed(job(1), machine(7), at(5), false);
-  EXPECT_FALSE(e.faulty(machine(7)));
+  EXPECT_FALSE(e.isFaulty(machine(7)));
   e.failed(job(2), machine(7), at(6), false);
-  EXPECT_TRUE(e.faulty(machine(7)));
-  EXPECT_FALSE(e.suspect(job(1)));
+  EXPECT_TRUE(e.isFaulty(machine(7)));
+  EXPECT_FALSE(e.isSuspect(job(1)));
 }
 
 TEST(FailureAttribution, AJobThatSucceedsElsewhereTellsOnTheMachineWhereItFailed) {
   FailureAttribution e;
   e.failed(job(1), machine(7), at(5), false);
   e.failed(job(2), machine(7), at(5), false);
-  EXPECT_FALSE(e.faulty(machine(7)));  // Both jobs may have mistakes.
-  EXPECT_EQ(e.avoids(job(1)).size(), 1U);
+  EXPECT_FALSE(e.isFaulty(machine(7)));  // Both jobs may have mistakes.
+  EXPECT_EQ(e.machinesToAvoid(job(1)).size(), 1U);
   e.succeeded(job(1), machine(8));
-  EXPECT_TRUE(e.faulty(machine(7)));
+  EXPECT_TRUE(e.isFaulty(machine(7)));
 }
 
 TEST(FailureAttribution, AllJobsOnANewMachineFail) {
   FailureAttribution e;
   for (int j = 1; j <= 3; ++j) e.failed(job(j), machine(7), at(j), false);
-  EXPECT_TRUE(e.faulty(machine(7)));
+  EXPECT_TRUE(e.isFaulty(machine(7)));
 }
 
 TEST(FailureAttribution, AFaultyMachineUnderAMistakenJob) {
@@ -93,9 +93,9 @@
   for (int m = 6; m <= 8; ++m) e.failed(job(1), machine(m), at(1), false);
   e.failed(job(2), machine(7), at(2), false);
   e.failed(job(3), machine(7), at(3), false);
-  EXPECT_TRUE(e.suspect(job(1)));
-  EXPECT_TRUE(e.faulty(machine(7)));
-  EXPECT_FALSE(e.faulty(machine(6)));
+  EXPECT_TRUE(e.isSuspect(job(1)));
+  EXPECT_TRUE(e.isFaulty(machine(7)));
+  EXPECT_FALSE(e.isFaulty(machine(6)));
 }
 
 // A success lowers the fault score by less than a failure raises it, so a machine that fails
@@ -103,7 +103,7 @@
 TEST(FailureAttribution, AMachineIsNeverAcquittedForGood) {
   FailureAttribution e;
   int until = 0;
-  for (int j = 1; j <= 20 && !e.faulty(machine(7)); ++j) {
+  for (int j = 1; j <= 20 && !e.isFaulty(machine(7)); ++j) {
     e.succeeded(job(j), machine(1));
     e.succeeded(job(j), machine(7));
     e.failed(job(j), machine(7), at(j), false);
@@ -119,7 +119,7 @@
   int condemned = 0;
   for (int life = 0; life < 200; ++life) {
     FailureAttribution e;
-    for (int j = 1; j <= 500 && !e.faulty(machine(7)); ++j) {
+    for (int j = 1; j <= 500 && !e.isFaulty(machine(7)); ++j) {
       e.succeeded(job(j), machine(1));
       if (random() % 100 == 0) {
         e.failed(job(j), machine(7), at(j), false);
@@ -127,7 +127,7 @@
         e.succeeded(job(j), machine(7));
       }
     }
-    condemned += e.faulty(machine(7)) ? 1 : 0;
+    condemned += e.isFaulty(machine(7)) ? 1 : 0;
   }
   EXPECT_LE(condemned, 24);
 }
@@ -145,11 +145,11 @@
     e.failed(job(1), machine(round), at(now), false);
   }
   EXPECT_EQ(last, 60);
-  EXPECT_EQ(e.mostAtOnce(job(1)), 2U);
+  EXPECT_EQ(e.maxConcurrentTasks(job(1)), 2U);
   e.succeeded(job(1), machine(9));  // The image may have been flaky.
-  EXPECT_FALSE(e.mostAtOnce(job(1)));
+  EXPECT_FALSE(e.maxConcurrentTasks(job(1)));
   EXPECT_FALSE(e.pausedUntil(job(1)));
-  for (int m = 0; m < 9; ++m) EXPECT_FALSE(e.faulty(machine(m)));
+  for (int m = 0; m < 9; ++m) EXPECT_FALSE(e.isFaulty(machine(m)));
 }
 
 TEST(FailureAttribution, ASoundJobWhoseImageTurnsBadIsSuspectAndTheChargesAreTakenBack) {
@@ -157,16 +157,16 @@
   for (int j = 1; j <= 3; ++j) e.succeeded(job(j), machine(0));
   for (int j = 1; j <= 3; ++j) {
     for (int m = 1; m <= 3; ++m) e.failed(job(j), machine(m), at(j), false);
-    EXPECT_TRUE(e.suspect(job(j)));
+    EXPECT_TRUE(e.isSuspect(job(j)));
   }
-  for (int m = 1; m <= 3; ++m) EXPECT_FALSE(e.faulty(machine(m)));
+  for (int m = 1; m <= 3; ++m) EXPECT_FALSE(e.isFaulty(machine(m)));
 }
 
 TEST(FailureAttribution, ANewLeaderKnowsTheSuspects) {
   FailureAttribution e, next;
   for (int m = 0; m < 2; ++m) e.failed(job(1), machine(m), at(1), false);
-  for (const auto& [id, rounds] : e.suspects(8)) next.adopt(id, rounds, at(5));
-  EXPECT_EQ(next.mostAtOnce(job(1)), 2U);
+  for (const auto& [id, rounds] : e.suspectJobs(8)) next.restoreSuspect(id, rounds, at(5));
+  EXPECT_EQ(next.maxConcurrentTasks(job(1)), 2U);
   EXPECT_GT(*next.pausedUntil(job(1)), at(5));
 }
 
@@ -184,7 +184,7 @@
       bool wrong = random() % 10 < wrongInTen;
       for (int t = 0; t < 8; ++t) {
         int m = static_cast<int>(random() % static_cast<unsigned>(machines));
-        if (e.faulty(machine(m))) continue;
+        if (e.isFaulty(machine(m))) continue;
         if (wrong || m < faulty) {
           e.failed(job(j), machine(m), at(j + 0.1 * t), false);
         } else {
@@ -195,9 +195,9 @@
     }
     for (int m = 0; m < machines; ++m) {
       if (m >= faulty) {
-        EXPECT_FALSE(e.faulty(machine(m))) << "seed " << seed;
+        EXPECT_FALSE(e.isFaulty(machine(m))) << "seed " << seed;
       } else if (onFaulty[static_cast<std::size_t>(m)] >= 4) {
-        EXPECT_TRUE(e.faulty(machine(m))) << "seed " << seed;
+        EXPECT_TRUE(e.isFaulty(machine(m))) << "seed " << seed;
       }
     }
   }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -420,7 +420,7 @@
 void Fleet::detectFailures(Instant now, const Catalogue* catalogue,
                            const std::function<bool(const ZoneId&)>& mayHaveActingLeader) {
   catalogue_ = catalogue;
-  failureAttribution_.sweep([&](const JobId& id) {
+  failureAttribution_.forgetFinishedJobs([&](const JobId& id) {
     const auto* job = replica_.job(id);
     return job && job->active();
   });
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -170,7 +170,7 @@
   /// What speaks against jobs and machines whose tasks end in error.
   FailureAttribution& failureAttribution() { return failureAttribution_; }
   const FailureAttribution& failureAttribution() const { return failureAttribution_; }
-  bool faulty(const Machine& machine) const { return failureAttribution_.faulty(machine.id); }
+  bool faulty(const Machine& machine) const { return failureAttribution_.isFaulty(machine.id); }
 
  private:
   DesiredState desiredStateOf(const Machine& machine, const AttemptId& id, Instant now) const;
--- a/src/placement/confirmed_outcomes.cpp
+++ b/src/placement/confirmed_outcomes.cpp
@@ -91,13 +91,13 @@
   if (job.record.spec->kind == JobKind::service && runsWell(job, machine, well)) {
     attribution.succeeded(id, well);
   }
-  bool before = attribution.suspect(id), faulty = attribution.faulty(machine);
+  bool before = attribution.isSuspect(id), faulty = attribution.isFaulty(machine);
   auto pause = attribution.pausedUntil(id);
   attribution.failed(id, machine, context_.runtime.now(), job.record.flow != nullptr);
-  if (!before && attribution.suspect(id)) {
+  if (!before && attribution.isSuspect(id)) {
     logInfo("job is suspect: fails wherever it goes", "job", id);
   }
-  if (!faulty && attribution.faulty(machine)) logInfo("machine is faulty", "machine", machine);
+  if (!faulty && attribution.isFaulty(machine)) logInfo("machine is faulty", "machine", machine);
   if (auto until = attribution.pausedUntil(id); until && until != pause) {
     logInfo("job pauses after errors", "job", id, "ms", *until - context_.runtime.now());
   }
@@ -118,7 +118,7 @@
 
 std::optional<std::uint32_t> ConfirmedOutcomes::trialsLeft(const JobId& id,
                                                            const JobState& job) const {
-  auto most = fleet_.failureAttribution().mostAtOnce(id);
+  auto most = fleet_.failureAttribution().maxConcurrentTasks(id);
   if (!most) return std::nullopt;
   MachineId well;
   if (job.record.spec->kind == JobKind::service && runsWell(job, {}, well)) {
--- a/src/placement/plan_input_builder.cpp
+++ b/src/placement/plan_input_builder.cpp
@@ -217,12 +217,12 @@
 
 void PlanInputBuilder::addFailedMachines() {
   for (auto& job : input_.jobs) {
-    for (const auto& id : fleet_.failureAttribution().avoids(job.spec->id)) {
+    for (const auto& id : fleet_.failureAttribution().machinesToAvoid(job.spec->id)) {
       if (auto at = machineIndex_.find(id); at != machineIndex_.end()) {
         job.failedOn.insert(at->second);
       }
     }
-    if (auto id = fleet_.failureAttribution().excludes(job.spec->id, now_)) {
+    if (auto id = fleet_.failureAttribution().excludedMachine(job.spec->id, now_)) {
       auto at = machineIndex_.find(*id);
       if (at != machineIndex_.end()) job.excludedMachine = at->second;
     }
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -78,7 +78,7 @@
   Revision modRevision;
   bool suspect{};                              ///< fails wherever it goes: nobody is stopped for it
   std::set<std::size_t> failedOn;              ///< machines: others tell more
-  std::optional<std::size_t> excludedMachine;  ///< see FailureAttribution::excludes()
+  std::optional<std::size_t> excludedMachine;  ///< see FailureAttribution::excludedMachine()
 };
 
 /// All that a plan depends on.
