--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -71,13 +71,13 @@
 void Leader::connectLoops() {
   context_.scheduleCycle = [this] { scheduleCycle(); };
   context_.finishStep = [this](std::optional<Commit> next) { finishStep(std::move(next)); };
-  scaling_.upcoming = [this](Duration horizon) {
+  scaling_.demandStartingWithin = [this](Duration horizon) {
     auto demand = flows_.upcoming(horizon);
     auto ofJobs = demandOfJobsReadyWithin(context_.replica, horizon);
     demand.insert(demand.end(), ofJobs.begin(), ofJobs.end());
     return demand;
   };
-  scaling_.ending = [this](Duration horizon) {
+  scaling_.demandEndingWithin = [this](Duration horizon) {
     auto demand = flows_.ending(horizon);
     auto ofJobs = demandOfDependenciesEndingWithin(context_.replica, horizon);
     demand.insert(demand.end(), ofJobs.begin(), ofJobs.end());
@@ -139,7 +139,7 @@
   Instant now = context_.runtime.now();
   if (!context_.initialRoundOver && initialRound_.isOver()) {
     context_.initialRoundOver = true;
-    forecast_.load();
+    forecast_.restoreStored();
     logInfo("initial heartbeat round complete", "machines", fleet_.machines().size());
     fleet_.logSignsOfLife(now);
   }
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -6,8 +6,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kTimeout{4000};
-constexpr Duration kRepeatPageAfter{500};
-constexpr int kPage = 500;  // The cloud allows no larger page.
+constexpr Duration kHedgePageAfter{500};
+constexpr int kPageSize = 500;  // The cloud allows no larger page.
 
 std::optional<ListedMachine> listedFrom(const Json& v) {
   auto id = textField(v, "ref");
@@ -36,7 +36,7 @@
       address_(std::move(address)),
       budget_(requestsPerS, std::max(1.0, requestsPerS)) {}
 
-void CloudClient::types(std::function<void(std::optional<Catalogue>)> done) {
+void CloudClient::readMachineTypes(std::function<void(std::optional<Catalogue>)> done) {
   http_.send(address_, {"GET", "/machine_types", ""}, kTimeout,
              [done = std::move(done)](const std::optional<Response>& r) {
                auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
@@ -44,12 +44,13 @@
              });
 }
 
-void CloudClient::requestMachines(const RentalRecord& h, std::function<void(RentalResult)> done) {
-  Json body = {{"hire", h.id.value},
-               {"rig", h.type.value},
-               {"site", h.zone.value},
-               {"loaners", h.spot},
-               {"count", h.count}};
+void CloudClient::requestMachines(const RentalRecord& rental,
+                                  std::function<void(RentalResult)> done) {
+  Json body = {{"hire", rental.id.value},
+               {"rig", rental.type.value},
+               {"site", rental.zone.value},
+               {"loaners", rental.spot},
+               {"count", rental.count}};
   http_.send(
       address_, {"POST", "/hosts", encodeBody(body)}, kTimeout,
       [done = std::move(done)](const std::optional<Response>& r) {
@@ -72,7 +73,8 @@
       });
 }
 
-void CloudClient::release(const std::vector<MachineId>& machines, std::function<void(bool)> done) {
+void CloudClient::terminateMachines(const std::vector<MachineId>& machines,
+                                    std::function<void(bool)> done) {
   Json names = Json::array();
   for (const auto& m : machines) names.push_back(m.value);
   http_.send(
@@ -80,14 +82,14 @@
       [done = std::move(done)](const std::optional<Response>& r) { done(r && r->status == 200); });
 }
 
-void CloudClient::list(OnList done) { listPage("", {}, std::move(done)); }
+void CloudClient::listMachines(OnMachines done) { listPage("", {}, std::move(done)); }
 
 // Sends a second request if the first is not answered soon. A lost answer would otherwise delay a
 // new leader, which reads the addresses of the machines from this list.
-void CloudClient::listPage(const std::string& since, std::vector<ListedMachine> sofar,
-                           OnList done) {
-  std::string path = "/hosts?page=" + std::to_string(kPage);
-  if (!since.empty()) path += "&since=" + since;
+void CloudClient::listPage(const std::string& afterId, std::vector<ListedMachine> listed,
+                           OnMachines done) {
+  std::string path = "/hosts?page=" + std::to_string(kPageSize);
+  if (!afterId.empty()) path += "&since=" + afterId;
   using Answer = std::optional<Response>;
   auto request = std::make_shared<HedgedRequest<Answer>>(
       runtime_,
@@ -95,28 +97,28 @@
         http_.send(address_, {"GET", path, ""}, timeout, std::move(onReply));
       },
       [](const Answer& answer) { return !answer; },
-      [this, sofar = std::move(sofar), done = std::move(done)](Instant, const Answer& answer) {
-        onPage(answer, sofar, done);
+      [this, listed = std::move(listed), done = std::move(done)](Instant, const Answer& answer) {
+        onPage(answer, listed, done);
       });
-  request->start({kRepeatPageAfter, kTimeout}, [this] { budget_.charge(runtime_.now(), 1); });
+  request->start({kHedgePageAfter, kTimeout}, [this] { budget_.charge(runtime_.now(), 1); });
 }
 
-void CloudClient::onPage(const std::optional<Response>& answer, std::vector<ListedMachine> sofar,
-                         const OnList& done) {
+void CloudClient::onPage(const std::optional<Response>& answer, std::vector<ListedMachine> listed,
+                         const OnMachines& done) {
   auto body = answer && answer->status == 200 ? decodeBody(answer->body) : std::nullopt;
   const Json* hosts = body ? field(*body, "hosts") : nullptr;
   if (!hosts || !hosts->is_array()) return done(std::nullopt);
   for (const auto& host : *hosts) {
     auto machine = listedFrom(host);
     if (!machine) return done(std::nullopt);
-    sofar.push_back(std::move(*machine));
+    listed.push_back(std::move(*machine));
   }
-  if (boolField(*body, "truncated").value_or(false) && !sofar.empty()) {
-    std::string last = sofar.back().id.value;
+  if (boolField(*body, "truncated").value_or(false) && !listed.empty()) {
+    std::string last = listed.back().id.value;
     budget_.take(runtime_.now(), 1);
-    return listPage(last, std::move(sofar), done);
+    return listPage(last, std::move(listed), done);
   }
-  done(std::move(sofar));
+  done(std::move(listed));
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -35,21 +35,21 @@
   /// Takes one request from the rate budget. Returns false if the budget is used up.
   bool mayAsk() { return budget_.take(runtime_.now(), 1); }
   /// Reads the machine types; the result is empty if the request failed.
-  void types(std::function<void(std::optional<Catalogue>)> done);
+  void readMachineTypes(std::function<void(std::optional<Catalogue>)> done);
   /// Requests the machines of a rental. The cloud rents no machine twice for one rental id.
   void requestMachines(const RentalRecord& rental, std::function<void(RentalResult)> done);
   /// Terminates machines. The result is true if the cloud confirmed that they and all their tasks
   /// have ended.
-  void release(const std::vector<MachineId>& machines, std::function<void(bool)> done);
+  void terminateMachines(const std::vector<MachineId>& machines, std::function<void(bool)> done);
   /// Receives the whole list of machines. Empty if the request failed.
-  using OnList = std::function<void(std::optional<std::vector<ListedMachine>>)>;
+  using OnMachines = std::function<void(std::optional<std::vector<ListedMachine>>)>;
   /// Reads the list of machines, page by page.
-  void list(OnList done);
+  void listMachines(OnMachines done);
 
  private:
-  void listPage(const std::string& since, std::vector<ListedMachine> sofar, OnList done);
-  void onPage(const std::optional<Response>& answer, std::vector<ListedMachine> sofar,
-              const OnList& done);
+  void listPage(const std::string& afterId, std::vector<ListedMachine> listed, OnMachines done);
+  void onPage(const std::optional<Response>& answer, std::vector<ListedMachine> listed,
+              const OnMachines& done);
   Runtime& runtime_;
   HttpClient& http_;
   std::string address_;
--- a/src/cloud/client_test.cpp
+++ b/src/cloud/client_test.cpp
@@ -12,11 +12,11 @@
   sim::Clockwork clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "me", 1.0};
-  int asked = 0;
+  int requestCount = 0;
 
   void SetUp() override {
     network.listen("cloud:1", [this](const std::string&, const Request&, const Respond& respond) {
-      ++asked;
+      ++requestCount;
       respond(jsonResponse(
           200,
           {{"hosts", {{{"ref", "host-1"}, {"rig", "box"}, {"site", "a"}, {"phase", "running"}}}},
@@ -29,7 +29,7 @@
     CloudClient cloud(runtime, runtime, "cloud:1", 10);
     const Instant begun = runtime.now();
     std::optional<Duration> took;
-    cloud.list([&](const std::optional<std::vector<ListedMachine>>& list) {
+    cloud.listMachines([&](const std::optional<std::vector<ListedMachine>>& list) {
       if (list && list->size() == 1) took = runtime.now() - begun;
     });
     clock.runUntil(clock.now() + 6000);
@@ -42,12 +42,12 @@
   const auto took = listTakes();
   ASSERT_TRUE(took);
   EXPECT_LT(*took, Duration{1000});
-  EXPECT_EQ(asked, 2);
+  EXPECT_EQ(requestCount, 2);
 }
 
 TEST_F(CloudList, IsAskedForOnceWhileAnswersArrive) {
   EXPECT_TRUE(listTakes());
-  EXPECT_EQ(asked, 1);
+  EXPECT_EQ(requestCount, 1);
 }
 
 }  // namespace
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 // Returns the allowed machine type on which a task costs the least. Null if no type can hold it.
-const MachineType* cheapest(const Catalogue& catalogue, const Resources& perTask,
-                            const JobSpec* spec) {
+const MachineType* cheapestType(const Catalogue& catalogue, const Resources& perTask,
+                                const JobSpec* spec) {
   const MachineType* best = nullptr;
   for (const auto& type : catalogue.types) {
     if ((spec && !spec->allowsType(type.id)) || !perTask.fitsIn(type.capacity)) continue;
@@ -32,8 +32,8 @@
 // most half of the replicas of a spread service may be placed in one zone. When this was ignored,
 // three of six replicas waited forever: an idle machine counted as free for them, but it was in the
 // zone of the three other replicas.
-std::set<ZoneId> zonesLeft(const LeaderContext& context, Fleet& fleet, const JobState& job,
-                           const MachineType& type) {
+std::set<ZoneId> eligibleZones(const LeaderContext& context, Fleet& fleet, const JobState& job,
+                               const MachineType& type) {
   const JobSpec& spec = *job.record.spec;
   if (spec.zone) return {*spec.zone};
   if (!spec.spread) return {};
@@ -44,11 +44,11 @@
     if (m && m->session.outcomes.contains({{spec.id, index}, placed.attempt})) continue;
     if (record) ++perZone[record->zone];
   }
-  std::set<ZoneId> left;
+  std::set<ZoneId> eligible;
   for (const auto& zone : type.zones) {
-    if (perZone[zone] < spec.zoneLimit()) left.insert(zone);
+    if (perZone[zone] < spec.zoneLimit()) eligible.insert(zone);
   }
-  return left.size() < type.zones.size() ? left : std::set<ZoneId>{};
+  return eligible.size() < type.zones.size() ? eligible : std::set<ZoneId>{};
 }
 
 using DemandByType = std::map<TypeId, TypeDemand>;
@@ -57,9 +57,9 @@
   if (!spotAllowed) {
     demand.firmBooked += share;
   } else if (onSpot) {
-    demand.flexibleOnSpot += share;
+    demand.flexibleBookedOnSpot += share;
   } else {
-    demand.flexibleOnOrdinary += share;
+    demand.flexibleBookedOnDemand += share;
   }
 }
 
@@ -82,13 +82,13 @@
 void addWaiting(const LeaderContext& context, Fleet& fleet, const JobState& job,
                 std::uint32_t tasks, DemandByType& demand) {
   const JobSpec& spec = *job.record.spec;
-  const MachineType* best = cheapest(*context.catalogue, spec.perTask, &spec);
+  const MachineType* best = cheapestType(*context.catalogue, spec.perTask, &spec);
   if (!best) return;
   TypeDemand& ofType = demand[best->id];
   const double share = machinesFor(*best, spec.perTask, tasks);
   (spec.spotAllowed ? ofType.flexibleWaiting : ofType.firmWaiting) += share;
-  if (auto zones = zonesLeft(context, fleet, job, *best); !zones.empty()) {
-    ofType.pinnedWaiting[zones] += share;
+  if (auto zones = eligibleZones(context, fleet, job, *best); !zones.empty()) {
+    ofType.waitingInZones[zones] += share;
   }
 }
 
@@ -114,7 +114,7 @@
                                                  const std::vector<ProjectedDemand>& projected) {
   std::map<TypeId, MachineDemand> out;
   for (const auto& demand : projected) {
-    const MachineType* best = cheapest(catalogue, demand.perTask, nullptr);
+    const MachineType* best = cheapestType(catalogue, demand.perTask, nullptr);
     if (!best) continue;
     MachineDemand& total = out[best->id];
     (demand.spot ? total.flexible : total.firm) += machinesFor(*best, demand.perTask, demand.tasks);
@@ -122,8 +122,8 @@
   return out;
 }
 
-DemandByType demandNow(const LeaderContext& context, Fleet& fleet,
-                       const std::map<JobId, std::uint32_t>& unplaced) {
+DemandByType presentDemand(const LeaderContext& context, Fleet& fleet,
+                           const std::map<JobId, std::uint32_t>& unplaced) {
   DemandByType demand;
   for (const auto& type : context.catalogue->types) demand[type.id];
   addBookedResources(context, fleet, demand);
--- a/src/cloud/demand.hpp
+++ b/src/cloud/demand.hpp
@@ -14,8 +14,8 @@
 
 /// Returns the present demand by machine type.
 /// @param unplaced The number of tasks of each job that the planner could not place.
-std::map<TypeId, TypeDemand> demandNow(const LeaderContext& context, Fleet& fleet,
-                                       const std::map<JobId, std::uint32_t>& unplaced);
+std::map<TypeId, TypeDemand> presentDemand(const LeaderContext& context, Fleet& fleet,
+                                           const std::map<JobId, std::uint32_t>& unplaced);
 
 /// Tasks that are expected to need or to free resources soon and that are not placed on a machine.
 struct ProjectedDemand {
--- a/src/cloud/forecast_loop.cpp
+++ b/src/cloud/forecast_loop.cpp
@@ -11,11 +11,11 @@
   if (!context_.initialRoundOver || !context_.catalogue) return;
   // A change of the suspected zones is recorded at once. If the leader ended before the forecast
   // interval does, the next leader would otherwise not know of the change.
-  if (suspectedZonesChanged()) dirty_ = true;
-  if (context_.runtime.now() >= ends_) {
-    turn();
+  if (suspectedZonesChanged()) recordOutdated_ = true;
+  if (context_.runtime.now() >= intervalEnd_) {
+    endInterval();
   } else {
-    scaling_.check();
+    scaling_.decideIfDue();
   }
 }
 
@@ -27,12 +27,12 @@
   };
   if (context_.catalogue && !context_.replica.catalogue())
     set(keys::kCatalogue, kestrelhoist::toJson(*context_.catalogue));
-  if (dirty_) {
+  if (recordOutdated_) {
     const auto& suspected = fleet_.lastSuspectedZones();
-    set(keys::kForecast, fitting(context_.platform.valueBytes, suspected));
-    recordedSuspects_.clear();
-    for (const auto& [zone, at] : suspected) recordedSuspects_.insert(zone);
-    dirty_ = false;
+    set(keys::kForecast, recordWithinLimit(context_.platform.valueBytes, suspected));
+    recordedSuspectedZones_.clear();
+    for (const auto& [zone, at] : suspected) recordedSuspectedZones_.insert(zone);
+    recordOutdated_ = false;
   }
   if (t.writes.empty()) return LoopStep::idle();
   return LoopStep::committing(Commit{std::move(t), nullptr, "types or forecast"});
@@ -40,14 +40,14 @@
 
 bool ForecastLoop::suspectedZonesChanged() const {
   const auto& suspected = fleet_.lastSuspectedZones();
-  return !std::equal(suspected.begin(), suspected.end(), recordedSuspects_.begin(),
-                     recordedSuspects_.end(),
+  return !std::equal(suspected.begin(), suspected.end(), recordedSuspectedZones_.begin(),
+                     recordedSuspectedZones_.end(),
                      [](const auto& entry, const ZoneId& zone) { return entry.first == zone; });
 }
 
-void ForecastLoop::turn() {
+void ForecastLoop::endInterval() {
   Instant now = context_.runtime.now();
-  auto demand = demandNow(context_, fleet_, planning_.unplaced());
+  auto demand = presentDemand(context_, fleet_, planning_.unplaced());
   for (const auto& type : context_.catalogue->types) {
     const TypeDemand& d = demand[type.id];
     auto horizon = static_cast<std::size_t>(
@@ -62,20 +62,21 @@
         return r != scaling_.refused().end() && now - r->second <= kConstrainedMemory;
       });
     };
-    bool noOrdinary = allRefused(false);
-    bool noSpot = !context_.settings.useSpot || allRefused(true);
-    it->second.firm.observe(d.firmBooked + (noOrdinary ? 0 : d.firmWaiting));
-    it->second.flexible.observe(d.flexibleOnSpot + d.flexibleOnOrdinary +
-                                (noOrdinary && noSpot ? 0 : d.flexibleWaiting));
+    bool onDemandRefused = allRefused(false);
+    bool spotRefused = !context_.settings.useSpot || allRefused(true);
+    it->second.firm.observe(d.firmBooked + (onDemandRefused ? 0 : d.firmWaiting));
+    it->second.flexible.observe(d.flexibleBookedOnSpot + d.flexibleBookedOnDemand +
+                                (onDemandRefused && spotRefused ? 0 : d.flexibleWaiting));
   }
-  while (ends_ <= now) ends_ = ends_ + context_.settings.window;
-  dirty_ = true;
+  while (intervalEnd_ <= now) intervalEnd_ = intervalEnd_ + context_.settings.window;
+  recordOutdated_ = true;
   scaling_.decide(true);
 }
 
 // Returns the record within the size limit of a value. If it is too large, leaves out first suspect
 // jobs and then forecasts of machine types, because a new leader can learn both again.
-Json ForecastLoop::fitting(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const {
+Json ForecastLoop::recordWithinLimit(std::size_t bytes,
+                                     const std::map<ZoneId, Instant>& suspected) const {
   Json value = toJson(suspected);
   for (const char* list : {"suspect", "types"}) {
     while (value.dump().size() >= bytes && !value[list].empty()) {
@@ -115,17 +116,17 @@
 }
 
 // Restores the stored forecasts and fills the intervals since then with the present demand.
-void ForecastLoop::load() {
+void ForecastLoop::restoreStored() {
   const auto& stored = context_.replica.forecast();
-  if (loaded_ || !stored || !context_.catalogue) return;
-  loaded_ = true;
+  if (restored_ || !stored || !context_.catalogue) return;
+  restored_ = true;
   auto at = countField(*stored, "at");
   const Json* types = field(*stored, "types");
   if (!at || !types || !types->is_object()) return;
   auto age = Duration{
       std::max<std::int64_t>(0, context_.runtime.wallMillis() - static_cast<std::int64_t>(*at))};
-  auto missed = static_cast<std::size_t>(age / context_.settings.window);
-  auto demand = demandNow(context_, fleet_, planning_.unplaced());
+  auto missedIntervals = static_cast<std::size_t>(age / context_.settings.window);
+  auto demand = presentDemand(context_, fleet_, planning_.unplaced());
   for (const auto& type : context_.catalogue->types) {
     const Json* entry = field(*types, type.id.value.c_str());
     const Json* firm = entry ? field(*entry, "firm") : nullptr;
@@ -136,11 +137,12 @@
       continue;
     }
     const TypeDemand& d = demand[type.id];
-    series.firm.skip(missed, d.firmBooked + d.firmWaiting);
-    series.flexible.skip(missed, d.flexibleOnSpot + d.flexibleOnOrdinary + d.flexibleWaiting);
+    series.firm.fillMissed(missedIntervals, d.firmBooked + d.firmWaiting);
+    series.flexible.fillMissed(
+        missedIntervals, d.flexibleBookedOnSpot + d.flexibleBookedOnDemand + d.flexibleWaiting);
     forecasts_.series.insert_or_assign(type.id, std::move(series));
   }
-  logInfo("demand forecast restored", "windows_behind", missed);
+  logInfo("demand forecast restored", "windows_behind", missedIntervals);
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/forecast_loop.hpp
+++ b/src/cloud/forecast_loop.hpp
@@ -19,33 +19,33 @@
         planning_(planning),
         scaling_(scaling),
         forecasts_(forecasts) {
-    ends_ = context_.electedAt + context_.settings.window;
+    intervalEnd_ = context_.electedAt + context_.settings.window;
   }
 
   /// Commits the catalogue and the forecast record if they have changed.
   LoopStep next() override;
   void onTimer() override;
   /// Restores the forecasts that the previous leader stored.
-  void load();
+  void restoreStored();
 
  private:
-  void turn();
+  void endInterval();
   /// Returns whether the suspected zones differ from those in the last written record.
   bool suspectedZonesChanged() const;
   /// Returns the forecast record.
   /// @param suspected The suspected zones, each with the time of its last sign of life.
   Json toJson(const std::map<ZoneId, Instant>& suspected) const;
-  Json fitting(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const;
+  Json recordWithinLimit(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const;
 
   LeaderContext& context_;
   Fleet& fleet_;
   PlanningLoop& planning_;
   ScalingLoop& scaling_;
   DemandForecasts& forecasts_;
-  Instant ends_{};
-  bool dirty_ = false;
-  std::set<ZoneId> recordedSuspects_;  ///< The suspected zones in the record.
-  bool loaded_ = false;
+  Instant intervalEnd_{};
+  bool recordOutdated_ = false;
+  std::set<ZoneId> recordedSuspectedZones_;  ///< The suspected zones in the record.
+  bool restored_ = false;
 };
 
 }  // namespace kestrelhoist
--- a/src/cloud/machine_list_loop.cpp
+++ b/src/cloud/machine_list_loop.cpp
@@ -6,21 +6,22 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kRetry{1000};
+constexpr Duration kRetryDelay{1000};
 }  // namespace
 
 void MachineListLoop::onTimer() {
   if (!context_.catalogue) readTypes();
-  if (context_.runtime.now() >= nextList_ && !listing_) readList();
+  if (context_.runtime.now() >= nextListAt_ && !listRequested_) readList();
 }
 
 void MachineListLoop::readTypes() {
-  if (asked_ || !context_.cloud.mayAsk()) return;
-  asked_ = true;
-  context_.cloud.types(context_.whileLeading([this](std::optional<Catalogue> c) {
+  if (typesRequested_ || !context_.cloud.mayAsk()) return;
+  typesRequested_ = true;
+  context_.cloud.readMachineTypes(context_.whileLeading([this](std::optional<Catalogue> c) {
     if (!c) {
       logInfo("machine types not received from the cloud; retrying");
-      context_.runtime.after(kRetry, context_.whileLeading([this] { asked_ = false; }));
+      context_.runtime.after(kRetryDelay,
+                             context_.whileLeading([this] { typesRequested_ = false; }));
       return;
     }
     context_.catalogue = std::move(c);
@@ -30,32 +31,33 @@
 
 void MachineListLoop::readList() {
   if (!context_.cloud.mayAsk()) return;
-  listing_ = true;
-  nextList_ = context_.runtime.now() + std::max(context_.platform.listLag, Duration{2000});
-  context_.cloud.list(context_.whileLeading([this](std::optional<std::vector<ListedMachine>> list) {
-    listing_ = false;
-    if (!list) {
-      logInfo("machine list not received from the cloud");
-      return;
-    }
-    Instant now = context_.runtime.now();
-    std::vector<std::pair<MachineId, Machine>> machines;
-    for (const auto& l : *list) {
-      Machine m;
-      m.id = l.id;
-      m.type = l.type;
-      m.zone = l.zone;
-      m.spot = l.spot;
-      m.address = l.address;
-      m.listed = l.state == ListedMachine::State::failed    ? Listed::failed
-                 : l.state == ListedMachine::State::booting ? Listed::booting
-                                                            : Listed::running;
-      m.rentedAt = now - l.age - context_.platform.listLag;
-      machines.emplace_back(l.id, std::move(m));
-    }
-    fleet_.onList(machines, now, context_.platform.listLag);
-    initialRound_.probeUnheard();
-  }));
+  listRequested_ = true;
+  nextListAt_ = context_.runtime.now() + std::max(context_.platform.listLag, Duration{2000});
+  context_.cloud.listMachines(
+      context_.whileLeading([this](std::optional<std::vector<ListedMachine>> list) {
+        listRequested_ = false;
+        if (!list) {
+          logInfo("machine list not received from the cloud");
+          return;
+        }
+        Instant now = context_.runtime.now();
+        std::vector<std::pair<MachineId, Machine>> machines;
+        for (const auto& l : *list) {
+          Machine m;
+          m.id = l.id;
+          m.type = l.type;
+          m.zone = l.zone;
+          m.spot = l.spot;
+          m.address = l.address;
+          m.listed = l.state == ListedMachine::State::failed    ? Listed::failed
+                     : l.state == ListedMachine::State::booting ? Listed::booting
+                                                                : Listed::running;
+          m.rentedAt = now - l.age - context_.platform.listLag;
+          machines.emplace_back(l.id, std::move(m));
+        }
+        fleet_.onList(machines, now, context_.platform.listLag);
+        initialRound_.probeUnheard();
+      }));
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/machine_list_loop.hpp
+++ b/src/cloud/machine_list_loop.hpp
@@ -23,9 +23,9 @@
   LeaderContext& context_;
   Fleet& fleet_;
   InitialRound& initialRound_;
-  bool asked_ = false;  ///< Whether the machine types were requested.
-  Instant nextList_{};
-  bool listing_ = false;
+  bool typesRequested_ = false;  ///< Whether the machine types were requested.
+  Instant nextListAt_{};
+  bool listRequested_ = false;
 };
 
 }  // namespace kestrelhoist
--- a/src/cloud/scaling_decision.cpp
+++ b/src/cloud/scaling_decision.cpp
@@ -9,28 +9,29 @@
 // This multiple of the spread is zero for flexible work, so its target is the mean of the forecast
 // and at least the present demand. Flexible work can wait until a machine has booted, and it often
 // runs on machines that cost several times their spot price.
-constexpr double kFlexible = 0.0;
+constexpr double kFlexibleSpreadMultiple = 0.0;
 
 int ceilMachines(double share) { return static_cast<int>(std::ceil(std::max(0.0, share) - 1e-6)); }
 
-struct PoolState {
-  int have{};   // Counts machines that are running, booting on time, or requested from the cloud.
-  int inUse{};  // Counts machines that have tasks.
+struct MarketState {
+  int available{};  // Counts machines that are running, booting on time, or requested from the
+                    // cloud.
+  int inUse{};      // Counts machines that available tasks.
   std::map<ZoneId, int> perZone;
 };
 
-PoolState poolOf(const ScalingInput& in, bool spot) {
-  PoolState p;
+MarketState marketStateOf(const ScalingInput& in, bool spot) {
+  MarketState p;
   for (const auto& m : in.machines) {
     if (m.offering.spot != spot) continue;
-    if (!m.idle) ++p.inUse;
-    if (m.late) continue;
-    ++p.have;
+    if (!m.isIdle) ++p.inUse;
+    if (m.bootOverdue) continue;
+    ++p.available;
     ++p.perZone[m.offering.zone];
   }
   for (const auto& [offering, count] : in.pendingRentals) {
     if (offering.spot != spot || offering.type != in.type->id) continue;
-    p.have += static_cast<int>(count);
+    p.available += static_cast<int>(count);
     p.perZone[offering.zone] += static_cast<int>(count);
   }
   return p;
@@ -38,8 +39,8 @@
 
 // Adds up to `count` rentals to the decision. Each one goes to the zone with the fewest machines
 // among those that are not refused. If `only` is set, other zones are left out.
-void scaleOut(const ScalingInput& in, bool spot, int count, PoolState& pool, ScalingDecision& out,
-              const std::set<ZoneId>* only = nullptr) {
+void scaleOut(const ScalingInput& in, bool spot, int count, MarketState& market,
+              ScalingDecision& out, const std::set<ZoneId>* only = nullptr) {
   std::map<ZoneId, std::uint32_t> add;
   for (int i = 0; i < count; ++i) {
     const ZoneId* best = nullptr;
@@ -48,11 +49,11 @@
       InstanceOffering offering{in.type->id, zone, spot};
       if (in.refused.contains(offering) || (in.constrained.contains(offering) && add[zone] > 0))
         continue;
-      if (!best || pool.perZone[zone] < pool.perZone[*best]) best = &zone;
+      if (!best || market.perZone[zone] < market.perZone[*best]) best = &zone;
     }
     if (!best) break;
-    ++pool.perZone[*best];
-    ++pool.have;
+    ++market.perZone[*best];
+    ++market.available;
     ++add[*best];
   }
   for (const auto& [zone, n] : add) {
@@ -66,7 +67,7 @@
   for (const auto& m : in.machines) {
     if (m.offering.spot != spot) continue;
     ++perZone[m.offering.zone];
-    if (m.idle && !m.keep && m.up && m.age >= in.minimumCharge) idle.push_back(&m);
+    if (m.isIdle && !m.keepWarm && m.hasReported && m.age >= in.minimumCharge) idle.push_back(&m);
   }
   while (surplus-- > 0 && !idle.empty()) {
     // Terminates the newest machine of the zone with the most machines, because its image cache
@@ -87,53 +88,55 @@
   ScalingDecision out;
   const TypeDemand& d = in.demand;
   const double k = in.spreadMultiple;
-  PoolState spot = poolOf(in, true);
-  PoolState ordinary = poolOf(in, false);
+  MarketState spot = marketStateOf(in, true);
+  MarketState onDemand = marketStateOf(in, false);
 
-  double flexible = std::max(d.flexible.mean + kFlexible * d.flexible.spread,
-                             d.flexibleOnSpot + d.flexibleOnOrdinary + d.flexibleWaiting);
+  double flexible = std::max(d.flexible.mean + kFlexibleSpreadMultiple * d.flexible.spread,
+                             d.flexibleBookedOnSpot + d.flexibleBookedOnDemand + d.flexibleWaiting);
   bool spotOffered =
       in.useSpot && std::any_of(in.type->zones.begin(), in.type->zones.end(), [&](const ZoneId& z) {
         // Checks `constrained` instead of `refused`, whose pauses are shorter. If the pauses of
         // zones ended one after another, the work would wait for spot machines forever.
         return !in.constrained.contains({in.type->id, z, true});
       });
-  out.spotTarget = std::max(ceilMachines(flexible - d.flexibleOnOrdinary),
+  out.spotTarget = std::max(ceilMachines(flexible - d.flexibleBookedOnDemand),
                             spot.inUse + ceilMachines(d.flexibleWaiting));
   if (!in.useSpot) out.spotTarget = spot.inUse;
 
   // Flexible demand that spot machines cannot meet now is met by on-demand machines.
-  double overflow =
-      spotOffered ? d.flexibleOnOrdinary : std::max(d.flexibleOnOrdinary, flexible - spot.have);
+  double overflow = spotOffered ? d.flexibleBookedOnDemand
+                                : std::max(d.flexibleBookedOnDemand, flexible - spot.available);
   double waitingHere =
       d.firmWaiting +
-      (spotOffered ? 0.0 : std::max(0.0, d.flexibleWaiting - (spot.have - spot.inUse)));
+      (spotOffered ? 0.0 : std::max(0.0, d.flexibleWaiting - (spot.available - spot.inUse)));
   double firm = std::max(d.firm.mean + k * d.firm.spread, d.firmBooked + d.firmWaiting);
-  out.ordinaryNeeded = ceilMachines(firm + overflow);
-  out.ordinaryTarget = std::max(out.ordinaryNeeded, ordinary.inUse + ceilMachines(waitingHere));
+  out.onDemandNeeded = ceilMachines(firm + overflow);
+  out.onDemandTarget = std::max(out.onDemandNeeded, onDemand.inUse + ceilMachines(waitingHere));
 
-  for (const auto& [zones, need] : d.pinnedWaiting) {
+  for (const auto& [zones, need] : d.waitingInZones) {
     // This work can only use machines in `zones`, so free machines in other zones do not count.
     // Machines that are booting or requested in these zones do.
-    int coming = 0;
-    for (const auto& m : in.machines) coming += zones.contains(m.offering.zone) && !m.up && !m.late;
+    int pendingMachines = 0;
+    for (const auto& m : in.machines)
+      pendingMachines += zones.contains(m.offering.zone) && !m.hasReported && !m.bootOverdue;
     for (const auto& [offering, n] : in.pendingRentals) {
       if (zones.contains(offering.zone) && offering.type == in.type->id)
-        coming += static_cast<int>(n);
+        pendingMachines += static_cast<int>(n);
     }
     for (const auto& r : out.rentals) {
-      coming += zones.contains(r.offering.zone) ? static_cast<int>(r.count) : 0;
+      pendingMachines += zones.contains(r.offering.zone) ? static_cast<int>(r.count) : 0;
     }
-    scaleOut(in, false, ceilMachines(need) - coming, ordinary, out, &zones);
+    scaleOut(in, false, ceilMachines(need) - pendingMachines, onDemand, out, &zones);
   }
-  if (out.spotTarget > spot.have) scaleOut(in, true, out.spotTarget - spot.have, spot, out);
-  if (out.ordinaryTarget > ordinary.have) {
-    scaleOut(in, false, out.ordinaryTarget - ordinary.have, ordinary, out);
+  if (out.spotTarget > spot.available)
+    scaleOut(in, true, out.spotTarget - spot.available, spot, out);
+  if (out.onDemandTarget > onDemand.available) {
+    scaleOut(in, false, out.onDemandTarget - onDemand.available, onDemand, out);
   }
   if (in.scaleIn) {
-    if (spot.have > out.spotTarget) scaleIn(in, true, spot.have - out.spotTarget, out);
-    if (ordinary.have > out.ordinaryTarget) {
-      scaleIn(in, false, ordinary.have - out.ordinaryTarget, out);
+    if (spot.available > out.spotTarget) scaleIn(in, true, spot.available - out.spotTarget, out);
+    if (onDemand.available > out.onDemandTarget) {
+      scaleIn(in, false, onDemand.available - out.onDemandTarget, out);
     }
   }
   return out;
--- a/src/cloud/scaling_decision.hpp
+++ b/src/cloud/scaling_decision.hpp
@@ -26,10 +26,11 @@
 struct ScalingMachine {
   MachineId id;
   InstanceOffering offering;
-  bool up{};    ///< Whether the machine has sent a heartbeat.
-  bool late{};  ///< Whether it has been booting for so long that it no longer counts as available.
-  bool idle{};  ///< Whether no task is placed on the machine.
-  bool keep{};  ///< Whether the policy keeps the machine warm because of its images.
+  bool hasReported{};  ///< Whether the machine has sent a heartbeat.
+  /// Whether the machine has been booting for so long that it no longer counts as available.
+  bool bootOverdue{};
+  bool isIdle{};    ///< Whether no task is placed on the machine.
+  bool keepWarm{};  ///< Whether the policy keeps the machine warm because of its images.
   Duration age{};
 };
 
@@ -40,9 +41,9 @@
   /// Demand of firm tasks that are placed on machines, and of those that wait for a machine.
   double firmBooked{}, firmWaiting{};
   /// Demand of flexible tasks placed on spot machines, placed on on-demand machines, and waiting.
-  double flexibleOnSpot{}, flexibleOnOrdinary{}, flexibleWaiting{};
+  double flexibleBookedOnSpot{}, flexibleBookedOnDemand{}, flexibleWaiting{};
   /// The part of the waiting demand that only machines in one of these zones can serve.
-  std::map<std::set<ZoneId>, double> pinnedWaiting;
+  std::map<std::set<ZoneId>, double> waitingInZones;
 };
 
 /// What decideScaling() needs to know about one machine type.
@@ -71,8 +72,8 @@
 struct ScalingDecision {
   std::vector<ScaleOut> rentals;
   std::vector<MachineId> scaleIn;
-  int ordinaryTarget{}, spotTarget{};
-  int ordinaryNeeded{};  ///< The target if all work were packed onto as few machines as possible.
+  int onDemandTarget{}, spotTarget{};
+  int onDemandNeeded{};  ///< The target if all work were packed onto as few machines as possible.
 };
 
 /// Decides for one machine type; see the file's comment.
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -6,7 +6,7 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kCheckInterval{1000};
+constexpr Duration kDecisionInterval{1000};
 // A refused offering is not requested again for this long.
 constexpr Duration kRefusedPause{15000};
 // A machine that has been booting for this multiple of its type's boot time no longer counts.
@@ -15,11 +15,11 @@
 
 void ScalingLoop::decide(bool intervalEnds) {
   const Instant now = context_.runtime.now();
-  nextCheck_ = now + kCheckInterval;
+  nextDecision_ = now + kDecisionInterval;
   std::erase_if(refused_,
                 [&](const auto& entry) { return now - entry.second > kConstrainedMemory; });
-  auto demand = demandNow(context_, fleet_, planning_.unplaced());
-  wanted_.clear();
+  auto demand = presentDemand(context_, fleet_, planning_.unplaced());
+  machinesToRent_.clear();
   // Tasks that could not be placed may use the machines that were cordoned for consolidation.
   if (!planning_.unplaced().empty()) fleet_.cordoned().clear();
   for (const auto& type : context_.catalogue->types) {
@@ -31,7 +31,7 @@
     }
     apply(input, decision);
   }
-  if (!wanted_.empty()) context_.scheduleCycle();
+  if (!machinesToRent_.empty()) context_.scheduleCycle();
 }
 
 // During a mass failure no machine is terminated or consolidated, so that the capacity is available
@@ -78,13 +78,15 @@
 // Adds the demand of jobs whose dependencies end within the horizon, less the resources that these
 // dependencies free by then (see DESIGN).
 void ScalingLoop::addProjectedDemand(const MachineType& type, TypeDemand& demand) const {
-  if (!upcoming || !ending) return;
+  if (!demandStartingWithin || !demandEndingWithin) return;
   const Duration horizon = type.boot + type.boot / 2;
-  const MachineDemand more = demandInMachines(*context_.catalogue, upcoming(horizon))[type.id];
-  const MachineDemand less = demandInMachines(*context_.catalogue, ending(horizon))[type.id];
+  const MachineDemand more =
+      demandInMachines(*context_.catalogue, demandStartingWithin(horizon))[type.id];
+  const MachineDemand less =
+      demandInMachines(*context_.catalogue, demandEndingWithin(horizon))[type.id];
   const double firm = demand.firmBooked + demand.firmWaiting;
   const double flexible =
-      demand.flexibleOnSpot + demand.flexibleOnOrdinary + demand.flexibleWaiting;
+      demand.flexibleBookedOnSpot + demand.flexibleBookedOnDemand + demand.flexibleWaiting;
   if (more.firm > less.firm) {
     demand.firm.mean = std::max(demand.firm.mean, firm + more.firm - less.firm);
   }
@@ -109,8 +111,8 @@
 void ScalingLoop::addPendingRentals(ScalingInput& input) const {
   for (const auto& [id, rental] : context_.replica.rentals()) {
     if (rental.answered) continue;
-    auto result = results_.find(id);
-    const auto count = result == results_.end()
+    auto result = uncommittedResults_.find(id);
+    const auto count = result == uncommittedResults_.end()
                            ? rental.count
                            : static_cast<std::uint32_t>(result->second.machines.size());
     input.pendingRentals[{rental.type, rental.zone, rental.spot}] += count;
@@ -123,14 +125,14 @@
   ScalingMachine out;
   out.id = machine.id;
   out.offering = {machine.type, machine.zone, machine.spot};
-  out.up = machine.hasReported();
+  out.hasReported = machine.hasReported();
   out.age = context_.runtime.now() - machine.rentedAt;
   // Only a machine that the cloud lists as booting can be late. A new leader has not yet received
   // heartbeats of running machines; if they counted as late, it would rent all of them again.
-  out.late = !out.up && machine.listed == Listed::booting &&
-             toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
-  out.idle = !record || record->tasks.empty();
-  out.keep = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
+  out.bootOverdue = !out.hasReported && machine.listed == Listed::booting &&
+                    toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
+  out.isIdle = !record || record->tasks.empty();
+  out.keepWarm = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
   return out;
 }
 
@@ -138,21 +140,21 @@
   const TypeDemand& demand = input.demand;
   logInfo("forecast interval", "type", input.type->id, "firm", demand.firmBooked, "firm_waiting",
           demand.firmWaiting, "firm_mean", demand.firm.mean, "firm_spread", demand.firm.spread,
-          "flexible", demand.flexibleOnSpot + demand.flexibleOnOrdinary, "flexible_waiting",
-          demand.flexibleWaiting, "flexible_mean", demand.flexible.mean, "flexible_spread",
-          demand.flexible.spread, "target_ordinary", decision.ordinaryTarget, "target_spot",
-          decision.spotTarget, "have", input.machines.size());
+          "flexible", demand.flexibleBookedOnSpot + demand.flexibleBookedOnDemand,
+          "flexible_waiting", demand.flexibleWaiting, "flexible_mean", demand.flexible.mean,
+          "flexible_spread", demand.flexible.spread, "target_ordinary", decision.onDemandTarget,
+          "target_spot", decision.spotTarget, "have", input.machines.size());
 }
 
 void ScalingLoop::consolidateSurplus(const ScalingInput& input, const ScalingDecision& decision) {
   if (inMassFailure() || !planning_.unplaced().empty()) return;
-  const auto ordinary = static_cast<int>(std::count_if(
+  const auto onDemand = static_cast<int>(std::count_if(
       input.machines.begin(), input.machines.end(), [&](const ScalingMachine& machine) {
         return !machine.offering.spot && !fleet_.cordoned().contains(machine.id);
       }));
-  const int needed = decision.ordinaryNeeded + 1;
-  if (ordinary > needed) {
-    consolidateMachines(input.type->id, static_cast<std::size_t>(ordinary - needed));
+  const int needed = decision.onDemandNeeded + 1;
+  if (onDemand > needed) {
+    consolidateMachines(input.type->id, static_cast<std::size_t>(onDemand - needed));
   }
 }
 
@@ -167,7 +169,7 @@
       count = static_cast<std::uint32_t>(std::min<std::size_t>(count, left));
     }
     have += count;
-    if (count > 0) wanted_[rental.offering] += count;
+    if (count > 0) machinesToRent_[rental.offering] += count;
   }
   for (const auto& id : decision.scaleIn) {
     if (auto* machine = fleet_.find(id)) {
@@ -201,8 +203,8 @@
   return offered ? PendingReason::resources : PendingReason::capacity;
 }
 
-void ScalingLoop::check() {
-  if (context_.runtime.now() >= nextCheck_) decide(false);
+void ScalingLoop::decideIfDue() {
+  if (context_.runtime.now() >= nextDecision_) decide(false);
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/scaling_loop.hpp
+++ b/src/cloud/scaling_loop.hpp
@@ -29,10 +29,10 @@
   /// Decides which machines to rent and, if a forecast interval ends now, which to terminate.
   void decide(bool intervalEnds);
   /// Calls decide() once a second between the ends of forecast intervals.
-  void check();
+  void decideIfDue();
   /// These functions return the demand that begins, or ends, within the given time. They are empty
   /// if no such estimate is available.
-  std::function<std::vector<ProjectedDemand>(Duration)> upcoming, ending;
+  std::function<std::vector<ProjectedDemand>(Duration)> demandStartingWithin, demandEndingWithin;
   /// Returns why a job that does not fit on any machine must wait for more machines.
   PendingReason resourcesReason(const JobSpec& spec) const;
   /// Returns the offerings that the cloud refused, each with the time of its last refusal.
@@ -69,12 +69,13 @@
   PlanningLoop& planning_;
   DemandForecasts& forecasts_;
   /// Machines to be rented, according to the last decision.
-  std::map<InstanceOffering, std::uint32_t> wanted_;
-  std::set<RentalId> asked_;                  ///< Rentals that were requested from the cloud.
-  std::map<RentalId, RentalResult> results_;  ///< The cloud's answers that are not committed yet.
+  std::map<InstanceOffering, std::uint32_t> machinesToRent_;
+  std::set<RentalId> requested_;  ///< Rentals that were requested from the cloud.
+  /// The cloud's answers that are not committed yet.
+  std::map<RentalId, RentalResult> uncommittedResults_;
   std::map<InstanceOffering, Instant> refused_;  ///< The time of the last refusal by offering.
-  std::uint64_t count_ = 0;
-  Instant nextCheck_{};
+  std::uint64_t rentalCount_ = 0;
+  Instant nextDecision_{};
 };
 
 }  // namespace kestrelhoist
--- a/src/cloud/scaling_loop_consolidation.cpp
+++ b/src/cloud/scaling_loop_consolidation.cpp
@@ -10,7 +10,7 @@
 // their images. The cordoned machines become idle and can be terminated.
 void ScalingLoop::consolidateMachines(const TypeId& type, std::size_t surplus) {
   constexpr double kMoveShare = 0.02;  // The share of all replicas that one call may move.
-  constexpr std::size_t kMoveAtLeast = 4;
+  constexpr std::size_t kMinMoves = 4;
   Instant now = context_.runtime.now();
   std::erase_if(fleet_.cordoned(), [&](const MachineId& id) { return !fleet_.find(id); });
   ConsolidationInput in;
@@ -44,7 +44,7 @@
   }
   in.surplus = surplus;
   in.maxMoves =
-      std::max(kMoveAtLeast, static_cast<std::size_t>(kMoveShare * static_cast<double>(replicas)));
+      std::max(kMinMoves, static_cast<std::size_t>(kMoveShare * static_cast<double>(replicas)));
   auto decision = chooseDrainCandidates(std::move(in));
   for (const auto& id : decision.machines) fleet_.cordoned().insert(id);
   for (const auto& [machine, task] : decision.moves) {
--- a/src/cloud/scaling_loop_rentals.cpp
+++ b/src/cloud/scaling_loop_rentals.cpp
@@ -8,7 +8,7 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kRetry{1000};
+constexpr Duration kRetryDelay{1000};
 }  // namespace
 
 /// Collects the rental records that one commit writes, within the limits of a transaction.
@@ -44,13 +44,13 @@
   recordAdoptedMachines(transaction);
   std::size_t written = recordNewRentals(transaction);
   if (transaction.empty()) {
-    for (const auto& id : ended) results_.erase(id);
+    for (const auto& id : ended) uncommittedResults_.erase(id);
     return LoopStep::idle();
   }
   auto onCommitted = [this, ended] {
     for (const auto& id : ended) {
-      results_.erase(id);
-      asked_.erase(id);
+      uncommittedResults_.erase(id);
+      requested_.erase(id);
     }
     fleet_.adoptRecords(context_.runtime.now(), context_.runtime.wallMillis());
     context_.planInvalidated = true;
@@ -63,7 +63,7 @@
 
 std::vector<RentalId> ScalingLoop::recordResults(RentalTransaction& transaction) {
   std::vector<RentalId> ended;
-  for (const auto& [id, result] : results_) {
+  for (const auto& [id, result] : uncommittedResults_) {
     if (transaction.full()) break;
     ended.push_back(id);
     auto rental = context_.replica.rentals().find(id);
@@ -127,17 +127,18 @@
       50;  // The cloud rents at most this many machines in one call.
   std::size_t pending = 0;
   for (const auto& [id, rental] : context_.replica.rentals()) {
-    if (!rental.answered && !results_.contains(id)) ++pending;
+    if (!rental.answered && !uncommittedResults_.contains(id)) ++pending;
   }
   const auto limit = static_cast<std::size_t>(std::max(1.0, context_.platform.cloudRequestsPerS));
   std::size_t written = 0;
-  while (!wanted_.empty() && pending + written < limit && !transaction.full()) {
+  while (!machinesToRent_.empty() && pending + written < limit && !transaction.full()) {
     // On-demand machines come first, because firm work can use no others. Among offerings of one
     // market, the one with the most machines comes first.
-    auto next = std::max_element(wanted_.begin(), wanted_.end(), [](const auto& a, const auto& b) {
-      if (a.first.spot != b.first.spot) return a.first.spot;
-      return a.second < b.second;
-    });
+    auto next = std::max_element(machinesToRent_.begin(), machinesToRent_.end(),
+                                 [](const auto& a, const auto& b) {
+                                   if (a.first.spot != b.first.spot) return a.first.spot;
+                                   return a.second < b.second;
+                                 });
     const std::uint32_t count = std::min(next->second, kMaxPerCall);
     const InstanceOffering& offering = next->first;
     RentalRecord record{nextRentalId("r-"),
@@ -151,21 +152,22 @@
     transaction.write(record.id, toJson(record));
     ++written;
     next->second -= count;
-    if (next->second == 0) wanted_.erase(next);
+    if (next->second == 0) machinesToRent_.erase(next);
   }
   return written;
 }
 
 // The id is never used again: fencing tokens are unique, and so is the counter for one token.
 RentalId ScalingLoop::nextRentalId(const std::string& prefix) {
-  return RentalId{prefix + std::to_string(context_.token.value) + "-" + std::to_string(++count_)};
+  return RentalId{prefix + std::to_string(context_.token.value) + "-" +
+                  std::to_string(++rentalCount_)};
 }
 
 void ScalingLoop::startRentals() {
   for (const auto& [id, rental] : context_.replica.rentals()) {
-    if (rental.answered || results_.contains(id) || asked_.contains(id)) continue;
+    if (rental.answered || uncommittedResults_.contains(id) || requested_.contains(id)) continue;
     if (!context_.cloud.mayAsk()) return;
-    asked_.insert(id);
+    requested_.insert(id);
     context_.cloud.requestMachines(
         rental, context_.whileLeading(
                     [this, rental](RentalResult result) { onRentalAnswered(rental, result); }));
@@ -178,8 +180,8 @@
   if (result.kind == RentalResult::Kind::failed) {
     // After an error or a timeout the request is repeated with the same id. The cloud rents no
     // machine twice for one id.
-    context_.runtime.after(kRetry, context_.whileLeading([this, id = rental.id] {
-      asked_.erase(id);
+    context_.runtime.after(kRetryDelay, context_.whileLeading([this, id = rental.id] {
+      requested_.erase(id);
       startRentals();
     }));
     return;
@@ -191,8 +193,8 @@
   }
   logInfo("rental completed", "rental", rental.id, "granted", result.machines.size(), "requested",
           rental.count, "spot", rental.spot, "type", rental.type, "zone", rental.zone);
-  results_[rental.id] = result;
-  nextCheck_ = now;
+  uncommittedResults_[rental.id] = result;
+  nextDecision_ = now;
   context_.scheduleCycle();
 }
 
--- a/src/cloud/termination_loop.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -7,7 +7,7 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kRetry{1000};
+constexpr Duration kRetryDelay{1000};
 
 // Collects the changed rental records of one commit. All machines of a rental share one write.
 class RentalDrafts {
@@ -95,31 +95,30 @@
       std::move(transaction),
       [this, forget] {
         forget();
-        start();
+        requestTerminations();
       },
       std::to_string(marked) + " machines leaving, " + std::to_string(removed.size()) + " gone"});
 }
 
 // Requests the termination of machines that are recorded as draining. Only the cloud's answer 200
 // proves that an unreachable machine and its tasks have ended.
-void TerminationLoop::start() {
-  if (!terminationUnderWay_.empty()) return;
-  constexpr std::size_t kMostNames = 100;
+void TerminationLoop::requestTerminations() {
+  if (!requested_.empty()) return;
+  constexpr std::size_t kMaxMachinesPerCall = 100;
   std::vector<MachineId> batch;
   for (const auto& id : fleet_.terminating()) {
     const auto* state = context_.replica.machine(id);
-    if (state && state->draining && batch.size() < kMostNames) batch.push_back(id);
+    if (state && state->draining && batch.size() < kMaxMachinesPerCall) batch.push_back(id);
   }
   if (batch.empty() || !context_.cloud.mayAsk()) return;
-  terminationUnderWay_.insert(batch.begin(), batch.end());
-  context_.cloud.release(batch, context_.whileLeading([this, batch](bool ok) {
+  requested_.insert(batch.begin(), batch.end());
+  context_.cloud.terminateMachines(batch, context_.whileLeading([this, batch](bool ok) {
     if (!ok) {
       logInfo("machine termination not confirmed; retrying", "machines", batch.size());
-      context_.runtime.after(kRetry,
-                             context_.whileLeading([this] { terminationUnderWay_.clear(); }));
+      context_.runtime.after(kRetryDelay, context_.whileLeading([this] { requested_.clear(); }));
       return;
     }
-    terminationUnderWay_.clear();
+    requested_.clear();
     for (const auto& id : batch) {
       logInfo("machine terminated", "machine", id);
       if (const auto* state = context_.replica.machine(id)) {
@@ -128,7 +127,7 @@
       terminated_.insert(id);
       fleet_.onReleased(id, context_.runtime.now());
     }
-    start();
+    requestTerminations();
     context_.scheduleCycle();
   }));
 }
--- a/src/cloud/termination_loop.hpp
+++ b/src/cloud/termination_loop.hpp
@@ -16,15 +16,15 @@
 
   /// Commits draining marks and removes the entries of terminated machines.
   LoopStep next() override;
-  void onTimer() override { start(); }
+  void onTimer() override { requestTerminations(); }
 
  private:
-  void start();
+  void requestTerminations();
 
   LeaderContext& context_;
   Fleet& fleet_;
   ConfirmedOutcomes& outcomes_;
-  std::set<MachineId> terminationUnderWay_;  ///< Requested, but the cloud has not answered.
+  std::set<MachineId> requested_;   ///< Requested, but the cloud has not answered.
   std::set<MachineId> terminated_;  ///< Confirmed by the cloud, but still in rental records.
 };
 
--- a/src/forecast/forecast.cpp
+++ b/src/forecast/forecast.cpp
@@ -6,9 +6,9 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr double kRates[Forecast::kPredictors] = {0.02, 0.08, 0.2};
+constexpr double kLearningRates[Forecast::kPredictors] = {0.02, 0.08, 0.2};
 // The residual decays by this share per interval, so the effect of a burst lasts about a minute.
-constexpr double kForget = 0.15;
+constexpr double kResidualDecay = 0.15;
 constexpr double kMaxWeight = 2.0;
 }  // namespace
 
@@ -24,7 +24,7 @@
 void Forecast::observe(double demand) {
   if (!std::isfinite(demand) || demand < 0) return;
   recent_.push_back(demand);
-  ++seen_;
+  ++observed_;
   if (recent_.size() > horizon_) {
     // Compares the prediction made `horizon` intervals ago with the observed demand.
     double base = recent_[recent_.size() - 1 - horizon_];
@@ -37,22 +37,22 @@
       double error = demand - predicted;
       meanError += error / kPredictors;
       for (std::size_t i = 0; i < kInputs; ++i) {
-        w[i] = std::clamp(w[i] + kRates[p] * error * x[i] / power, -kMaxWeight, kMaxWeight);
+        w[i] = std::clamp(w[i] + kLearningRates[p] * error * x[i] / power, -kMaxWeight, kMaxWeight);
       }
     }
     // The error of one interval is bounded. Without the bound a burst of jobs inflates the spread,
     // and machines are still rented after the burst is over (a weakness that DESIGN names).
-    double surprise = std::min(meanError * meanError, 4.0 * residual_ + 1.0);
-    residual_ += kForget * (surprise - residual_);
+    double boundedError = std::min(meanError * meanError, 4.0 * residual_ + 1.0);
+    residual_ += kResidualDecay * (boundedError - residual_);
   }
   while (recent_.size() > horizon_ + kInputs + 2) recent_.pop_front();
 }
 
-void Forecast::skip(std::size_t windows, double demand) {
-  if (windows == 0 || !std::isfinite(demand) || demand < 0) return;
-  std::size_t most = horizon_ + kInputs + 2;
-  for (std::size_t i = 0; i < std::min(windows, most); ++i) recent_.push_back(demand);
-  while (recent_.size() > most) recent_.pop_front();
+void Forecast::fillMissed(std::size_t intervals, double demand) {
+  if (intervals == 0 || !std::isfinite(demand) || demand < 0) return;
+  std::size_t maxIntervals = horizon_ + kInputs + 2;
+  for (std::size_t i = 0; i < std::min(intervals, maxIntervals); ++i) recent_.push_back(demand);
+  while (recent_.size() > maxIntervals) recent_.pop_front();
 }
 
 Prediction Forecast::predict(std::mt19937_64& random) const {
@@ -76,7 +76,7 @@
 
 Json Forecast::toJson() const {
   return {{"horizon", horizon_},
-          {"seen", seen_},
+          {"seen", observed_},
           {"recent", recent_},
           {"weights", weights_},
           {"residual", residual_}};
@@ -108,7 +108,7 @@
     newWeights.push_back(std::move(one));
   }
   horizon_ = *horizon;
-  seen_ = *seen;
+  observed_ = *seen;
   residual_ = *residual;
   recent_ = std::move(newRecent);
   weights_ = std::move(newWeights);
--- a/src/forecast/forecast.hpp
+++ b/src/forecast/forecast.hpp
@@ -37,11 +37,11 @@
   /// Fills the intervals that no leader recorded before a failover with the present demand. The
   /// predictors do not learn from them, so that the new leader does not rent machines for demand
   /// that has changed meanwhile (a weakness that DESIGN names).
-  void skip(std::size_t windows, double demand);
+  void fillMissed(std::size_t intervals, double demand);
   /// Predicts the demand `horizon` intervals ahead.
   Prediction predict(std::mt19937_64& random) const;
   /// Returns the number of intervals that were observed.
-  std::size_t windows() const { return seen_; }
+  std::size_t observedIntervals() const { return observed_; }
   std::size_t horizon() const { return horizon_; }
   void setHorizon(std::size_t h) { horizon_ = h; }
 
@@ -57,7 +57,7 @@
   std::vector<double> inputs(std::size_t ago) const;
 
   std::size_t horizon_ = 6;
-  std::size_t seen_ = 0;
+  std::size_t observed_ = 0;
   std::deque<double> recent_;  ///< The demand of recent intervals, newest last.
   std::vector<Weights> weights_ = std::vector<Weights>(kPredictors, Weights(kInputs, 0.0));
   double residual_ = 0;  ///< The smoothed squared error of predictions at the horizon.
--- a/src/forecast/forecast_test.cpp
+++ b/src/forecast/forecast_test.cpp
@@ -40,7 +40,7 @@
 TEST(Forecast, MissedWindowsAreFilledWithPresentDemand) {
   Forecast f(4);
   after(f, {20, 22, 24, 26, 28, 30, 32, 34});
-  f.skip(6, 3.0);
+  f.fillMissed(6, 3.0);
   std::mt19937_64 random(1);
   EXPECT_NEAR(f.predict(random).mean, 3.0, 1.0);
 }
