--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -8,12 +8,12 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr Duration kTick{100};
-constexpr Duration kStatusExchangeEvery{500};
-constexpr Duration kExpireEvery{30000};
+constexpr Duration kTimerInterval{100};
+constexpr Duration kStatusExchangeInterval{500};
+constexpr Duration kExpiryInterval{30000};
 // If a peer's last contact to a service is older than this, it is unknown whether the peer can
 // reach the service.
-constexpr Duration kUnknownAfter{10000};
+constexpr Duration kContactUnknownAfter{10000};
 
 ChangeWatcher::Settings watcherSettings(const Platform& p, Duration staleAfter) {
   ChangeWatcher::Settings s;
@@ -50,7 +50,7 @@
           // Only leaders call the cloud, so for most followers it is unknown whether they can reach
           // it. An unknown age counts as zero, so that these peers are tried first.
           [](const PeerStatus& s) {
-            return s.cloudAge < kUnknownAfter ? s.cloudAge : Duration{0};
+            return s.cloudAge < kContactUnknownAfter ? s.cloudAge : Duration{0};
           }),
       workerTransport_(runtime, http, peerMembership_, platform.reportEvery),
       forwarder_(runtime, peerMembership_, platform.member),
@@ -61,12 +61,12 @@
       cloud_(runtime, cloudProxy_, platform.cloudAddress, platform.cloudRequestsPerS * 0.9),
       versions_(platform),
       versionWriter_(runtime, store_, replica_, versions_, platform.member),
-      watcher_(runtime, store_, replica_, watcherSettings(platform, kStoreSilent)),
+      watcher_(runtime, store_, replica_, watcherSettings(platform, kStoreUnreachableAfter)),
       jobs_(runtime, store_, watcher_, replica_, platform, versions_),
       flows_(runtime, store_, watcher_, replica_, platform, settings,
              [this] { return jobs_.catalogue(); }),
       policy_(runtime, store_, watcher_, replica_, policyReplica_, platform),
-      election_({platform.member, incarnation, kLeaseLife, kLeaseRenew}),
+      election_({platform.member, incarnation, kLeaderLeaseDuration, kLeaderLeaseRenewInterval}),
       canary_(kWorkerRetryAfterLostAnswer * static_cast<int>(platform.nodes() - 1) +
                   kWorkerNextControllerDelay,
               platform.workerLease, platform.reportEvery) {
@@ -94,9 +94,9 @@
 }
 
 void Controller::start() {
-  started_ = runtime_.now();
-  lastWorker_ = started_ - Duration{3600000};
-  watcher_.setInterval(kFollowerRead);
+  startedAt_ = runtime_.now();
+  lastHeartbeat_ = startedAt_ - Duration{3600000};
+  watcher_.setInterval(kFollowerReadInterval);
   watcher_.onApplied = [this](const std::vector<Change>& changes) {
     if (leader_) leader_->onChangesApplied(changes);
   };
@@ -126,7 +126,7 @@
   peerMembership_.onRefused = [this](const MemberId& peer) {
     zoneAcks_.onPeerRefused(peer, runtime_.now());
   };
-  peerMembership_.start([this] { return status(); }, kStatusExchangeEvery);
+  peerMembership_.start([this] { return status(); }, kStatusExchangeInterval);
   onTimer();
 }
 
@@ -145,14 +145,14 @@
 }
 
 void Controller::onTimer() {
-  runtime_.after(kTick, [this] { onTimer(); });
+  runtime_.after(kTimerInterval, [this] { onTimer(); });
   Instant now = runtime_.now();
-  if (members_ && lastTimer_ != Instant{}) members_->onTimer(kTick, now - lastTimer_);
+  if (members_ && lastTimer_ != Instant{}) members_->onTimer(kTimerInterval, now - lastTimer_);
   lastTimer_ = now;
   if (watcher_.loaded()) versionWriter_.onTimer();
-  if (peerMembership_.anyReachable(kPeerPresence)) lastPeer_ = now;
+  if (peerMembership_.anyReachable(kPeerReachableWithin)) lastPeerContact_ = now;
   trackUnreachableLeader(now);
-  if (now - expiredAt_ > kExpireEvery) expireWorkers(now);
+  if (now - lastExpiry_ > kExpiryInterval) expireWorkers(now);
   runElection();
   watchLeadership();
 }
@@ -161,7 +161,7 @@
 void Controller::trackUnreachableLeader(Instant now) {
   const auto& keyHolder = replica_.leader();
   if (!keyHolder || keyHolder->member == platform_.member ||
-      peerMembership_.recentStatus(keyHolder->member, kPeerPresence)) {
+      peerMembership_.recentStatus(keyHolder->member, kPeerReachableWithin)) {
     leaderUnreachableSince_.reset();
   } else if (!leaderUnreachableSince_) {
     leaderUnreachableSince_ = now;
@@ -170,11 +170,11 @@
 
 // Removes the state of workers that have not sent a heartbeat for a long time.
 void Controller::expireWorkers(Instant now) {
-  expiredAt_ = now;
+  lastExpiry_ = now;
   ackLog_.expire(now);
   leaseLog_.expire(now);
   workerTransport_.expire();
-  std::erase_if(redirectedAt_, [&](const auto& e) { return now - e.second > kExpireEvery; });
+  std::erase_if(redirectedAt_, [&](const auto& e) { return now - e.second > kExpiryInterval; });
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// One controller: takes part in the election and serves users, workers and peers.
+/// Implements one controller, which takes part in the election and serves users, workers and peers.
 #pragma once
 
 #include <memory>
@@ -42,7 +42,8 @@
   /// Serves the requests of peers.
   void onMesh(const Request& request, const Respond& respond);
 
-  /// Returns the metrics in the Prometheus text format. Empty if members are disabled.
+  /// Returns the metrics in the Prometheus text format. The result is empty if members are
+  /// disabled.
   std::string metricsText() { return metrics_ ? metrics_->text() : ""; }
 
   bool leads() const { return leader_ != nullptr; }
@@ -75,8 +76,8 @@
   void stepDown(const std::string& why, bool dropLease, Duration backOff);
   void watchLeadership();
   void watchWorkers();
-  /// Returns until when workers' leases may be renewed. Empty if they must not be renewed. This is
-  /// checked before each heartbeat is acknowledged.
+  /// Returns until when workers' leases may be renewed. The result is empty if no lease may be
+  /// renewed. The leader checks this before it acknowledges a heartbeat.
   std::optional<Instant> renewUntil() const;
   bool mayRenew() const;
   /// Returns how many machines have reported to this leader.
@@ -100,11 +101,11 @@
   Instant noteHeartbeat(const Report& report);
   void noteAcknowledged(const MachineId& machine, const ZoneId& zone, Instant receivedAt);
   HeartbeatView heartbeatView(const Report& report) const;
-  void addUnreachableLeader(const Report& report, HeartbeatView& v) const;
+  void addUnreachableLeader(const Report& report, HeartbeatView& view) const;
   RedirectCandidate redirectCandidate(const Report& report) const;
   /// Answers a heartbeat as the leader.
-  /// @param via The peer that forwarded the heartbeat. Empty if the worker sent it to this
-  /// controller.
+  /// @param via The peer that forwarded the heartbeat; empty if the worker sent it to this
+  ///        controller.
   Response serveReport(const Report& report, const std::optional<MemberId>& via);
   Response answerUnforwarded(const Report& report);
   Response answerLocally(const Report& report, const Route& route);
@@ -148,21 +149,22 @@
   JobService jobs_;
   FlowService flows_;
   PolicyService policy_;
-  std::unique_ptr<Metrics> metrics_;        ///< Null if members are disabled.
-  std::unique_ptr<MemberService> members_;  ///< Null if members are disabled.
+  std::unique_ptr<Metrics> metrics_;        ///< Is null if members are disabled.
+  std::unique_ptr<MemberService> members_;  ///< Is null if members are disabled.
   Instant lastTimer_{};
-  Instant expiredAt_{};
+  Instant lastExpiry_{};
   Election election_;
   std::unique_ptr<Leader> leader_;
   bool beginningLeadership_ = false;
-  FencingToken lastToken_;       ///< The token of the newest known leader.
-  Instant lastWorker_{};         ///< The time of the last heartbeat.
-  Instant lastForeignWorker_{};  ///< The time of the last heartbeat from a worker of another zone.
-  Instant lastPeer_{};           ///< The last time at which a peer was reachable.
+  FencingToken lastToken_;   ///< Holds the token of the newest known leader.
+  Instant lastHeartbeat_{};  ///< Stores when the last heartbeat arrived.
+  /// Stores when the last heartbeat from a worker of another zone arrived.
+  Instant lastOtherZoneHeartbeat_{};
+  Instant lastPeerContact_{};  ///< Stores when a peer was last reachable.
   RedirectCanary canary_;
-  std::map<MachineId, Instant> redirectedAt_;  ///< The time of the last redirect of each worker.
+  std::map<MachineId, Instant> redirectedAt_;  ///< Stores when each worker was last redirected.
   std::optional<Instant> leaderUnreachableSince_;
-  Instant started_{};
+  Instant startedAt_{};
   std::optional<Instant> leaderMissingSince_;
 };
 
--- a/src/app/controller_constants.hpp
+++ b/src/app/controller_constants.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Constants that several files of the controller share.
+/// Defines the constants that several files of the controller share.
 #pragma once
 
 #include "base/types.hpp"
@@ -7,19 +7,19 @@
 namespace kestrelhoist {
 
 /// A follower reads changes of the records at this interval.
-inline constexpr Duration kFollowerRead{500};
+inline constexpr Duration kFollowerReadInterval{500};
 /// The leader reads changes of the records at this interval.
-inline constexpr Duration kLeaderRead{250};
+inline constexpr Duration kLeaderReadInterval{250};
 /// A request to the state service fails after this time.
 inline constexpr Duration kStoreTimeout{1000};
 /// The state service counts as unreachable after this time without contact.
-inline constexpr Duration kStoreSilent{2000};
+inline constexpr Duration kStoreUnreachableAfter{2000};
 /// The leader's lease expires this long after its last renewal.
-inline constexpr Duration kLeaseLife{3000};
+inline constexpr Duration kLeaderLeaseDuration{3000};
 /// The leader renews its lease at this interval.
-inline constexpr Duration kLeaseRenew{700};
+inline constexpr Duration kLeaderLeaseRenewInterval{700};
 /// A peer counts as reachable if its last status is not older than this.
-inline constexpr Duration kPeerPresence{2000};
+inline constexpr Duration kPeerReachableWithin{2000};
 /// A request that was forwarded to a peer fails after this time.
 inline constexpr Duration kForwardTimeout{1800};
 
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -11,7 +11,8 @@
 // After this time without contact to the state service, this controller answers heartbeats in place
 // of the leader.
 constexpr Duration kAnswersLocallyAfter{1500};
-// After this time without an answer to forwarded heartbeats, the leader may not receive them.
+// If the leader has not answered forwarded heartbeats for this long, it probably does not receive
+// them.
 constexpr Duration kForwardingDegradedAfter{3000};
 
 }  // namespace
@@ -37,12 +38,12 @@
 
 // Records the arrival of a heartbeat and returns its time.
 Instant Controller::noteHeartbeat(const Report& report) {
-  lastWorker_ = runtime_.now();
-  if (report.zone != platform_.zone) lastForeignWorker_ = lastWorker_;
-  canary_.onReport(report.machine, lastWorker_);
-  leaseLog_.onHeartbeat(report, lastWorker_);
+  lastHeartbeat_ = runtime_.now();
+  if (report.zone != platform_.zone) lastOtherZoneHeartbeat_ = lastHeartbeat_;
+  canary_.onReport(report.machine, lastHeartbeat_);
+  leaseLog_.onHeartbeat(report, lastHeartbeat_);
   workerTransport_.noteReport(report.address, report.zone, std::nullopt);
-  return lastWorker_;
+  return lastHeartbeat_;
 }
 
 void Controller::noteAcknowledged(const MachineId& machine, const ZoneId& zone,
@@ -53,12 +54,13 @@
   if (zoneAcks_.onAcknowledged(zone, receivedAt)) peerMembership_.announceStatus();
 }
 
-// Answers a heartbeat whose forwarding failed in the same way as when no leader is reachable.
+// Answers a heartbeat that could not be forwarded. The answer is the same as if no leader were
+// reachable.
 Response Controller::answerUnforwarded(const Report& report) {
-  HeartbeatView v = heartbeatView(report);
-  if (v.leads) return serveReport(report, std::nullopt);
-  v.leader.reset();
-  return answerLocally(report, routeHeartbeat(v));
+  HeartbeatView view = heartbeatView(report);
+  if (view.leads) return serveReport(report, std::nullopt);
+  view.leader.reset();
+  return answerLocally(report, routeHeartbeat(view));
 }
 
 // Answers a heartbeat without involving the leader.
@@ -68,42 +70,44 @@
 }
 
 HeartbeatView Controller::heartbeatView(const Report& report) const {
-  HeartbeatView v;
-  v.now = runtime_.now();
-  v.leads = leader_ && election_.leads();
-  v.leaderLeaseLife = kLeaseLife;
-  v.renewUntil = renewUntil();
-  v.contactAge = watcher_.contactAge();
-  v.knownToken = lastToken_;
-  v.reportedToken = report.token;
-  v.foreignZone = report.zone != platform_.zone;
-  v.lease = platform_.workerLease;
+  HeartbeatView view;
+  view.now = runtime_.now();
+  view.leads = leader_ && election_.leads();
+  view.leaderLeaseLife = kLeaderLeaseDuration;
+  view.renewUntil = renewUntil();
+  view.contactAge = watcher_.contactAge();
+  view.knownToken = lastToken_;
+  view.reportedToken = report.token;
+  view.foreignZone = report.zone != platform_.zone;
+  view.lease = platform_.workerLease;
   if (auto redirected = redirectedAt_.find(report.machine); redirected != redirectedAt_.end()) {
-    v.sinceRedirect = v.now - redirected->second;
+    view.sinceRedirect = view.now - redirected->second;
   }
-  if (const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence)) {
-    v.leader = leader->member;
-    v.leaderForwards = leader->supportsForwarding &&
-                       forwarder_.failingFor(leader->member) < kForwardingDegradedAfter;
-    v.leaderReachesWorkers = !leader->hasLostWorkers;
+  if (const PeerStatus* leader = peerMembership_.newestLeader(kPeerReachableWithin)) {
+    view.leader = leader->member;
+    view.leaderForwards = leader->supportsForwarding &&
+                          forwarder_.failingFor(leader->member) < kForwardingDegradedAfter;
+    view.leaderReachesWorkers = !leader->hasLostWorkers;
   }
-  v.isolated = !peerMembership_.anyReachable(kPeerPresence) && v.contactAge >= kAnswersLocallyAfter;
-  Instant cutOff = std::max(lastPeer_, v.now - v.contactAge);
-  v.foreignZonesReach = lastForeignWorker_ > cutOff + Duration{500} &&
-                        v.now - lastForeignWorker_ < 2 * platform_.reportEvery + Duration{3000};
-  if (!v.leader) addUnreachableLeader(report, v);
-  return v;
+  view.isolated = !peerMembership_.anyReachable(kPeerReachableWithin) &&
+                  view.contactAge >= kAnswersLocallyAfter;
+  Instant cutOff = std::max(lastPeerContact_, view.now - view.contactAge);
+  view.foreignZonesReach =
+      lastOtherZoneHeartbeat_ > cutOff + Duration{500} &&
+      view.now - lastOtherZoneHeartbeat_ < 2 * platform_.reportEvery + Duration{3000};
+  if (!view.leader) addUnreachableLeader(report, view);
+  return view;
 }
 
 // Adds the holder of the leader key to the view if this controller cannot reach it.
-void Controller::addUnreachableLeader(const Report& report, HeartbeatView& v) const {
+void Controller::addUnreachableLeader(const Report& report, HeartbeatView& view) const {
   const auto& keyHolder = replica_.leader();
-  if (v.contactAge >= kAnswersLocallyAfter || !keyHolder || keyHolder->member == platform_.member ||
-      !leaderUnreachableSince_) {
+  if (view.contactAge >= kAnswersLocallyAfter || !keyHolder ||
+      keyHolder->member == platform_.member || !leaderUnreachableSince_) {
     return;
   }
-  v.unreachableLeader = keyHolder->member;
-  v.leaderUnreachableFor = v.now - *leaderUnreachableSince_;
+  view.unreachableLeader = keyHolder->member;
+  view.leaderUnreachableFor = view.now - *leaderUnreachableSince_;
   // A worker that has just tried several controllers has little of its lease left. It is answered
   // here before it may be redirected: when workers were redirected at once, only 16 of 24 replicas
   // kept running.
@@ -111,8 +115,8 @@
   bool fresh =
       worker.sinceAcknowledged &&
       *worker.sinceAcknowledged < longestHeartbeatInterval(platform_.reportEvery) + Duration{1500};
-  v.mayRedirect = canary_.mayRedirect(*v.unreachableLeader, worker, v.now) &&
-                  (fresh || worker.idle || !mayRenewLocally(v));
+  view.mayRedirect = canary_.mayRedirect(*view.unreachableLeader, worker, view.now) &&
+                     (fresh || worker.idle || !mayRenewLocally(view));
 }
 
 RedirectCandidate Controller::redirectCandidate(const Report& report) const {
@@ -142,7 +146,7 @@
 Response Controller::redirect(const Report& report, const std::optional<MemberId>& to) {
   redirectedAt_[report.machine] = runtime_.now();
   if (to && replica_.leader() && *to == replica_.leader()->member &&
-      !peerMembership_.recentStatus(*to, kPeerPresence)) {
+      !peerMembership_.recentStatus(*to, kPeerReachableWithin)) {
     canary_.onRedirected(*to, redirectCandidate(report), runtime_.now());
   }
   Json body = Json::object();
@@ -165,7 +169,7 @@
   }
   if (via) workerTransport_.noteReport(report.address, report.zone, via);
   return leader_->onReport(report, via.value_or(platform_.member),
-                           watcher_.contactAge() < kStoreSilent);
+                           watcher_.contactAge() < kStoreUnreachableAfter);
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -1,5 +1,5 @@
-// The election and the lifecycle of leadership: a controller becomes leader, checks whether it may
-// remain leader, and steps down.
+// Implements the election and the lifecycle of leadership. A controller becomes leader, checks
+// whether it may remain leader, and steps down.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -13,9 +13,9 @@
 
 // If at least this many machines stop reporting at the same time, the network path to them is cut.
 // The leader then steps down without waiting until they report to another controller, because each
-// worker's lease runs down during the wait.
-constexpr std::size_t kSeveralMachines = 3;
-constexpr HedgeTimes kLeasesRequest{Duration{300}, Duration{2000}};
+// worker has less of its lease left after the wait.
+constexpr std::size_t kMinMachinesForNetworkCut = 3;
+constexpr HedgeTimes kLeasesRequestTimes{Duration{300}, Duration{2000}};
 
 }  // namespace
 
@@ -25,9 +25,9 @@
   Election::View view{watcher_.contactAge() < Duration{1000}, replica_.leader(),
                       replica_.leaderToken()};
   if (defersCandidacy(view)) return;
-  bool led = election_.leads();
+  bool wasLeader = election_.leads();
   auto step = election_.nextStep(now, view);
-  if (led && !election_.leads()) {
+  if (wasLeader && !election_.leads()) {
     stepDown("another leads or the lease ended", false, Duration{0});
     return;
   }
@@ -36,7 +36,8 @@
   if (election_.leads() && !leader_) beginLeadership();
 }
 
-// Returns whether to wait, so that a candidate that receives heartbeats can be elected first.
+// Returns whether this controller waits before it stands for election, so that a peer that receives
+// heartbeats can be elected first.
 bool Controller::defersCandidacy(const Election::View& view) {
   if (election_.leads() || !view.fresh || view.leader) {
     leaderMissingSince_.reset();
@@ -52,15 +53,15 @@
 // gives its peers time to read that there is no leader. A controller that has just started does not
 // know yet whether it is cut off and waits for a shorter time.
 Duration Controller::candidacyDelay() const {
-  Duration sinceHeartbeat = runtime_.now() - lastWorker_;
+  Duration sinceHeartbeat = runtime_.now() - lastHeartbeat_;
   if (sinceHeartbeat < heartbeatDueAfter(platform_.reportEvery)) return Duration{0};
-  return lastWorker_ < started_ ? Duration{400} : Duration{1500};
+  return lastHeartbeat_ < startedAt_ ? Duration{400} : Duration{1500};
 }
 
 // Requests the leader's lease first. Then writes the leader key with this lease, on the condition
 // that no controller holds the key.
 void Controller::claimLeadership() {
-  store_.grantLease(kLeaseLife, kStoreTimeout, [this](std::optional<LeaseId> lease) {
+  store_.grantLease(kLeaderLeaseDuration, kStoreTimeout, [this](std::optional<LeaseId> lease) {
     election_.onGranted(lease);
     if (election_.role() != Election::Role::claiming) return;
     Transaction t;
@@ -99,7 +100,7 @@
 }
 
 void Controller::startLeader() {
-  watcher_.setInterval(kLeaderRead);
+  watcher_.setInterval(kLeaderReadInterval);
   workerTransport_.forgetNextHops();
   LeaderContext context{runtime_,         store_,    watcher_,  replica_,          cloud_,
                         workerTransport_, platform_, settings_, election_.token(), runtime_.now()};
@@ -111,7 +112,7 @@
   context.timeOfDay = [this] { return timeOfDay(); };
   context.hasUnheardPeer = [this] {
     return std::any_of(platform_.peers.begin(), platform_.peers.end(), [this](const Peer& peer) {
-      return !peerMembership_.recentStatus(peer.member, kPeerPresence) &&
+      return !peerMembership_.recentStatus(peer.member, kPeerReachableWithin) &&
              peerMembership_.mayBeAlive(peer.member);
     });
   };
@@ -168,7 +169,7 @@
           if (!body) return;
           leader_->fleet().adoptLeases(leaseSightingsFrom(*body, runtime_.now()));
         });
-    request->start(kLeasesRequest, nullptr);
+    request->start(kLeasesRequestTimes, nullptr);
   }
 }
 
@@ -178,7 +179,7 @@
   auto lease = election_.lease();
   if (dropLease && lease) store_.dropLease(*lease);
   election_.stepDown(runtime_.now() + backOff);
-  watcher_.setInterval(kFollowerRead);
+  watcher_.setInterval(kFollowerReadInterval);
   // The leader is destroyed later, because this function may run within a call of the leader.
   if (leader_) {
     std::shared_ptr<Leader> old(std::move(leader_));
@@ -196,7 +197,7 @@
   if (watcher_.loaded() && !mayRenew()) {
     return stepDown("no contact with the state service for too long", false, Duration{1000});
   }
-  if (watcher_.loaded() && watcher_.contactAge() > kStoreSilent &&
+  if (watcher_.loaded() && watcher_.contactAge() > kStoreUnreachableAfter &&
       peerMembership_.peerReachingStore(watcher_.failingSince())) {
     return stepDown("the state service answers others but not this node", false, Duration{3000});
   }
@@ -211,23 +212,23 @@
       reporting > 0 || std::any_of(replica_.machines().begin(), replica_.machines().end(),
                                    [](const auto& m) { return !m.second.tasks.empty(); });
   Duration sinceHeartbeat =
-      runtime_.now() - std::max(lastWorker_, leader_->fleet().lastReportOfAny());
+      runtime_.now() - std::max(lastHeartbeat_, leader_->fleet().lastReportOfAny());
   Duration timeout = platform_.reportEvery * 3 / 2 + Duration{2000};
   // After a failover each worker waits 4 s for the old leader and then tries the controllers one
   // after another, 1 s each. Heartbeats that reach other controllers meanwhile must not make the
   // new leader step down, because all workers' leases would expire.
   if (reporting == 0) timeout += Duration{6000};
   if (!expectsHeartbeats || sinceHeartbeat < timeout) return;
-  bool anyPeer = platform_.peers.empty() || peerMembership_.anyReachable(kPeerPresence);
+  bool anyPeer = platform_.peers.empty() || peerMembership_.anyReachable(kPeerReachableWithin);
   bool peersReceiveHeartbeats = false;
   for (const auto& peer : platform_.peers) {
-    const auto* s = peerMembership_.recentStatus(peer.member, kPeerPresence);
+    const auto* s = peerMembership_.recentStatus(peer.member, kPeerReachableWithin);
     // This peer forwards the heartbeats that it receives to this leader. A different leader would
     // receive no more heartbeats than this one.
     if (s && s->supportsForwarding && sinceHeartbeat < timeout + platform_.workerLease / 2) return;
     peersReceiveHeartbeats = peersReceiveHeartbeats || (s && s->workersAge < sinceHeartbeat);
   }
-  if (peersReceiveHeartbeats || !anyPeer || reporting >= kSeveralMachines) {
+  if (peersReceiveHeartbeats || !anyPeer || reporting >= kMinMachinesForNetworkCut) {
     stepDown("no worker reports here", true, 5 * platform_.reportEvery + Duration{10000});
   }
 }
@@ -240,7 +241,7 @@
   // hold while a cancellation committed here has not been read back, because placements may be
   // missing from the replica, or while the cancellation of a flow is incomplete.
   if (auto barrier = cancellationBarrier_.snapshotTime();
-      barrier && *barrier > asOf && watcher_.contactAge() > kStoreSilent &&
+      barrier && *barrier > asOf && watcher_.contactAge() > kStoreUnreachableAfter &&
       replica_.newestCancellation() <= replica_.cursor() && !replica_.flowCancellationUnderWay()) {
     asOf = *barrier;
   }
--- a/src/app/controller_peer_api.cpp
+++ b/src/app/controller_peer_api.cpp
@@ -1,4 +1,4 @@
-// The API between controllers: exchanges statuses, serves forwarded requests and proxies requests.
+// Implements the API between controllers, which exchange statuses and forward and proxy requests.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -84,7 +84,8 @@
   s.cloudAge = ageOf(cloudProxy_.link());
   s.supportsForwarding = true;
   s.wallMs = runtime_.wallMillis();
-  s.workersAge = std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastWorker_));
+  s.workersAge =
+      std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastHeartbeat_));
   if (watcher_.loaded()) s.newestCancellation = replica_.newestCancellation();
   s.zoneAcks = zoneAcks_.report(runtime_.now(), peerMayBeAlive());
   s.ready = watcher_.loaded() && jobs_.catalogue() != nullptr;
@@ -107,7 +108,7 @@
 std::int64_t Controller::timeOfDay() const {
   std::vector<std::int64_t> clocks{runtime_.wallMillis()};
   for (const auto& peer : platform_.peers) {
-    if (const auto* s = peerMembership_.recentStatus(peer.member, kPeerPresence);
+    if (const auto* s = peerMembership_.recentStatus(peer.member, kPeerReachableWithin);
         s && s->wallClockOffset) {
       clocks.push_back(runtime_.now().ms + *s->wallClockOffset);
     }
--- a/src/app/controller_user_api.cpp
+++ b/src/app/controller_user_api.cpp
@@ -1,4 +1,4 @@
-// The API for users, workers and health checks.
+// Implements the API for users, workers and health checks.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -66,7 +66,7 @@
     };
     const Json noLeader = {{"leader", nullptr}, {"waits", Json::array()}};
     if (leader_) return respondWith(leader_->why(JobId{*ref}));
-    const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence);
+    const PeerStatus* leader = peerMembership_.newestLeader(kPeerReachableWithin);
     if (!leader) return respondWith(noLeader);
     peerMembership_.send(leader->member, {"GET", "/mesh/why/" + *ref, ""}, kForwardTimeout,
                          [respondWith, noLeader](const std::optional<Response>& answer) mutable {
@@ -82,8 +82,8 @@
   // A controller that has lost the state service stays ready while it reaches a peer: it can
   // forward requests, and an outage of the state service must not remove all controllers from the
   // load balancer. It is not ready if it reaches no peer either.
-  if (serves && !watcher_.reachable() && watcher_.contactAge() > kStoreSilent) {
-    serves = peerMembership_.anyReachable(kPeerPresence);
+  if (serves && !watcher_.reachable() && watcher_.contactAge() > kStoreUnreachableAfter) {
+    serves = peerMembership_.anyReachable(kPeerReachableWithin);
   }
   return jsonResponse(serves ? 200 : 503, Json::object());
 }
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -9,12 +9,12 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kTick{250};
+constexpr Duration kTimerInterval{250};
 constexpr std::int64_t kTimersPerFailureDetection = 2;
 constexpr double kLeaderWriteShare = 0.7;  // The rest is reserved for users' requests.
 constexpr Duration kCommitTimeout{1500};
-constexpr Duration kRetry{200};
-constexpr Duration kRejectedRetry{1000};
+constexpr Duration kRetryDelay{200};
+constexpr Duration kRejectedRetryDelay{1000};
 // Workers count as reachable if a request sent within this time has reached one of them.
 constexpr Duration kWorkersReachableWithin{3000};
 // These fields of the forecast record hold the suspected zones and the suspect jobs.
@@ -100,7 +100,7 @@
 }
 
 void Leader::finishStep(std::optional<Commit> next) {
-  stepUnderWay_ = false;
+  stepInProgress_ = false;
   if (next) return commit(std::move(*next));
   scheduleCycle();
 }
@@ -135,7 +135,7 @@
 }
 
 void Leader::onTimer() {
-  context_.runtime.after(kTick, context_.whileLeading([this] { onTimer(); }));
+  context_.runtime.after(kTimerInterval, context_.whileLeading([this] { onTimer(); }));
   Instant now = context_.runtime.now();
   if (!context_.initialRoundOver && initialRound_.isOver()) {
     context_.initialRoundOver = true;
@@ -149,7 +149,7 @@
                                context_.workersReachedSince(now - kWorkersReachableWithin));
     detectFailures(now);
     prober_.probeOverdue();
-    leaseEndProber_.schedule(kTimersPerFailureDetection * kTick);
+    leaseEndProber_.schedule(kTimersPerFailureDetection * kTimerInterval);
   }
   repeater_.repeatDue(now);
   machineList_.onTimer();
@@ -169,13 +169,13 @@
 // Each cycle starts with the loop after the one that acted last, so that a busy loop cannot starve
 // the others.
 void Leader::cycle() {
-  if (stepUnderWay_ || deposed() || !context_.watcher.reachable()) return;
+  if (stepInProgress_ || isLeadershipLost() || !context_.watcher.reachable()) return;
   for (std::size_t i = 0; i < loops_.size(); ++i) {
     std::size_t at = (nextLoop_ + i) % loops_.size();
     LoopStep step = loops_[at]->next();
     if (!step.commit && !step.isAsynchronous) continue;
     nextLoop_ = at + 1;
-    stepUnderWay_ = true;
+    stepInProgress_ = true;
     if (step.commit) commit(std::move(*step.commit));
     return;
   }
@@ -184,15 +184,15 @@
 // One read can return both the election of another leader and the records that it has written
 // since. The old leader must not act on those records as if they were its own: in flow-faults 1 and
 // 12 a job created by the new leader had inputs that were not done in the old leader's view.
-bool Leader::deposed() const { return context_.replica.leaderToken() != context_.token; }
+bool Leader::isLeadershipLost() const { return context_.replica.leaderToken() != context_.token; }
 
 void Leader::notifyLoops(bool changedByOthers) {
-  if (deposed()) return;
+  if (isLeadershipLost()) return;
   for (ControlLoop* loop : loops_) loop->onRecordsChanged(changedByOthers);
 }
 
 void Leader::commit(Commit commit) {
-  stepUnderWay_ = true;
+  stepInProgress_ = true;
   sent_ = std::make_shared<SentCommit>(SentCommit{std::move(commit)});
   double cost = static_cast<double>(sent_->commit.transaction.writes.size());
   Duration wait = writes_.waitFor(context_.runtime.now(), cost);
@@ -226,20 +226,20 @@
     case CommitOutcome::noLease:
       logError("commit rejected", "what", sent->commit.what);
       // An earlier send may have been applied before the state service lowered its limits.
-      context_.runtime.after(kRejectedRetry,
+      context_.runtime.after(kRejectedRetryDelay,
                              context_.whileLeading([this, sent] { rereadRecords(sent); }));
       return;
     case CommitOutcome::refused:
     case CommitOutcome::unknown:
       logDebug("commit outcome unknown; sending it again", "refused",
                result.outcome == CommitOutcome::refused, "what", sent->commit.what);
-      context_.runtime.after(kRetry, context_.whileLeading([this, sent] { send(sent); }));
+      context_.runtime.after(kRetryDelay, context_.whileLeading([this, sent] { send(sent); }));
       return;
   }
 }
 
 void Leader::onChangesApplied(const std::vector<Change>& changes) {
-  if (!sent_ || sent_->settled || deposed()) return;
+  if (!sent_ || sent_->settled || isLeadershipLost()) return;
   auto revision = appliedRevision(sent_->commit.transaction, changes);
   if (!revision) return;
   logInfo("commit confirmed by the change feed", "what", sent_->commit.what);
@@ -257,7 +257,7 @@
     }
   }
   context_.latestRevision = std::max(context_.latestRevision, revision);
-  stepUnderWay_ = false;
+  stepInProgress_ = false;
   notifyLoops(false);
   logDebug("committed", "revision", revision, "what", commit.what);
   if (commit.onApplied) commit.onApplied();
@@ -271,7 +271,7 @@
   context_.watcher.linearizableRead(context_.whileLeading([this, sent](bool) {
     if (sent->settled) return;
     sent->settled = true;
-    stepUnderWay_ = false;
+    stepInProgress_ = false;
     notifyLoops(false);
     scheduleCycle();
   }));
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The work of the leader: runs the control loops and commits their transactions.
+/// Implements the leader, which runs the control loops and commits their transactions.
 #pragma once
 
 #include "cloud/forecast_loop.hpp"
@@ -41,7 +41,7 @@
   Fleet& fleet() { return fleet_; }
 
  private:
-  /// A commit whose outcome is unknown until `settled` is true.
+  /// Holds a commit whose outcome is unknown until `settled` is true.
   struct SentCommit {
     Commit commit;
     bool settled = false;
@@ -58,7 +58,7 @@
   void scheduleCycle();
   void cycle();
   /// Returns whether the replica shows that this leadership has ended.
-  bool deposed() const;
+  bool isLeadershipLost() const;
   void notifyLoops(bool changedByOthers);
   void commit(Commit commit);
   void send(const SentCommitPtr& sent);
@@ -85,12 +85,12 @@
   ForecastLoop forecast_;
   FlowLoop flows_;
   PolicyLoop policy_;
-  std::vector<ControlLoop*> loops_;  ///< All loops, in the order in which they run.
+  std::vector<ControlLoop*> loops_;  ///< Lists all loops in the order in which they run.
   RateBudget writes_;
-  SentCommitPtr sent_;         ///< The newest commit. Null before the first one.
-  bool stepUnderWay_ = false;  ///< Whether a commit or an asynchronous step is in progress.
+  SentCommitPtr sent_;           ///< Points to the newest commit, or is null before the first.
+  bool stepInProgress_ = false;  ///< Is true if a commit or an asynchronous step is in progress.
   bool cycleScheduled_ = false;
-  std::size_t nextLoop_ = 0;  ///< The index of the loop that runs first in the next cycle.
+  std::size_t nextLoop_ = 0;  ///< Selects the loop that runs first in the next cycle.
   std::int64_t timerCount_ = 0;
 };
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// The main program of kestrelhoist, which runs one controller of a cluster scheduler.
+// Runs one controller of the cluster scheduler kestrelhoist.
 #include <malloc.h>
 
 #include <CLI/CLI.hpp>
--- a/src/app/servers.cpp
+++ b/src/app/servers.cpp
@@ -8,16 +8,16 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr Duration kCertificatesEvery{2000};
+constexpr Duration kCertificateReloadInterval{2000};
 // A request must arrive completely within this time. Users' clients time out after 5 s.
-constexpr Duration kSlowest{8000};
-constexpr Duration kIdle{60000};
-// The share of all sockets that members' connections may use.
-constexpr double kUsersShare = 0.8;
+constexpr Duration kRequestTimeout{8000};
+constexpr Duration kIdleTimeout{60000};
+// Members' connections may use at most this share of all sockets.
+constexpr double kMemberSocketShare = 0.8;
 // Above this share of open sockets, the server closes each connection after its response, and the
 // controller closes its own idle client connections.
-constexpr double kCrowded = 0.75;
-constexpr Duration kCrowdedFor{1000};
+constexpr double kCrowdedSocketShare = 0.75;
+constexpr Duration kCloseIdleInterval{1000};
 
 // Replaces "{member}" in a path with the name of this controller.
 std::string expandMember(std::string path, const MemberId& member) {
@@ -29,7 +29,7 @@
 }
 
 // Returns the address with its port increased by `offset`.
-std::string addressAbove(const std::string& address, int offset) {
+std::string addressWithPortOffset(const std::string& address, int offset) {
   auto parts = splitAddress(address);
   if (!parts || parts->second + offset > 65535) {
     throw std::runtime_error("no port " + std::to_string(offset) + " above that of " + address);
@@ -44,8 +44,9 @@
     : loop_(loop), http_(http), platform_(platform), controller_(controller) {
   ServerLimits userLimits;
   if (settings.enabled) {
-    userLimits = {kIdle, kSlowest,
-                  static_cast<int>(static_cast<double>(platform.maxConnections) * kUsersShare)};
+    userLimits = {
+        kIdleTimeout, kRequestTimeout,
+        static_cast<int>(static_cast<double>(platform.maxConnections) * kMemberSocketShare)};
   }
   serveApi(userLimits);
   if (settings.enabled && !settings.usersTls.empty()) serveApiOverTls(settings, userLimits);
@@ -69,8 +70,8 @@
 void Servers::serveApi(ServerLimits limits) {
   // Workers connect to this server, too, and the socket limit must apply to members only.
   limits.highestSocket = 0;
-  limits.crowdedSocket =
-      std::max(16, static_cast<int>(static_cast<double>(platform_.maxConnections) * kCrowded));
+  limits.crowdedSocket = std::max(
+      16, static_cast<int>(static_cast<double>(platform_.maxConnections) * kCrowdedSocketShare));
   limits.crowded = [this] { closeIdleConnections(); };
   listen(
       platform_.apiAddress,
@@ -81,8 +82,8 @@
 }
 
 void Servers::closeIdleConnections() {
-  if (loop_.now() - crowdedAt_ < kCrowdedFor) return;
-  crowdedAt_ = loop_.now();
+  if (loop_.now() - idleClosedAt_ < kCloseIdleInterval) return;
+  idleClosedAt_ = loop_.now();
   logDebug("many sockets are open; closing idle connections");
   loop_.after(Duration{0}, [&http = http_] { http.closeIdle(); });
 }
@@ -92,7 +93,7 @@
       std::make_shared<TlsServer>(expandMember(settings.usersTls.certificate, platform_.member),
                                   expandMember(settings.usersTls.key, platform_.member));
   listen(
-      addressAbove(platform_.apiAddress, settings.usersTlsPort),
+      addressWithPortOffset(platform_.apiAddress, settings.usersTlsPort),
       [this](const Request& request, const Respond& respond) {
         controller_.onApi(request, respond, true);
       },
@@ -111,7 +112,7 @@
 }
 
 void Servers::serveMetrics(int portOffset) {
-  listen(addressAbove(platform_.apiAddress, portOffset),
+  listen(addressWithPortOffset(platform_.apiAddress, portOffset),
          [this](const Request& request, const Respond& respond) {
            if (request.method != "GET" || request.path != "/metrics") {
              return respond(jsonResponse(404, {{"error", "no such path"}}));
@@ -121,7 +122,7 @@
 }
 
 void Servers::watchCertificates() {
-  loop_.after(kCertificatesEvery, [this] {
+  loop_.after(kCertificateReloadInterval, [this] {
     if (usersTls_) usersTls_->reload();
     if (meshTls_) meshTls_->reload();
     watchCertificates();
--- a/src/app/servers.hpp
+++ b/src/app/servers.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The HTTP servers of one controller. One serves users and workers, and one serves peers. If
-/// members are enabled, another one can serve users over TLS and another one metrics.
+/// Runs the HTTP servers of one controller. One serves users and workers, and one serves peers. If
+/// members are enabled, a third can serve users over TLS and a fourth can serve metrics.
 #pragma once
 
 #include "app/controller.hpp"
@@ -32,7 +32,7 @@
   EvHttpClient& http_;
   const Platform& platform_;
   Controller& controller_;
-  Instant crowdedAt_{};
+  Instant idleClosedAt_{};
   std::shared_ptr<TlsServer> usersTls_, meshTls_;
   std::vector<std::unique_ptr<HttpServer>> servers_;
 };
--- a/src/cloud/catalogue.hpp
+++ b/src/cloud/catalogue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The machine types that the cloud offers.
+/// Represents the machine types that the cloud offers.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace kestrelhoist {
 
-/// A machine type with its resources, prices, boot time and zones.
+/// Describes a machine type by its resources, prices, boot time and zones.
 struct MachineType {
   TypeId id;
   Resources capacity;
@@ -22,10 +22,11 @@
   std::vector<ZoneId> zones;
 };
 
-/// All machine types of the cloud.
+/// Holds all machine types of the cloud.
 struct Catalogue {
   std::vector<MachineType> types;
-  /// Returns the machine type with this id. Null if the cloud does not offer it.
+  /// Returns the machine type with this id. The result is null if the cloud does not offer
+  /// it.
   const MachineType* find(const TypeId& id) const;
 };
 
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Typed client of the cloud's HTTP API, which rents, lists and terminates machines.
+/// Implements a client of the cloud's HTTP API, which rents, lists and terminates machines.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace kestrelhoist {
 
-/// An entry of the cloud's list of machines.
+/// Represents an entry of the cloud's list of machines.
 struct ListedMachine {
   MachineId id;
   std::string address;
@@ -21,7 +21,7 @@
   Duration age{};
 };
 
-/// The cloud's answer to a rental; `failed` also stands for a missing answer.
+/// Represents the cloud's answer to a rental. The kind `failed` includes a missing answer.
 struct RentalResult {
   enum class Kind { rented, noCapacity, rejected, failed } kind = Kind::failed;
   std::vector<MachineId> machines;
@@ -41,7 +41,7 @@
   /// Terminates machines. The result is true if the cloud confirmed that they and all their tasks
   /// have ended.
   void terminateMachines(const std::vector<MachineId>& machines, std::function<void(bool)> done);
-  /// Receives the whole list of machines. Empty if the request failed.
+  /// Receives the whole list of machines, or an empty value if a request failed.
   using OnMachines = std::function<void(std::optional<std::vector<ListedMachine>>)>;
   /// Reads the list of machines, page by page.
   void listMachines(OnMachines done);
--- a/src/cloud/client_test.cpp
+++ b/src/cloud/client_test.cpp
@@ -24,7 +24,7 @@
     });
   }
 
-  // Returns how long reading the machine list takes. Empty if no list arrives.
+  // Returns how long reading the machine list takes. The result is empty if no list arrives.
   std::optional<Duration> listTakes() {
     CloudClient cloud(runtime, runtime, "cloud:1", 10);
     const Instant begun = runtime.now();
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -7,7 +7,8 @@
 namespace kestrelhoist {
 namespace {
 
-// Returns the allowed machine type on which a task costs the least. Null if no type can hold it.
+// Returns the allowed machine type on which a task costs the least. The result is null if no
+// type can hold the task.
 const MachineType* cheapestType(const Catalogue& catalogue, const Resources& perTask,
                                 const JobSpec* spec) {
   const MachineType* best = nullptr;
@@ -28,10 +29,10 @@
   return tasks / std::max(1.0, perMachine);
 }
 
-// Returns the zones in which machines can run the job's waiting tasks. Empty if all zones can. At
-// most half of the replicas of a spread service may be placed in one zone. When this was ignored,
-// three of six replicas waited forever: an idle machine counted as free for them, but it was in the
-// zone of the three other replicas.
+// Returns the zones in which machines can run the job's waiting tasks. The result is empty if all
+// zones can. At most half of the replicas of a spread service may be placed in one zone. When this
+// was ignored, three of six replicas waited forever: an idle machine counted as free for them, but
+// it was in the zone of the three other replicas.
 std::set<ZoneId> eligibleZones(const LeaderContext& context, Fleet& fleet, const JobState& job,
                                const MachineType& type) {
   const JobSpec& spec = *job.record.spec;
--- a/src/cloud/demand.hpp
+++ b/src/cloud/demand.hpp
@@ -17,17 +17,18 @@
 std::map<TypeId, TypeDemand> presentDemand(const LeaderContext& context, Fleet& fleet,
                                            const std::map<JobId, std::uint32_t>& unplaced);
 
-/// Tasks that are expected to need or to free resources soon and that are not placed on a machine.
+/// Describes tasks that are expected to need or to free resources soon, but do not appear in the
+/// record of any machine yet.
 struct ProjectedDemand {
   Resources perTask;
   std::uint32_t tasks{};
   bool spot{};
 };
 
-/// Demand in machines of one type.
+/// Holds the demand for one machine type, in machines.
 struct MachineDemand {
-  double firm{};      ///< Demand that only on-demand machines can serve.
-  double flexible{};  ///< Demand that spot machines may serve.
+  double firm{};      ///< Only on-demand machines can serve this part.
+  double flexible{};  ///< Spot machines may serve this part.
 };
 
 /// Converts projected demand to machines; each task counts for the machine type on which it is
--- a/src/cloud/forecast_loop.cpp
+++ b/src/cloud/forecast_loop.cpp
@@ -55,7 +55,7 @@
     auto [it, isNew] =
         forecasts_.series.try_emplace(type.id, DemandSeries{Forecast(horizon), Forecast(horizon)});
     // Waiting tasks do not count as demand while the cloud refuses this type in every zone. They
-    // would otherwise raise the forecast to machines that cannot be rented (see DESIGN).
+    // would otherwise raise the forecast, although no machine can be rented (see DESIGN).
     auto allRefused = [&](bool spot) {
       return std::all_of(type.zones.begin(), type.zones.end(), [&](const ZoneId& z) {
         auto r = scaling_.refused().find({type.id, z, spot});
@@ -95,8 +95,8 @@
   }
   // The record says since when each suspected zone is unreachable. A new leader that has received
   // no heartbeat from a zone cannot know when the leases of its workers expire. Without the record,
-  // 1,712 tasks had ended 25 s before the new leader rescheduled them (scenario day `zone`: the
-  // zone was cut off, then the leader ended).
+  // 1,712 tasks had ended 25 s before the new leader rescheduled them (day `zone`: the zone was cut
+  // off, then the leader ended).
   Instant now = context_.runtime.now();
   Json silent = Json::object();
   for (const auto& [zone, at] : suspected) {
--- a/src/cloud/forecast_loop.hpp
+++ b/src/cloud/forecast_loop.hpp
@@ -44,7 +44,7 @@
   DemandForecasts& forecasts_;
   Instant intervalEnd_{};
   bool recordOutdated_ = false;
-  std::set<ZoneId> recordedSuspectedZones_;  ///< The suspected zones in the record.
+  std::set<ZoneId> recordedSuspectedZones_;  ///< Holds the suspected zones that the record names.
   bool restored_ = false;
 };
 
--- a/src/cloud/machine_list_loop.hpp
+++ b/src/cloud/machine_list_loop.hpp
@@ -23,7 +23,7 @@
   LeaderContext& context_;
   Fleet& fleet_;
   InitialRound& initialRound_;
-  bool typesRequested_ = false;  ///< Whether the machine types were requested.
+  bool typesRequested_ = false;  ///< Is true if the machine types were requested.
   Instant nextListAt_{};
   bool listRequested_ = false;
 };
--- a/src/cloud/scaling_decision.cpp
+++ b/src/cloud/scaling_decision.cpp
@@ -13,28 +13,29 @@
 
 int ceilMachines(double share) { return static_cast<int>(std::ceil(std::max(0.0, share) - 1e-6)); }
 
+// Counts the machines of one type on the spot or the on-demand market.
 struct MarketState {
-  int available{};  // Counts machines that are running, booting on time, or requested from the
-                    // cloud.
-  int inUse{};      // Counts machines that available tasks.
+  // Machines count as available if they run, boot on time or are requested from the cloud.
+  int available{};
+  int inUse{};  // Counts machines that have tasks.
   std::map<ZoneId, int> perZone;
 };
 
 MarketState marketStateOf(const ScalingInput& in, bool spot) {
-  MarketState p;
+  MarketState market;
   for (const auto& m : in.machines) {
     if (m.offering.spot != spot) continue;
-    if (!m.isIdle) ++p.inUse;
+    if (!m.isIdle) ++market.inUse;
     if (m.bootOverdue) continue;
-    ++p.available;
-    ++p.perZone[m.offering.zone];
+    ++market.available;
+    ++market.perZone[m.offering.zone];
   }
   for (const auto& [offering, count] : in.pendingRentals) {
     if (offering.spot != spot || offering.type != in.type->id) continue;
-    p.available += static_cast<int>(count);
-    p.perZone[offering.zone] += static_cast<int>(count);
+    market.available += static_cast<int>(count);
+    market.perZone[offering.zone] += static_cast<int>(count);
   }
-  return p;
+  return market;
 }
 
 // Adds up to `count` rentals to the decision. Each one goes to the zone with the fewest machines
--- a/src/cloud/scaling_loop_consolidation.cpp
+++ b/src/cloud/scaling_loop_consolidation.cpp
@@ -9,7 +9,7 @@
 // Cordons machines that hold few service replicas and moves these replicas to machines that have
 // their images. The cordoned machines become idle and can be terminated.
 void ScalingLoop::consolidateMachines(const TypeId& type, std::size_t surplus) {
-  constexpr double kMoveShare = 0.02;  // The share of all replicas that one call may move.
+  constexpr double kMoveShare = 0.02;  // One call may move this share of all replicas.
   constexpr std::size_t kMinMoves = 4;
   Instant now = context_.runtime.now();
   std::erase_if(fleet_.cordoned(), [&](const MachineId& id) { return !fleet_.find(id); });
--- a/src/cloud/scaling_loop_rentals.cpp
+++ b/src/cloud/scaling_loop_rentals.cpp
@@ -1,5 +1,5 @@
-// The rentals of the scaling loop. The record of a rental is written before the machines are
-// requested from the cloud, and the rented machines are added to it after the answer.
+// Implements the rentals of the scaling loop. The record of a rental is written before the machines
+// are requested from the cloud, and the rented machines are added to it after the answer.
 #include <algorithm>
 #include <utility>
 
--- a/src/cloud/termination_loop.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -14,7 +14,8 @@
  public:
   explicit RentalDrafts(const LeaderContext& context) : context_(context) {}
 
-  // Returns the draft of a record. Null if the record does not exist or the transaction is full.
+  // Returns the draft of a record. The result is null if the record does not exist or the
+  // transaction is full.
   RentalRecord* find(const RentalId& id) {
     auto rental = context_.replica.rentals().find(id);
     if (rental == context_.replica.rentals().end()) return nullptr;
--- a/src/cloud/termination_loop.hpp
+++ b/src/cloud/termination_loop.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Terminates machines in three steps: marks the machine as draining in its rental record, so that
-/// it gets no more tasks; requests its termination from the cloud; removes its entry from the
-/// record.
+/// Terminates machines in three steps. First, the machine is marked as draining in its rental
+/// record, so that it gets no more tasks. Next, its termination is requested from the cloud. After
+/// the cloud's confirmation, its entry is removed from the record.
 #pragma once
 
 #include "placement/confirmed_outcomes.hpp"
@@ -24,8 +24,8 @@
   LeaderContext& context_;
   Fleet& fleet_;
   ConfirmedOutcomes& outcomes_;
-  std::set<MachineId> requested_;   ///< Requested, but the cloud has not answered.
-  std::set<MachineId> terminated_;  ///< Confirmed by the cloud, but still in rental records.
+  std::set<MachineId> requested_;   ///< The cloud has not answered for these.
+  std::set<MachineId> terminated_;  ///< These are confirmed, but still on record.
 };
 
 }  // namespace kestrelhoist
--- a/src/failures/failure_attribution.hpp
+++ b/src/failures/failure_attribution.hpp
@@ -39,10 +39,11 @@
   bool isFaulty(const MachineId& machine) const;
   /// Returns whether the job failed on several machines and has not succeeded on any machine since.
   bool isSuspect(const JobId& job) const;
-  /// Returns how many tasks of a suspect job may be placed on machines at the same time. Empty if
-  /// the job is not suspect.
+  /// Returns how many tasks of a suspect job may be placed on machines at the same time. The result
+  /// is empty if the job is not suspect.
   std::optional<std::uint32_t> maxConcurrentTasks(const JobId& job) const;
-  /// Returns the time before which no task of the job is started. Empty if the job is not paused.
+  /// Returns the time before which no task of the job is started. The result is empty if the job is
+  /// not paused.
   std::optional<Instant> pausedUntil(const JobId& job) const;
   /// Returns the machines on which the job failed since its last success. A trial on another
   /// machine gives more evidence about whether the job or the machine is at fault.
@@ -61,8 +62,8 @@
 
  private:
   /// The score of one outcome is the logarithm of its likelihood ratio between a faulty and a
-  /// healthy machine. A machine's fault score is Page's cumulative sum of them: it never falls
-  /// below 0, so earlier successes cannot outweigh later failures.
+  /// healthy machine. A machine's fault score is Page's cumulative sum of these scores. It never
+  /// falls below 0, so earlier successes cannot outweigh later failures.
   ///
   /// This score applies to a failure of a job that has succeeded on another machine.
   static constexpr double kFailureScoreAfterSuccess = 3.2;
@@ -81,24 +82,25 @@
   /// After this many rounds of trials on the same machine, the next trial is on another machine.
   static constexpr int kRoundsOnOneMachine = 2;
 
-  /// The failures of one job since its last success.
+  /// Holds the failures of one job since its last success.
   struct JobFailures {
-    bool hasSucceeded{};  ///< Whether the job has ever succeeded.
+    bool hasSucceeded{};  ///< Is true if the job has ever succeeded.
     bool suspect{};
-    int rounds{};           ///< Counts the rounds of failures since the job's last success.
+    int rounds{};           ///< Counts rounds of failures since the last success.
     Instant pausedUntil{};  ///< No task of the job is started before this time.
-    /// Machines on which the job failed since its last success, each with the score that these
+    /// Maps each machine on which the job failed since its last success to the score that these
     /// failures added to the machine's fault score.
     std::map<MachineId, double> failedOn{};
-    MachineId lastTrialMachine{};  ///< The machine on which the last rounds of trials failed.
+    MachineId lastTrialMachine{};  ///< The last rounds of trials failed on this machine.
     int roundsOnLastMachine{};  ///< Counts the successive rounds that failed on that one machine.
   };
   static void recordTrial(JobFailures& failures, const MachineId& machine, bool newRound);
   void addScore(const MachineId& machine, double score);
 
-  std::map<JobId, JobFailures> failuresByJob_;  ///< Jobs that have failed since their last success.
-  std::set<JobId> succeededJobs_;               ///< Jobs that have succeeded at least once.
-  std::map<MachineId, double> faultScores_;     ///< The fault scores of machines, all above 0.
+  /// Contains the jobs that failed since their last success.
+  std::map<JobId, JobFailures> failuresByJob_;
+  std::set<JobId> succeededJobs_;            ///< Contains jobs that succeeded at least once.
+  std::map<MachineId, double> faultScores_;  ///< Contains only scores above 0.
 };
 
 }  // namespace kestrelhoist
--- a/src/forecast/demand_series.hpp
+++ b/src/forecast/demand_series.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The demand forecasts that a leader keeps: two for each machine type (docs/design.md).
+/// Holds the demand forecasts of a leader, two for each machine type (see docs/design.md).
 #pragma once
 
 #include <map>
@@ -8,13 +8,13 @@
 
 namespace kestrelhoist {
 
-/// The forecasts of one machine type: firm work needs on-demand machines, flexible work may use
-/// spot machines.
+/// Holds the forecasts for one machine type. Firm work needs on-demand machines; flexible work may
+/// use spot machines.
 struct DemandSeries {
   Forecast firm, flexible;
 };
 
-/// The forecasts of all machine types with the random generator that their predictions use.
+/// Holds the forecasts for all machine types and the random generator that their predictions use.
 struct DemandForecasts {
   std::map<TypeId, DemandSeries> series;
   std::mt19937_64 random;
--- a/src/forecast/forecast.cpp
+++ b/src/forecast/forecast.cpp
@@ -7,7 +7,7 @@
 namespace kestrelhoist {
 namespace {
 constexpr double kLearningRates[Forecast::kPredictors] = {0.02, 0.08, 0.2};
-// The residual decays by this share per interval, so the effect of a burst lasts about a minute.
+// The smoothed error moves by this share per interval, so a burst affects it for about a minute.
 constexpr double kResidualDecay = 0.15;
 constexpr double kMaxWeight = 2.0;
 }  // namespace
--- a/src/forecast/forecast.hpp
+++ b/src/forecast/forecast.hpp
@@ -13,7 +13,7 @@
 
 namespace kestrelhoist {
 
-/// A predicted demand in machines.
+/// Represents a predicted demand in machines.
 struct Prediction {
   double mean{};
   double spread{};
@@ -26,7 +26,7 @@
       5;  ///< A predictor reads the changes of this many intervals.
   static constexpr std::size_t kPredictors = 3;  ///< The predictors differ in their learning rates.
   static constexpr std::size_t kRuns = 24;       ///< A prediction takes this many runs.
-  static constexpr double kDrop = 0.25;          ///< The probability that a run drops an input.
+  static constexpr double kDrop = 0.25;          ///< A run drops each input with this probability.
 
   Forecast() = default;
   explicit Forecast(std::size_t horizon) : horizon_(horizon) {}
@@ -58,9 +58,9 @@
 
   std::size_t horizon_ = 6;
   std::size_t observed_ = 0;
-  std::deque<double> recent_;  ///< The demand of recent intervals, newest last.
+  std::deque<double> recent_;  ///< Holds the demand of recent intervals, newest last.
   std::vector<Weights> weights_ = std::vector<Weights>(kPredictors, Weights(kInputs, 0.0));
-  double residual_ = 0;  ///< The smoothed squared error of predictions at the horizon.
+  double residual_ = 0;  ///< Holds the smoothed squared error of predictions.
 };
 
 }  // namespace kestrelhoist
