--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -57,7 +57,7 @@
   connectLoops();
   fleet_.onGivenUpForSilence = context_.onGivenUpForSilence;
   if (context_.replica.catalogue()) {
-    context_.catalogue = catalogueFrom(*context_.replica.catalogue());
+    context_.catalogue = catalogueFromJson(*context_.replica.catalogue());
   }
   if (const auto& forecast = context_.replica.forecast()) {
     restoreSuspectedZones(*forecast);
@@ -307,7 +307,7 @@
 
 void Leader::onRecordsChanged() {
   if (!context_.catalogue && context_.replica.catalogue()) {
-    context_.catalogue = catalogueFrom(*context_.replica.catalogue());
+    context_.catalogue = catalogueFromJson(*context_.replica.catalogue());
   }
   notifyLoops(true);
   scheduleCycle();
--- a/src/cloud/catalogue.cpp
+++ b/src/cloud/catalogue.cpp
@@ -9,7 +9,7 @@
   return nullptr;
 }
 
-std::optional<Catalogue> catalogueFrom(const Json& body) {
+std::optional<Catalogue> catalogueFromJson(const Json& body) {
   const Json* list = field(body, "rigs");
   if (!list || !list->is_array()) return std::nullopt;
   Catalogue c;
--- a/src/cloud/catalogue.hpp
+++ b/src/cloud/catalogue.hpp
@@ -32,8 +32,8 @@
 
 /// Parses the cloud's answer or the stored catalogue, which have the same format. Returns an empty
 /// value if the JSON is malformed.
-std::optional<Catalogue> catalogueFrom(const Json& body);
-/// Returns the catalogue in the format that catalogueFrom() parses.
+std::optional<Catalogue> catalogueFromJson(const Json& body);
+/// Returns the catalogue in the format that catalogueFromJson() parses.
 Json toJson(const Catalogue& c);
 
 }  // namespace kestrelhoist
--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -6,10 +6,10 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kTimeout{4000};
-constexpr Duration kHedgePageAfter{500};
+constexpr Duration kPageHedgeDelay{500};
 constexpr int kPageSize = 500;  // The cloud allows no larger page.
 
-std::optional<ListedMachine> listedFrom(const Json& v) {
+std::optional<ListedMachine> listedMachineFromJson(const Json& v) {
   auto id = textField(v, "ref");
   auto type = textField(v, "rig");
   auto zone = textField(v, "site");
@@ -40,7 +40,7 @@
   http_.send(address_, {"GET", "/machine_types", ""}, kTimeout,
              [done = std::move(done)](const std::optional<Response>& r) {
                auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
-               done(body ? catalogueFrom(*body) : std::nullopt);
+               done(body ? catalogueFromJson(*body) : std::nullopt);
              });
 }
 
@@ -100,7 +100,7 @@
       [this, listed = std::move(listed), done = std::move(done)](Instant, const Answer& answer) {
         onPage(answer, listed, done);
       });
-  request->start({kHedgePageAfter, kTimeout}, [this] { budget_.charge(runtime_.now(), 1); });
+  request->start({kPageHedgeDelay, kTimeout}, [this] { budget_.charge(runtime_.now(), 1); });
 }
 
 void CloudClient::onPage(const std::optional<Response>& answer, std::vector<ListedMachine> listed,
@@ -109,7 +109,7 @@
   const Json* hosts = body ? field(*body, "hosts") : nullptr;
   if (!hosts || !hosts->is_array()) return done(std::nullopt);
   for (const auto& host : *hosts) {
-    auto machine = listedFrom(host);
+    auto machine = listedMachineFromJson(host);
     if (!machine) return done(std::nullopt);
     listed.push_back(std::move(*machine));
   }
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -33,7 +33,7 @@
   CloudClient(Runtime& runtime, HttpClient& http, std::string address, double requestsPerS);
 
   /// Takes one request from the rate budget. Returns false if the budget is used up.
-  bool mayAsk() { return budget_.take(runtime_.now(), 1); }
+  bool tryAcquireRequest() { return budget_.take(runtime_.now(), 1); }
   /// Reads the machine types; the result is empty if the request failed.
   void readMachineTypes(std::function<void(std::optional<Catalogue>)> done);
   /// Requests the machines of a rental. The cloud rents no machine twice for one rental id.
--- a/src/cloud/machine_list_loop.cpp
+++ b/src/cloud/machine_list_loop.cpp
@@ -15,7 +15,7 @@
 }
 
 void MachineListLoop::readTypes() {
-  if (typesRequested_ || !context_.cloud.mayAsk()) return;
+  if (typesRequested_ || !context_.cloud.tryAcquireRequest()) return;
   typesRequested_ = true;
   context_.cloud.readMachineTypes(context_.whileLeading([this](std::optional<Catalogue> c) {
     if (!c) {
@@ -30,7 +30,7 @@
 }
 
 void MachineListLoop::readList() {
-  if (!context_.cloud.mayAsk()) return;
+  if (!context_.cloud.tryAcquireRequest()) return;
   listRequested_ = true;
   nextListAt_ = context_.runtime.now() + std::max(context_.platform.listLag, Duration{2000});
   context_.cloud.listMachines(
--- a/src/cloud/scaling_loop_rentals.cpp
+++ b/src/cloud/scaling_loop_rentals.cpp
@@ -166,7 +166,7 @@
 void ScalingLoop::startRentals() {
   for (const auto& [id, rental] : context_.replica.rentals()) {
     if (rental.answered || uncommittedResults_.contains(id) || requested_.contains(id)) continue;
-    if (!context_.cloud.mayAsk()) return;
+    if (!context_.cloud.tryAcquireRequest()) return;
     requested_.insert(id);
     context_.cloud.requestMachines(
         rental, context_.whileLeading(
--- a/src/cloud/termination_loop.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -111,7 +111,7 @@
     const auto* state = context_.replica.machine(id);
     if (state && state->draining && batch.size() < kMaxMachinesPerCall) batch.push_back(id);
   }
-  if (batch.empty() || !context_.cloud.mayAsk()) return;
+  if (batch.empty() || !context_.cloud.tryAcquireRequest()) return;
   requested_.insert(batch.begin(), batch.end());
   context_.cloud.terminateMachines(batch, context_.whileLeading([this, batch](bool ok) {
     if (!ok) {
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -82,8 +82,8 @@
   Revision modRevision = replica_.modRevisionOf(keys::kCatalogue);
   if (modRevision != catalogueRevision_) {
     catalogueRevision_ = modRevision;
-    catalogue_ =
-        replica_.catalogue() ? catalogueFrom(*replica_.catalogue()) : std::optional<Catalogue>{};
+    catalogue_ = replica_.catalogue() ? catalogueFromJson(*replica_.catalogue())
+                                      : std::optional<Catalogue>{};
   }
   return catalogue_ ? &*catalogue_ : nullptr;
 }
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -97,7 +97,7 @@
       {keys::kRental,
        [](const auto& id, const Json& v) { return written(rentalRecordFrom(RentalId{id}, v)); }},
       {keys::kLeader, [](const auto&, const Json& v) { return written(leaderRecordFrom(v)); }},
-      {keys::kCatalogue, [](const auto&, const Json& v) { return written(catalogueFrom(v)); }},
+      {keys::kCatalogue, [](const auto&, const Json& v) { return written(catalogueFromJson(v)); }},
       {keys::kForecast, [](const auto&, const Json& v) { return rewriteForecast(v); }},
       {keys::kPolicy, [](const auto&, const Json& v) { return written(policyVersionFrom(v)); }},
       {keys::kPolicyPast, [](const auto&, const Json& v) { return written(policyVersionFrom(v)); }},
