--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -98,8 +98,8 @@
 
   /// The next functions are implemented in controller_heartbeats.cpp.
   void onHeartbeat(const Request& request, const Respond& respond);
-  Instant noteHeartbeat(const Report& report);
-  void noteAcknowledged(const MachineId& machine, const ZoneId& zone, Instant receivedAt);
+  Instant recordHeartbeat(const Report& report);
+  void recordAcknowledged(const MachineId& machine, const ZoneId& zone, Instant receivedAt);
   HeartbeatView heartbeatView(const Report& report) const;
   void addUnreachableLeader(const Report& report, HeartbeatView& view) const;
   RedirectCandidate redirectCandidate(const Report& report) const;
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -21,10 +21,10 @@
   auto body = decodeBody(request.body);
   auto report = body ? reportFrom(*body) : std::nullopt;
   if (!report) return respond(jsonResponse(400, {{"error", "not a report"}}));
-  Instant receivedAt = noteHeartbeat(*report);
+  Instant receivedAt = recordHeartbeat(*report);
   auto answer = [this, receivedAt, machine = report->machine, zone = report->zone,
                  respond](Response r) {
-    if (r.status == 200) noteAcknowledged(machine, zone, receivedAt);
+    if (r.status == 200) recordAcknowledged(machine, zone, receivedAt);
     respond(std::move(r));
   };
   Route route = routeHeartbeat(heartbeatView(*report));
@@ -37,7 +37,7 @@
 }
 
 // Records the arrival of a heartbeat and returns its time.
-Instant Controller::noteHeartbeat(const Report& report) {
+Instant Controller::recordHeartbeat(const Report& report) {
   lastHeartbeat_ = runtime_.now();
   if (report.zone != platform_.zone) lastOtherZoneHeartbeat_ = lastHeartbeat_;
   canary_.onReport(report.machine, lastHeartbeat_);
@@ -46,8 +46,8 @@
   return lastHeartbeat_;
 }
 
-void Controller::noteAcknowledged(const MachineId& machine, const ZoneId& zone,
-                                  Instant receivedAt) {
+void Controller::recordAcknowledged(const MachineId& machine, const ZoneId& zone,
+                                    Instant receivedAt) {
   ackLog_.record(machine, receivedAt);
   // Announces the acknowledgement at once. If this controller ended before its next status
   // exchange, peers would assume that the zone's workers had not been answered.
--- a/src/cloud/client_test.cpp
+++ b/src/cloud/client_test.cpp
@@ -25,7 +25,7 @@
   }
 
   // Returns how long reading the machine list takes. The result is empty if no list arrives.
-  std::optional<Duration> listTakes() {
+  std::optional<Duration> timeToList() {
     CloudClient cloud(runtime, runtime, "cloud:1", 10);
     const Instant begun = runtime.now();
     std::optional<Duration> took;
@@ -39,14 +39,14 @@
 
 TEST_F(CloudList, ALostAnswerIsMadeUpForWithinASecond) {
   network.answersLostUntil["me"] = clock.now() + 300;
-  const auto took = listTakes();
+  const auto took = timeToList();
   ASSERT_TRUE(took);
   EXPECT_LT(*took, Duration{1000});
   EXPECT_EQ(requestCount, 2);
 }
 
 TEST_F(CloudList, IsAskedForOnceWhileAnswersArrive) {
-  EXPECT_TRUE(listTakes());
+  EXPECT_TRUE(timeToList());
   EXPECT_EQ(requestCount, 1);
 }
 
--- a/src/cloud/scaling_decision.cpp
+++ b/src/cloud/scaling_decision.cpp
@@ -87,34 +87,37 @@
 
 ScalingDecision decideScaling(const ScalingInput& in) {
   ScalingDecision out;
-  const TypeDemand& d = in.demand;
+  const TypeDemand& demand = in.demand;
   const double k = in.spreadMultiple;
   MarketState spot = marketStateOf(in, true);
   MarketState onDemand = marketStateOf(in, false);
 
-  double flexible = std::max(d.flexible.mean + kFlexibleSpreadMultiple * d.flexible.spread,
-                             d.flexibleBookedOnSpot + d.flexibleBookedOnDemand + d.flexibleWaiting);
+  double flexible = std::max(
+      demand.flexible.mean + kFlexibleSpreadMultiple * demand.flexible.spread,
+      demand.flexibleBookedOnSpot + demand.flexibleBookedOnDemand + demand.flexibleWaiting);
   bool spotOffered =
       in.useSpot && std::any_of(in.type->zones.begin(), in.type->zones.end(), [&](const ZoneId& z) {
         // Checks `constrained` instead of `refused`, whose pauses are shorter. If the pauses of
         // zones ended one after another, the work would wait for spot machines forever.
         return !in.constrained.contains({in.type->id, z, true});
       });
-  out.spotTarget = std::max(ceilMachines(flexible - d.flexibleBookedOnDemand),
-                            spot.inUse + ceilMachines(d.flexibleWaiting));
+  out.spotTarget = std::max(ceilMachines(flexible - demand.flexibleBookedOnDemand),
+                            spot.inUse + ceilMachines(demand.flexibleWaiting));
   if (!in.useSpot) out.spotTarget = spot.inUse;
 
   // Flexible demand that spot machines cannot meet now is met by on-demand machines.
-  double overflow = spotOffered ? d.flexibleBookedOnDemand
-                                : std::max(d.flexibleBookedOnDemand, flexible - spot.available);
+  double overflow = spotOffered
+                        ? demand.flexibleBookedOnDemand
+                        : std::max(demand.flexibleBookedOnDemand, flexible - spot.available);
   double waitingHere =
-      d.firmWaiting +
-      (spotOffered ? 0.0 : std::max(0.0, d.flexibleWaiting - (spot.available - spot.inUse)));
-  double firm = std::max(d.firm.mean + k * d.firm.spread, d.firmBooked + d.firmWaiting);
+      demand.firmWaiting +
+      (spotOffered ? 0.0 : std::max(0.0, demand.flexibleWaiting - (spot.available - spot.inUse)));
+  double firm =
+      std::max(demand.firm.mean + k * demand.firm.spread, demand.firmBooked + demand.firmWaiting);
   out.onDemandNeeded = ceilMachines(firm + overflow);
   out.onDemandTarget = std::max(out.onDemandNeeded, onDemand.inUse + ceilMachines(waitingHere));
 
-  for (const auto& [zones, need] : d.waitingInZones) {
+  for (const auto& [zones, need] : demand.waitingInZones) {
     // This work can only use machines in `zones`, so free machines in other zones do not count.
     // Machines that are booting or requested in these zones do.
     int pendingMachines = 0;
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -80,18 +80,19 @@
 void ScalingLoop::addProjectedDemand(const MachineType& type, TypeDemand& demand) const {
   if (!demandStartingWithin || !demandEndingWithin) return;
   const Duration horizon = type.boot + type.boot / 2;
-  const MachineDemand more =
+  const MachineDemand starting =
       demandInMachines(*context_.catalogue, demandStartingWithin(horizon))[type.id];
-  const MachineDemand less =
+  const MachineDemand ending =
       demandInMachines(*context_.catalogue, demandEndingWithin(horizon))[type.id];
   const double firm = demand.firmBooked + demand.firmWaiting;
   const double flexible =
       demand.flexibleBookedOnSpot + demand.flexibleBookedOnDemand + demand.flexibleWaiting;
-  if (more.firm > less.firm) {
-    demand.firm.mean = std::max(demand.firm.mean, firm + more.firm - less.firm);
+  if (starting.firm > ending.firm) {
+    demand.firm.mean = std::max(demand.firm.mean, firm + starting.firm - ending.firm);
   }
-  if (more.flexible > less.flexible) {
-    demand.flexible.mean = std::max(demand.flexible.mean, flexible + more.flexible - less.flexible);
+  if (starting.flexible > ending.flexible) {
+    demand.flexible.mean =
+        std::max(demand.flexible.mean, flexible + starting.flexible - ending.flexible);
   }
 }
 
@@ -179,19 +180,19 @@
 }
 
 PendingReason ScalingLoop::resourcesReason(const JobSpec& spec) const {
-  bool offered = false, coming = false;
+  bool offered = false, machineExpected = false;
   auto mayUse = [&](const TypeId& type, const ZoneId& zone, bool spot) {
     return spec.allowsType(type) && (!spec.zone || *spec.zone == zone) &&
            (!spot || spec.spotAllowed);
   };
   for (const auto& [id, m] : fleet_.machines()) {
-    coming =
-        coming || (!m.hasReported() && !m.terminationRequested && mayUse(m.type, m.zone, m.spot));
+    machineExpected = machineExpected || (!m.hasReported() && !m.terminationRequested &&
+                                          mayUse(m.type, m.zone, m.spot));
   }
   for (const auto& [id, r] : context_.replica.rentals()) {
-    coming = coming || (!r.answered && mayUse(r.type, r.zone, r.spot));
+    machineExpected = machineExpected || (!r.answered && mayUse(r.type, r.zone, r.spot));
   }
-  if (coming) return PendingReason::boot;
+  if (machineExpected) return PendingReason::boot;
   for (const auto& type : context_.catalogue->types) {
     for (const auto& zone : type.zones) {
       for (bool spot : {false, true}) {
