--- a/src/cloud/client.cpp
+++ b/src/cloud/client.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr Duration kTimeout{4000};
 constexpr Duration kPageHedgeDelay{500};
-constexpr int kPageSize = 500;  // The cloud allows no larger page.
+constexpr int kListPageSize = 500;  // The cloud allows no larger page.
 
 std::optional<ListedMachine> listedMachineFromJson(const Json& v) {
   auto id = textField(v, "ref");
@@ -88,7 +88,7 @@
 // new leader, which reads the addresses of the machines from this list.
 void CloudClient::listPage(const std::string& afterId, std::vector<ListedMachine> listed,
                            OnMachines done) {
-  std::string path = "/hosts?page=" + std::to_string(kPageSize);
+  std::string path = "/hosts?page=" + std::to_string(kListPageSize);
   if (!afterId.empty()) path += "&since=" + afterId;
   using Answer = std::optional<Response>;
   auto request = std::make_shared<HedgedRequest<Answer>>(
