--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -8,17 +8,18 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr Duration kTick{100};
-constexpr Duration kStatusExchangeEvery{500};
-constexpr Duration kExpireEvery{30000};
-// Beyond this age, the time when a peer last reached a service counts as unknown.
-constexpr Duration kUnknownAfter{10000};
+constexpr Duration kTimerInterval{100};
+constexpr Duration kStatusExchangeInterval{500};
+constexpr Duration kExpiryInterval{30000};
+// If a peer's last contact to a service is older than this, it is unknown whether the peer can
+// reach the service.
+constexpr Duration kContactUnknownAfter{10000};
 
 ChangeWatcher::Settings watcherSettings(const Platform& p, Duration staleAfter) {
   ChangeWatcher::Settings s;
-  // Reads of all nodes together take at most about half of the state service's rate.
+  // The reads of all controllers together use at most about half of the state service's rate limit.
   double gapS = static_cast<double>(p.nodes()) / (0.5 * p.stateRequestsPerS);
-  s.minGap = std::max(Duration{10}, fromSeconds(gapS));
+  s.minReadInterval = std::max(Duration{10}, fromSeconds(gapS));
   s.timeout = kStoreTimeout;
   s.staleAfter = staleAfter;
   return s;
@@ -46,10 +47,10 @@
       cloudProxy_(
           runtime, http, peerMembership_,
           {"cloud", platform.cloudAddress, {"GET", "/machine_types", ""}, 3 * kStoreTimeout},
-          // Only leaders call the cloud, so a follower's age is mostly unknown, and it is worth a
-          // try.
+          // Only leaders call the cloud, so for most followers it is unknown whether they can reach
+          // it. An unknown age counts as zero, so that these peers are tried first.
           [](const PeerStatus& s) {
-            return s.cloudAge < kUnknownAfter ? s.cloudAge : Duration{0};
+            return s.cloudAge < kContactUnknownAfter ? s.cloudAge : Duration{0};
           }),
       workerTransport_(runtime, http, peerMembership_, platform.reportEvery),
       forwarder_(runtime, peerMembership_, platform.member),
@@ -60,12 +61,12 @@
       cloud_(runtime, cloudProxy_, platform.cloudAddress, platform.cloudRequestsPerS * 0.9),
       versions_(platform),
       versionWriter_(runtime, store_, replica_, versions_, platform.member),
-      watcher_(runtime, store_, replica_, watcherSettings(platform, kStoreSilent)),
+      watcher_(runtime, store_, replica_, watcherSettings(platform, kStoreUnreachableAfter)),
       jobs_(runtime, store_, watcher_, replica_, platform, versions_),
       flows_(runtime, store_, watcher_, replica_, platform, settings,
              [this] { return jobs_.catalogue(); }),
       policy_(runtime, store_, watcher_, replica_, policyReplica_, platform),
-      election_({platform.member, incarnation, kLeaseLife, kLeaseRenew}),
+      election_({platform.member, incarnation, kLeaderLeaseDuration, kLeaderLeaseRenewInterval}),
       canary_(kWorkerRetryAfterLostAnswer * static_cast<int>(platform.nodes() - 1) +
                   kWorkerNextControllerDelay,
               platform.workerLease, platform.reportEvery) {
@@ -80,22 +81,22 @@
   members_ = std::make_unique<MemberService>(runtime_, store_, watcher_, replica_, platform_,
                                              settings_.members, jobs_, flows_, metrics_.get(),
                                              std::hash<std::string>{}(incarnation));
-  store_.onCommitted = [this](CommitOutcome o) { metrics_->committed(toString(o), leads()); };
+  store_.onCommitOutcome = [this](CommitOutcome o) { metrics_->committed(toString(o), leads()); };
   metrics_->gauges = [this] {
     MetricGauges g;
     members_->fill(g);
-    g.liveJobs = static_cast<double>(replica_.live().size());
+    g.liveJobs = static_cast<double>(replica_.liveJobs().size());
     g.machines = static_cast<double>(replica_.machines().size());
     g.leading = leads() ? 1 : 0;
-    g.storeAgeS = toSeconds(std::min(Duration{3600000}, watcher_.contactAge()));
+    g.storeAgeS = toSeconds(std::min(Duration{3600000}, watcher_.snapshotAge()));
     return g;
   };
 }
 
 void Controller::start() {
-  started_ = runtime_.now();
-  lastWorker_ = started_ - Duration{3600000};
-  watcher_.setInterval(kFollowerRead);
+  startedAt_ = runtime_.now();
+  lastHeartbeat_ = startedAt_ - Duration{3600000};
+  watcher_.setInterval(kFollowerReadInterval);
   watcher_.onApplied = [this](const std::vector<Change>& changes) {
     if (leader_) leader_->onChangesApplied(changes);
   };
@@ -114,7 +115,7 @@
   };
   watcher_.start();
   peerMembership_.onAnswer = [this](const PeerStatus& s, Instant asked) {
-    cancellationBarrier_.onPeerStatus(s.member, asked, s.newestCancellation, replica_.cursor());
+    cancellationBarrier_.onPeerStatus(s.member, asked, s.newestCancellation, replica_.revision());
     zoneAcks_.onPeerAnswer(s.member, asked, runtime_.now(), s.zoneAcks);
     leaseLog_.adopt(s.uncertainLeases);
   };
@@ -125,7 +126,7 @@
   peerMembership_.onRefused = [this](const MemberId& peer) {
     zoneAcks_.onPeerRefused(peer, runtime_.now());
   };
-  peerMembership_.start([this] { return status(); }, kStatusExchangeEvery);
+  peerMembership_.start([this] { return status(); }, kStatusExchangeInterval);
   onTimer();
 }
 
@@ -144,36 +145,36 @@
 }
 
 void Controller::onTimer() {
-  runtime_.after(kTick, [this] { onTimer(); });
+  runtime_.after(kTimerInterval, [this] { onTimer(); });
   Instant now = runtime_.now();
-  if (members_ && lastTimer_ != Instant{}) members_->onTimer(kTick, now - lastTimer_);
+  if (members_ && lastTimer_ != Instant{}) members_->onTimer(kTimerInterval, now - lastTimer_);
   lastTimer_ = now;
-  if (watcher_.loaded()) versionWriter_.onTimer();
-  if (peerMembership_.anyReachable(kPeerPresence)) lastPeer_ = now;
+  if (watcher_.isLoaded()) versionWriter_.onTimer();
+  if (peerMembership_.anyReachable(kPeerReachableWithin)) lastPeerContact_ = now;
   trackUnreachableLeader(now);
-  if (now - expiredAt_ > kExpireEvery) expireWorkers(now);
+  if (now - lastExpiry_ > kExpiryInterval) expireWorkers(now);
   runElection();
   watchLeadership();
 }
 
-// Tracks since when the holder of the leader key, if it is a peer, has been unreachable.
+// Tracks since when the holder of the leader key has been unreachable, if the holder is a peer.
 void Controller::trackUnreachableLeader(Instant now) {
   const auto& keyHolder = replica_.leader();
   if (!keyHolder || keyHolder->member == platform_.member ||
-      peerMembership_.recentStatus(keyHolder->member, kPeerPresence)) {
+      peerMembership_.recentStatus(keyHolder->member, kPeerReachableWithin)) {
     leaderUnreachableSince_.reset();
   } else if (!leaderUnreachableSince_) {
     leaderUnreachableSince_ = now;
   }
 }
 
-// Drops the state of workers that have not reported for long.
+// Removes the state of workers that have not sent a heartbeat for a long time.
 void Controller::expireWorkers(Instant now) {
-  expiredAt_ = now;
+  lastExpiry_ = now;
   ackLog_.expire(now);
   leaseLog_.expire(now);
   workerTransport_.expire();
-  std::erase_if(redirectedAt_, [&](const auto& e) { return now - e.second > kExpireEvery; });
+  std::erase_if(redirectedAt_, [&](const auto& e) { return now - e.second > kExpiryInterval; });
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -1,4 +1,4 @@
-// Workers' heartbeats: accepts them and carries out the route that routeHeartbeat() chooses.
+// Receives workers' heartbeats and carries out the route that routeHeartbeat() chooses.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -8,21 +8,23 @@
 namespace kestrelhoist {
 namespace {
 
-// Without contact to the state service for so long, this controller answers in place of the leader.
+// After this time without contact to the state service, this controller answers heartbeats in place
+// of the leader.
 constexpr Duration kAnswersLocallyAfter{1500};
-// When the leader has not answered forwarded heartbeats for so long, it may not receive them.
+// If the leader has not answered forwarded heartbeats for this long, it probably does not receive
+// them.
 constexpr Duration kForwardingDegradedAfter{3000};
 
 }  // namespace
 
 void Controller::onHeartbeat(const Request& request, const Respond& respond) {
   auto body = decodeBody(request.body);
-  auto report = body ? reportFrom(*body) : std::nullopt;
+  auto report = body ? reportFromJson(*body) : std::nullopt;
   if (!report) return respond(jsonResponse(400, {{"error", "not a report"}}));
-  Instant receivedAt = noteHeartbeat(*report);
+  Instant receivedAt = recordHeartbeat(*report);
   auto answer = [this, receivedAt, machine = report->machine, zone = report->zone,
                  respond](Response r) {
-    if (r.status == 200) noteAcknowledged(machine, zone, receivedAt);
+    if (r.status == 200) recordAcknowledged(machine, zone, receivedAt);
     respond(std::move(r));
   };
   Route route = routeHeartbeat(heartbeatView(*report));
@@ -35,81 +37,86 @@
 }
 
 // Records the arrival of a heartbeat and returns its time.
-Instant Controller::noteHeartbeat(const Report& report) {
-  lastWorker_ = runtime_.now();
-  if (report.zone != platform_.zone) lastForeignWorker_ = lastWorker_;
-  canary_.onReport(report.machine, lastWorker_);
-  leaseLog_.onHeartbeat(report, lastWorker_);
-  workerTransport_.noteReport(report.address, report.zone, std::nullopt);
-  return lastWorker_;
+Instant Controller::recordHeartbeat(const Report& report) {
+  lastHeartbeat_ = runtime_.now();
+  if (report.zone != platform_.zone) lastOtherZoneHeartbeat_ = lastHeartbeat_;
+  canary_.onReport(report.machine, lastHeartbeat_);
+  leaseLog_.onHeartbeat(report, lastHeartbeat_);
+  workerTransport_.recordHeartbeat(report.address, report.zone, std::nullopt);
+  return lastHeartbeat_;
 }
 
-void Controller::noteAcknowledged(const MachineId& machine, const ZoneId& zone,
-                                  Instant receivedAt) {
+void Controller::recordAcknowledged(const MachineId& machine, const ZoneId& zone,
+                                    Instant receivedAt) {
   ackLog_.record(machine, receivedAt);
-  // Peers would take the zone for silent if this controller ended before its next status.
+  // Announces the acknowledgement at once. If this controller ended before its next status
+  // exchange, peers would assume that the zone's workers had not been answered.
   if (zoneAcks_.onAcknowledged(zone, receivedAt)) peerMembership_.announceStatus();
 }
 
-// Answers a heartbeat whose forwarding failed, as if there were no reachable leader.
+// Answers a heartbeat that could not be forwarded. The answer is the same as if no leader were
+// reachable.
 Response Controller::answerUnforwarded(const Report& report) {
-  HeartbeatView v = heartbeatView(report);
-  if (v.leads) return serveReport(report, std::nullopt);
-  v.leader.reset();
-  return answerLocally(report, routeHeartbeat(v));
+  HeartbeatView view = heartbeatView(report);
+  if (view.leads) return serveReport(report, std::nullopt);
+  view.leader.reset();
+  return answerLocally(report, routeHeartbeat(view));
 }
 
-// Answers without the leader.
+// Answers a heartbeat without involving the leader.
 Response Controller::answerLocally(const Report& report, const Route& route) {
   if (route.action == RouteAction::leaseOnly) return leaseOnlyResponse(report);
   return redirect(report, route.to);
 }
 
 HeartbeatView Controller::heartbeatView(const Report& report) const {
-  HeartbeatView v;
-  v.now = runtime_.now();
-  v.leads = leader_ && election_.leads();
-  v.leaderLeaseLife = kLeaseLife;
-  v.renewUntil = renewUntil();
-  v.contactAge = watcher_.contactAge();
-  v.knownToken = lastToken_;
-  v.reportedToken = report.token;
-  v.foreignZone = report.zone != platform_.zone;
-  v.lease = platform_.workerLease;
+  HeartbeatView view;
+  view.now = runtime_.now();
+  view.leads = leader_ && election_.leads();
+  view.maxLeaderKeyLifetime = kLeaderLeaseDuration;
+  view.renewUntil = renewUntil();
+  view.contactAge = watcher_.snapshotAge();
+  view.knownToken = lastToken_;
+  view.reportedToken = report.token;
+  view.workerInForeignZone = report.zone != platform_.zone;
+  view.lease = platform_.workerLease;
   if (auto redirected = redirectedAt_.find(report.machine); redirected != redirectedAt_.end()) {
-    v.sinceRedirect = v.now - redirected->second;
+    view.sinceRedirect = view.now - redirected->second;
   }
-  if (const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence)) {
-    v.leader = leader->member;
-    v.leaderForwards = leader->supportsForwarding &&
-                       forwarder_.failingFor(leader->member) < kForwardingDegradedAfter;
-    v.leaderReachesWorkers = !leader->hasLostWorkers;
+  if (const PeerStatus* leader = peerMembership_.newestLeader(kPeerReachableWithin)) {
+    view.leader = leader->member;
+    view.leaderForwards = leader->supportsForwarding &&
+                          forwarder_.failingFor(leader->member) < kForwardingDegradedAfter;
+    view.leaderReachesWorkers = !leader->hasLostWorkers;
   }
-  v.isolated = !peerMembership_.anyReachable(kPeerPresence) && v.contactAge >= kAnswersLocallyAfter;
-  Instant cutOff = std::max(lastPeer_, v.now - v.contactAge);
-  v.foreignZonesReach = lastForeignWorker_ > cutOff + Duration{500} &&
-                        v.now - lastForeignWorker_ < 2 * platform_.reportEvery + Duration{3000};
-  if (!v.leader) addUnreachableLeader(report, v);
-  return v;
+  view.isolated = !peerMembership_.anyReachable(kPeerReachableWithin) &&
+                  view.contactAge >= kAnswersLocallyAfter;
+  Instant cutOff = std::max(lastPeerContact_, view.now - view.contactAge);
+  view.foreignZonesReporting =
+      lastOtherZoneHeartbeat_ > cutOff + Duration{500} &&
+      view.now - lastOtherZoneHeartbeat_ < 2 * platform_.reportEvery + Duration{3000};
+  if (!view.leader) addUnreachableLeader(report, view);
+  return view;
 }
 
-// Adds to the view a holder of the leader key that is unreachable from here.
-void Controller::addUnreachableLeader(const Report& report, HeartbeatView& v) const {
+// Adds the holder of the leader key to the view if this controller cannot reach it.
+void Controller::addUnreachableLeader(const Report& report, HeartbeatView& view) const {
   const auto& keyHolder = replica_.leader();
-  if (v.contactAge >= kAnswersLocallyAfter || !keyHolder || keyHolder->member == platform_.member ||
-      !leaderUnreachableSince_) {
+  if (view.contactAge >= kAnswersLocallyAfter || !keyHolder ||
+      keyHolder->member == platform_.member || !leaderUnreachableSince_) {
     return;
   }
-  v.unreachableLeader = keyHolder->member;
-  v.leaderUnreachableFor = v.now - *leaderUnreachableSince_;
-  // A worker that has just come from a failover cycle has spent most of its lease, so it is
-  // answered here first (16 of 24 replicas were left when it was redirected again at once).
+  view.unreachableLeader = keyHolder->member;
+  view.leaderUnreachableFor = view.now - *leaderUnreachableSince_;
+  // A worker that has just tried several controllers has little of its lease left. It is answered
+  // here before it may be redirected: when workers were redirected at once, only 16 of 24 replicas
+  // kept running.
   const RedirectCandidate worker = redirectCandidate(report);
   bool fresh =
       worker.sinceAcknowledged &&
       *worker.sinceAcknowledged < longestHeartbeatInterval(platform_.reportEvery) + Duration{1500};
-  v.mayRedirect = canary_.mayRedirect(*v.unreachableLeader, worker, v.now) &&
-                  (fresh || worker.idle || !mayRenewLocally(v));
+  view.mayRedirect = canary_.mayRedirect(*view.unreachableLeader, worker, view.now) &&
+                     (fresh || worker.idle || !mayRenewLocally(view));
 }
 
 RedirectCandidate Controller::redirectCandidate(const Report& report) const {
@@ -121,15 +128,15 @@
   return worker;
 }
 
-// A worker keeps its lease while no leader can be asked, under the token that it and this
-// controller know. Nothing is launched or cleared, and nothing is proven by it. Tasks of jobs that
-// are known to be over are stopped, those included that it may still be told to launch: whoever
-// keeps leases up must not keep up what was cancelled.
+// Renews the worker's lease while no leader is reachable, under the newest token known to this
+// controller. The answer launches and clears no task. It stops tasks of jobs that have ended, also
+// tasks that the worker may yet receive a launch command for, so that the renewed lease does not
+// keep cancelled tasks running.
 Response Controller::leaseOnlyResponse(const Report& report) const {
   auto end = [this](const JobId& id) {
     const auto* job = replica_.job(id);
     if (!job || job->active()) return JobEnd::none;
-    return job->modRevision <= replica_.cursor() ? JobEnd::known : JobEnd::notReadBack;
+    return job->modRevision <= replica_.revision() ? JobEnd::known : JobEnd::notReadBack;
   };
   return jsonResponse(
       200, reportResponseToJson(lastToken_,
@@ -139,7 +146,7 @@
 Response Controller::redirect(const Report& report, const std::optional<MemberId>& to) {
   redirectedAt_[report.machine] = runtime_.now();
   if (to && replica_.leader() && *to == replica_.leader()->member &&
-      !peerMembership_.recentStatus(*to, kPeerPresence)) {
+      !peerMembership_.recentStatus(*to, kPeerReachableWithin)) {
     canary_.onRedirected(*to, redirectCandidate(report), runtime_.now());
   }
   Json body = Json::object();
@@ -151,7 +158,8 @@
   auto reject = [] { return jsonResponse(421, Json::object()); };
   if (!leader_ || !election_.leads()) return reject();
   if (!mayRenew()) {
-    // A node that hung finds reports waiting before its timers: the bound holds for each answer.
+    // After a pause of the process, queued heartbeats are handled before its timers run. The check
+    // is therefore repeated for each answer.
     stepDown("no contact with the state service for too long", false, Duration{1000});
     return reject();
   }
@@ -159,9 +167,9 @@
     stepDown("machine " + report.machine.value + " has seen a higher token", false, Duration{500});
     return reject();
   }
-  if (via) workerTransport_.noteReport(report.address, report.zone, via);
+  if (via) workerTransport_.recordHeartbeat(report.address, report.zone, via);
   return leader_->onReport(report, via.value_or(platform_.member),
-                           watcher_.contactAge() < kStoreSilent);
+                           watcher_.snapshotAge() < kStoreUnreachableAfter);
 }
 
 }  // namespace kestrelhoist
--- a/src/app/controller_peer_api.cpp
+++ b/src/app/controller_peer_api.cpp
@@ -1,4 +1,4 @@
-// The mesh API between controllers: status exchange, forwarded requests and proxying.
+// Implements the API between controllers, which exchange statuses and forward and proxy requests.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -17,7 +17,7 @@
   if (policy_.handle(request, respond) || onMeshService(request, respond)) return;
   const std::string user = "/mesh/user";
   if (path.starts_with(user + "/")) {
-    // Answered from this node's own reads; never passed on again.
+    // The request is answered from this controller's own records and never forwarded again.
     Request inner = request;
     inner.path = request.path.substr(user.size());
     if (answerUser(inner, respond, false)) return;
@@ -25,7 +25,7 @@
   respond(jsonResponse(404, {{"error", "no such path"}}));
 }
 
-// Serves peers whose own links fail.
+// Serves requests from peers whose own connections fail, and the requests of a new leader.
 bool Controller::onMeshService(const Request& request, const Respond& respond) {
   auto below = [&](const std::string& prefix) -> std::optional<Request> {
     if (!request.path.starts_with(prefix + "/")) return std::nullopt;
@@ -40,7 +40,7 @@
     }
     MemberId via{reports->path.substr(1)};
     respond(answerBatch(request, [&](const Json& item) {
-      auto report = reportFrom(item);
+      auto report = reportFromJson(item);
       if (!report) return jsonResponse(400, {{"error", "not a report"}});
       return serveReport(*report, via);
     }));
@@ -51,7 +51,7 @@
     respond(jsonResponse(200, ackLog_.toJson(runtime_.now())));
   } else if (request.path == kLeasesPath) {
     const Instant now = runtime_.now();
-    respond(jsonResponse(200, toJson(leaseLog_.sightings(now), now)));
+    respond(jsonResponse(200, toJson(leaseLog_.observations(now), now)));
   } else if (auto state = below("/mesh/state")) {
     stateProxy_.serve(*state, respond);
   } else if (auto cloud = below("/mesh/cloud")) {
@@ -74,7 +74,8 @@
   s.token =
       std::max(election_.leads() ? election_.token() : FencingToken{}, replica_.leaderToken());
   s.leading = leader_ != nullptr;
-  // By its own links: what peers reach for it is not for others to build on.
+  // Only direct connections count, because peers must not rely on a service that this controller
+  // reaches through another peer.
   auto ageOf = [now = runtime_.now()](const LinkHealth& link) {
     if (!link.lastGood()) return Duration{3600000};
     return std::clamp(now - *link.lastGood(), Duration{0}, Duration{3600000});
@@ -83,10 +84,11 @@
   s.cloudAge = ageOf(cloudProxy_.link());
   s.supportsForwarding = true;
   s.wallMs = runtime_.wallMillis();
-  s.workersAge = std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastWorker_));
-  if (watcher_.loaded()) s.newestCancellation = replica_.newestCancellation();
+  s.workersAge =
+      std::min(Duration{3600000}, std::max(Duration{0}, runtime_.now() - lastHeartbeat_));
+  if (watcher_.isLoaded()) s.newestCancellation = replica_.newestCancellation();
   s.zoneAcks = zoneAcks_.report(runtime_.now(), peerMayBeAlive());
-  s.ready = watcher_.loaded() && jobs_.catalogue() != nullptr;
+  s.ready = watcher_.isLoaded() && jobs_.catalogue() != nullptr;
   if (leader_) s.uncertainLeases = leader_->fleet().uncertainLeases();
   s.hasLostWorkers = leader_ && reportingMachines() > 0 &&
                      s.workersAge > platform_.reportEvery * 3 / 2 + Duration{500};
@@ -101,12 +103,12 @@
   return zoneAcks_.bounds(runtime_.now(), peerMayBeAlive());
 }
 
-// The middle of what this controller's clock and its peers' say: one whose clock steps by minutes
-// neither opens a period nor closes one.
+// The median prevents a single clock that jumps by minutes from opening or closing a calendar
+// period.
 std::int64_t Controller::timeOfDay() const {
   std::vector<std::int64_t> clocks{runtime_.wallMillis()};
   for (const auto& peer : platform_.peers) {
-    if (const auto* s = peerMembership_.recentStatus(peer.member, kPeerPresence);
+    if (const auto* s = peerMembership_.recentStatus(peer.member, kPeerReachableWithin);
         s && s->wallClockOffset) {
       clocks.push_back(runtime_.now().ms + *s->wallClockOffset);
     }
--- a/src/app/controller_user_api.cpp
+++ b/src/app/controller_user_api.cpp
@@ -1,4 +1,4 @@
-// The user-facing API, including the health check.
+// Implements the API for users, workers and health checks.
 #include <algorithm>
 
 #include "app/controller.hpp"
@@ -26,7 +26,7 @@
       !path.starts_with("/v2/flows/tasks/")) {
     return respond(jsonResponse(403, {{"error", "members come with TLS, see docs/members.md"}}));
   }
-  if (isUserRequest && !watcher_.reachable()) {
+  if (isUserRequest && !watcher_.isReachable()) {
     if (auto peer = peerMembership_.peerReachingStore(watcher_.failingSince())) {
       return forwardToPeer(*peer, request, respond);
     }
@@ -66,7 +66,7 @@
     };
     const Json noLeader = {{"leader", nullptr}, {"waits", Json::array()}};
     if (leader_) return respondWith(leader_->why(JobId{*ref}));
-    const PeerStatus* leader = peerMembership_.newestLeader(kPeerPresence);
+    const PeerStatus* leader = peerMembership_.newestLeader(kPeerReachableWithin);
     if (!leader) return respondWith(noLeader);
     peerMembership_.send(leader->member, {"GET", "/mesh/why/" + *ref, ""}, kForwardTimeout,
                          [respondWith, noLeader](const std::optional<Response>& answer) mutable {
@@ -78,11 +78,12 @@
 }
 
 Response Controller::ready() {
-  bool serves = watcher_.loaded() && jobs_.catalogue();
-  // A common outage must not take all nodes out of the balancer; a node that alone lost the
-  // state service passes requests on to its peers; one that hears nobody steps out.
-  if (serves && !watcher_.reachable() && watcher_.contactAge() > kStoreSilent) {
-    serves = peerMembership_.anyReachable(kPeerPresence);
+  bool serves = watcher_.isLoaded() && jobs_.catalogue();
+  // A controller that has lost the state service stays ready while it reaches a peer: it can
+  // forward requests, and an outage of the state service must not remove all controllers from the
+  // load balancer. It is not ready if it reaches no peer either.
+  if (serves && !watcher_.isReachable() && watcher_.snapshotAge() > kStoreUnreachableAfter) {
+    serves = peerMembership_.anyReachable(kPeerReachableWithin);
   }
   return jsonResponse(serves ? 200 : 503, Json::object());
 }
--- a/src/app/leader.cpp
+++ b/src/app/leader.cpp
@@ -9,19 +9,19 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kTick{250};
+constexpr Duration kTimerInterval{250};
 constexpr std::int64_t kTimersPerFailureDetection = 2;
-constexpr double kLeaderWriteShare = 0.7;  // the rest is for users' requests
+constexpr double kLeaderWriteShare = 0.7;  // The rest is reserved for users' requests.
 constexpr Duration kCommitTimeout{1500};
-constexpr Duration kRetry{200};
-constexpr Duration kRejectedRetry{1000};
-// Workers count as reachable when something sent within this time reached one.
+constexpr Duration kRetryDelay{200};
+constexpr Duration kRejectedRetryDelay{1000};
+// Workers count as reachable if a request sent within this time has reached one of them.
 constexpr Duration kWorkersReachableWithin{3000};
-// Fields of the forecast record in which the previous leader left its suspicions.
+// These fields of the forecast record hold the suspected zones and the suspect jobs.
 constexpr const char* kSuspectedZonesField = "silent";
 constexpr const char* kSuspectedJobsField = "suspect";
 
-// Whether the worker's next report will differ by what these commands do.
+// Returns whether the commands change which tasks the worker's next report lists.
 bool changesTasks(const std::vector<WorkerCommand>& commands) {
   return std::any_of(commands.begin(), commands.end(), [](const WorkerCommand& command) {
     return command.operation != WorkerCommand::Operation::clear;
@@ -55,9 +55,9 @@
                                static_cast<double>(context_.platform.transactionOps))) {
   logInfo("became leader", "token", context_.token, "member", context_.platform.member);
   connectLoops();
-  fleet_.onGivenUpForSilence = context_.onGivenUpForSilence;
+  fleet_.onLostBySilence = context_.onLostBySilence;
   if (context_.replica.catalogue()) {
-    context_.catalogue = catalogueFrom(*context_.replica.catalogue());
+    context_.catalogue = catalogueFromJson(*context_.replica.catalogue());
   }
   if (const auto& forecast = context_.replica.forecast()) {
     restoreSuspectedZones(*forecast);
@@ -71,13 +71,13 @@
 void Leader::connectLoops() {
   context_.scheduleCycle = [this] { scheduleCycle(); };
   context_.finishStep = [this](std::optional<Commit> next) { finishStep(std::move(next)); };
-  scaling_.upcoming = [this](Duration horizon) {
+  scaling_.demandStartingWithin = [this](Duration horizon) {
     auto demand = flows_.upcoming(horizon);
     auto ofJobs = demandOfJobsReadyWithin(context_.replica, horizon);
     demand.insert(demand.end(), ofJobs.begin(), ofJobs.end());
     return demand;
   };
-  scaling_.ending = [this](Duration horizon) {
+  scaling_.demandEndingWithin = [this](Duration horizon) {
     auto demand = flows_.ending(horizon);
     auto ofJobs = demandOfDependenciesEndingWithin(context_.replica, horizon);
     demand.insert(demand.end(), ofJobs.begin(), ofJobs.end());
@@ -100,7 +100,7 @@
 }
 
 void Leader::finishStep(std::optional<Commit> next) {
-  stepUnderWay_ = false;
+  stepInProgress_ = false;
   if (next) return commit(std::move(*next));
   scheduleCycle();
 }
@@ -110,7 +110,7 @@
   if (!zones) return;
   for (const auto& [zone, since] : zones->items()) {
     if (!since.is_number_integer()) continue;
-    // The time of day is only approximate; it decides merely when releases are requested.
+    // The wall clock may be inaccurate, but this time only affects when terminations are requested.
     Duration ago{
         std::max<std::int64_t>(0, context_.runtime.wallMillis() - since.get<std::int64_t>())};
     fleet_.restoreSuspectedZone(ZoneId{zone}, context_.electedAt - ago);
@@ -118,28 +118,28 @@
 }
 
 void Leader::restoreFailureAttribution(const Json& forecast) {
-  const Json* suspects = field(forecast, kSuspectedJobsField);
-  if (!suspects) return;
-  for (const auto& [id, rounds] : suspects->items()) {
+  const Json* suspectJobs = field(forecast, kSuspectedJobsField);
+  if (!suspectJobs) return;
+  for (const auto& [id, rounds] : suspectJobs->items()) {
     const auto* job = context_.replica.job(JobId{id});
     if (!job || !job->active() || !rounds.is_number_integer()) continue;
-    fleet_.failureAttribution().adopt(JobId{id}, rounds.get<int>(), context_.electedAt);
+    fleet_.failureAttribution().restoreSuspect(JobId{id}, rounds.get<int>(), context_.electedAt);
   }
 }
 
 void Leader::detectFailures(Instant now) {
   if (context_.zoneAckBounds) fleet_.setZoneAckBounds(context_.zoneAckBounds(), now);
-  fleet_.setPeerUnheard(context_.hasUnheardPeer && context_.hasUnheardPeer());
+  fleet_.setPeerUnreachable(context_.hasUnreachablePeer && context_.hasUnreachablePeer());
   fleet_.detectFailures(now, context_.catalogue ? &*context_.catalogue : nullptr,
                         mayHaveActingLeader_);
 }
 
 void Leader::onTimer() {
-  context_.runtime.after(kTick, context_.whileLeading([this] { onTimer(); }));
+  context_.runtime.after(kTimerInterval, context_.whileLeading([this] { onTimer(); }));
   Instant now = context_.runtime.now();
   if (!context_.initialRoundOver && initialRound_.isOver()) {
     context_.initialRoundOver = true;
-    forecast_.load();
+    forecast_.restoreStored();
     logInfo("initial heartbeat round complete", "machines", fleet_.machines().size());
     fleet_.logSignsOfLife(now);
   }
@@ -149,7 +149,7 @@
                                context_.workersReachedSince(now - kWorkersReachableWithin));
     detectFailures(now);
     prober_.probeOverdue();
-    leaseEndProber_.schedule(kTimersPerFailureDetection * kTick);
+    leaseEndProber_.schedule(kTimersPerFailureDetection * kTimerInterval);
   }
   repeater_.repeatDue(now);
   machineList_.onTimer();
@@ -166,32 +166,33 @@
   }));
 }
 
-// The control loops take turns, so that a busy one cannot starve the others.
+// Each cycle starts with the loop after the one that acted last, so that a busy loop cannot starve
+// the others.
 void Leader::cycle() {
-  if (stepUnderWay_ || deposed() || !context_.watcher.reachable()) return;
+  if (stepInProgress_ || isLeadershipLost() || !context_.watcher.isReachable()) return;
   for (std::size_t i = 0; i < loops_.size(); ++i) {
     std::size_t at = (nextLoop_ + i) % loops_.size();
     LoopStep step = loops_[at]->next();
     if (!step.commit && !step.isAsynchronous) continue;
     nextLoop_ = at + 1;
-    stepUnderWay_ = true;
+    stepInProgress_ = true;
     if (step.commit) commit(std::move(*step.commit));
     return;
   }
 }
 
-// One read can bring both the election of another leader and what that leader has written since. A
-// leader that was cut off must not take those records for its own (flow-faults 1 and 12: a job
-// created by the new leader had inputs that were not done in the old leader's view).
-bool Leader::deposed() const { return context_.replica.leaderToken() != context_.token; }
+// One read can return both the election of another leader and the records that it has written
+// since. The old leader must not act on those records as if they were its own: in flow-faults 1 and
+// 12 a job created by the new leader had inputs that were not done in the old leader's view.
+bool Leader::isLeadershipLost() const { return context_.replica.leaderToken() != context_.token; }
 
 void Leader::notifyLoops(bool changedByOthers) {
-  if (deposed()) return;
+  if (isLeadershipLost()) return;
   for (ControlLoop* loop : loops_) loop->onRecordsChanged(changedByOthers);
 }
 
 void Leader::commit(Commit commit) {
-  stepUnderWay_ = true;
+  stepInProgress_ = true;
   sent_ = std::make_shared<SentCommit>(SentCommit{std::move(commit)});
   double cost = static_cast<double>(sent_->commit.transaction.writes.size());
   Duration wait = writes_.waitFor(context_.runtime.now(), cost);
@@ -202,8 +203,8 @@
   }
 }
 
-// Sends the same transaction until its outcome is known. Each one writes a key that it conditions
-// on, so of several sends at most one is applied, and after a 200 or 409 none can be applied later.
+// Repeats the transaction until its outcome is known. The transaction writes a key that it also
+// compares, so it is applied at most once, and it cannot be applied after an answer of 200 or 409.
 void Leader::send(const SentCommitPtr& sent) {
   if (sent->settled) return;
   const Transaction& transaction = sent->commit.transaction;
@@ -219,26 +220,26 @@
     case CommitOutcome::applied:
       return onCommitApplied(sent, result.revision);
     case CommitOutcome::conflict:
-      logInfo("commit in conflict, reading again", "what", sent->commit.what);
+      logInfo("commit conflicted; reading the records again", "what", sent->commit.what);
       return rereadRecords(sent);
     case CommitOutcome::rejected:
     case CommitOutcome::noLease:
       logError("commit rejected", "what", sent->commit.what);
-      // The limits may have fallen since; an earlier send may have been applied before that.
-      context_.runtime.after(kRejectedRetry,
+      // An earlier send may have been applied before the state service lowered its limits.
+      context_.runtime.after(kRejectedRetryDelay,
                              context_.whileLeading([this, sent] { rereadRecords(sent); }));
       return;
     case CommitOutcome::refused:
     case CommitOutcome::unknown:
-      logDebug("commit without result, sending again", "refused",
+      logDebug("commit outcome unknown; sending it again", "refused",
                result.outcome == CommitOutcome::refused, "what", sent->commit.what);
-      context_.runtime.after(kRetry, context_.whileLeading([this, sent] { send(sent); }));
+      context_.runtime.after(kRetryDelay, context_.whileLeading([this, sent] { send(sent); }));
       return;
   }
 }
 
 void Leader::onChangesApplied(const std::vector<Change>& changes) {
-  if (!sent_ || sent_->settled || deposed()) return;
+  if (!sent_ || sent_->settled || isLeadershipLost()) return;
   auto revision = appliedRevision(sent_->commit.transaction, changes);
   if (!revision) return;
   logInfo("commit confirmed by the change feed", "what", sent_->commit.what);
@@ -248,42 +249,44 @@
 void Leader::onCommitApplied(const SentCommitPtr& sent, Revision revision) {
   sent->settled = true;
   const Commit& commit = sent->commit;
-  // What the change feed has brought already may have been changed again since.
-  if (revision > context_.replica.cursor()) {
+  // Skips changes that the change feed has already delivered, because their records may have
+  // changed again since.
+  if (revision > context_.replica.revision()) {
     for (const auto& write : commit.transaction.writes) {
       context_.replica.apply({write.key, write.value, revision});
     }
   }
   context_.latestRevision = std::max(context_.latestRevision, revision);
-  stepUnderWay_ = false;
+  stepInProgress_ = false;
   notifyLoops(false);
   logDebug("committed", "revision", revision, "what", commit.what);
   if (commit.onApplied) commit.onApplied();
   scheduleCycle();
 }
 
-// Reads what a failed commit did not know of, and ends its step. The read may show that an earlier
-// send of it was applied.
+// Reads the changes that made a commit fail and ends the step of the commit. The read may show that
+// an earlier send of the commit was applied.
 void Leader::rereadRecords(const SentCommitPtr& sent) {
   if (sent->settled) return;
   context_.watcher.linearizableRead(context_.whileLeading([this, sent](bool) {
     if (sent->settled) return;
     sent->settled = true;
-    stepUnderWay_ = false;
+    stepInProgress_ = false;
     notifyLoops(false);
     scheduleCycle();
   }));
 }
 
-Response Leader::onReport(const Report& report, const MemberId& receivedBy, bool sure) {
-  if (fleet_.isReleased(report.machine)) {
-    // The machine has certainly been released; this heartbeat was delayed in the network.
+Response Leader::onReport(const Report& report, const MemberId& receivedBy, bool mayLaunch) {
+  if (fleet_.isTerminated(report.machine)) {
+    // The cloud has confirmed the termination of the machine, so the network delayed this
+    // heartbeat.
     return jsonResponse(503, {{"error", "released"}});
   }
   Instant now = context_.runtime.now();
   const Machine* before = fleet_.find(report.machine);
   bool wasUsable = before && fleet_.usable(*before, now);
-  auto commands = fleet_.onReport(report, receivedBy, now, sure);
+  auto commands = fleet_.onReport(report, receivedBy, now, mayLaunch);
   Machine& m = *fleet_.find(report.machine);
   if (!wasUsable && fleet_.usable(m, now)) {
     context_.planInvalidated = true;
@@ -304,7 +307,7 @@
 
 void Leader::onRecordsChanged() {
   if (!context_.catalogue && context_.replica.catalogue()) {
-    context_.catalogue = catalogueFrom(*context_.replica.catalogue());
+    context_.catalogue = catalogueFromJson(*context_.replica.catalogue());
   }
   notifyLoops(true);
   scheduleCycle();
--- a/src/app/servers.hpp
+++ b/src/app/servers.hpp
@@ -1,5 +1,6 @@
-/// The listening servers of one controller: one for users and workers, one for the other
-/// controllers and, if the operator has members, one for users over TLS and one for metrics.
+/// \file
+/// Runs the HTTP servers of one controller. One serves users and workers, and one serves peers. If
+/// members are enabled, a third can serve users over TLS and a fourth can serve metrics.
 #pragma once
 
 #include "app/controller.hpp"
@@ -8,7 +9,8 @@
 
 namespace kestrelhoist {
 
-/// Owns the HTTP servers and their TLS contexts. The constructor's arguments must outlive it.
+/// Owns the HTTP servers and their TLS contexts. The constructor's arguments must outlive this
+/// object.
 class Servers {
  public:
   /// Throws std::runtime_error if an address cannot be bound or a certificate is invalid.
@@ -30,7 +32,7 @@
   EvHttpClient& http_;
   const Platform& platform_;
   Controller& controller_;
-  Instant crowdedAt_{};
+  Instant idleClosedAt_{};
   std::shared_ptr<TlsServer> usersTls_, meshTls_;
   std::vector<std::unique_ptr<HttpServer>> servers_;
 };
--- a/src/cloud/catalogue.hpp
+++ b/src/cloud/catalogue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Machine types as the cloud offers them.
+/// Represents the machine types that the cloud offers.
 #pragma once
 
 #include <optional>
@@ -10,6 +10,7 @@
 
 namespace kestrelhoist {
 
+/// Describes a machine type by its resources, prices, boot time and zones.
 struct MachineType {
   TypeId id;
   Resources capacity;
@@ -21,13 +22,18 @@
   std::vector<ZoneId> zones;
 };
 
+/// Holds all machine types of the cloud.
 struct Catalogue {
   std::vector<MachineType> types;
+  /// Returns the machine type with this id. The result is null if the cloud does not offer
+  /// it.
   const MachineType* find(const TypeId& id) const;
 };
 
-/// From the cloud's answer, and from the record, which keeps the same form.
-std::optional<Catalogue> catalogueFrom(const Json& body);
+/// Parses the cloud's answer or the stored catalogue, which have the same format. Returns an empty
+/// value if the JSON is malformed.
+std::optional<Catalogue> catalogueFromJson(const Json& body);
+/// Returns the catalogue in the format that catalogueFromJson() parses.
 Json toJson(const Catalogue& c);
 
 }  // namespace kestrelhoist
--- a/src/cloud/demand.cpp
+++ b/src/cloud/demand.cpp
@@ -7,9 +7,10 @@
 namespace kestrelhoist {
 namespace {
 
-// The cheapest allowed type that holds a task.
-const MachineType* cheapest(const Catalogue& catalogue, const Resources& perTask,
-                            const JobSpec* spec) {
+// Returns the allowed machine type on which a task costs the least. The result is null if no
+// type can hold the task.
+const MachineType* cheapestType(const Catalogue& catalogue, const Resources& perTask,
+                                const JobSpec* spec) {
   const MachineType* best = nullptr;
   for (const auto& type : catalogue.types) {
     if ((spec && !spec->allowsType(type.id)) || !perTask.fitsIn(type.capacity)) continue;
@@ -21,17 +22,19 @@
   return best;
 }
 
-// A task that is a bit more than a half of a machine takes a whole one.
+// Returns how many machines the tasks fill. Only whole tasks fit on a machine, so a task that needs
+// slightly more than half of a machine counts as a whole machine.
 double machinesFor(const MachineType& type, const Resources& perTask, std::uint32_t tasks) {
   double perMachine = std::floor(1.0 / std::max(1e-6, perTask.shareOf(type.capacity)) + 1e-6);
   return tasks / std::max(1.0, perMachine);
 }
 
-// Where machines would help a job's waiting tasks; empty: anywhere. Of a service that is spread, at
-// most half may be in one zone: three of six replicas waited for ever beside an idle machine in the
-// zone of the three others, which counted as room for them.
-std::set<ZoneId> zonesLeft(const LeaderContext& context, Fleet& fleet, const JobState& job,
-                           const MachineType& type) {
+// Returns the zones in which machines can run the job's waiting tasks. The result is empty if all
+// zones can. At most half of the replicas of a spread service may be placed in one zone. When this
+// was ignored, three of six replicas waited forever: an idle machine counted as free for them, but
+// it was in the zone of the three other replicas.
+std::set<ZoneId> eligibleZones(const LeaderContext& context, Fleet& fleet, const JobState& job,
+                               const MachineType& type) {
   const JobSpec& spec = *job.record.spec;
   if (spec.zone) return {*spec.zone};
   if (!spec.spread) return {};
@@ -42,11 +45,11 @@
     if (m && m->session.outcomes.contains({{spec.id, index}, placed.attempt})) continue;
     if (record) ++perZone[record->zone];
   }
-  std::set<ZoneId> left;
+  std::set<ZoneId> eligible;
   for (const auto& zone : type.zones) {
-    if (perZone[zone] < spec.zoneLimit()) left.insert(zone);
+    if (perZone[zone] < spec.zoneLimit()) eligible.insert(zone);
   }
-  return left.size() < type.zones.size() ? left : std::set<ZoneId>{};
+  return eligible.size() < type.zones.size() ? eligible : std::set<ZoneId>{};
 }
 
 using DemandByType = std::map<TypeId, TypeDemand>;
@@ -55,13 +58,13 @@
   if (!spotAllowed) {
     demand.firmBooked += share;
   } else if (onSpot) {
-    demand.flexibleOnSpot += share;
+    demand.flexibleBookedOnSpot += share;
   } else {
-    demand.flexibleOnOrdinary += share;
+    demand.flexibleBookedOnDemand += share;
   }
 }
 
-// What is booked on machines, leaving out tasks that are known to have ended.
+// Adds the resources of tasks that are placed on machines, except tasks with a confirmed outcome.
 void addBookedResources(const LeaderContext& context, const Fleet& fleet, DemandByType& demand) {
   for (const auto& [id, record] : context.replica.machines()) {
     const MachineType* type = context.catalogue->find(record.type);
@@ -80,21 +83,21 @@
 void addWaiting(const LeaderContext& context, Fleet& fleet, const JobState& job,
                 std::uint32_t tasks, DemandByType& demand) {
   const JobSpec& spec = *job.record.spec;
-  const MachineType* best = cheapest(*context.catalogue, spec.perTask, &spec);
+  const MachineType* best = cheapestType(*context.catalogue, spec.perTask, &spec);
   if (!best) return;
   TypeDemand& ofType = demand[best->id];
   const double share = machinesFor(*best, spec.perTask, tasks);
   (spec.spotAllowed ? ofType.flexibleWaiting : ofType.firmWaiting) += share;
-  if (auto zones = zonesLeft(context, fleet, job, *best); !zones.empty()) {
-    ofType.pinnedWaiting[zones] += share;
+  if (auto zones = eligibleZones(context, fleet, job, *best); !zones.empty()) {
+    ofType.waitingInZones[zones] += share;
   }
 }
 
-// A job's next trial must not go to the machine that it excludes, so what is free there is no room
-// for it: counted as booked, so that another machine is rented.
+// The next trial of a suspect job must not be placed on the machine that the job excludes. Counts
+// the free resources of that machine as booked, so that another machine is rented for the job.
 void addExcludedMachine(const LeaderContext& context, const Fleet& fleet, const JobSpec& spec,
                         std::set<MachineId>& counted, DemandByType& demand) {
-  auto excluded = fleet.failureAttribution().excludes(spec.id, context.runtime.now());
+  auto excluded = fleet.failureAttribution().excludedMachine(spec.id, context.runtime.now());
   if (!excluded || !counted.insert(*excluded).second) return;
   const auto* record = context.replica.machine(*excluded);
   const MachineType* type = record ? context.catalogue->find(record->type) : nullptr;
@@ -112,7 +115,7 @@
                                                  const std::vector<ProjectedDemand>& projected) {
   std::map<TypeId, MachineDemand> out;
   for (const auto& demand : projected) {
-    const MachineType* best = cheapest(catalogue, demand.perTask, nullptr);
+    const MachineType* best = cheapestType(catalogue, demand.perTask, nullptr);
     if (!best) continue;
     MachineDemand& total = out[best->id];
     (demand.spot ? total.flexible : total.firm) += machinesFor(*best, demand.perTask, demand.tasks);
@@ -120,8 +123,8 @@
   return out;
 }
 
-DemandByType demandNow(const LeaderContext& context, Fleet& fleet,
-                       const std::map<JobId, std::uint32_t>& unplaced) {
+DemandByType presentDemand(const LeaderContext& context, Fleet& fleet,
+                           const std::map<JobId, std::uint32_t>& unplaced) {
   DemandByType demand;
   for (const auto& type : context.catalogue->types) demand[type.id];
   addBookedResources(context, fleet, demand);
--- a/src/cloud/forecast_loop.cpp
+++ b/src/cloud/forecast_loop.cpp
@@ -9,12 +9,13 @@
 
 void ForecastLoop::onTimer() {
   if (!context_.initialRoundOver || !context_.catalogue) return;
-  // A leader that ends before the interval's turn must not take along what it knows of them.
-  if (suspectedZonesChanged()) dirty_ = true;
-  if (context_.runtime.now() >= ends_) {
-    turn();
+  // A change of the suspected zones is recorded at once. If the leader ended before the forecast
+  // interval does, the next leader would otherwise not know of the change.
+  if (suspectedZonesChanged()) recordOutdated_ = true;
+  if (context_.runtime.now() >= intervalEnd_) {
+    endInterval();
   } else {
-    scaling_.check();
+    scaling_.decideIfDue();
   }
 }
 
@@ -26,12 +27,12 @@
   };
   if (context_.catalogue && !context_.replica.catalogue())
     set(keys::kCatalogue, kestrelhoist::toJson(*context_.catalogue));
-  if (dirty_) {
+  if (recordOutdated_) {
     const auto& suspected = fleet_.lastSuspectedZones();
-    set(keys::kForecast, fitting(context_.platform.valueBytes, suspected));
-    recordedSuspects_.clear();
-    for (const auto& [zone, at] : suspected) recordedSuspects_.insert(zone);
-    dirty_ = false;
+    set(keys::kForecast, recordWithinLimit(context_.platform.valueBytes, suspected));
+    recordedSuspectedZones_.clear();
+    for (const auto& [zone, at] : suspected) recordedSuspectedZones_.insert(zone);
+    recordOutdated_ = false;
   }
   if (t.writes.empty()) return LoopStep::idle();
   return LoopStep::committing(Commit{std::move(t), nullptr, "types or forecast"});
@@ -39,41 +40,43 @@
 
 bool ForecastLoop::suspectedZonesChanged() const {
   const auto& suspected = fleet_.lastSuspectedZones();
-  return !std::equal(suspected.begin(), suspected.end(), recordedSuspects_.begin(),
-                     recordedSuspects_.end(),
+  return !std::equal(suspected.begin(), suspected.end(), recordedSuspectedZones_.begin(),
+                     recordedSuspectedZones_.end(),
                      [](const auto& entry, const ZoneId& zone) { return entry.first == zone; });
 }
 
-void ForecastLoop::turn() {
+void ForecastLoop::endInterval() {
   Instant now = context_.runtime.now();
-  auto demand = demandNow(context_, fleet_, planning_.unplaced());
+  auto demand = presentDemand(context_, fleet_, planning_.unplaced());
   for (const auto& type : context_.catalogue->types) {
     const TypeDemand& d = demand[type.id];
     auto horizon = static_cast<std::size_t>(
         std::max(1.0, std::ceil(toSeconds(type.boot) / toSeconds(context_.settings.window))));
     auto [it, isNew] =
         forecasts_.series.try_emplace(type.id, DemandSeries{Forecast(horizon), Forecast(horizon)});
-    // DESIGN names it: refused rents leave tasks waiting and push the forecast toward room that
-    // can't come. While every zone refuses, waiting work is not taken for demand.
+    // Waiting tasks do not count as demand while the cloud refuses this type in every zone. They
+    // would otherwise raise the forecast, although no machine can be rented (see DESIGN).
     auto allRefused = [&](bool spot) {
       return std::all_of(type.zones.begin(), type.zones.end(), [&](const ZoneId& z) {
         auto r = scaling_.refused().find({type.id, z, spot});
         return r != scaling_.refused().end() && now - r->second <= kConstrainedMemory;
       });
     };
-    bool noOrdinary = allRefused(false);
-    bool noSpot = !context_.settings.useSpot || allRefused(true);
-    it->second.firm.observe(d.firmBooked + (noOrdinary ? 0 : d.firmWaiting));
-    it->second.flexible.observe(d.flexibleOnSpot + d.flexibleOnOrdinary +
-                                (noOrdinary && noSpot ? 0 : d.flexibleWaiting));
+    bool onDemandRefused = allRefused(false);
+    bool spotRefused = !context_.settings.useSpot || allRefused(true);
+    it->second.firm.observe(d.firmBooked + (onDemandRefused ? 0 : d.firmWaiting));
+    it->second.flexible.observe(d.flexibleBookedOnSpot + d.flexibleBookedOnDemand +
+                                (onDemandRefused && spotRefused ? 0 : d.flexibleWaiting));
   }
-  while (ends_ <= now) ends_ = ends_ + context_.settings.window;
-  dirty_ = true;
+  while (intervalEnd_ <= now) intervalEnd_ = intervalEnd_ + context_.settings.window;
+  recordOutdated_ = true;
   scaling_.decide(true);
 }
 
-// With less of what a new leader can learn again: first suspects, then types' series.
-Json ForecastLoop::fitting(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const {
+// Returns the record within the size limit of a value. If it is too large, leaves out first suspect
+// jobs and then forecasts of machine types, because a new leader can learn both again.
+Json ForecastLoop::recordWithinLimit(std::size_t bytes,
+                                     const std::map<ZoneId, Instant>& suspected) const {
   Json value = toJson(suspected);
   for (const char* list : {"suspect", "types"}) {
     while (value.dump().size() >= bytes && !value[list].empty()) {
@@ -90,18 +93,20 @@
   for (const auto& [type, series] : forecasts_.series) {
     types[type.value] = {{"firm", series.firm.toJson()}, {"flexible", series.flexible.toJson()}};
   }
-  // Since when a zone is silent: a leader that never heard its machines can't know how long their
-  // tasks can run (day `zone`: cut, then the leader ended; 1,712 tasks were over for 25 s before
-  // the next leader gave them up).
+  // The record says since when each suspected zone is unreachable. A new leader that has received
+  // no heartbeat from a zone cannot know when the leases of its workers expire. Without the record,
+  // 1,712 tasks had ended 25 s before the new leader rescheduled them (day `zone`: the zone was cut
+  // off, then the leader ended).
   Instant now = context_.runtime.now();
   Json silent = Json::object();
   for (const auto& [zone, at] : suspected) {
     silent[zone.value] = context_.runtime.wallMillis() - (now - at).count();
   }
-  // Jobs that fail wherever they go: a new leader need not learn it again at their full width.
-  constexpr std::size_t kMostSuspects = 32;
+  // The record names suspect jobs, so that a new leader does not first start all of their tasks
+  // again.
+  constexpr std::size_t kMaxSuspects = 32;
   Json suspect = Json::object();
-  for (const auto& [job, rounds] : fleet_.failureAttribution().suspects(kMostSuspects)) {
+  for (const auto& [job, rounds] : fleet_.failureAttribution().suspectJobs(kMaxSuspects)) {
     suspect[job.value] = rounds;
   }
   return {{"at", context_.runtime.wallMillis()},
@@ -110,18 +115,18 @@
           {"suspect", std::move(suspect)}};
 }
 
-// The windows that an earlier leader left, with the gap since then closed at present demand.
-void ForecastLoop::load() {
+// Restores the stored forecasts and fills the intervals since then with the present demand.
+void ForecastLoop::restoreStored() {
   const auto& stored = context_.replica.forecast();
-  if (loaded_ || !stored || !context_.catalogue) return;
-  loaded_ = true;
+  if (restored_ || !stored || !context_.catalogue) return;
+  restored_ = true;
   auto at = countField(*stored, "at");
   const Json* types = field(*stored, "types");
   if (!at || !types || !types->is_object()) return;
   auto age = Duration{
       std::max<std::int64_t>(0, context_.runtime.wallMillis() - static_cast<std::int64_t>(*at))};
-  auto missed = static_cast<std::size_t>(age / context_.settings.window);
-  auto demand = demandNow(context_, fleet_, planning_.unplaced());
+  auto missedIntervals = static_cast<std::size_t>(age / context_.settings.window);
+  auto demand = presentDemand(context_, fleet_, planning_.unplaced());
   for (const auto& type : context_.catalogue->types) {
     const Json* entry = field(*types, type.id.value.c_str());
     const Json* firm = entry ? field(*entry, "firm") : nullptr;
@@ -132,11 +137,12 @@
       continue;
     }
     const TypeDemand& d = demand[type.id];
-    series.firm.skip(missed, d.firmBooked + d.firmWaiting);
-    series.flexible.skip(missed, d.flexibleOnSpot + d.flexibleOnOrdinary + d.flexibleWaiting);
+    series.firm.fillMissed(missedIntervals, d.firmBooked + d.firmWaiting);
+    series.flexible.fillMissed(
+        missedIntervals, d.flexibleBookedOnSpot + d.flexibleBookedOnDemand + d.flexibleWaiting);
     forecasts_.series.insert_or_assign(type.id, std::move(series));
   }
-  logInfo("forecast taken over", "windows_behind", missed);
+  logInfo("demand forecast restored", "windows_behind", missedIntervals);
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/forecast_loop.hpp
+++ b/src/cloud/forecast_loop.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The forecast's windows: demand is recorded at each turn, kept in one state value, and rented
-/// for.
+/// Maintains the demand forecasts: adds the demand at the end of each forecast interval, stores the
+/// forecasts in one record, and starts the scaling decision.
 #pragma once
 
 #include <set>
@@ -9,6 +9,7 @@
 
 namespace kestrelhoist {
 
+/// Ends the forecast intervals and keeps the forecast record up to date.
 class ForecastLoop : public ControlLoop {
  public:
   ForecastLoop(LeaderContext& context, Fleet& fleet, PlanningLoop& planning, ScalingLoop& scaling,
@@ -18,31 +19,33 @@
         planning_(planning),
         scaling_(scaling),
         forecasts_(forecasts) {
-    ends_ = context_.electedAt + context_.settings.window;
+    intervalEnd_ = context_.electedAt + context_.settings.window;
   }
 
+  /// Commits the catalogue and the forecast record if they have changed.
   LoopStep next() override;
   void onTimer() override;
-  /// Takes over the windows that an earlier leader left.
-  void load();
+  /// Restores the forecasts that the previous leader stored.
+  void restoreStored();
 
  private:
-  void turn();
-  /// Whether zones fell silent, or came back, since the record was last written.
+  void endInterval();
+  /// Returns whether the suspected zones differ from those in the last written record.
   bool suspectedZonesChanged() const;
-  /// The record, which names these zones as silent since then.
+  /// Returns the forecast record.
+  /// @param suspected The suspected zones, each with the time of its last sign of life.
   Json toJson(const std::map<ZoneId, Instant>& suspected) const;
-  Json fitting(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const;
+  Json recordWithinLimit(std::size_t bytes, const std::map<ZoneId, Instant>& suspected) const;
 
   LeaderContext& context_;
   Fleet& fleet_;
   PlanningLoop& planning_;
   ScalingLoop& scaling_;
   DemandForecasts& forecasts_;
-  Instant ends_{};
-  bool dirty_ = false;
-  std::set<ZoneId> recordedSuspects_;  ///< zones that the record names as silent
-  bool loaded_ = false;
+  Instant intervalEnd_{};
+  bool recordOutdated_ = false;
+  std::set<ZoneId> recordedSuspectedZones_;  ///< Holds the suspected zones that the record names.
+  bool restored_ = false;
 };
 
 }  // namespace kestrelhoist
--- a/src/cloud/scaling_decision.cpp
+++ b/src/cloud/scaling_decision.cpp
@@ -6,39 +6,42 @@
 namespace kestrelhoist {
 namespace {
 
-// Flexible work can wait for a boot and often runs on machines that cost several times its spot
-// price, so for it the spread multiple is zero: the mean, and present demand as the floor.
-constexpr double kFlexible = 0.0;
+// This multiple of the spread is zero for flexible work, so its target is the mean of the forecast
+// and at least the present demand. Flexible work can wait until a machine has booted, and it often
+// runs on machines that cost several times their spot price.
+constexpr double kFlexibleSpreadMultiple = 0.0;
 
 int ceilMachines(double share) { return static_cast<int>(std::ceil(std::max(0.0, share) - 1e-6)); }
 
-struct PoolState {
-  int have{};   // counts toward the target: up, booting in time, ordered
-  int inUse{};  // with something on them
+// Counts the machines of one type on the spot or the on-demand market.
+struct MarketState {
+  // Machines count as available if they run, boot on time or are requested from the cloud.
+  int available{};
+  int inUse{};  // Counts machines that have tasks.
   std::map<ZoneId, int> perZone;
 };
 
-PoolState poolOf(const ScalingInput& in, bool spot) {
-  PoolState p;
+MarketState marketStateOf(const ScalingInput& in, bool spot) {
+  MarketState market;
   for (const auto& m : in.machines) {
     if (m.offering.spot != spot) continue;
-    if (!m.idle) ++p.inUse;
-    if (m.late) continue;
-    ++p.have;
-    ++p.perZone[m.offering.zone];
+    if (!m.isIdle) ++market.inUse;
+    if (m.bootOverdue) continue;
+    ++market.available;
+    ++market.perZone[m.offering.zone];
   }
   for (const auto& [offering, count] : in.pendingRentals) {
     if (offering.spot != spot || offering.type != in.type->id) continue;
-    p.have += static_cast<int>(count);
-    p.perZone[offering.zone] += static_cast<int>(count);
+    market.available += static_cast<int>(count);
+    market.perZone[offering.zone] += static_cast<int>(count);
   }
-  return p;
+  return market;
 }
 
-// Spreads `count` rentals over the zones that are not refused, the emptiest first; `only`: in
-// these.
-void scaleOut(const ScalingInput& in, bool spot, int count, PoolState& pool, ScalingDecision& out,
-              const std::set<ZoneId>* only = nullptr) {
+// Adds up to `count` rentals to the decision. Each one goes to the zone with the fewest machines
+// among those that are not refused. If `only` is set, other zones are left out.
+void scaleOut(const ScalingInput& in, bool spot, int count, MarketState& market,
+              ScalingDecision& out, const std::set<ZoneId>* only = nullptr) {
   std::map<ZoneId, std::uint32_t> add;
   for (int i = 0; i < count; ++i) {
     const ZoneId* best = nullptr;
@@ -47,11 +50,11 @@
       InstanceOffering offering{in.type->id, zone, spot};
       if (in.refused.contains(offering) || (in.constrained.contains(offering) && add[zone] > 0))
         continue;
-      if (!best || pool.perZone[zone] < pool.perZone[*best]) best = &zone;
+      if (!best || market.perZone[zone] < market.perZone[*best]) best = &zone;
     }
     if (!best) break;
-    ++pool.perZone[*best];
-    ++pool.have;
+    ++market.perZone[*best];
+    ++market.available;
     ++add[*best];
   }
   for (const auto& [zone, n] : add) {
@@ -65,10 +68,11 @@
   for (const auto& m : in.machines) {
     if (m.offering.spot != spot) continue;
     ++perZone[m.offering.zone];
-    if (m.idle && !m.keep && m.up && m.age >= in.minimumCharge) idle.push_back(&m);
+    if (m.isIdle && !m.keepWarm && m.hasReported && m.age >= in.minimumCharge) idle.push_back(&m);
   }
   while (surplus-- > 0 && !idle.empty()) {
-    // From the zone with the most machines, the newest first: its cache is the coldest.
+    // Terminates the newest machine of the zone with the most machines, because its image cache
+    // holds the least.
     auto best = std::max_element(idle.begin(), idle.end(), [&](const auto* a, const auto* b) {
       int x = perZone[a->offering.zone], y = perZone[b->offering.zone];
       return x != y ? x < y : a->age > b->age;
@@ -83,54 +87,60 @@
 
 ScalingDecision decideScaling(const ScalingInput& in) {
   ScalingDecision out;
-  const TypeDemand& d = in.demand;
+  const TypeDemand& demand = in.demand;
   const double k = in.spreadMultiple;
-  PoolState spot = poolOf(in, true);
-  PoolState ordinary = poolOf(in, false);
+  MarketState spot = marketStateOf(in, true);
+  MarketState onDemand = marketStateOf(in, false);
 
-  double flexible = std::max(d.flexible.mean + kFlexible * d.flexible.spread,
-                             d.flexibleOnSpot + d.flexibleOnOrdinary + d.flexibleWaiting);
+  double flexible = std::max(
+      demand.flexible.mean + kFlexibleSpreadMultiple * demand.flexible.spread,
+      demand.flexibleBookedOnSpot + demand.flexibleBookedOnDemand + demand.flexibleWaiting);
   bool spotOffered =
       in.useSpot && std::any_of(in.type->zones.begin(), in.type->zones.end(), [&](const ZoneId& z) {
-        // Not by the pause alone: zones whose pauses end in
-        // turn would keep the work waiting for ever.
+        // Checks `constrained` instead of `refused`, whose pauses are shorter. If the pauses of
+        // zones ended one after another, the work would wait for spot machines forever.
         return !in.constrained.contains({in.type->id, z, true});
       });
-  out.spotTarget = std::max(ceilMachines(flexible - d.flexibleOnOrdinary),
-                            spot.inUse + ceilMachines(d.flexibleWaiting));
+  out.spotTarget = std::max(ceilMachines(flexible - demand.flexibleBookedOnDemand),
+                            spot.inUse + ceilMachines(demand.flexibleWaiting));
   if (!in.useSpot) out.spotTarget = spot.inUse;
 
-  // Flexible demand that spot machines can't meet now goes to ordinary ones.
-  double overflow =
-      spotOffered ? d.flexibleOnOrdinary : std::max(d.flexibleOnOrdinary, flexible - spot.have);
+  // Flexible demand that spot machines cannot meet now is met by on-demand machines.
+  double overflow = spotOffered
+                        ? demand.flexibleBookedOnDemand
+                        : std::max(demand.flexibleBookedOnDemand, flexible - spot.available);
   double waitingHere =
-      d.firmWaiting +
-      (spotOffered ? 0.0 : std::max(0.0, d.flexibleWaiting - (spot.have - spot.inUse)));
-  double firm = std::max(d.firm.mean + k * d.firm.spread, d.firmBooked + d.firmWaiting);
-  out.ordinaryNeeded = ceilMachines(firm + overflow);
-  out.ordinaryTarget = std::max(out.ordinaryNeeded, ordinary.inUse + ceilMachines(waitingHere));
+      demand.firmWaiting +
+      (spotOffered ? 0.0 : std::max(0.0, demand.flexibleWaiting - (spot.available - spot.inUse)));
+  double firm =
+      std::max(demand.firm.mean + k * demand.firm.spread, demand.firmBooked + demand.firmWaiting);
+  out.onDemandNeeded = ceilMachines(firm + overflow);
+  out.onDemandTarget = std::max(out.onDemandNeeded, onDemand.inUse + ceilMachines(waitingHere));
 
-  for (const auto& [zones, need] : d.pinnedWaiting) {
-    // Room elsewhere does not help this work: machines of its zones that are still to come do.
-    int coming = 0;
-    for (const auto& m : in.machines) coming += zones.contains(m.offering.zone) && !m.up && !m.late;
+  for (const auto& [zones, need] : demand.waitingInZones) {
+    // This work can only use machines in `zones`, so free machines in other zones do not count.
+    // Machines that are booting or requested in these zones do.
+    int pendingMachines = 0;
+    for (const auto& m : in.machines)
+      pendingMachines += zones.contains(m.offering.zone) && !m.hasReported && !m.bootOverdue;
     for (const auto& [offering, n] : in.pendingRentals) {
       if (zones.contains(offering.zone) && offering.type == in.type->id)
-        coming += static_cast<int>(n);
+        pendingMachines += static_cast<int>(n);
     }
     for (const auto& r : out.rentals) {
-      coming += zones.contains(r.offering.zone) ? static_cast<int>(r.count) : 0;
+      pendingMachines += zones.contains(r.offering.zone) ? static_cast<int>(r.count) : 0;
     }
-    scaleOut(in, false, ceilMachines(need) - coming, ordinary, out, &zones);
+    scaleOut(in, false, ceilMachines(need) - pendingMachines, onDemand, out, &zones);
   }
-  if (out.spotTarget > spot.have) scaleOut(in, true, out.spotTarget - spot.have, spot, out);
-  if (out.ordinaryTarget > ordinary.have) {
-    scaleOut(in, false, out.ordinaryTarget - ordinary.have, ordinary, out);
+  if (out.spotTarget > spot.available)
+    scaleOut(in, true, out.spotTarget - spot.available, spot, out);
+  if (out.onDemandTarget > onDemand.available) {
+    scaleOut(in, false, out.onDemandTarget - onDemand.available, onDemand, out);
   }
   if (in.scaleIn) {
-    if (spot.have > out.spotTarget) scaleIn(in, true, spot.have - out.spotTarget, out);
-    if (ordinary.have > out.ordinaryTarget) {
-      scaleIn(in, false, ordinary.have - out.ordinaryTarget, out);
+    if (spot.available > out.spotTarget) scaleIn(in, true, spot.available - out.spotTarget, out);
+    if (onDemand.available > out.onDemandTarget) {
+      scaleIn(in, false, onDemand.available - out.onDemandTarget, out);
     }
   }
   return out;
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -6,19 +6,21 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kCheckInterval{1000};
-constexpr Duration kRefusedPause{15000};  // before the same offering is tried again
-constexpr double kLateBootFactor = 1.7;   // times the boot time: no longer counted on
+constexpr Duration kDecisionInterval{1000};
+// A refused offering is not requested again for this long.
+constexpr Duration kRefusedPause{15000};
+// A machine that has been booting for this multiple of its type's boot time no longer counts.
+constexpr double kLateBootFactor = 1.7;
 }  // namespace
 
 void ScalingLoop::decide(bool intervalEnds) {
   const Instant now = context_.runtime.now();
-  nextCheck_ = now + kCheckInterval;
+  nextDecision_ = now + kDecisionInterval;
   std::erase_if(refused_,
                 [&](const auto& entry) { return now - entry.second > kConstrainedMemory; });
-  auto demand = demandNow(context_, fleet_, planning_.unplaced());
-  wanted_.clear();
-  // Work that finds no room needs the machines that were cordoned.
+  auto demand = presentDemand(context_, fleet_, planning_.unplaced());
+  machinesToRent_.clear();
+  // Tasks that could not be placed may use the machines that were cordoned for consolidation.
   if (!planning_.unplaced().empty()) fleet_.cordoned().clear();
   for (const auto& type : context_.catalogue->types) {
     ScalingInput input = inputFor(type, demand[type.id], intervalEnds);
@@ -29,11 +31,11 @@
     }
     apply(input, decision);
   }
-  if (!wanted_.empty()) context_.scheduleCycle();
+  if (!machinesToRent_.empty()) context_.scheduleCycle();
 }
 
-// While machines are lost in masses nothing is given back or emptied: what competes with repair
-// waits.
+// During a mass failure no machine is terminated or consolidated, so that the capacity is available
+// for replacing lost tasks.
 bool ScalingLoop::inMassFailure() const {
   return context_.effectivePolicy && context_.effectivePolicy->massFailure();
 }
@@ -52,7 +54,7 @@
   for (const auto& [id, machine] : fleet_.machines()) {
     const auto* record = context_.replica.machine(id);
     if (machine.type != type.id || machine.terminationRequested || (record && record->draining) ||
-        machine.terminationNoticeEnds || fleet_.faulty(machine)) {
+        machine.terminationNoticeEnds || fleet_.isFaulty(machine)) {
       continue;
     }
     input.machines.push_back(scalingMachineOf(machine, type));
@@ -73,21 +75,24 @@
   }
 }
 
-// DESIGN: waiting downstream jobs of a running upstream job add their room. Their upstream's room
-// is free by then.
+// Adds the demand of jobs whose dependencies end within the horizon, less the resources that these
+// dependencies free by then (see DESIGN).
 void ScalingLoop::addProjectedDemand(const MachineType& type, TypeDemand& demand) const {
-  if (!upcoming || !ending) return;
+  if (!demandStartingWithin || !demandEndingWithin) return;
   const Duration horizon = type.boot + type.boot / 2;
-  const MachineDemand more = demandInMachines(*context_.catalogue, upcoming(horizon))[type.id];
-  const MachineDemand less = demandInMachines(*context_.catalogue, ending(horizon))[type.id];
+  const MachineDemand starting =
+      demandInMachines(*context_.catalogue, demandStartingWithin(horizon))[type.id];
+  const MachineDemand ending =
+      demandInMachines(*context_.catalogue, demandEndingWithin(horizon))[type.id];
   const double firm = demand.firmBooked + demand.firmWaiting;
   const double flexible =
-      demand.flexibleOnSpot + demand.flexibleOnOrdinary + demand.flexibleWaiting;
-  if (more.firm > less.firm) {
-    demand.firm.mean = std::max(demand.firm.mean, firm + more.firm - less.firm);
+      demand.flexibleBookedOnSpot + demand.flexibleBookedOnDemand + demand.flexibleWaiting;
+  if (starting.firm > ending.firm) {
+    demand.firm.mean = std::max(demand.firm.mean, firm + starting.firm - ending.firm);
   }
-  if (more.flexible > less.flexible) {
-    demand.flexible.mean = std::max(demand.flexible.mean, flexible + more.flexible - less.flexible);
+  if (starting.flexible > ending.flexible) {
+    demand.flexible.mean =
+        std::max(demand.flexible.mean, flexible + starting.flexible - ending.flexible);
   }
 }
 
@@ -97,7 +102,7 @@
     input.constrained.insert(offering);
     if (now - at < kRefusedPause) input.refused.insert(offering);
   }
-  // What is rented into a zone that is cut off can't be reached either.
+  // New machines in an unreachable zone would be unreachable, too.
   for (const auto& zone : fleet_.unreachableZones()) {
     input.refused.insert({type.id, zone, false});
     input.refused.insert({type.id, zone, true});
@@ -107,8 +112,8 @@
 void ScalingLoop::addPendingRentals(ScalingInput& input) const {
   for (const auto& [id, rental] : context_.replica.rentals()) {
     if (rental.answered) continue;
-    auto result = results_.find(id);
-    const auto count = result == results_.end()
+    auto result = uncommittedResults_.find(id);
+    const auto count = result == uncommittedResults_.end()
                            ? rental.count
                            : static_cast<std::uint32_t>(result->second.machines.size());
     input.pendingRentals[{rental.type, rental.zone, rental.spot}] += count;
@@ -121,14 +126,14 @@
   ScalingMachine out;
   out.id = machine.id;
   out.offering = {machine.type, machine.zone, machine.spot};
-  out.up = machine.hasReported();
+  out.hasReported = machine.hasReported();
   out.age = context_.runtime.now() - machine.rentedAt;
-  // Only what the cloud lists as booting can be late: a new leader has no reports yet of machines
-  // that are up, and would rent them all a second time.
-  out.late = !out.up && machine.listed == Listed::booting &&
-             toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
-  out.idle = !record || record->tasks.empty();
-  out.keep = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
+  // Only a machine that the cloud lists as booting can be late. A new leader has not yet received
+  // heartbeats of running machines; if they counted as late, it would rent all of them again.
+  out.bootOverdue = !out.hasReported && machine.listed == ListedState::booting &&
+                    toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
+  out.isIdle = !record || record->tasks.empty();
+  out.keepWarm = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
   return out;
 }
 
@@ -136,28 +141,28 @@
   const TypeDemand& demand = input.demand;
   logInfo("forecast interval", "type", input.type->id, "firm", demand.firmBooked, "firm_waiting",
           demand.firmWaiting, "firm_mean", demand.firm.mean, "firm_spread", demand.firm.spread,
-          "flexible", demand.flexibleOnSpot + demand.flexibleOnOrdinary, "flexible_waiting",
-          demand.flexibleWaiting, "flexible_mean", demand.flexible.mean, "flexible_spread",
-          demand.flexible.spread, "target_ordinary", decision.ordinaryTarget, "target_spot",
-          decision.spotTarget, "have", input.machines.size());
+          "flexible", demand.flexibleBookedOnSpot + demand.flexibleBookedOnDemand,
+          "flexible_waiting", demand.flexibleWaiting, "flexible_mean", demand.flexible.mean,
+          "flexible_spread", demand.flexible.spread, "target_ordinary", decision.onDemandTarget,
+          "target_spot", decision.spotTarget, "have", input.machines.size());
 }
 
 void ScalingLoop::consolidateSurplus(const ScalingInput& input, const ScalingDecision& decision) {
   if (inMassFailure() || !planning_.unplaced().empty()) return;
-  const auto ordinary = static_cast<int>(std::count_if(
+  const auto onDemand = static_cast<int>(std::count_if(
       input.machines.begin(), input.machines.end(), [&](const ScalingMachine& machine) {
         return !machine.offering.spot && !fleet_.cordoned().contains(machine.id);
       }));
-  const int needed = decision.ordinaryNeeded + 1;
-  if (ordinary > needed) {
-    consolidateMachines(input.type->id, static_cast<std::size_t>(ordinary - needed));
+  const int needed = decision.onDemandNeeded + 1;
+  if (onDemand > needed) {
+    consolidateMachines(input.type->id, static_cast<std::size_t>(onDemand - needed));
   }
 }
 
 void ScalingLoop::apply(const ScalingInput& input, const ScalingDecision& decision) {
   std::size_t have = input.machines.size();
   for (const auto& [offering, count] : input.pendingRentals) have += count;
-  const std::size_t limit = context_.settings.maxMachines;  // 0: none
+  const std::size_t limit = context_.settings.maxMachines;  // Zero means that there is no limit.
   for (const auto& rental : decision.rentals) {
     std::uint32_t count = rental.count;
     if (limit > 0) {
@@ -165,7 +170,7 @@
       count = static_cast<std::uint32_t>(std::min<std::size_t>(count, left));
     }
     have += count;
-    if (count > 0) wanted_[rental.offering] += count;
+    if (count > 0) machinesToRent_[rental.offering] += count;
   }
   for (const auto& id : decision.scaleIn) {
     if (auto* machine = fleet_.find(id)) {
@@ -175,19 +180,19 @@
 }
 
 PendingReason ScalingLoop::resourcesReason(const JobSpec& spec) const {
-  bool offered = false, coming = false;
+  bool offered = false, machineExpected = false;
   auto mayUse = [&](const TypeId& type, const ZoneId& zone, bool spot) {
     return spec.allowsType(type) && (!spec.zone || *spec.zone == zone) &&
            (!spot || spec.spotAllowed);
   };
   for (const auto& [id, m] : fleet_.machines()) {
-    coming =
-        coming || (!m.hasReported() && !m.terminationRequested && mayUse(m.type, m.zone, m.spot));
+    machineExpected = machineExpected || (!m.hasReported() && !m.terminationRequested &&
+                                          mayUse(m.type, m.zone, m.spot));
   }
   for (const auto& [id, r] : context_.replica.rentals()) {
-    coming = coming || (!r.answered && mayUse(r.type, r.zone, r.spot));
+    machineExpected = machineExpected || (!r.answered && mayUse(r.type, r.zone, r.spot));
   }
-  if (coming) return PendingReason::boot;
+  if (machineExpected) return PendingReason::boot;
   for (const auto& type : context_.catalogue->types) {
     for (const auto& zone : type.zones) {
       for (bool spot : {false, true}) {
@@ -199,8 +204,8 @@
   return offered ? PendingReason::resources : PendingReason::capacity;
 }
 
-void ScalingLoop::check() {
-  if (context_.runtime.now() >= nextCheck_) decide(false);
+void ScalingLoop::decideIfDue() {
+  if (context_.runtime.now() >= nextDecision_) decide(false);
 }
 
 }  // namespace kestrelhoist
--- a/src/cloud/termination_loop.cpp
+++ b/src/cloud/termination_loop.cpp
@@ -7,14 +7,15 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kRetry{1000};
+constexpr Duration kRetryDelay{1000};
 
-// The rental records that one commit changes: one write for all machines of a rental.
+// Collects the changed rental records of one commit. All machines of a rental share one write.
 class RentalDrafts {
  public:
   explicit RentalDrafts(const LeaderContext& context) : context_(context) {}
 
-  // Null if there is no such record, or no room for one more in the transaction.
+  // Returns the draft of a record. The result is null if the record does not exist or the
+  // transaction is full.
   RentalRecord* find(const RentalId& id) {
     auto rental = context_.replica.rentals().find(id);
     if (rental == context_.replica.rentals().end()) return nullptr;
@@ -37,7 +38,8 @@
   std::map<RentalId, RentalRecord> drafts_;
 };
 
-// Removes terminated machines whose tasks are off the record. Returns those that have no entry now.
+// Removes the entries of terminated machines that have no task on record. Returns the terminated
+// machines that have no entry any more.
 std::vector<MachineId> removeTerminated(const LeaderContext& context,
                                         const std::set<MachineId>& terminated,
                                         RentalDrafts& drafts) {
@@ -56,7 +58,7 @@
   return removed;
 }
 
-// Marks machines as draining, so that they get no more work. Returns how many.
+// Marks machines as draining, so that they get no more tasks. Returns the number of new marks.
 std::size_t markDraining(const LeaderContext& context, const Fleet& fleet,
                          const std::set<MachineId>& terminated, RentalDrafts& drafts) {
   std::size_t marked = 0;
@@ -75,8 +77,8 @@
 
 }  // namespace
 
-// A machine is first marked as draining; after the cloud's 200, and once its tasks are off the
-// record, its entry is removed.
+// A machine is first marked as draining. Its entry is removed once the cloud has confirmed the
+// termination and the machine has no task on record.
 LoopStep TerminationLoop::next() {
   RentalDrafts drafts(context_);
   std::vector<MachineId> removed = removeTerminated(context_, terminated_, drafts);
@@ -94,40 +96,39 @@
       std::move(transaction),
       [this, forget] {
         forget();
-        start();
+        requestTerminations();
       },
       std::to_string(marked) + " machines leaving, " + std::to_string(removed.size()) + " gone"});
 }
 
-// Asks for the release of machines whose mark is on record. The answer 200 is the one fence for
-// silent machines: they and all that was on them are gone.
-void TerminationLoop::start() {
-  if (!terminationUnderWay_.empty()) return;
-  constexpr std::size_t kMostNames = 100;
+// Requests the termination of machines that are recorded as draining. Only the cloud's answer 200
+// proves that an unreachable machine and its tasks have ended.
+void TerminationLoop::requestTerminations() {
+  if (!requested_.empty()) return;
+  constexpr std::size_t kMaxMachinesPerCall = 100;
   std::vector<MachineId> batch;
   for (const auto& id : fleet_.terminating()) {
     const auto* state = context_.replica.machine(id);
-    if (state && state->draining && batch.size() < kMostNames) batch.push_back(id);
+    if (state && state->draining && batch.size() < kMaxMachinesPerCall) batch.push_back(id);
   }
-  if (batch.empty() || !context_.cloud.mayAsk()) return;
-  terminationUnderWay_.insert(batch.begin(), batch.end());
-  context_.cloud.release(batch, context_.whileLeading([this, batch](bool ok) {
+  if (batch.empty() || !context_.cloud.tryAcquireRequest()) return;
+  requested_.insert(batch.begin(), batch.end());
+  context_.cloud.terminateMachines(batch, context_.whileLeading([this, batch](bool ok) {
     if (!ok) {
-      logInfo("release got no 200, asking again", "machines", batch.size());
-      context_.runtime.after(kRetry,
-                             context_.whileLeading([this] { terminationUnderWay_.clear(); }));
+      logInfo("machine termination not confirmed; retrying", "machines", batch.size());
+      context_.runtime.after(kRetryDelay, context_.whileLeading([this] { requested_.clear(); }));
       return;
     }
-    terminationUnderWay_.clear();
+    requested_.clear();
     for (const auto& id : batch) {
-      logInfo("machine released", "machine", id);
+      logInfo("machine terminated", "machine", id);
       if (const auto* state = context_.replica.machine(id)) {
         for (const auto& t : state->tasks) outcomes_.note(t, AttemptOutcome::lost);
       }
       terminated_.insert(id);
-      fleet_.onReleased(id, context_.runtime.now());
+      fleet_.onTerminated(id, context_.runtime.now());
     }
-    start();
+    requestTerminations();
     context_.scheduleCycle();
   }));
 }
--- a/src/failures/failure_attribution.hpp
+++ b/src/failures/failure_attribution.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// Who is at fault when a task ends in error: its job or its machine? Pure: outcomes and time in,
-/// judgement out. Errors: DESIGN says nothing of them; PROTOCOL, "Workers", `error`: mostly the
-/// machine is faulty, but a job submitted with a mistake fails on every machine until its user
-/// cancels it. The ways weighed, and the figures behind the weights: docs/evidence.md.
+/// Attributes task errors to jobs or to machines. Most errors are caused by a faulty machine, but a
+/// job that was submitted with a mistake fails on every machine until its user cancels it (see
+/// `error` under "Workers" in PROTOCOL). The module does no input or output. docs/evidence.md
+/// compares the alternatives and derives the weights.
 #pragma once
 
 #include <map>
@@ -14,74 +14,93 @@
 
 namespace kestrelhoist {
 
+/// Keeps a fault score for each machine and the recent failures of each job. A job that fails on
+/// several machines without a success becomes suspect: its tasks are retried in small numbers and
+/// with growing pauses, and its failures no longer count against machines.
 class FailureAttribution {
  public:
-  /// A task of this job has ended on this machine. `ownWork`: its tasks do different things (a
-  /// flow's instances), so the end of one says nothing of the others.
+  /// Records that a task of the job succeeded on the machine.
   void succeeded(const JobId& job, const MachineId& machine);
-  void failed(const JobId& job, const MachineId& machine, Instant now, bool ownWork);
-  /// Forgets jobs that are over.
+  /// Records that a task of the job ended in error on the machine.
+  /// @param independentTasks Whether each task of the job does different work, as the instances of
+  ///        a flow do. The outcome of one task then predicts nothing about the job's other tasks.
+  void failed(const JobId& job, const MachineId& machine, Instant now, bool independentTasks);
+  /// Removes the state of all jobs for which `active` returns false.
   template <class Active>
-  void sweep(Active active) {
-    std::erase_if(sound_, [&](const JobId& job) { return !active(job); });
-    std::erase_if(trials_, [&](const auto& t) { return !active(t.first); });
+  void forgetFinishedJobs(Active active) {
+    std::erase_if(succeededJobs_, [&](const JobId& job) { return !active(job); });
+    std::erase_if(failuresByJob_, [&](const auto& t) { return !active(t.first); });
   }
+  /// Removes the machine's fault score and its entries in the failures of jobs.
   void forgetMachine(const MachineId& machine);
 
-  /// What speaks against the machine is too much to be chance and mistaken jobs.
-  bool faulty(const MachineId& machine) const;
-  /// It failed on several machines, and nowhere else did it succeed since.
-  bool suspect(const JobId& job) const;
-  /// Of a suspect job: how many of its tasks may be on machines at a time, and from when on.
-  std::optional<std::uint32_t> mostAtOnce(const JobId& job) const;
-  /// Not before this; empty: now.
+  /// Returns whether the machine's fault score is too high to be explained by chance and by jobs
+  /// that were submitted with mistakes.
+  bool isFaulty(const MachineId& machine) const;
+  /// Returns whether the job failed on several machines and has not succeeded on any machine since.
+  bool isSuspect(const JobId& job) const;
+  /// Returns how many tasks of a suspect job may be placed on machines at the same time. The result
+  /// is empty if the job is not suspect.
+  std::optional<std::uint32_t> maxConcurrentTasks(const JobId& job) const;
+  /// Returns the time before which no task of the job is started. The result is empty if the job is
+  /// not paused.
   std::optional<Instant> pausedUntil(const JobId& job) const;
-  /// Machines on which it failed and has not succeeded since: others tell more.
-  std::vector<MachineId> avoids(const JobId& job) const;
-  /// A machine on which a suspect job must not be tried now. Its trials failed there alone for
-  /// several rounds, so whether the job or this machine is at fault can only be told elsewhere.
-  /// Ends after a while, so that a job for which there is no other machine is not left without
-  /// trials.
-  std::optional<MachineId> excludes(const JobId& job, Instant now) const;
+  /// Returns the machines on which the job failed since its last success. A trial on another
+  /// machine gives more evidence about whether the job or the machine is at fault.
+  std::vector<MachineId> machinesToAvoid(const JobId& job) const;
+  /// Returns the machine on which a suspect job must not be tried now, if there is one. The last
+  /// rounds of the job's trials all failed on this machine, so only a trial on another machine can
+  /// show whether the job or the machine is at fault. The exclusion expires, so that a job that can
+  /// run on no other machine is tried again.
+  std::optional<MachineId> excludedMachine(const JobId& job, Instant now) const;
 
-  /// What outlives a leader, in the record of the windows: suspect jobs and their rounds. At most
-  /// `most`, those of the longest pauses first.
-  std::map<JobId, int> suspects(std::size_t most) const;
-  void adopt(const JobId& job, int rounds, Instant now);
+  /// Returns suspect jobs with their numbers of failed rounds, at most `max` of them; jobs with
+  /// more rounds come first. The leader stores them in the forecast record for its successor.
+  std::map<JobId, int> suspectJobs(std::size_t max) const;
+  /// Restores a suspect job that the previous leader stored, with its number of failed rounds.
+  void restoreSuspect(const JobId& job, int rounds, Instant now);
 
  private:
-  /// Weight against a machine, as logarithms of how much likelier an outcome is on a faulty machine
-  /// than on a sound one (Page's cumulative sum: never below 0, so no machine is acquitted for
-  /// good).
-  static constexpr double kSoundFailed = 3.2;    ///< a job that has succeeded elsewhere
-  static constexpr double kUnknownFailed = 2.2;  ///< a job of which nothing else is known yet
-  static constexpr double kSucceeded = -1.2;
-  static constexpr double kFaulty = 5.3;
-  /// Machines on which a job fails, with no success between, until it is suspect.
-  static constexpr std::size_t kUnknownSuspect = 2;
-  static constexpr std::size_t kSoundSuspect = 3;
-  static constexpr std::size_t kRemembered = 16;  ///< machines of a job
-  static constexpr std::uint32_t kTrials = 2;
-  static constexpr int kMostRounds = 7;
-  /// Rounds of trials on one machine alone, until the next trial has to be on another.
+  /// The score of one outcome is the logarithm of its likelihood ratio between a faulty and a
+  /// healthy machine. A machine's fault score is Page's cumulative sum of these scores. It never
+  /// falls below 0, so earlier successes cannot outweigh later failures.
+  ///
+  /// This score applies to a failure of a job that has succeeded on another machine.
+  static constexpr double kFailureScoreAfterSuccess = 3.2;
+  /// This score applies to a failure of a job that has not succeeded yet.
+  static constexpr double kFailureScoreWithoutSuccess = 2.2;
+  static constexpr double kSuccessScore = -1.2;
+  static constexpr double kFaultyThreshold = 5.3;
+  /// A job that has never succeeded becomes suspect once it failed on this many machines.
+  static constexpr std::size_t kSuspectMachinesWithoutSuccess = 2;
+  /// A job that has succeeded becomes suspect once it failed on this many machines since.
+  static constexpr std::size_t kSuspectMachinesAfterSuccess = 3;
+  /// For each job, at most this many machines on which it failed are stored.
+  static constexpr std::size_t kMaxStoredMachines = 16;
+  static constexpr std::uint32_t kMaxConcurrentTrials = 2;
+  static constexpr int kMaxRounds = 7;
+  /// After this many rounds of trials on the same machine, the next trial is on another machine.
   static constexpr int kRoundsOnOneMachine = 2;
 
-  struct Trial {
-    bool sound{};  ///< has succeeded somewhere
+  /// Holds the failures of one job since its last success.
+  struct JobFailures {
+    bool hasSucceeded{};  ///< Is true if the job has ever succeeded.
     bool suspect{};
-    int rounds{};     ///< of failures since the last success
-    Instant until{};  ///< no trial before
-    std::map<MachineId, double>
-        failedOn{};       ///< since the last success, with what was charged for it
-    MachineId triedOn{};  ///< the only machine of the last rounds of trials
-    int roundsOnOne{};    ///< how many rounds failed on `triedOn` alone
+    int rounds{};           ///< Counts rounds of failures since the last success.
+    Instant pausedUntil{};  ///< No task of the job is started before this time.
+    /// Maps each machine on which the job failed since its last success to the score that these
+    /// failures added to the machine's fault score.
+    std::map<MachineId, double> failedOn{};
+    MachineId lastTrialMachine{};  ///< The last rounds of trials failed on this machine.
+    int roundsOnLastMachine{};  ///< Counts the successive rounds that failed on that one machine.
   };
-  static void noteTrial(Trial& trial, const MachineId& machine, bool newRound);
-  void charge(const MachineId& machine, double weight);
+  static void recordTrial(JobFailures& failures, const MachineId& machine, bool newRound);
+  void addScore(const MachineId& machine, double score);
 
-  std::map<JobId, Trial> trials_;  ///< jobs with failures since their last success
-  std::set<JobId> sound_;          ///< jobs that have succeeded
-  std::map<MachineId, double> against_;
+  /// Contains the jobs that failed since their last success.
+  std::map<JobId, JobFailures> failuresByJob_;
+  std::set<JobId> succeededJobs_;            ///< Contains jobs that succeeded at least once.
+  std::map<MachineId, double> faultScores_;  ///< Contains only scores above 0.
 };
 
 }  // namespace kestrelhoist
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -9,25 +9,26 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr Duration kReleasedMemory{15 * 60 * 1000};
-// Until a peer that ended has refused a connection, or is back.
-constexpr Duration kEndedPeersNoticed{2000};
-// A heartbeat that a peer forwards is received by the leader within this time, or not at all.
-constexpr Duration kForwardedWithin{2000};
+constexpr Duration kTerminatedRetention{15 * 60 * 1000};
+// Within this time a peer whose process has ended has refused a connection or has restarted.
+constexpr Duration kPeerEndDetectionTime{2000};
+// The leader receives a heartbeat that a peer forwards within this time or not at all.
+constexpr Duration kMaxForwardingTime{2000};
 
-constexpr std::size_t kMostUncertainLeases = 64;  // each status carries them
+// The limit bounds the size of the status messages to peers, which contain these leases.
+constexpr std::size_t kMaxUncertainLeases = 64;
 
-// Whether the worker is in a session of which no heartbeat came here.
-bool beginsUnheard(const WorkerSession& session) {
+// Returns whether the worker is in a session from which no heartbeat has arrived at this leader.
+bool hasNoHeartbeatInSession(const WorkerSession& session) {
   return session.lastHeartbeatAt && session.lastReport->workerEpoch > session.lastHeartbeatEpoch;
 }
 
-// Whether the worker may be waiting for an answer that is lost: its next heartbeat is not due. The
-// newest one may have come to any controller, also before this leadership.
+// Returns whether the worker may still be waiting for a lost answer, so that its next heartbeat is
+// not overdue. The newest heartbeat may have gone to any controller, also before this leadership.
 bool mayStillRetry(const Machine& machine, Instant now) {
-  const auto sighting = machine.lease.sighting();
+  const auto observation = machine.lease.observation();
   const auto newest = std::max(machine.session.lastHeartbeatAt,
-                               sighting ? std::optional(sighting->newest.at) : std::nullopt);
+                               observation ? std::optional(observation->newest.at) : std::nullopt);
   return newest && now - *newest <= kWorkerRetryAfterLostAnswer + kHeartbeatLateMargin;
 }
 }  // namespace
@@ -38,7 +39,7 @@
       leaseTerms_(leaseTermsOf(platform)),
       token_(token),
       leaderSince_(now),
-      lastReportOfAny_(now),
+      newestReportAt_(now),
       failureDetector_(*this, platform, replica, now) {}
 
 Machine* Fleet::find(const MachineId& id) {
@@ -63,12 +64,13 @@
   if (!updateSession(machine.session, report, now, isHeartbeat)) return false;
   if (!isHeartbeat) machine.lease.onDirectAnswer(report.workerEpoch, now, leaseTerms_);
   if (leaseEnded) {
-    logDebug("worker session is new", "machine", machine.id, "worker_epoch", report.workerEpoch,
-             "heartbeat", isHeartbeat);
+    logDebug("worker started a new session", "machine", machine.id, "worker_epoch",
+             report.workerEpoch, "heartbeat", isHeartbeat);
   }
   if (isHeartbeat) {
     machine.notReportingSince.reset();
-  } else if (!machine.notReportingSince && (leaseEnded || beginsUnheard(machine.session)) &&
+  } else if (!machine.notReportingSince &&
+             (leaseEnded || hasNoHeartbeatInSession(machine.session)) &&
              !mayStillRetry(machine, now)) {
     machine.notReportingSince = now;
     logInfo("worker answers probes but sends no heartbeats", "machine", machine.id, "worker_epoch",
@@ -79,7 +81,7 @@
   machine.spot = report.spot;
   machine.address = report.address;
   machine.failedProbes = 0;
-  lastReportOfAny_ = now;
+  newestReportAt_ = now;
   if (first) {
     ++reportingCount_;
     logRegistration(machine);
@@ -117,14 +119,15 @@
   }
 }
 
-// A heartbeat that comes late, or as a copy, says nothing of which answers arrived.
+// Updates the lease estimate from a heartbeat. A delayed or duplicate heartbeat gives no
+// information about which answers arrived, so it is only logged once.
 void Fleet::updateLease(const Report& report, const MemberId& receivedBy, Instant now) {
   Machine& machine = machines_[report.machine];
   const HeartbeatArrival arrival{report.workerEpoch, report.sequence, receivedBy, now};
   if (machine.lease.onHeartbeat(arrival, leaseTerms_)) return;
   if (std::exchange(loggedLateHeartbeat_, true)) return;
-  logInfo("first heartbeat that is older than one before it", "machine", report.machine,
-          "worker_epoch", report.workerEpoch, "sequence", report.sequence);
+  logInfo("heartbeat is a duplicate or arrived late; later cases are not logged", "machine",
+          report.machine, "worker_epoch", report.workerEpoch, "sequence", report.sequence);
 }
 
 std::vector<WorkerCommand> Fleet::onReport(const Report& report, const MemberId& receivedBy,
@@ -136,11 +139,11 @@
 
 std::vector<WorkerCommand> Fleet::commandsFor(Machine& machine, Instant now, bool mayLaunch) {
   const auto* record = replica_.machine(machine.id);
-  // What is known of attempts that are off the record by now is settled.
-  auto settled = [&](const auto& entry) { return !record || !record->find(entry.first); };
-  std::erase_if(machine.session.outcomes, settled);
-  std::erase_if(machine.session.stopRequests, settled);
-  std::erase_if(machine.session.launchSequences, settled);
+  // The outcomes and requests of attempts that the record no longer contains are obsolete.
+  auto isOffRecord = [&](const auto& entry) { return !record || !record->find(entry.first); };
+  std::erase_if(machine.session.outcomes, isOffRecord);
+  std::erase_if(machine.session.stopRequests, isOffRecord);
+  std::erase_if(machine.session.launchSequences, isOffRecord);
   bool launch = mayLaunch && !(record && record->draining);
   return reconcile(machine.session, record, token_, launch,
                    [&](const AttemptId& id) { return desiredStateOf(machine, id, now); });
@@ -182,7 +185,7 @@
     const auto* job = replica_.job(task.id.task.job);
     if (!job || !job->record.spec) continue;
     if (task.state == TaskState::ended) {
-      // The leader before may have been the only one that saw it run.
+      // The previous leader may have been the only one that received a report of this task running.
       const bool ran = task.cause == EndCause::done;
       if (ran) machine.images.addOldest({job->image, job->record.spec->imageGb, true});
       continue;
@@ -210,7 +213,7 @@
   logInfo("machine termination requested", "machine", machine.id, "why", why);
 }
 
-void Fleet::onReleased(const MachineId& id, Instant now) {
+void Fleet::onTerminated(const MachineId& id, Instant now) {
   if (auto it = machines_.find(id); it != machines_.end()) {
     if (it->second.hasReported()) --reportingCount_;
     machines_.erase(it);
@@ -218,13 +221,13 @@
   terminating_.erase(id);
   failureAttribution_.forgetMachine(id);
   unrecorded_.erase(id);
-  released_[id] = now;
-  std::erase_if(released_, [&](const auto& r) { return now - r.second > kReleasedMemory; });
+  terminated_[id] = now;
+  std::erase_if(terminated_, [&](const auto& r) { return now - r.second > kTerminatedRetention; });
 }
 
 bool Fleet::usable(const Machine& machine, Instant now) const {
   if (!machine.hasReported() || machine.terminationRequested || machine.terminationNoticeEnds ||
-      machine.notReportingSince || faulty(machine))
+      machine.notReportingSince || isFaulty(machine))
     return false;
   if (machine.session.lastReport->token != token_) return false;
   if (now - machine.session.lastReportAt > 2 * platform_.reportEvery + Duration{1000}) return false;
@@ -244,7 +247,8 @@
 }
 
 bool Fleet::hasUnconfirmedTasks(const Machine& machine, Instant now) const {
-  if (machine.hasReported() || machine.terminationRequested || machine.listed != Listed::running)
+  if (machine.hasReported() || machine.terminationRequested ||
+      machine.listed != ListedState::running)
     return false;
   const auto* record = replica_.machine(machine.id);
   return record && !record->tasks.empty() && now - leaderSince_ > reportDue();
@@ -252,7 +256,7 @@
 
 void Fleet::adoptRecords(Instant now, std::int64_t wallMs) {
   for (const auto& [id, record] : replica_.machines()) {
-    if (released_.contains(id)) continue;
+    if (terminated_.contains(id)) continue;
     auto [it, isNew] = machines_.try_emplace(id);
     if (!isNew) continue;
     Machine& machine = it->second;
@@ -270,25 +274,25 @@
                    Duration listLag) {
   std::set<MachineId> seen;
   for (const auto& [id, entry] : listed) {
-    if (released_.contains(id)) continue;
+    if (terminated_.contains(id)) continue;
     seen.insert(id);
     auto [it, isNew] = machines_.try_emplace(id, entry);
     Machine& machine = it->second;
     if (isNew) {
       machine.firstSeen = now;
-      if (!replica_.machine(id)) logInfo("machine is listed but on no record", "machine", id);
+      if (!replica_.machine(id)) logInfo("cloud lists a machine without a record", "machine", id);
     }
     machine.listed = entry.listed;
-    if (entry.listed == Listed::running && !machine.runningSince) machine.runningSince = now;
+    if (entry.listed == ListedState::running && !machine.runningSince) machine.runningSince = now;
     machine.rentedAt = entry.rentedAt;
     if (!machine.hasReported()) machine.address = entry.address;
-    machine.missedLists = 0;
+    machine.consecutiveListsMissing = 0;
   }
   for (auto& [id, machine] : machines_) {
     if (seen.contains(id)) continue;
-    // Lists lag by up to twice the bound, and one may be older than the one before.
+    // A list may be out of date by up to twice `listLag`, and may be older than the previous list.
     if (now - machine.rentedAt > 3 * listLag && now - machine.firstSeen > 3 * listLag)
-      ++machine.missedLists;
+      ++machine.consecutiveListsMissing;
   }
 }
 
@@ -299,9 +303,9 @@
   machine->lease.noteEarlierAcknowledgement(at);
 }
 
-void Fleet::adoptLeases(const LeaseSightings& sightings) {
-  for (const auto& [id, sighting] : sightings) {
-    if (Machine* machine = find(id)) machine->lease.adopt(sighting, leaseTerms_);
+void Fleet::adoptLeases(const LeaseObservations& observations) {
+  for (const auto& [id, observation] : observations) {
+    if (Machine* machine = find(id)) machine->lease.adopt(observation, leaseTerms_);
   }
 }
 
@@ -312,20 +316,22 @@
   for (const auto& [zone, bound] : zoneAckBounds_) updateAckedBeforeLeadership(zone, bound, now);
 }
 
-// Heartbeats of other machines of the zone that this leader received since say nothing of those
-// that it did not. One that another controller acknowledged and this leader did not receive may
-// have come from any of them.
+// Updates the time of the last acknowledgement before this leadership for one zone. Heartbeats of
+// other machines in the zone that this leader received give no information about machines that have
+// not reported to it. A heartbeat that another controller acknowledged and this leader did not
+// receive may have come from any of those machines, so the zone's entry is removed.
 void Fleet::updateAckedBeforeLeadership(const ZoneId& zone, Instant bound, Instant now) {
   if (bound < leaderSince_) {
-    // By then the peers' ends are noticed, and what they may have acknowledged until then counts.
-    if (now - leaderSince_ >= kEndedPeersNoticed) ackedBeforeLeadership_[zone] = bound;
+    // After this time every ended peer is detected, and the bound includes the acknowledgements
+    // that it may have sent.
+    if (now - leaderSince_ >= kPeerEndDetectionTime) ackedBeforeLeadership_[zone] = bound;
     return;
   }
   if (!ackedBeforeLeadership_.contains(zone)) return;
   const bool receivedHere = std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     const Machine& machine = entry.second;
     return machine.zone == zone && machine.hasReported() &&
-           machine.session.lastReportAt + kForwardedWithin >= bound;
+           machine.session.lastReportAt + kMaxForwardingTime >= bound;
   });
   if (!receivedHere) ackedBeforeLeadership_.erase(zone);
 }
@@ -335,53 +341,57 @@
   return found == ackedBeforeLeadership_.end() ? std::nullopt : std::optional(found->second);
 }
 
-// Since when a zone is silent of which this leader has had no report, as far as that is known.
-std::optional<Instant> Fleet::silentBeforeLeadership(const ZoneId& zone) const {
+// Returns the time since which no machine of the zone has reported, for a zone without any report
+// to this leader; empty if that time is unknown.
+std::optional<Instant> Fleet::silentSinceBeforeLeadership(const ZoneId& zone) const {
   if (auto bound = lastAckBeforeLeadership(zone)) return bound;
   auto recorded = suspectedSince_.find(zone);
   return recorded == suspectedSince_.end() ? std::nullopt : std::optional(recorded->second);
 }
 
 std::map<ZoneId, Instant> Fleet::suspectedZones(Instant now) const {
-  struct ZoneSigns {
+  struct ZoneSignsOfLife {
     std::optional<Instant> newest;
-    int working = 0;
-    bool hasUnheardTasks = false;
+    int machines = 0;
+    bool hasUnreportedTasks = false;
   };
-  std::map<ZoneId, ZoneSigns> zones;
+  std::map<ZoneId, ZoneSignsOfLife> zones;
   for (const auto& [id, machine] : machines_) {
     if (machine.terminationRequested) continue;
-    ZoneSigns& zone = zones[machine.zone];
+    ZoneSignsOfLife& zone = zones[machine.zone];
     if (!machine.hasReported() && !machine.ackedByPeerAt) {
       const auto* record = replica_.machine(id);
-      zone.hasUnheardTasks = zone.hasUnheardTasks || (record && !record->tasks.empty());
+      zone.hasUnreportedTasks = zone.hasUnreportedTasks || (record && !record->tasks.empty());
       continue;
     }
     const Instant at = lastSignOfLife(machine);
     zone.newest = std::max(zone.newest.value_or(at), at);
-    ++zone.working;
+    ++zone.machines;
   }
   std::map<ZoneId, Instant> out;
   for (const auto& [id, zone] : zones) {
     if (!zone.newest) {
-      auto since = silentBeforeLeadership(id);
-      if (since && zone.hasUnheardTasks) out[id] = *since;
-    } else if (now - *zone.newest > zoneSilence(zone.working)) {
+      auto since = silentSinceBeforeLeadership(id);
+      if (since && zone.hasUnreportedTasks) out[id] = *since;
+    } else if (now - *zone.newest > zoneSilenceTimeout(zone.machines)) {
       out[id] = *zone.newest;
     }
   }
   return out;
 }
 
-// Reports of n machines come every reportEvery / n on average, so many machines are known to be
-// silent before each of them is overdue.
-Duration Fleet::zoneSilence(int machines) const {
-  constexpr int kReports = 4;
-  return std::min(reportDue(), kReports * platform_.reportEvery / machines + kHeartbeatLateMargin);
+// Returns the time without any report after which a zone is suspected. The reports of n machines
+// arrive every reportEvery / n on average, so the failure of a zone with many machines is detected
+// before each machine is overdue.
+Duration Fleet::zoneSilenceTimeout(int machines) const {
+  constexpr int kMaxMissedReports = 4;
+  return std::min(reportDue(),
+                  kMaxMissedReports * platform_.reportEvery / machines + kHeartbeatLateMargin);
 }
 
-// For a machine that this leader has no report of, the acknowledgement of a peer counts, else what
-// an earlier leader recorded of its zone; else nothing is known before this leadership.
+// Returns the machine's newest sign of life. For a machine that has not reported to this leader,
+// that is a peer's acknowledgement, otherwise the time that an earlier leader recorded for its
+// zone, otherwise the start of this leadership.
 SignOfLife Fleet::signOfLife(const Machine& machine) const {
   if (machine.hasReported()) return {machine.session.lastReportAt, SignOfLifeSource::ownReport};
   if (machine.ackedByPeerAt) {
@@ -420,7 +430,7 @@
 void Fleet::detectFailures(Instant now, const Catalogue* catalogue,
                            const std::function<bool(const ZoneId&)>& mayHaveActingLeader) {
   catalogue_ = catalogue;
-  failureAttribution_.sweep([&](const JobId& id) {
+  failureAttribution_.forgetFinishedJobs([&](const JobId& id) {
     const auto* job = replica_.job(id);
     return job && job->active();
   });
@@ -430,21 +440,21 @@
     if (machine.terminationRequested) continue;
     if (isUnrecorded(machine)) unrecorded_.insert(id);
     if (auto verdict = failureDetector_.inspect(machine)) {
-      giveUp(machine, *verdict);
+      applyVerdict(machine, *verdict);
     }
   }
   lastSuspectedZones_ = suspectedZones(now);
   updateUncertainLeases(now);
 }
 
-void Fleet::giveUp(Machine& machine, const TerminationVerdict& verdict) {
+void Fleet::applyVerdict(Machine& machine, const TerminationVerdict& verdict) {
   countLoss(verdict.loss);
   if (verdict.silence) {
     const SilenceEvidence& evidence = *verdict.silence;
-    logInfo("machine given up", "machine", machine.id, "zone", machine.zone, "silence_ms",
-            evidence.silence, "timeout_ms", evidence.timeout, "limit", toString(evidence.limit),
-            "source", toString(evidence.newest.source));
-    if (onGivenUpForSilence) onGivenUpForSilence(evidence.silence);
+    logInfo("machine declared lost; no sign of life within the timeout", "machine", machine.id,
+            "zone", machine.zone, "silence_ms", evidence.silence, "timeout_ms", evidence.timeout,
+            "limit", toString(evidence.limit), "source", toString(evidence.newest.source));
+    if (onLostBySilence) onLostBySilence(evidence.silence);
   }
   requestTermination(machine, verdict.reason);
 }
@@ -457,24 +467,25 @@
 void Fleet::updateUncertainLeases(Instant now) {
   std::vector<std::pair<Instant, MachineId>> uncertain;
   for (const auto& [id, machine] : machines_) {
-    const auto end = earliestLeaseEnd(machine);
-    if (!end || !machine.lease.isUncertain(leaseTerms_, now) || !machine.lease.sighting()) continue;
+    const auto expiry = earliestLeaseExpiry(machine);
+    if (!expiry || !machine.lease.isUncertain(leaseTerms_, now) || !machine.lease.observation())
+      continue;
     const auto* record = replica_.machine(id);
-    if (record && !record->tasks.empty()) uncertain.emplace_back(*end, id);
+    if (record && !record->tasks.empty()) uncertain.emplace_back(*expiry, id);
   }
-  const std::size_t kept = std::min(uncertain.size(), kMostUncertainLeases);
-  std::partial_sort(uncertain.begin(), uncertain.begin() + static_cast<std::ptrdiff_t>(kept),
+  const std::size_t count = std::min(uncertain.size(), kMaxUncertainLeases);
+  std::partial_sort(uncertain.begin(), uncertain.begin() + static_cast<std::ptrdiff_t>(count),
                     uncertain.end());
   uncertainLeases_.clear();
-  for (std::size_t i = 0; i < kept; ++i) {
+  for (std::size_t i = 0; i < count; ++i) {
     const MachineId& id = uncertain[i].second;
-    uncertainLeases_.emplace(id, *machines_.at(id).lease.sighting());
+    uncertainLeases_.emplace(id, *machines_.at(id).lease.observation());
   }
 }
 
 void Fleet::countLoss(MachineLoss loss) {
-  if (loss == MachineLoss::lost) ++lost_;
-  if (loss == MachineLoss::neverBooted) ++neverBooted_;
+  if (loss == MachineLoss::lost) ++lostCount_;
+  if (loss == MachineLoss::neverBooted) ++neverBootedCount_;
 }
 
 }  // namespace kestrelhoist
--- a/src/fleet/lease_estimate.cpp
+++ b/src/fleet/lease_estimate.cpp
@@ -7,13 +7,13 @@
 namespace kestrelhoist {
 namespace {
 
-// How much a heartbeat's way here may take longer than that of the one before.
+// A heartbeat may take this much longer to arrive than the previous heartbeat.
 constexpr Duration kTransitSlack{250};
-// A worker that is seen in the same session so long after the estimated end was renewed by an
-// answer that this leader does not know of.
-constexpr Duration kOutlivedAfter{1000};
-// A lease is at risk if it ends before this many lost answers from now.
-constexpr int kTriesLeftAtRisk = 2;
+// If a worker is still in the same session this long after the estimated expiry, its lease was
+// renewed by an answer that this leader does not know.
+constexpr Duration kOutlivedMargin{1000};
+// A lease is at risk if it expires before this many further answers can be lost.
+constexpr int kLostAnswersAtRisk = 2;
 
 }  // namespace
 
@@ -22,11 +22,13 @@
     return false;
   }
   const Duration gap = next.at - newest_->at;
-  // After a lost answer the worker tries all other controllers before it comes back to this one.
-  const auto others = static_cast<int>(terms.controllers) - 1;
-  const Duration back = kWorkerRetryAfterLostAnswer + others * kWorkerNextControllerDelay;
-  if (gap < back - kTransitSlack) return true;
-  if (others == 0) return gap > back + kTransitSlack;
+  // After a lost answer the worker tries all other controllers before it reports to this controller
+  // again.
+  const auto otherControllers = static_cast<int>(terms.controllers) - 1;
+  const Duration retryDelay =
+      kWorkerRetryAfterLostAnswer + otherControllers * kWorkerNextControllerDelay;
+  if (gap < retryDelay - kTransitSlack) return true;
+  if (otherControllers == 0) return gap > retryDelay + kTransitSlack;
   return next.sequence.value == newest_->sequence.value + directAnswers_ + 1;
 }
 
@@ -44,30 +46,30 @@
   return true;
 }
 
-void LeaseEstimate::adopt(const LeaseSighting& sighting, const LeaseTerms& terms) {
-  const HeartbeatArrival& theirs = sighting.newest;
-  if (theirs.workerEpoch < workerEpoch_) return;
-  if (theirs.workerEpoch > workerEpoch_) {
-    workerEpoch_ = theirs.workerEpoch;
+void LeaseEstimate::adopt(const LeaseObservation& observation, const LeaseTerms& terms) {
+  const HeartbeatArrival& other = observation.newest;
+  if (other.workerEpoch < workerEpoch_) return;
+  if (other.workerEpoch > workerEpoch_) {
+    workerEpoch_ = other.workerEpoch;
     renewedAt_.reset();
     newest_.reset();
     unansweredSince_.reset();
     lostAnswer_ = false;
   }
-  if (sighting.renewedAt) {
-    noteRenewed(std::max(renewedAt_.value_or(*sighting.renewedAt), *sighting.renewedAt));
+  if (observation.renewedAt) {
+    noteRenewed(std::max(renewedAt_.value_or(*observation.renewedAt), *observation.renewedAt));
   } else if (!renewedAt_) {
-    unansweredSince_ = std::min(unansweredSince_.value_or(theirs.at), theirs.at);
+    unansweredSince_ = std::min(unansweredSince_.value_or(other.at), other.at);
   }
   const bool isNewer =
-      !newest_ || newest_->workerEpoch < theirs.workerEpoch || newest_->sequence < theirs.sequence;
+      !newest_ || newest_->workerEpoch < other.workerEpoch || newest_->sequence < other.sequence;
   if (isNewer) {
-    newest_ = theirs;
+    newest_ = other;
     directAnswers_ = 0;
   }
   const Duration interval = longestHeartbeatInterval(terms.reportEvery) + kTransitSlack;
-  const auto since = renewedAt_ ? renewedAt_ : unansweredSince_;
-  lostAnswer_ = lostAnswer_ || (since && newest_->at - *since > interval);
+  const auto firstAt = renewedAt_ ? renewedAt_ : unansweredSince_;
+  lostAnswer_ = lostAnswer_ || (firstAt && newest_->at - *firstAt > interval);
 }
 
 void LeaseEstimate::noteRenewed(Instant at) {
@@ -75,9 +77,9 @@
   unansweredSince_.reset();
 }
 
-std::optional<LeaseSighting> LeaseEstimate::sighting() const {
+std::optional<LeaseObservation> LeaseEstimate::observation() const {
   if (!newest_) return std::nullopt;
-  return LeaseSighting{*newest_, renewedAt_};
+  return LeaseObservation{*newest_, renewedAt_};
 }
 
 void LeaseEstimate::noteEarlierAcknowledgement(Instant at) {
@@ -89,15 +91,16 @@
   if (arrival.sequence.value > 1) unansweredSince_ = arrival.at;
 }
 
-// The answer arrived if the worker reports again before it would have given up waiting. Else the
-// one before it is the last that did, an interval earlier.
-void LeaseEstimate::beginFromEarlierAcknowledgement(Instant heardAt, const LeaseTerms& terms) {
-  lostAnswer_ = heardAt - *earlierAcknowledgement_ >= kWorkerRetryAfterLostAnswer - kTransitSlack;
+// Starts the estimate from an acknowledgement by another controller. The acknowledgement reached
+// the worker if the worker reports again before it would have stopped waiting. Otherwise the lease
+// counts from the previous heartbeat, one interval earlier.
+void LeaseEstimate::beginFromEarlierAcknowledgement(Instant arrivedAt, const LeaseTerms& terms) {
+  lostAnswer_ = arrivedAt - *earlierAcknowledgement_ >= kWorkerRetryAfterLostAnswer - kTransitSlack;
   renewedAt_ = *earlierAcknowledgement_ -
                (lostAnswer_ ? longestHeartbeatInterval(terms.reportEvery) : Duration{0});
 }
 
-// What the next heartbeat tells of the answer to the newest one.
+// Derives from the next heartbeat whether the answer to the newest heartbeat reached the worker.
 void LeaseEstimate::noteAnswerToNewest(const HeartbeatArrival& next, const LeaseTerms& terms) {
   if (newestWasAnswered(next, terms)) {
     noteRenewed(newest_->at);
@@ -113,44 +116,51 @@
 }
 
 void LeaseEstimate::observeSession(WorkerEpoch workerEpoch, Instant now, const LeaseTerms& terms) {
-  if (workerEpoch_ == WorkerEpoch{}) workerEpoch_ = workerEpoch;  // may have begun long ago
+  // The session may have begun long ago, so its start is not used.
+  if (workerEpoch_ == WorkerEpoch{}) workerEpoch_ = workerEpoch;
   if (workerEpoch > workerEpoch_) return beginSession(workerEpoch, now, terms);
-  const auto end = earliestEnd(terms);
-  if (workerEpoch == workerEpoch_ && end && now > *end + kOutlivedAfter) noteOutlived(now, terms);
+  const auto expiry = earliestExpiry(terms);
+  if (workerEpoch == workerEpoch_ && expiry && now > *expiry + kOutlivedMargin)
+    noteOutlived(now, terms);
 }
 
-// The session began when the lease of the one before ended, at the latest now.
-void LeaseEstimate::beginSession(WorkerEpoch workerEpoch, Instant seenAt, const LeaseTerms& terms) {
-  noteRenewed(std::min(earliestEnd(terms).value_or(seenAt), seenAt));
+// Starts a new session. The session began when the lease of the previous session expired, and no
+// later than now.
+void LeaseEstimate::beginSession(WorkerEpoch workerEpoch, Instant observedAt,
+                                 const LeaseTerms& terms) {
+  noteRenewed(std::min(earliestExpiry(terms).value_or(observedAt), observedAt));
   lostAnswer_ = false;
   workerEpoch_ = workerEpoch;
 }
 
-// The newest heartbeat was answered after all, or another controller has answered since. Where only
-// unanswered heartbeats are known, the one before them may have been refused at once instead.
+// Corrects the estimate for a session that continues after the estimated expiry: the answer to the
+// newest heartbeat arrived, or another controller has answered the worker since. If only unanswered
+// heartbeats are known, the controller that the worker tried before may instead have refused the
+// connection at once.
 void LeaseEstimate::noteOutlived(Instant now, const LeaseTerms& terms) {
   if (unansweredSince_) {
     noteRenewed(*unansweredSince_ - kWorkerNextControllerDelay -
                 longestHeartbeatInterval(terms.reportEvery));
     return;
   }
-  const bool explains = newest_ && newest_->workerEpoch == workerEpoch_ &&
-                        now <= newest_->at + terms.lease + kOutlivedAfter;
-  renewedAt_ = explains ? std::optional(newest_->at) : std::nullopt;
+  const bool newestExplainsRenewal = newest_ && newest_->workerEpoch == workerEpoch_ &&
+                                     now <= newest_->at + terms.lease + kOutlivedMargin;
+  renewedAt_ = newestExplainsRenewal ? std::optional(newest_->at) : std::nullopt;
 }
 
-std::optional<Instant> LeaseEstimate::earliestEnd(const LeaseTerms& terms) const {
+std::optional<Instant> LeaseEstimate::earliestExpiry(const LeaseTerms& terms) const {
   if (renewedAt_) return *renewedAt_ + terms.lease;
   if (!unansweredSince_) return std::nullopt;
-  // A worker comes to another controller after a lost answer, and an interval before that one.
+  // A worker changes to another controller after a lost answer; the last answered heartbeat was one
+  // interval before the heartbeat whose answer was lost.
   return *unansweredSince_ - kWorkerRetryAfterLostAnswer -
          longestHeartbeatInterval(terms.reportEvery) + terms.lease;
 }
 
 bool LeaseEstimate::isAtRisk(const LeaseTerms& terms, Instant now) const {
-  const auto end = earliestEnd(terms);
-  return end && isUncertain(terms, now) &&
-         *end <= now + kTriesLeftAtRisk * kWorkerRetryAfterLostAnswer;
+  const auto expiry = earliestExpiry(terms);
+  return expiry && isUncertain(terms, now) &&
+         *expiry <= now + kLostAnswersAtRisk * kWorkerRetryAfterLostAnswer;
 }
 
 bool LeaseEstimate::isUncertain(const LeaseTerms& terms, Instant now) const {
--- a/src/fleet/lease_log.hpp
+++ b/src/fleet/lease_log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Remembers what a controller can tell of workers' leases, for the controller that leads next.
+/// Records a controller's observations of worker leases, which the next leader uses.
 #pragma once
 
 #include <map>
@@ -10,36 +10,37 @@
 
 namespace kestrelhoist {
 
-/// What leases of this deployment's workers depend on.
+/// Returns the parameters on which the leases of this deployment's workers depend.
 LeaseTerms leaseTermsOf(const Platform& platform);
 
-/// What a controller tells of leases, by worker.
-using LeaseSightings = std::map<MachineId, LeaseSighting>;
+/// Holds a controller's lease observations by machine.
+using LeaseObservations = std::map<MachineId, LeaseObservation>;
 
-/// The form in which peers are told.
-Json toJson(const LeaseSightings& sightings, Instant now);
-/// Decodes what was received at `receivedAt` on the local clock. Entries that are malformed are
-/// ignored.
-LeaseSightings leaseSightingsFrom(const Json& v, Instant receivedAt);
+/// Encodes lease observations for a message to a peer. Times are encoded as ages at `now`.
+Json toJson(const LeaseObservations& observations, Instant now);
+/// Decodes lease observations from a message that arrived at `receivedAt` on the local clock.
+/// Malformed entries are ignored.
+LeaseObservations leaseObservationsFromJson(const Json& v, Instant receivedAt);
 
-/// The heartbeats that workers sent to this controller, as far as they tell of leases that may
-/// still run. A new leader has received none of its own, and begins with what all controllers know.
+/// Records the heartbeats that workers sent to this controller, for leases that may not have
+/// expired. A new leader may have received no heartbeats itself, so it starts from the observations
+/// of all controllers.
 class LeaseLog {
  public:
   /// @param platform The settings of this controller.
   explicit LeaseLog(const Platform& platform);
 
-  /// A worker sent this heartbeat here.
+  /// Records a heartbeat that a worker sent to this controller.
   void onHeartbeat(const Report& report, Instant now);
-  /// Another controller told this.
-  void adopt(const LeaseSightings& sightings);
-  /// Drops what tells of no lease that may still run.
+  /// Merges the lease observations of another controller.
+  void adopt(const LeaseObservations& observations);
+  /// Removes the observations of leases that have expired.
   void expire(Instant now);
-  /// What is known of each worker.
-  LeaseSightings sightings(Instant now) const;
+  /// Returns the observations of all leases that may not have expired.
+  LeaseObservations observations(Instant now) const;
 
  private:
-  bool mayMatter(const LeaseSighting& sighting, Instant now) const;
+  bool mayBeUnexpired(const LeaseObservation& observation, Instant now) const;
 
   MemberId self_;
   LeaseTerms terms_;
--- a/src/fleet/worker_prober.cpp
+++ b/src/fleet/worker_prober.cpp
@@ -10,16 +10,16 @@
 namespace kestrelhoist {
 namespace {
 
-// Whether a worker answered a direct request with its report.
+// Returns whether the response contains a worker's report.
 bool isReport(const Response& response) { return response.status == 200 || response.status == 409; }
 
 }  // namespace
 
-// Where the way is not known to work this controller, or the peer that it asked through, may be the
-// one that is cut off.
+// If the path to the machine is not known to work, this controller or the peer that forwarded the
+// probe may be the one that is cut off, so the probe does not count as failed.
 bool isFailedProbe(const Machine& machine, Instant sent, ProbeOutcome outcome) {
   const bool reportedSince = machine.hasReported() && machine.session.lastReportAt >= sent;
-  // A probe that goes two ways at once has two results; both tell of the same moment.
+  // A probe that is sent directly and through a peer has two results, which count once.
   const bool isCounted = machine.newestFailedProbe == sent;
   return outcome == ProbeOutcome::unreachable && !reportedSince && !isCounted;
 }
@@ -30,32 +30,34 @@
   return report.workerEpoch > requested && report.token < token;
 }
 
-bool WorkerProber::awaitsUnheard() const {
-  return std::any_of(awaited_.begin(), awaited_.end(), [this](const MachineId& id) {
-    const Machine* machine = fleet_.find(id);
-    return machine && !machine->hasReported();
-  });
+bool WorkerProber::awaitsFirstReport() const {
+  return std::any_of(unansweredProbes_.begin(), unansweredProbes_.end(),
+                     [this](const MachineId& id) {
+                       const Machine* machine = fleet_.find(id);
+                       return machine && !machine->hasReported();
+                     });
 }
 
-// Machines that should have reported by now: dead, or on their way to another node.
+// Probes machines whose reports are overdue: they are dead, or their workers are trying other
+// controllers.
 void WorkerProber::probeOverdue() {
   if (!context_.initialRoundOver) return;
-  // In a zone that is silent few at first: it may be cut off, or its workers report to a controller
-  // that is. More as long as they answer.
+  // Few machines of an unreachable zone are probed at first: the zone may be cut off, or its
+  // workers may report to a controller that is cut off. The number grows while probes are answered.
   std::size_t silent = 0;
   for (Machine* machine : machinesToProbe(context_.runtime.now())) {
-    if (awaited_.size() >= kMostProbes) break;
-    if (fleet_.inUnreachableZone(*machine) && ++silent > unreachableZoneProbes_) continue;
+    if (unansweredProbes_.size() >= kMaxProbes) break;
+    if (fleet_.inUnreachableZone(*machine) && ++silent > maxUnreachableZoneProbes_) continue;
     probe(*machine);
   }
 }
 
-// Those first that were not asked for the longest time: those that don't answer must not use up all
-// probes.
+// Returns the machines to probe. Machines that have not been probed for the longest time come
+// first, so that machines that never answer don't use up all probes.
 std::vector<Machine*> WorkerProber::machinesToProbe(Instant now) {
   std::vector<Machine*> due;
   for (auto& [id, machine] : fleet_.machines()) {
-    if (machine.address.empty() || awaited_.contains(id)) continue;
+    if (machine.address.empty() || unansweredProbes_.contains(id)) continue;
     if (fleet_.isOverdue(machine, now) || fleet_.hasUnconfirmedTasks(machine, now))
       due.push_back(&machine);
   }
@@ -64,12 +66,13 @@
   return due;
 }
 
-// A direct command without content: shows the worker this leader's token and brings its report.
+// Sends a direct request without commands, which shows this leader's token to the worker and
+// returns the worker's report.
 void WorkerProber::probe(Machine& machine) {
-  if (!awaited_.insert(machine.id).second) return;
+  if (!unansweredProbes_.insert(machine.id).second) return;
   const Instant now = context_.runtime.now();
   machine.probedAt = now;
-  logDebug("probe sent", "machine", machine.id, "silent_ms",
+  logDebug("probe sent to worker", "machine", machine.id, "silent_ms",
            machine.hasReported() ? now - machine.session.lastReportAt : now - context_.electedAt);
   const WorkerEpoch epoch = probedEpoch(machine);
   Request request = commandRequest(context_.token, epoch);
@@ -80,14 +83,14 @@
       }));
 }
 
-void WorkerProber::ask(const Machine& machine) {
+void WorkerProber::requestReport(const Machine& machine) {
   const SentProbe sent{context_.runtime.now(), probedEpoch(machine)};
   context_.workers.send(
       machine.address, commandRequest(context_.token, sent.workerEpoch), kWorkerAnswerTimeout,
       context_.whileLeading([this, id = machine.id, sent](const std::optional<Response>& response) {
-        Machine* asked = fleet_.find(id);
-        if (!asked || !response || !isReport(*response)) return;
-        if (applyAnswer(*asked, sent, *response)) ask(*asked);
+        Machine* probed = fleet_.find(id);
+        if (!probed || !response || !isReport(*response)) return;
+        if (applyAnswer(*probed, sent, *response)) requestReport(*probed);
       }));
 }
 
@@ -102,8 +105,8 @@
 
 void WorkerProber::onResult(const MachineId& id, const SentProbe& sent, const ProbeResult& result) {
   Machine* machine = fleet_.find(id);
-  // The result of an earlier probe may come after a newer one was sent.
-  if (!machine || machine->probedAt == sent.at) awaited_.erase(id);
+  // The result of an earlier probe may arrive after a newer probe was sent.
+  if (!machine || machine->probedAt == sent.at) unansweredProbes_.erase(id);
   if (!machine) return;
   const bool reached = result.outcome == ProbeOutcome::answered && isReport(*result.response);
   if (fleet_.inUnreachableZone(*machine)) adaptToUnreachableZone(reached);
@@ -115,8 +118,8 @@
 }
 
 void WorkerProber::adaptToUnreachableZone(bool reached) {
-  unreachableZoneProbes_ =
-      reached ? std::min(2 * unreachableZoneProbes_, kMostProbes) : kFewestZoneProbes;
+  maxUnreachableZoneProbes_ =
+      reached ? std::min(2 * maxUnreachableZoneProbes_, kMaxProbes) : kMinZoneProbes;
 }
 
 void WorkerProber::onUnanswered(Machine& machine, Instant sent, const ProbeResult& result) const {
@@ -124,16 +127,17 @@
     ++machine.failedProbes;
     machine.newestFailedProbe = sent;
   }
-  logDebug("probe unanswered", "machine", machine.id, "zone", machine.zone, "through",
+  logDebug("worker did not answer probe", "machine", machine.id, "zone", machine.zone, "through",
            result.through ? result.through->value : "-", "outcome", toString(result.outcome),
            "sent_ms_ago", context_.runtime.now() - sent, "failed_probes", machine.failedProbes);
 }
 
-// Returns whether the worker has to be asked again, in the session that it reported.
+// Applies the report in an answer. Returns whether the worker must be asked again with the worker
+// epoch that it reported.
 bool WorkerProber::applyAnswer(Machine& machine, const SentProbe& sent, const Response& response) {
   const Instant now = context_.runtime.now();
   if (!applyDirectAnswer(fleet_, machine, response, now)) return false;
-  logDebug("probe answered", "machine", machine.id, "after_ms", now - sent.at);
+  logDebug("worker answered probe", "machine", machine.id, "after_ms", now - sent.at);
   onReport(machine);
   return refusedForItsSession(machine, sent.workerEpoch, context_.token);
 }
--- a/src/forecast/demand_series.hpp
+++ b/src/forecast/demand_series.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The forecasts of one leadership: two series a machine type (docs/design.md).
+/// Holds the demand forecasts of a leader, two for each machine type (see docs/design.md).
 #pragma once
 
 #include <map>
@@ -8,10 +8,13 @@
 
 namespace kestrelhoist {
 
+/// Holds the forecasts for one machine type. Firm work needs on-demand machines; flexible work may
+/// use spot machines.
 struct DemandSeries {
   Forecast firm, flexible;
 };
 
+/// Holds the forecasts for all machine types and the random generator that their predictions use.
 struct DemandForecasts {
   std::map<TypeId, DemandSeries> series;
   std::mt19937_64 random;
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -35,7 +35,8 @@
 }
 
 JobService::JobService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher,
-                       Replica& replica, const Platform& platform, const MemberVersions& versions)
+                       Replica& replica, const Platform& platform,
+                       const ControllerVersions& versions)
     : runtime_(runtime),
       store_(store),
       watcher_(watcher),
@@ -82,8 +83,8 @@
   Revision modRevision = replica_.modRevisionOf(keys::kCatalogue);
   if (modRevision != catalogueRevision_) {
     catalogueRevision_ = modRevision;
-    catalogue_ =
-        replica_.catalogue() ? catalogueFrom(*replica_.catalogue()) : std::optional<Catalogue>{};
+    catalogue_ = replica_.catalogue() ? catalogueFromJson(*replica_.catalogue())
+                                      : std::optional<Catalogue>{};
   }
   return catalogue_ ? &*catalogue_ : nullptr;
 }
@@ -173,7 +174,7 @@
         if (result.outcome == CommitOutcome::conflict && triesLeft > 0) {
           return cancel(id, triesLeft - 1, request, respond);
         }
-        if (result.outcome == CommitOutcome::refused && triesLeft > 0 && watcher_.reachable()) {
+        if (result.outcome == CommitOutcome::refused && triesLeft > 0 && watcher_.isReachable()) {
           runtime_.after(kRetryDelay, [this, id, triesLeft, request, respond] {
             cancel(id, triesLeft - 1, request, respond);
           });
--- a/src/jobs/submission.cpp
+++ b/src/jobs/submission.cpp
@@ -29,7 +29,7 @@
   if (const auto* job = known(id); job && !job->active()) {
     return respond(stateResponse(id, *job, 200));
   }
-  if (!watcher_.loaded()) return respond(retryLater(503));
+  if (!watcher_.isLoaded()) return respond(retryLater(503));
 
   auto parsed = parseSubmission(*body);
   std::optional<Response> refusal = refusalOf(parsed, member);
@@ -76,7 +76,7 @@
 std::optional<Response> JobService::refusalOfDependencies(
     const std::vector<JobId>& dependsOn) const {
   if (dependsOn.empty()) return std::nullopt;
-  if (!versions_.allAtLeast(kFormatWithDependencies)) return retryLater(503);
+  if (!versions_.allSupport(kFormatWithDependencies)) return retryLater(503);
   for (const auto& dependency : dependsOn) {
     const auto* job = known(dependency);
     if (job && job->record.spec->kind == JobKind::service) {
@@ -124,7 +124,7 @@
          (t.writes.empty() || bytes + platform_.valueBytes <= kMaxTransactionBytes)) {
     Json value = {{"jobs", jobIdsToJson(submission->dependencyParts[next])}};
     bytes += platform_.valueBytes;
-    t.writes.push_back({keys::awaits(id, next), std::move(value), std::nullopt});
+    t.writes.push_back({keys::dependencyPart(id, next), std::move(value), std::nullopt});
     ++next;
   }
   ++inProgress_;
@@ -159,7 +159,7 @@
         return answerAfterRead(id, respond, [respond] { respond(retryLater(503)); });
       case CommitOutcome::refused:
         // Rate limit or outage. One more try soon, unless reads fail as well.
-        if (triesLeft > 0 && watcher_.reachable()) {
+        if (triesLeft > 0 && watcher_.isReachable()) {
           runtime_.after(kRetryDelay, [this, submission, triesLeft, respond] {
             create(submission, triesLeft - 1, respond);
           });
--- a/src/leadership/peer_membership.cpp
+++ b/src/leadership/peer_membership.cpp
@@ -6,11 +6,14 @@
 
 namespace kestrelhoist {
 namespace {
-// A read that is answered may have been sent a little before one that fails.
-constexpr Duration kAnswerUnderWay{300};
-constexpr Duration kAtOnce{200};
-constexpr Duration kLongAgo{3600000};
-constexpr Duration kLongerThanARestart{10000};
+// A peer's successful read may have been sent slightly before the first failed read of this
+// controller, so a peer must have reached the state service at least this long after that failure.
+constexpr Duration kInFlightMargin{300};
+// A request that fails within this time was refused by the peer's host. It did not time out.
+constexpr Duration kMaxRefusalDelay{200};
+constexpr Duration kUnknownCloudAge{3600000};
+// Refusals that last longer than this do not come from a restart of the peer.
+constexpr Duration kMaxRestartDuration{10000};
 constexpr Duration kStatusTimeout{1000};
 constexpr const char* kStatusPath = "/mesh/hello";
 constexpr const char* kZoneAcksField = "zone_acks";
@@ -46,69 +49,69 @@
   auto wall = static_cast<std::int64_t>(countField(v, "wall_ms").value_or(0));
   const Json* zoneAcks = field(v, kZoneAcksField);
   const Json* leases = field(v, kUncertainLeasesField);
-  return PeerStatus{
-      MemberId{*member},
-      FencingToken{*token},
-      *leading,
-      Duration{static_cast<std::int64_t>(*store)},
-      Duration{static_cast<std::int64_t>(*workers)},
-      boolField(v, "ready").value_or(false),
-      boolField(v, "deaf").value_or(false),
-      boolField(v, "relays").value_or(false),
-      Duration{static_cast<std::int64_t>(countField(v, "cloud_age_ms").value_or(kLongAgo.count()))},
-      wall,
-      std::nullopt,
-      cancelled ? std::optional(Revision{*cancelled}) : std::nullopt,
-      zoneAcks ? zoneAckReportFrom(*zoneAcks, zones) : std::nullopt,
-      leases ? leaseSightingsFrom(*leases, receivedAt) : LeaseSightings{}};
+  return PeerStatus{MemberId{*member},
+                    FencingToken{*token},
+                    *leading,
+                    Duration{static_cast<std::int64_t>(*store)},
+                    Duration{static_cast<std::int64_t>(*workers)},
+                    boolField(v, "ready").value_or(false),
+                    boolField(v, "deaf").value_or(false),
+                    boolField(v, "relays").value_or(false),
+                    Duration{static_cast<std::int64_t>(
+                        countField(v, "cloud_age_ms").value_or(kUnknownCloudAge.count()))},
+                    wall,
+                    std::nullopt,
+                    cancelled ? std::optional(Revision{*cancelled}) : std::nullopt,
+                    zoneAcks ? zoneAckReportFrom(*zoneAcks, zones) : std::nullopt,
+                    leases ? leaseObservationsFromJson(*leases, receivedAt) : LeaseObservations{}};
 }
 
 PeerMembership::PeerMembership(Runtime& runtime, HttpClient& http, const Platform& platform)
     : runtime_(runtime), http_(http), peers_(platform.peers), zones_(platform.zones) {}
 
 void PeerMembership::start(std::function<PeerStatus()> own, Duration every) {
-  own_ = std::move(own);
-  every_ = every;
+  ownStatus_ = std::move(own);
+  exchangeInterval_ = every;
   exchangeStatus();
 }
 
 void PeerMembership::exchangeStatus() {
   for (const auto& peer : peers_) {
-    if (exchangeUnderWay_[peer.member]) continue;  // still waiting for its last answer
-    exchangeUnderWay_[peer.member] = true;
+    if (exchangePending_[peer.member]) continue;  // The last request is still pending.
+    exchangePending_[peer.member] = true;
     sendStatus(peer, [this, member = peer.member,
-                      asked = runtime_.now()](const std::optional<Response>& r) {
-      exchangeUnderWay_[member] = false;
-      onExchanged(member, asked, r);
+                      sentAt = runtime_.now()](const std::optional<Response>& r) {
+      exchangePending_[member] = false;
+      onExchanged(member, sentAt, r);
     });
   }
-  runtime_.after(every_, [this] { exchangeStatus(); });
+  runtime_.after(exchangeInterval_, [this] { exchangeStatus(); });
 }
 
 void PeerMembership::announceStatus() {
-  if (!own_) return;
+  if (!ownStatus_) return;
   for (const auto& peer : peers_) {
     sendStatus(peer, [](const std::optional<Response>&) {});
   }
 }
 
 void PeerMembership::sendStatus(const Peer& peer, OnReply done) {
-  http_.send(peer.address, {"POST", kStatusPath, encodeBody(toJson(own_(), runtime_.now()))},
+  http_.send(peer.address, {"POST", kStatusPath, encodeBody(toJson(ownStatus_(), runtime_.now()))},
              kStatusTimeout, std::move(done));
 }
 
-void PeerMembership::onExchanged(const MemberId& peer, Instant asked,
+void PeerMembership::onExchanged(const MemberId& peer, Instant sentAt,
                                  const std::optional<Response>& response) {
-  // A cut hangs; only a refusal fails at once.
+  // A request over a partitioned link times out. Only a refused connection fails immediately.
   Instant now = runtime_.now();
-  if (!response && now - asked < kAtOnce) {
+  if (!response && now - sentAt < kMaxRefusalDelay) {
     refusals_.try_emplace(peer, Refusals{now, now}).first->second.last = now;
     if (onRefused) onRefused(peer);
   }
   if (!response || response->status != 200) return;
   auto body = decodeBody(response->body);
   auto s = body ? recordStatus(*body) : std::nullopt;
-  if (s && s->member == peer && onAnswer) onAnswer(*s, asked);
+  if (s && s->member == peer && onAnswer) onAnswer(*s, sentAt);
 }
 
 std::optional<PeerStatus> PeerMembership::recordStatus(const Json& body) {
@@ -116,7 +119,7 @@
   if (!s) return s;
   for (const auto& peer : peers_) {
     if (peer.member != s->member) continue;
-    // Older versions tell no time of day.
+    // Older versions do not send their time of day.
     if (s->wallMs > 0) s->wallClockOffset = s->wallMs - runtime_.now().ms;
     statuses_[s->member] = {*s, runtime_.now()};
     refusals_.erase(s->member);
@@ -127,9 +130,8 @@
 
 void PeerMembership::logMalformedZoneAcks(const Json& body, const PeerStatus& status) {
   if (status.zoneAcks || !field(body, kZoneAcksField)) return;
-  if (!toldMalformedZoneAcks_.insert(status.member).second) return;
-  logInfo("peer's times of acknowledged heartbeats are malformed and left out", "peer",
-          status.member);
+  if (!loggedMalformedZoneAcks_.insert(status.member).second) return;
+  logInfo("peer status has malformed zone acknowledgements; ignoring them", "peer", status.member);
 }
 
 Response PeerMembership::onStatusRequest(const Request& request) {
@@ -137,7 +139,7 @@
   if (!body) return jsonResponse(400, {{"error", "not CBOR"}});
   auto status = recordStatus(*body);
   if (status && onAnnouncement) onAnnouncement(*status);
-  return jsonResponse(200, toJson(own_(), runtime_.now()));
+  return jsonResponse(200, toJson(ownStatus_(), runtime_.now()));
 }
 
 void PeerMembership::notifyLeader(const MemberId& leader) {
@@ -189,16 +191,16 @@
 bool PeerMembership::mayBeAlive(const MemberId& peer) const {
   auto refused = refusals_.find(peer);
   return refused == refusals_.end() ||
-         refused->second.last - refused->second.first > kLongerThanARestart;
+         refused->second.last - refused->second.first > kMaxRestartDuration;
 }
 
-std::optional<MemberId> PeerMembership::peerReachingStore(Instant failing) const {
+std::optional<MemberId> PeerMembership::peerReachingStore(Instant failingSince) const {
   for (const auto& peer : peers_) {
     auto it = statuses_.find(peer.member);
     if (it == statuses_.end()) continue;
-    const auto& [seen, heardAt] = it->second;
-    bool current = runtime_.now() - heardAt < Duration{1500};
-    if (current && seen.ready && heardAt - seen.storeAge > failing + kAnswerUnderWay) {
+    const auto& [seen, receivedAt] = it->second;
+    bool current = runtime_.now() - receivedAt < Duration{1500};
+    if (current && seen.ready && receivedAt - seen.storeAge > failingSince + kInFlightMargin) {
       return peer.member;
     }
   }
--- a/src/placement/job_placement.cpp
+++ b/src/placement/job_placement.cpp
@@ -5,14 +5,14 @@
 namespace kestrelhoist {
 namespace {
 
-// Half of a fetch that is under way is over, on average.
-constexpr double kLeftOfFetchUnderWay = 0.5;
+// On average, half of a running fetch is still to be done.
+constexpr double kRunningFetchRemainder = 0.5;
 
 }  // namespace
 
 bool exceedsGuarantee(const Resources& used, const Resources& guaranteed) {
-  return used.cpus > guaranteed.cpus + kRoomTolerance ||
-         used.gpus > guaranteed.gpus + kRoomTolerance;
+  return used.cpus > guaranteed.cpus + kResourceTolerance ||
+         used.gpus > guaranteed.gpus + kResourceTolerance;
 }
 
 JobPlacement::JobPlacement(const PlanInput& input, PlanState& state,
@@ -27,8 +27,8 @@
   if (!input_.teamKnown[job_.team]) return false;
   Resources total = spec().perTask + state_.used[job_.team];
   const Resources& limit = input_.teams[job_.team].limit;
-  return (limit.cpus <= 0 || total.cpus <= limit.cpus + kRoomTolerance) &&
-         (limit.gpus <= 0 || total.gpus <= limit.gpus + kRoomTolerance);
+  return (limit.cpus <= 0 || total.cpus <= limit.cpus + kResourceTolerance) &&
+         (limit.gpus <= 0 || total.gpus <= limit.gpus + kResourceTolerance);
 }
 
 bool JobPlacement::withinGuarantee() const {
@@ -49,14 +49,16 @@
   return !spec().oneZone || inOneZone(machine.zone);
 }
 
-// Whether the zone is that of the job's other tasks, if it has any.
+// Returns whether the job's other tasks are in this zone. It also returns true if the job has no
+// other tasks.
 bool JobPlacement::inOneZone(std::uint32_t zone) const {
   if (spread_.perZone[zone] > 0) return true;
   return std::all_of(spread_.perZone.begin(), spread_.perZone.end(),
                      [](std::uint32_t tasks) { return tasks == 0; });
 }
 
-// Whether a task may be placed there although the machine may be reserved for another job.
+// Returns whether the reservations allow a task on this machine. If the machine is reserved for
+// another job, the task must be expected to end before that job needs it.
 bool JobPlacement::endsBeforeReservation(std::size_t machine) const {
   if (reservations_.empty()) return true;
   auto neededInS = reservations_.neededIn(machine, job_);
@@ -85,16 +87,16 @@
   double rate = input_.machines[machine].fetchGbPerS;
   if (rate <= 0) return 0;
   double othersGb = 0;
-  double leftOfFetch = 1.0;
+  double fetchRemainder = 1.0;
   for (const auto& image : state_.images[machine]) {
     if (image.id == job_.image) {
       if (image.cached) return 0;
-      leftOfFetch = kLeftOfFetchUnderWay;
+      fetchRemainder = kRunningFetchRemainder;
     } else if (!image.cached) {
       othersGb += image.gb;
     }
   }
-  return (leftOfFetch * spec().imageGb + othersGb) / rate;
+  return (fetchRemainder * spec().imageGb + othersGb) / rate;
 }
 
 void JobPlacement::book(std::size_t machine) {
--- a/src/placement/machine_score.hpp
+++ b/src/placement/machine_score.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which of the machines with free room is the best for a task.
+/// Rates machines with free resources, to choose the best machine for a task.
 #pragma once
 
 #include <vector>
@@ -8,15 +8,16 @@
 
 namespace kestrelhoist {
 
-/// Scores machines for the tasks of one job, with what is booked at the moment of asking. Machines
-/// go by their index in PlanInput::machines.
+/// Computes the scores of machines for the tasks of one job. A score takes into account the tasks
+/// that the plan has placed so far. A machine is identified by its index in PlanInput::machines.
 class MachineScore {
  public:
-  /// `open`: the machines with some free room.
+  /// Creates the scoring for the job of `placement`. `machinesWithFreeResources` holds the machines
+  /// with free resources.
   MachineScore(const PlanInput& input, const PlanState& state, const JobPlacement& placement,
-               const std::vector<std::size_t>& open);
+               const std::vector<std::size_t>& machinesWithFreeResources);
 
-  /// Higher is better.
+  /// Returns the score of a machine. A higher score is better.
   double of(std::size_t machine) const;
 
  private:
@@ -29,12 +30,13 @@
   double zonePenalty(std::uint32_t zone) const;
   double usedShare(std::size_t machine) const;
   double siblingWeight() const;
-  void measureZones(const std::vector<std::size_t>& open);
+  void countFreeMachinesByZone(const std::vector<std::size_t>& machinesWithFreeResources);
 
   const PlanInput& input_;
   const PlanState& state_;
   const JobPlacement& placement_;
-  std::vector<double> freeInZone_;  ///< whole machines; measured for jobs that go to one zone
+  /// Sums free shares of machines by zone, for one-zone jobs.
+  std::vector<double> freeMachinesInZone_;
 };
 
 }  // namespace kestrelhoist
--- a/src/placement/plan_input_builder.cpp
+++ b/src/placement/plan_input_builder.cpp
@@ -6,15 +6,15 @@
 namespace kestrelhoist {
 namespace {
 
-// How long the task has been seen to run; empty if it has not been seen yet.
+// Returns the time since the task was first seen running; empty if it has not been seen running.
 std::optional<Duration> observedRunTime(const Machine& machine, const AttemptId& id, Instant now) {
   auto seen = machine.firstSeenRunning.find(id);
   if (seen == machine.firstSeenRunning.end()) return std::nullopt;
   return now - seen->second;
 }
 
-// Estimated seconds until the task ends. A task that runs for longer than its owner's estimate is
-// taken to need half of the estimate again.
+// Returns the estimated seconds until the task ends. A task that has run for longer than its
+// owner's estimate is assumed to need half of the estimate in addition.
 double remainingSeconds(const JobSpec& spec, std::optional<Duration> runTime) {
   double ran = runTime ? toSeconds(*runTime) : 0;
   double estimate = toSeconds(spec.estimate);
@@ -54,10 +54,10 @@
 }
 
 void PlanInputBuilder::addWaitingJobs() {
-  for (const auto& [id, job] : context_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.liveJobs()) {
     if (!job->active() || !job->record.spec) continue;
-    // A job that is blocked has no part of its team's limit or guarantee, and is no demand: only
-    // work that is ready counts.
+    // A job that is blocked on its dependencies uses nothing of its team's limit or guarantee and
+    // does not count as demand.
     if (job->blockedOnDependencies()) {
       pendingReasons_.note(id, PendingReason::dependencies, job->tasks);
       continue;
@@ -67,22 +67,24 @@
   }
 }
 
-// Counts the job's tasks that this plan may place. ConfirmedOutcomes::trialsLeft clears a service
-// that runs well from suspicion, so it is asked once only.
+// Counts the job's tasks that this plan may place. ConfirmedOutcomes::trialsLeft() has a side
+// effect, because it no longer treats a service as suspect if a replica runs well. It is therefore
+// called only once per job.
 PlanInputBuilder::WaitingTasks PlanInputBuilder::waitingTasks(const JobId& id,
                                                               const JobState& job) {
   WaitingTasks result;
   if (auto entry = outcomes_.requeued().find(id); entry != outcomes_.requeued().end()) {
     result.requeued = entry->second;
   }
-  std::uint32_t waiting = job.waiting() + result.requeued;
+  std::uint32_t waiting = job.waitingCount() + result.requeued;
   if (waiting == 0) return result;
   if (auto pause = outcomes_.pausedUntil(id); pause && now_ < *pause) {
     pendingReasons_.note(id, outcomes_.refused(id) ? PendingReason::refused : PendingReason::errors,
                          waiting);
     return result;
   }
-  // A job that fails wherever it runs gets few tasks at a time, and is no demand beyond these.
+  // A job that fails on every machine may run only a few tasks at a time, and its other tasks do
+  // not count as demand.
   auto trials = outcomes_.trialsLeft(id, job);
   result.suspect = trials.has_value();
   result.toPlace = trials ? std::min(*trials, waiting) : waiting;
@@ -94,7 +96,7 @@
 
 void PlanInputBuilder::addJob(const JobState& job, const WaitingTasks& tasks) {
   PlanJob planJob;
-  planJob.spec = job.orderedSpec();
+  planJob.spec = job.effectiveSpec();
   const JobSpec& spec = *planJob.spec;
   planJob.acceptedAtMs = job.readyAtMs();
   planJob.waiting = tasks.toPlace;
@@ -105,7 +107,7 @@
   auto onRecord = static_cast<std::uint32_t>(job.placed.size());
   planJob.placed = onRecord - std::min(onRecord, tasks.requeued);
   planJob.suspect = tasks.suspect;
-  planJob.begun = job.finishedCount > 0;
+  planJob.hasFinishedTasks = job.finishedCount > 0;
   planJob.image = job.image;
   planJob.team = job.team;
   planJob.modRevision = job.modRevision;
@@ -114,7 +116,7 @@
   if (spec.zone) planJob.zone = zoneNumber(*spec.zone);
   highestPriority_ = std::max(highestPriority_, spec.priority);
   input_.jobs.push_back(std::move(planJob));
-  states_.push_back(&job);
+  jobStates_.push_back(&job);
 }
 
 void PlanInputBuilder::addTeams() {
@@ -123,15 +125,15 @@
   input_.used.resize(input_.teams.size());
   for (const auto& [id, team] : context_.platform.teams) {
     auto number = context_.replica.teamNumber(id);
-    if (number >= input_.teams.size()) continue;  // has no jobs
+    if (number >= input_.teams.size()) continue;  // The team has no jobs.
     input_.teams[number] = team;
     input_.teamKnown[number] = true;
     hasGuarantees_ = hasGuarantees_ || team.guaranteed.cpus > 0 || team.guaranteed.gpus > 0;
   }
 }
 
-// The planner may reserve resources for a job that has waited for long, and then needs to know when
-// running tasks end.
+// Determines whether the planner may reserve resources for a job that has waited long. Only then
+// does it need the expected ends of running tasks.
 void PlanInputBuilder::decideReservations() {
   mayReserve_ = std::any_of(input_.jobs.begin(), input_.jobs.end(), [&](const PlanJob& job) {
     return job.spec->kind != JobKind::service &&
@@ -150,7 +152,8 @@
   }
 }
 
-// The machine without its tasks. `machine` is null if it has not registered with this leader.
+// Returns the machine without its tasks. `machine` is null if the worker has not registered with
+// this leader.
 PlanMachine PlanInputBuilder::describeMachine(const MachineId& id, const MachineState& record,
                                               const Machine* machine) {
   const MachineType* type = context_.catalogue->find(record.type);
@@ -167,7 +170,7 @@
     result.capacity = type->capacity;
     result.fetchGbPerS = type->fetchGbPerS;
   }
-  result.free = result.soon = result.capacity;
+  result.free = result.freeAfterStops = result.capacity;
   if (result.usable) {
     result.images.reserve(static_cast<std::size_t>(std::ranges::distance(machine->images)) + 1);
     for (const auto& image : machine->images) {
@@ -180,32 +183,32 @@
 void PlanInputBuilder::addTasks(PlanMachine& planMachine, const MachineState& record,
                                 const Machine* machine) {
   for (const auto& task : record.tasks) {
-    if (machine && machine->session.outcomes.contains(task.id)) continue;  // proven to have ended
-    const auto& spec = task.job->orderedSpec();
+    if (machine && machine->session.outcomes.contains(task.id)) continue;  // The attempt has ended.
+    const auto& spec = task.job->effectiveSpec();
     if (!spec) continue;
     input_.used[task.job->team] += spec->perTask;
     planMachine.free -= spec->perTask;
     bool stopping =
         (machine && machine->session.stopRequests.contains(task.id)) || !task.job->active();
-    if (!stopping) planMachine.soon -= spec->perTask;
+    if (!stopping) planMachine.freeAfterStops -= spec->perTask;
     if (planMachine.usable) addUsableTask(planMachine, *machine, task, stopping);
   }
 }
 
-// Adds what matters of a task only on a machine that may get new work: when it ends, its image, and
-// whether it may be stopped.
+// Adds the data of a task that the planner needs only on a machine that may get new tasks: the
+// expected end of the task, its image, and whether it may be preempted.
 void PlanInputBuilder::addUsableTask(PlanMachine& planMachine, const Machine& machine,
                                      const PlacedTask& task, bool stopping) const {
-  const auto& spec = task.job->orderedSpec();
+  const auto& spec = task.job->effectiveSpec();
   auto runTime = observedRunTime(machine, task.id, now_);
   if (mayReserve_ && spec->kind != JobKind::service) {
-    planMachine.ends.push_back({remainingSeconds(*spec, runTime), spec->perTask});
+    planMachine.expectedEnds.push_back({remainingSeconds(*spec, runTime), spec->perTask});
   }
   if (std::none_of(planMachine.images.begin(), planMachine.images.end(),
                    [&](const PlanImage& image) { return image.id == task.job->image; })) {
     planMachine.images.push_back({task.job->image, spec->imageGb, false});
   }
-  // A protected service is never stopped for other work, though its priority would allow it.
+  // A protected service is never preempted, even if its priority is lower.
   bool isProtected = context_.effectivePolicy && context_.effectivePolicy->protects(*spec);
   if (isProtected) {
     planMachine.protectedShare += spec->perTask.shareOf(planMachine.capacity);
@@ -217,21 +220,21 @@
 
 void PlanInputBuilder::addFailedMachines() {
   for (auto& job : input_.jobs) {
-    for (const auto& id : fleet_.failureAttribution().avoids(job.spec->id)) {
+    for (const auto& id : fleet_.failureAttribution().machinesToAvoid(job.spec->id)) {
       if (auto at = machineIndex_.find(id); at != machineIndex_.end()) {
         job.failedOn.insert(at->second);
       }
     }
-    if (auto id = fleet_.failureAttribution().excludes(job.spec->id, now_)) {
+    if (auto id = fleet_.failureAttribution().excludedMachine(job.spec->id, now_)) {
       auto at = machineIndex_.find(*id);
       if (at != machineIndex_.end()) job.excludedMachine = at->second;
     }
   }
 }
 
-// Jobs that yield get the machines that jobs with precedence leave. Before a period opens in which
-// a job will yield, none of its tasks is begun that would run into the period, unless the job saves
-// checkpoints.
+// Limits the tasks of jobs that yield to the machines that jobs with precedence do not use. Before
+// a calendar period in which a job will yield, a task of it that would still run in that period is
+// not started, unless the job saves checkpoints.
 void PlanInputBuilder::limitYieldingJobs() {
   double usableMachines = 0;
   Resources largest;
@@ -250,29 +253,30 @@
       shares.push_back({share, job.waiting, job.placed});
     } else if (auto until = context_.effectivePolicy->untilYielding(*job.spec);
                until && !job.spec->checkpoints() && job.spec->estimate > *until) {
-      job.maxTasks = std::max(job.placed, 1U);  // every job may begin
+      job.maxTasks = std::max(job.placed, 1U);  // Every job may run at least one task.
     }
   }
   if (!yielding.empty()) capYieldingJobs(yielding, shares, usableMachines, largest);
 }
 
-// Divides the machines that the policy leaves to yielding jobs among those that wait. `yielding`
-// are indices in input_.jobs, `shares` is in the same order.
+// Divides the machines that the policy leaves to yielding jobs among those with waiting tasks.
+// `yielding` holds indices into input_.jobs, and `shares` has the same order.
 void PlanInputBuilder::capYieldingJobs(const std::vector<std::size_t>& yielding,
                                        const std::vector<YieldingJob>& shares,
                                        double usableMachines, const Resources& largest) {
-  // Yielding jobs with no waiting tasks use their part of the bound, too.
+  // Yielding jobs without waiting tasks also use a part of the allowed machines.
   double usedByOthers = 0;
   double demandOfPreferred = 0;
-  for (const auto& [id, job] : context_.replica.live()) {
+  for (const auto& [id, job] : context_.replica.liveJobs()) {
     if (!job->active() || !job->record.spec) continue;
     int adjustment = context_.effectivePolicy->priorityAdjustment(*job->record.spec);
     double share = job->record.spec->perTask.shareOf(largest);
     auto placed = static_cast<double>(job->placed.size());
     if (adjustment > 0) {
-      demandOfPreferred += share * (placed + (job->blockedOnDependencies() ? 0 : job->waiting()));
+      demandOfPreferred +=
+          share * (placed + (job->blockedOnDependencies() ? 0 : job->waitingCount()));
     }
-    if (adjustment < 0 && job->waiting() == 0) usedByOthers += share * placed;
+    if (adjustment < 0 && job->waitingCount() == 0) usedByOthers += share * placed;
   }
   auto allowed = context_.effectivePolicy->machinesForYielding(usableMachines, demandOfPreferred);
   if (!allowed) return;
@@ -282,7 +286,8 @@
   }
 }
 
-// Counts where the tasks of jobs with a constraint on zones, and of services, are.
+// Counts the placed tasks by zone, and by machine for services. Only services and jobs with a
+// constraint on zones need these counts.
 void PlanInputBuilder::addSpread() {
   input_.zones = zoneNumbers_.size();
   for (std::size_t j = 0; j < input_.jobs.size(); ++j) {
@@ -290,7 +295,7 @@
     job.perZone.resize(input_.zones);
     const JobSpec& spec = *job.spec;
     if (!spec.spread && !spec.oneZone && spec.kind != JobKind::service) continue;
-    for (const auto& [task, placed] : states_[j]->placed) {
+    for (const auto& [task, placed] : jobStates_[j]->placed) {
       auto at = machineIndex_.find(placed.machine);
       if (at == machineIndex_.end() || outcomes_.find({{spec.id, task}, placed.attempt})) continue;
       ++job.perZone[input_.machines[at->second].zone];
--- a/src/store/change_watcher.cpp
+++ b/src/store/change_watcher.cpp
@@ -9,11 +9,11 @@
 namespace kestrelhoist {
 namespace {
 
-// The state service mostly answers within 10 ms, sometimes within a few hundred (PROTOCOL).
-constexpr Duration kRepeatReadAfter{400};
-constexpr Duration kRepeatPageAfter{800};  // a page may be as large as 512 KiB
+// The state service usually answers within 10 ms, and sometimes within a few hundred milliseconds.
+constexpr Duration kReadHedgeDelay{400};
+constexpr Duration kPageHedgeDelay{800};  // A page may be as large as 512 KiB.
 constexpr Duration kPageTimeout{2000};
-constexpr Duration kRetryPageAfter{300};
+constexpr Duration kPageRetryDelay{300};
 
 }  // namespace
 
@@ -36,17 +36,17 @@
     onPage(since, first, sentAt, page);
   };
   std::make_shared<HedgedRequest<ListResult>>(runtime_, send, failed, done)
-      ->start({kRepeatPageAfter, kPageTimeout}, onRepeated);
+      ->start({kPageHedgeDelay, kPageTimeout}, onRepeated);
 }
 
 void ChangeWatcher::onPage(const std::string& since, bool first, Instant sentAt,
                            const ListResult& page) {
   if (!page.ok) {
-    ++failures_;
-    runtime_.after(kRetryPageAfter, [this, since, first] { load(since, first); });
+    ++consecutiveFailures_;
+    runtime_.after(kPageRetryDelay, [this, since, first] { load(since, first); });
     return;
   }
-  failures_ = 0;
+  consecutiveFailures_ = 0;
   if (first) {
     loadRevision_ = page.revision;
     loadSentAt_ = sentAt;
@@ -56,13 +56,14 @@
     load(page.rows.back().key, false);
     return;
   }
-  // Later pages may be newer than the first; changes since the first page's epoch are read
-  // again, and the stamps of the keys sort out what is already here.
+  // Later pages may be newer than the first page. All changes since the revision of the first page
+  // are therefore read again, and the replica skips those whose modification revision it has
+  // already.
   replica_.advance(loadRevision_);
   loaded_ = true;
-  // Not when the last page was sent: pages are asked for again across refusals, and what was
-  // cancelled since the first one may be in none of them (leases would be renewed without knowing
-  // of it).
+  // The request time of the last page would be too late. Pages are retried while the state service
+  // refuses requests, and a cancellation committed after the first page may be in none of the
+  // pages. Worker leases would then be renewed for cancelled tasks.
   snapshotTime_ = loadSentAt_;
   logInfo("records loaded", "revision", loadRevision_, "jobs", replica_.jobs().size(), "machines",
           replica_.machines().size());
@@ -71,18 +72,19 @@
 
 void ChangeWatcher::poll() {
   runtime_.after(std::min(interval_, Duration{250}), [this] { poll(); });
-  if (loaded_ && !reading_ && runtime_.now() - lastSent_ >= interval_ - Duration{10}) read();
+  if (loaded_ && !readInFlight_ && runtime_.now() - lastReadSentAt_ >= interval_ - Duration{10})
+    read();
 }
 
 void ChangeWatcher::linearizableRead(std::function<void(bool)> done) {
   if (!loaded_) return done(false);
-  waiting_.push_back(std::move(done));
+  nextReadCallbacks_.push_back(std::move(done));
   schedule();
 }
 
 void ChangeWatcher::schedule() {
-  if (reading_ || scheduled_) return;
-  Duration wait = settings_.minGap - (runtime_.now() - lastSent_);
+  if (readInFlight_ || scheduled_) return;
+  Duration wait = settings_.minReadInterval - (runtime_.now() - lastReadSentAt_);
   if (wait.count() <= 0) {
     read();
     return;
@@ -90,48 +92,51 @@
   scheduled_ = true;
   runtime_.after(wait, [this] {
     scheduled_ = false;
-    if (!reading_ && !waiting_.empty()) read();
+    if (!readInFlight_ && !nextReadCallbacks_.empty()) read();
   });
 }
 
 void ChangeWatcher::read() {
   if (!loaded_) return;
-  reading_ = true;
-  lastSent_ = runtime_.now();
-  served_ = std::exchange(waiting_, {});
+  readInFlight_ = true;
+  lastReadSentAt_ = runtime_.now();
+  inFlightReadCallbacks_ = std::exchange(nextReadCallbacks_, {});
   auto send = [this](Duration timeout, std::function<void(ChangesResult)> done) {
-    store_.changes(keys::kRoot, replica_.cursor(), timeout, std::move(done));
+    store_.changes(keys::kRoot, replica_.revision(), timeout, std::move(done));
   };
   auto failed = [](const ChangesResult& r) { return r.kind == ChangesResult::Kind::failed; };
   auto done = [this](Instant sentAt, ChangesResult r) { onRead(sentAt, std::move(r)); };
   std::make_shared<HedgedRequest<ChangesResult>>(runtime_, send, failed, done)
-      ->start({kRepeatReadAfter, settings_.timeout}, onRepeated);
+      ->start({kReadHedgeDelay, settings_.timeout}, onRepeated);
 }
 
 void ChangeWatcher::onRead(Instant sentAt, ChangesResult r) {
-  reading_ = false;
+  readInFlight_ = false;
   bool ok = r.kind == ChangesResult::Kind::ok;
   if (ok) {
-    if (failures_ > 0) logInfo("state service answers again", "failures", failures_);
-    failures_ = 0;
+    if (consecutiveFailures_ > 0)
+      logInfo("state service answers reads again", "failures", consecutiveFailures_);
+    consecutiveFailures_ = 0;
     for (const auto& c : r.changes) replica_.apply(c);
     replica_.advance(r.revision);
     snapshotTime_ = sentAt;
     if (!r.changes.empty() && onApplied) onApplied(r.changes);
   } else if (r.kind == ChangesResult::Kind::tooOld) {
-    logInfo("changes are gone, reading all records again", "since", replica_.cursor());
+    logInfo(
+        "change feed no longer has the changes since the replica's revision; reloading all records",
+        "since", replica_.revision());
     loaded_ = false;
     if (onReload) onReload();
     replica_.clear();
     load("", true);
-  } else if (failures_++ == 0) {
+  } else if (consecutiveFailures_++ == 0) {
     failingSince_ = sentAt;
-    logInfo("state service gave no usable answer to a read");
+    logInfo("read of the change feed failed");
   }
-  auto served = std::exchange(served_, {});
-  for (auto& f : served) f(ok);
+  auto callbacks = std::exchange(inFlightReadCallbacks_, {});
+  for (auto& callback : callbacks) callback(ok);
   if (ok && !r.changes.empty() && onChanged) onChanged();
-  if (!waiting_.empty()) schedule();
+  if (!nextReadCallbacks_.empty()) schedule();
 }
 
 }  // namespace kestrelhoist
--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -1,4 +1,5 @@
-// Until when the copy is known to be whole.
+// Tests that the change watcher loads the replica completely and reports its snapshot time
+// correctly.
 #include "store/change_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +20,7 @@
   Replica replica;
   ChangeWatcher watcher{runtime, store, replica, {}};
 
-  // As another controller.
+  // Writes a record as another controller would.
   void write(const std::string& key, const Json& data = Json::object()) {
     network.send(
         "node1", "state:1",
@@ -29,30 +30,33 @@
   }
 };
 
-// Leases were renewed from such a copy as if it were new: what was cancelled since its first page
-// is on none of its pages.
+// Guards against leases renewed for cancelled tasks. The state service refuses requests during a
+// load in pages, and a cancellation after the first page is in none of the pages. The snapshot time
+// must therefore be that of the first page.
 TEST_F(Load, ThatStraddlesARefusalIsAsOldAsItsFirstPage) {
   for (int i = 0; i < 300; ++i) write("kh/job/j-" + std::to_string(100000 + i));
   clock.runUntil(2000);
   watcher.start();
   Instant first = runtime.now();
-  clock.in(5, [this] { state.refuse("node0", 20000); });  // after the first page
+  clock.in(5, [this] { state.refuse("node0", 20000); });  // The first page has been read by then.
   clock.runUntil(2100);
-  EXPECT_FALSE(watcher.loaded());
+  EXPECT_FALSE(watcher.isLoaded());
   write("kh/job/j-100000");
-  // The rest comes in a moment between two refusals, and no read of changes after it.
-  while (!watcher.loaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
-  ASSERT_TRUE(watcher.loaded());
+  // The state service answers long enough for the remaining pages, and then refuses the reads of
+  // changes.
+  while (!watcher.isLoaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
+  ASSERT_TRUE(watcher.isLoaded());
   state.refuse("node0", 20000);
   clock.runUntil(clock.now() + 1000);
   EXPECT_EQ(watcher.snapshotTime(), first);
-  EXPECT_GE(watcher.contactAge(), Duration{20000});
+  EXPECT_GE(watcher.snapshotAge(), Duration{20000});
   clock.runUntil(clock.now() + 21000);
-  EXPECT_LT(watcher.contactAge(), Duration{2000});
+  EXPECT_LT(watcher.snapshotAge(), Duration{2000});
 }
 
-// All twelve replicas of a service that was accepted while a controller that had just come back
-// read the records were placed a second time by it (ran_twice on a day of operations, vhda).
+// Guards against tasks placed twice. A job was created while a restarted controller loaded the
+// records in pages, after the page of job records had been read. The controller missed the job's
+// placements and placed all tasks again.
 TEST_F(Load, ShowsTasksOfAJobThatWasCreatedMeanwhile) {
   for (int i = 0; i < 300; ++i) write("kh/job/j-" + std::to_string(100000 + i));
   clock.runUntil(2000);
@@ -65,14 +69,15 @@
   job.chunkSize = 100;
   TaskChunkRecord tasks;
   tasks.placed[0] = {MachineId{"host-000001"}, WorkerEpoch{1}, Attempt{300}};
-  // Behind the first page, which was asked for, before the second.
+  // The job is written after the first page was requested and before the second. Its key sorts
+  // before the keys of the second page.
   clock.in(5, [&] {
     write(keys::job(spec->id), toJson(job));
     write(keys::tasks(spec->id, 0), toJson(tasks));
     state.refuse("node0", 100);
   });
   clock.runUntil(5000);
-  ASSERT_TRUE(watcher.loaded());
+  ASSERT_TRUE(watcher.isLoaded());
   ASSERT_TRUE(replica.job(spec->id));
   EXPECT_EQ(replica.job(spec->id)->placed.size(), 1U);
 }
--- a/src/store/job_state.cpp
+++ b/src/store/job_state.cpp
@@ -14,8 +14,8 @@
 
 JobPhase JobState::phase() const {
   bool active = record.phase == JobPhase::active;
-  bool throughAnother = active && dependencies && dependencies->state.cancelled;
-  return throughAnother ? JobPhase::cancelled : record.phase;
+  bool cancelledByDependency = active && dependencies && dependencies->state.cancelled;
+  return cancelledByDependency ? JobPhase::cancelled : record.phase;
 }
 
 std::int64_t JobState::readyAtMs() const {
@@ -49,7 +49,7 @@
   return record.flow && failuresOf(index) > record.flow->retries;
 }
 
-std::uint32_t JobState::waiting() const {
+std::uint32_t JobState::waitingCount() const {
   std::uint32_t settled =
       finishedCount + static_cast<std::uint32_t>(placed.size()) + abandonedCount();
   return settled < tasks ? tasks - settled : 0;
--- a/src/store/record_keys.cpp
+++ b/src/store/record_keys.cpp
@@ -7,7 +7,7 @@
 namespace kestrelhoist::keys {
 namespace {
 
-// Takes a number off the front of `text`; nothing if there is none.
+// Removes a leading number from `text` and returns it. Returns nothing if `text` starts with none.
 std::optional<std::uint32_t> takeNumber(std::string_view& text) {
   std::uint32_t number = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -16,7 +16,8 @@
   return number;
 }
 
-// What follows the job's id and its slash; nothing if the key has no slash there.
+// Returns the text after the job id and the slash that follows it. Returns nothing if no slash
+// follows the job id.
 std::optional<std::string_view> afterJob(const std::string& key, const std::string& prefix) {
   auto slash = key.find('/', prefix.size());
   if (slash == std::string::npos) return std::nullopt;
@@ -31,12 +32,12 @@
   return kTasks + id.value + "/" + std::to_string(chunk);
 }
 
-std::string awaits(const JobId& id, std::uint32_t part) {
-  return kAwaits + id.value + "/" + std::to_string(part);
+std::string dependencyPart(const JobId& id, std::uint32_t part) {
+  return kDependencyPart + id.value + "/" + std::to_string(part);
 }
 
-std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t last) {
-  return kSubChunk + id.value + "/" + std::to_string(first) + "-" + std::to_string(last);
+std::string subChunk(const JobId& id, std::uint32_t first, std::uint32_t end) {
+  return kSubChunk + id.value + "/" + std::to_string(first) + "-" + std::to_string(end);
 }
 
 std::string rental(const RentalId& id) { return kRental + id.value; }
@@ -60,12 +61,12 @@
   return SubChunkKey{jobOf(key, kSubChunk), {*first, *end}};
 }
 
-std::optional<DependencyPartKey> parseAwaits(const std::string& key) {
-  auto rest = afterJob(key, kAwaits);
+std::optional<DependencyPartKey> parseDependencyPart(const std::string& key) {
+  auto rest = afterJob(key, kDependencyPart);
   if (!rest) return std::nullopt;
   auto part = takeNumber(*rest);
   if (!part) return std::nullopt;
-  return DependencyPartKey{jobOf(key, kAwaits), *part};
+  return DependencyPartKey{jobOf(key, kDependencyPart), *part};
 }
 
 JobId jobOf(const std::string& key, const std::string& prefix) {
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -42,7 +42,7 @@
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
     return -1;
   };
-  if (text.size() % 2 != 0 || text.size() > kMost / 4) return std::nullopt;
+  if (text.size() % 2 != 0 || text.size() > kMaxBits / 4) return std::nullopt;
   TaskBits bits;
   for (std::size_t i = 0; i < text.size(); i += 2) {
     int high = digit(text[i]), low = digit(text[i + 1]);
@@ -53,7 +53,7 @@
 }
 
 namespace {
-const char* phaseWord(JobPhase p) {
+const char* phaseName(JobPhase p) {
   switch (p) {
     case JobPhase::done:
       return "done";
@@ -66,17 +66,19 @@
 }  // namespace
 
 std::uint32_t chunkSizeFor(std::size_t valueBytes) {
-  constexpr std::size_t kPerTask = 56;  // in text form, alone on a machine
-  constexpr std::size_t kBesides = 512;
-  std::size_t fits = valueBytes > kBesides ? (valueBytes - kBesides) / kPerTask : 0;
-  return static_cast<std::uint32_t>(std::clamp<std::size_t>(fits, 8, TaskBits::kMost));
+  // A task that shares its machine with no other task takes this many bytes of JSON text.
+  constexpr std::size_t kBytesPerTask = 56;
+  constexpr std::size_t kOverheadBytes = 512;
+  std::size_t fits =
+      valueBytes > kOverheadBytes ? (valueBytes - kOverheadBytes) / kBytesPerTask : 0;
+  return static_cast<std::uint32_t>(std::clamp<std::size_t>(fits, 8, TaskBits::kMaxBits));
 }
 
-std::size_t TaskChunkRecord::bytes() const {
+std::size_t TaskChunkRecord::maxEncodedBytes() const {
   std::size_t n = 64 + finished.hexSize();
   const TaskPlacement* row = nullptr;
   for (const auto& [index, p] : placed) {
-    n += 14;  // a run of its own at worst
+    n += 14;  // Bounds the bytes of a run, which at worst contains only this task.
     if (!row || *row != p) n += p.machine.value.size() + 32;
     row = &p;
   }
@@ -86,7 +88,7 @@
 
 Json toJson(const JobRecord& r) {
   Json v = {{"spec", jobSpecToJson(*r.spec)},
-            {"phase", phaseWord(r.phase)},
+            {"phase", phaseName(r.phase)},
             {"at", r.acceptedAtMs},
             {"stretch", r.chunkSize}};
   if (r.flow) v["flow"] = toJson(*r.flow);
@@ -96,12 +98,13 @@
   return v;
 }
 
-// A row for each machine, session and attempt: then first and length of each run of tasks.
+// Writes one row per placement. A row holds the machine, the worker epoch and the attempt, followed
+// by the first index and the length of each run of consecutive tasks with this placement.
 Json toJson(const TaskChunkRecord& r) {
   Json rows = Json::array();
-  std::map<TaskPlacement, std::size_t> at;
+  std::map<TaskPlacement, std::size_t> rowOfPlacement;
   for (const auto& [index, p] : r.placed) {
-    auto [row, isNew] = at.try_emplace(p, rows.size());
+    auto [row, isNew] = rowOfPlacement.try_emplace(p, rows.size());
     if (isNew) rows.push_back({p.machine.value, p.workerEpoch.value, p.attempt.value});
     Json& runs = rows[row->second];
     auto n = runs.size();
@@ -130,7 +133,7 @@
             {"zone", r.zone.value},
             {"spot", r.spot},
             {"count", r.count},
-            {"at", r.atMs}};
+            {"at", r.requestedAtMs}};
   if (r.answered) {
     Json machines = Json::array(), draining = Json::array();
     for (const auto& m : r.machines) (m.draining ? draining : machines).push_back(m.id.value);
@@ -142,7 +145,7 @@
 
 Json toJson(const LeaderRecord& r) { return {{"member", r.member.value}, {"boot", r.incarnation}}; }
 
-std::optional<JobRecord> jobRecordFrom(const JobId& id, const Json& v) {
+std::optional<JobRecord> jobRecordFromJson(const JobId& id, const Json& v) {
   const Json* spec = field(v, "spec");
   auto phase = textField(v, "phase");
   if (!spec || !phase) return std::nullopt;
@@ -157,7 +160,7 @@
   r.endedAtMs = static_cast<std::int64_t>(countField(v, "ended").value_or(0));
   r.dependencyParts = static_cast<std::uint32_t>(countField(v, "awaits_parts").value_or(0));
   auto chunk = countField(v, "stretch");
-  if (!chunk || *chunk < 1 || *chunk > TaskBits::kMost) return std::nullopt;
+  if (!chunk || *chunk < 1 || *chunk > TaskBits::kMaxBits) return std::nullopt;
   r.chunkSize = static_cast<std::uint32_t>(*chunk);
   if (const Json* flow = field(v, "flow")) {
     auto part = flowPartFrom(*flow);
@@ -172,7 +175,7 @@
   return r;
 }
 
-std::optional<TaskChunkRecord> taskChunkRecordFrom(const Json& v) {
+std::optional<TaskChunkRecord> taskChunkRecordFromJson(const Json& v) {
   auto done = textField(v, "done");
   auto bits = done ? TaskBits::fromHex(*done) : std::nullopt;
   const Json* rows = field(v, "on");
@@ -208,7 +211,7 @@
   return r;
 }
 
-std::optional<RentalRecord> rentalRecordFrom(const RentalId& id, const Json& v) {
+std::optional<RentalRecord> rentalRecordFromJson(const RentalId& id, const Json& v) {
   auto type = textField(v, "type");
   auto zone = textField(v, "zone");
   auto spot = boolField(v, "spot");
@@ -235,7 +238,7 @@
   return r;
 }
 
-std::optional<LeaderRecord> leaderRecordFrom(const Json& v) {
+std::optional<LeaderRecord> leaderRecordFromJson(const Json& v) {
   auto member = textField(v, "member");
   if (!member) return std::nullopt;
   return LeaderRecord{MemberId{*member}, textField(v, "boot").value_or("")};
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -16,7 +16,7 @@
   return it == modRevisions_.end() ? Revision{} : it->second;
 }
 
-bool Replica::flowCancellationUnderWay() const {
+bool Replica::isFlowCancellationInProgress() const {
   return std::any_of(flows_.live().begin(), flows_.live().end(), [this](const FlowId& id) {
     const auto* flow = flows_.find(id);
     if (!flow || !flow->head || flow->head->phase != FlowPhase::cancelled) return false;
@@ -35,21 +35,22 @@
 }
 
 void Replica::advance(Revision revision) {
-  if (revision > cursor_) cursor_ = revision;
-  std::erase_if(drops_, [&](const auto& d) { return d.second <= cursor_; });
+  if (revision > revision_) revision_ = revision;
+  std::erase_if(deletions_, [&](const auto& d) { return d.second <= revision_; });
 }
 
 void Replica::apply(const Change& c) {
   if (c.modRevision <= modRevisionOf(c.key)) return;
-  // Our own commits are applied before the feed reaches them: an older event of the feed must
-  // not bring back a key that we have dropped since.
-  if (auto d = drops_.find(c.key); d != drops_.end() && c.modRevision <= d->second) return;
-  // A load in pages can show tasks of a job that was created after the page of jobs was read. Its
-  // creation and these tasks are read again as changes, in order: until then this key is not known
-  // at all. (Its stamp was, so the change was taken for an old one, and all tasks of that job were
-  // placed twice.)
-  if (c.value && c.key.starts_with(keys::kTasks) && !knowsJobOf(c.key, keys::kTasks)) return;
-  if (c.value && c.key.starts_with(keys::kSubChunk) && !knowsJobOf(c.key, keys::kSubChunk)) {
+  // A controller applies its own commits before the change feed returns them. An older change from
+  // the feed must not restore a key that one of these commits deleted.
+  if (auto d = deletions_.find(c.key); d != deletions_.end() && c.modRevision <= d->second) return;
+  // A load reads pages one after the other, so it can return the task chunk of a job that was
+  // created after the page of job records was read. The records of the job and of the chunk are
+  // read again in order from the change feed, so the chunk is ignored here. Its modification
+  // revision must not be stored either: the later change would count as old, and all tasks of the
+  // job would be placed twice.
+  if (c.value && c.key.starts_with(keys::kTasks) && !hasJobOf(c.key, keys::kTasks)) return;
+  if (c.value && c.key.starts_with(keys::kSubChunk) && !hasJobOf(c.key, keys::kSubChunk)) {
     orphanSubChunks_[c.key] = c.modRevision;
     return;
   }
@@ -57,7 +58,7 @@
     modRevisions_[c.key] = c.modRevision;
   } else {
     modRevisions_.erase(c.key);
-    drops_[c.key] = c.modRevision;
+    deletions_[c.key] = c.modRevision;
   }
   const Json* value = c.value ? &*c.value : nullptr;
   auto rest = [&](const std::string& prefix) { return c.key.substr(prefix.size()); };
@@ -65,7 +66,7 @@
     setJob(JobId{rest(keys::kJob)}, value, c.modRevision);
   } else if (c.key.starts_with(keys::kTasks)) {
     setTasks(c.key, value, c.modRevision);
-  } else if (c.key.starts_with(keys::kAwaits)) {
+  } else if (c.key.starts_with(keys::kDependencyPart)) {
     setDependencyPart(c.key, value);
   } else if (c.key.starts_with(keys::kSubChunk)) {
     setSubChunk(c.key, value, c.modRevision);
@@ -75,14 +76,15 @@
     keyRing_.apply(KeyId{rest(keys::kKey)}, value, c.modRevision);
   } else if (c.key == keys::kCursorKey) {
     cursorKey_ = value ? textField(*value, "secret").value_or("") : "";
-  } else if (auto handler = std::find_if(handlers_.begin(), handlers_.end(),
-                                         [&](const RecordHandler* s) { return s->owns(c.key); });
+  } else if (auto handler = std::find_if(
+                 handlers_.begin(), handlers_.end(),
+                 [&](const RecordHandler* candidate) { return candidate->owns(c.key); });
              handler != handlers_.end()) {
     (*handler)->apply(c.key, value, c.modRevision);
   } else if (flows_.apply(c.key, value, c.modRevision)) {
     return;
   } else if (c.key == keys::kLeader) {
-    leader_ = value ? leaderRecordFrom(*value) : std::nullopt;
+    leader_ = value ? leaderRecordFromJson(*value) : std::nullopt;
   } else if (c.key == keys::kCatalogue) {
     catalogue_ = c.value;
   } else if (c.key == keys::kForecast) {
@@ -90,29 +92,29 @@
   }
 }
 
-bool Replica::knowsJobOf(const std::string& key, const std::string& prefix) const {
+bool Replica::hasJobOf(const std::string& key, const std::string& prefix) const {
   return jobs_.contains(keys::jobOf(key, prefix));
 }
 
 void Replica::setJob(const JobId& id, const Json* value, Revision modRevision) {
   if (!value) {
-    // Users' jobs are never dropped; a flow's are once all of their tasks are off every machine.
+    // Only jobs of flows are deleted, and only after no task of the job is placed on any machine.
     auto it = jobs_.find(id);
     if (it == jobs_.end() || !it->second.record.flow || !it->second.placed.empty()) return;
     if (it->second.subChunks) {
-      for (const auto& [first, last] : *it->second.subChunks) {
-        std::string key = keys::subChunk(id, first, last);
+      for (const auto& [first, end] : *it->second.subChunks) {
+        std::string key = keys::subChunk(id, first, end);
         orphanSubChunks_[key] = modRevisionOf(key);
       }
     }
     flows_.dropJob(it->second.record.flow->flow, id);
-    live_.erase(id);
+    liveJobs_.erase(id);
     jobs_.erase(it);
     return;
   }
-  auto record = jobRecordFrom(id, *value);
+  auto record = jobRecordFromJson(id, *value);
   if (!record) {
-    logError("job record can't be read", "job", id);
+    logError("job record is malformed; ignoring it", "job", id);
     return;
   }
   JobState& job = jobs_[id];
@@ -131,16 +133,16 @@
   }
   if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
   updateDependencies(job, id);
-  settle(job, id);
+  updateLiveJobs(job, id);
 }
 
 void Replica::setDependencyPart(const std::string& key, const Json* value) {
-  auto parsed = keys::parseAwaits(key);
+  auto parsed = keys::parseDependencyPart(key);
   if (!parsed || !value) return;
   const Json* list = field(*value, "jobs");
   auto jobs = list ? jobIdsFrom(*list) : std::nullopt;
   if (!jobs) {
-    logError("dependency list can't be read", "key", key);
+    logError("dependency list record is malformed; ignoring it", "key", key);
     return;
   }
   dependencyParts_[parsed->job][parsed->part] = std::move(*jobs);
@@ -148,8 +150,8 @@
   if (it != jobs_.end()) updateDependencies(it->second, parsed->job);
 }
 
-// Takes in the dependencies of a job, and its end. A job whose dependency list is not wholly read
-// stays blocked.
+// Passes the job's dependencies and its phase to the dependency graph. A job stays blocked until
+// all parts of its dependency list have been read.
 void Replica::updateDependencies(JobState& job, const JobId& id) {
   auto input = dependencyInputOf(id);
   job.dependenciesUnread = !input;
@@ -168,7 +170,7 @@
   input.endedAtMs = job.record.endedAtMs;
   input.priority = spec.priority;
   input.estimate = spec.estimate;
-  if (spec.deadline) input.dueMs = job.record.acceptedAtMs + spec.deadline->count();
+  if (spec.deadline) input.deadlineMs = job.record.acceptedAtMs + spec.deadline->count();
   input.dependsOn = spec.dependsOn;
   if (job.record.dependencyParts == 0 || job.record.phase != JobPhase::active) return input;
   auto parts = dependencyParts_.find(id);
@@ -188,18 +190,18 @@
   if (!job.dependencies) job.dependencies = std::make_unique<JobDependencies>();
   job.dependencies->state = state;
   const JobSpec& spec = *job.record.spec;
-  job.dependencies->ordered = job.record.spec;
+  job.dependencies->effectiveSpec = job.record.spec;
   if (state.priority > spec.priority) {
     JobSpec raised = spec;
     raised.priority = state.priority;
-    job.dependencies->ordered = std::make_shared<const JobSpec>(std::move(raised));
+    job.dependencies->effectiveSpec = std::make_shared<const JobSpec>(std::move(raised));
   }
-  if (state.cancelled) settle(job, id);
+  if (state.cancelled) updateLiveJobs(job, id);
 }
 
-TaskChunkRecord Replica::tasksOf(const JobState& job, std::uint32_t first, std::uint32_t last,
-                                 bool whole) const {
-  return job.tasksOf({first, last}, whole);
+TaskChunkRecord Replica::tasksOf(const JobState& job, std::uint32_t first, std::uint32_t end,
+                                 bool wholeChunk) const {
+  return job.tasksOf({first, end}, wholeChunk);
 }
 
 void Replica::addPlacement(const JobId& id, JobState& job, std::uint32_t index,
@@ -208,7 +210,8 @@
   machines_.addTask({id, index}, placed, job);
 }
 
-// By value: the placement may be an element of the map that is changed here.
+// The placement is passed by value because the caller's placement may be an element of job.placed,
+// which this function changes.
 void Replica::removePlacement(const JobId& id, JobState& job, std::uint32_t index,
                               TaskPlacement placed) {
   job.placed.erase(index);
@@ -219,16 +222,17 @@
   auto parsed = keys::parseTasks(key);
   if (!parsed) return;
   const JobId& id = parsed->job;
-  auto record = value ? taskChunkRecordFrom(*value) : std::optional(TaskChunkRecord{});
+  auto record = value ? taskChunkRecordFromJson(*value) : std::optional(TaskChunkRecord{});
   if (!record) {
-    logError("task chunk record can't be read", "key", key);
+    logError("task chunk record is malformed; ignoring it", "key", key);
     return;
   }
   auto it = jobs_.find(id);
-  // A job's record is written, and read, before those of its tasks.
-  if (it == jobs_.end() && !value) return;  // dropped together with its job
+  // The chunk may have been deleted together with its job.
+  if (it == jobs_.end() && !value) return;
+  // A job's record is written and read before the records of its task chunks.
   if (it == jobs_.end() || it->second.record.chunkSize == 0) {
-    logError("task chunk record of an unknown job", "key", key);
+    logError("task chunk record belongs to an unknown job; ignoring it", "key", key);
     return;
   }
   JobState& job = it->second;
@@ -242,12 +246,13 @@
       if (!job.subChunkOf(index)) removePlacement(id, job, index, placed);
     }
   }
-  settle(job, id);
+  updateLiveJobs(job, id);
 }
 
 void Replica::applyTaskChunk(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
                              TaskChunkRecord record) {
-  // The record of a chunk is out of date for tasks that are in a sub-chunk.
+  // The record of a chunk is out of date for tasks that are in a sub-chunk, so it must not change
+  // them.
   auto covers = [&](std::uint32_t index) { return !wholeChunk || !job.subChunkOf(index); };
   applyPlacements(id, job, range, wholeChunk, record.placed);
   const std::uint32_t number = range.first / job.record.chunkSize;
@@ -296,30 +301,31 @@
   const auto& [id, range] = *parsed;
   auto it = jobs_.find(id);
   orphanSubChunks_.erase(key);
-  // Dropped only after its job.
+  // A sub-chunk is deleted only after its job, so its deletion changes nothing else.
   if (it == jobs_.end() || !value) return;
   JobState& job = it->second;
-  auto record = taskChunkRecordFrom(*value);
+  auto record = taskChunkRecordFromJson(*value);
   const std::uint32_t chunkSize = job.record.chunkSize;
   if (!record || chunkSize == 0 || range.first >= range.end ||
       range.first / chunkSize != (range.end - 1) / chunkSize) {
-    logError("sub-chunk record can't be read", "key", key);
+    logError("sub-chunk record is malformed; ignoring it", "key", key);
     return;
   }
   if (!job.subChunks) job.subChunks = std::make_unique<std::map<std::uint32_t, std::uint32_t>>();
   (*job.subChunks)[range.first] = range.end;
   applyTaskChunk(id, job, range, false, std::move(*record));
   if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
-  settle(job, id);
+  updateLiveJobs(job, id);
 }
 
-// Jobs that are over and off every machine keep only what users may still ask for.
-void Replica::settle(JobState& job, const JobId& id) {
+// Updates the index of live jobs. A job that is not live keeps only the data that users can still
+// request.
+void Replica::updateLiveJobs(JobState& job, const JobId& id) {
   bool live = job.active() || !job.placed.empty();
   if (live) {
-    live_[id] = &job;
+    liveJobs_[id] = &job;
   } else {
-    live_.erase(id);
+    liveJobs_.erase(id);
     job.finished.clear();
     if (job.record.phase != JobPhase::active) job.dependencies.reset();
     if (job.record.phase == JobPhase::done) job.finishedCount = job.tasks;
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -90,14 +90,16 @@
 const std::vector<RecordForm>& writtenForms() {
   static const std::vector<RecordForm> forms{
       {keys::kJob,
-       [](const auto& id, const Json& v) { return written(jobRecordFrom(JobId{id}, v)); }},
-      {keys::kTasks, [](const auto&, const Json& v) { return written(taskChunkRecordFrom(v)); }},
-      {keys::kSubChunk, [](const auto&, const Json& v) { return written(taskChunkRecordFrom(v)); }},
-      {keys::kAwaits, [](const auto&, const Json& v) { return rewriteDependencies(v); }},
-      {keys::kRental,
-       [](const auto& id, const Json& v) { return written(rentalRecordFrom(RentalId{id}, v)); }},
-      {keys::kLeader, [](const auto&, const Json& v) { return written(leaderRecordFrom(v)); }},
-      {keys::kCatalogue, [](const auto&, const Json& v) { return written(catalogueFrom(v)); }},
+       [](const auto& id, const Json& v) { return written(jobRecordFromJson(JobId{id}, v)); }},
+      {keys::kTasks,
+       [](const auto&, const Json& v) { return written(taskChunkRecordFromJson(v)); }},
+      {keys::kSubChunk,
+       [](const auto&, const Json& v) { return written(taskChunkRecordFromJson(v)); }},
+      {keys::kDependencyPart, [](const auto&, const Json& v) { return rewriteDependencies(v); }},
+      {keys::kRental, [](const auto& id,
+                         const Json& v) { return written(rentalRecordFromJson(RentalId{id}, v)); }},
+      {keys::kLeader, [](const auto&, const Json& v) { return written(leaderRecordFromJson(v)); }},
+      {keys::kCatalogue, [](const auto&, const Json& v) { return written(catalogueFromJson(v)); }},
       {keys::kForecast, [](const auto&, const Json& v) { return rewriteForecast(v); }},
       {keys::kPolicy, [](const auto&, const Json& v) { return written(policyVersionFrom(v)); }},
       {keys::kPolicyPast, [](const auto&, const Json& v) { return written(policyVersionFrom(v)); }},
@@ -196,7 +198,7 @@
 TEST(StoredRecords, of_jobs_and_their_tasks_are_read_field_by_field) {
   for (const auto& entry : recordsWith(keys::kJob)) {
     const Json& record = entry.at("value");
-    auto job = jobRecordFrom(JobId{keyOf(entry).substr(keys::kJob.size())}, record);
+    auto job = jobRecordFromJson(JobId{keyOf(entry).substr(keys::kJob.size())}, record);
     ASSERT_TRUE(job) << whereOf(entry);
     EXPECT_EQ(job->acceptedAtMs, record.at("at").get<std::int64_t>());
     EXPECT_EQ(job->chunkSize, record.at("stretch").get<std::uint32_t>());
@@ -206,7 +208,7 @@
     EXPECT_EQ(job->dependencyParts, record.value("awaits_parts", 0U));
   }
   for (const auto& entry : recordsWith(keys::kTasks)) {
-    auto chunk = taskChunkRecordFrom(entry.at("value"));
+    auto chunk = taskChunkRecordFromJson(entry.at("value"));
     ASSERT_TRUE(chunk) << whereOf(entry);
     std::uint32_t placed = 0;
     for (const auto& row : entry.at("value").at("on")) {
@@ -226,7 +228,7 @@
     replica.apply({keyOf(entry), record, kAnyRevision});
     ASSERT_TRUE(replica.job(id)) << whereOf(entry);
     EXPECT_TRUE(replica.job(id)->dependenciesUnread);
-    auto parts = recordsWith(keys::kAwaits + id.value + "/");
+    auto parts = recordsWith(keys::kDependencyPart + id.value + "/");
     ASSERT_EQ(parts.size(), record.at("awaits_parts").get<std::size_t>());
     for (const auto& part : parts) {
       replica.apply({keyOf(part), part.at("value"), kAnyRevision});
@@ -284,7 +286,7 @@
 
 TEST(StoredRecords, of_versions_are_read) {
   for (const auto& entry : recordsWith(keys::kVersion)) {
-    MemberVersions versions{Platform{}};
+    ControllerVersions versions{Platform{}};
     const Json& record = entry.at("value");
     versions.apply(keyOf(entry), &record, kAnyRevision);
     EXPECT_EQ(versions.formatOf(MemberId{keyOf(entry).substr(keys::kVersion.size())}),
@@ -315,7 +317,7 @@
 }
 
 void expectReadAsWritten(const Json& message) {
-  auto report = reportFrom(message);
+  auto report = reportFromJson(message);
   ASSERT_TRUE(report) << message.dump();
   EXPECT_EQ(report->machine.value, message.at("host"));
   EXPECT_EQ(report->address, message.at("addr"));
