--- a/src/jobs/admission.cpp
+++ b/src/jobs/admission.cpp
@@ -5,22 +5,26 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr double kRounding = 1e-6;      // of sums of resources against a limit
-constexpr std::size_t kBesides = 256;   // bytes of keys, and of what the job's end adds
-constexpr std::size_t kListSyntax = 3;  // bytes of the quotes and the comma of a list entry
+// A sum of resources may exceed a limit by this rounding error.
+constexpr double kRoundingTolerance = 1e-6;
+// These bytes of a value are reserved for its key and for the fields that are added when the job
+// ends.
+constexpr std::size_t kReservedBytes = 256;
+// The quotes and the comma of a list entry take 3 bytes.
+constexpr std::size_t kListSyntaxBytes = 3;
 
 bool fits(const Json& value, std::size_t valueBytes) {
-  return value.dump().size() + kBesides <= valueBytes;
+  return value.dump().size() + kReservedBytes <= valueBytes;
 }
 
-// Cuts a dependency list into parts that each fit into a record of `valueBytes`.
+// Splits a dependency list into parts that each fit into a record of `valueBytes`.
 std::vector<std::vector<JobId>> splitDependencies(const std::vector<JobId>& dependsOn,
                                                   std::size_t valueBytes) {
   std::vector<std::vector<JobId>> parts;
   std::size_t bytes = 0;
   for (const auto& dependency : dependsOn) {
-    std::size_t entryBytes = dependency.value.size() + kListSyntax;
-    if (parts.empty() || bytes + entryBytes + kBesides > valueBytes) {
+    std::size_t entryBytes = dependency.value.size() + kListSyntaxBytes;
+    if (parts.empty() || bytes + entryBytes + kReservedBytes > valueBytes) {
       parts.emplace_back();
       bytes = 0;
     }
@@ -51,8 +55,8 @@
   if (!fits) return Invalid{"no allowed machine type can hold a task"};
   double tasks = spec.kind == JobKind::array ? 1 : spec.tasks;
   const Resources& limit = team->second.limit;
-  if ((limit.cpus > 0 && spec.perTask.cpus * tasks > limit.cpus + kRounding) ||
-      (limit.gpus > 0 && spec.perTask.gpus * tasks > limit.gpus + kRounding)) {
+  if ((limit.cpus > 0 && spec.perTask.cpus * tasks > limit.cpus + kRoundingTolerance) ||
+      (limit.gpus > 0 && spec.perTask.gpus * tasks > limit.gpus + kRoundingTolerance)) {
     return Invalid{"over the team's limit"};
   }
   return std::nullopt;
--- a/src/jobs/admission.hpp
+++ b/src/jobs/admission.hpp
@@ -1,6 +1,6 @@
-/// Admission of jobs: whether a well-formed job can ever run, and the records that it becomes.
-///
-/// Pure functions: they send nothing and read no clock.
+/// \file
+/// Decides whether a well-formed job can ever run, and creates the records of an accepted job. All
+/// functions are pure: they send no requests and read no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,24 @@
 
 namespace kestrelhoist {
 
-/// A job that may be accepted, as it will be on record.
+/// Holds the records of a job that is ready to be committed.
 struct Submission {
   JobRecord record;
-  /// Its dependencies where the list does not fit into its own record: one record for each part.
+  /// The job's dependencies if the list does not fit into the job record; each part becomes a
+  /// record of its own. Empty if the list is in the job record.
   std::vector<std::vector<JobId>> dependencyParts;
   std::string requestId;
 
-  /// Returns all jobs that it depends on, wherever they are recorded.
+  /// Returns all dependencies of the job, from the job record and from the parts.
   std::vector<JobId> dependencies() const;
 };
 
-/// Returns why a well-formed job can never run; nothing if it can.
+/// Returns the reason why a well-formed job can never run; nullopt if the job can run.
 [[nodiscard]] std::optional<Invalid> neverRuns(const JobSpec& spec, const Catalogue& catalogue,
                                                const Platform& platform);
 
-/// Makes the records of a job. `owner` is null for a user without a key, `acceptedAtMs` is the time
-/// of day. Returns nothing if the job does not fit into records of `valueBytes`.
+/// Creates the records of a job. `owner` is null for a user without a key; `acceptedAtMs` is a time
+/// of day. Returns nullopt if the job does not fit into records of `valueBytes` each.
 [[nodiscard]] std::optional<Submission> prepareSubmission(JobSpec spec,
                                                           std::shared_ptr<const JobOwner> owner,
                                                           const std::string& requestId,
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -7,10 +7,12 @@
 namespace kestrelhoist {
 namespace {
 
-// Of the state service's write rate, what one node may use for users in a burst.
+// One controller may use this share of the state service's write rate for user requests, also in a
+// burst.
 constexpr double kUserWriteShare = 0.4;
 
-constexpr Duration kMaxSlotWait{200};  // until the write rate is looked at again
+// A request that waits for the write rate limit checks it again after at most this time.
+constexpr Duration kMaxSlotWait{200};
 constexpr int kCancelTries = 5;
 
 const char* phaseWord(const JobState& job) {
@@ -95,7 +97,8 @@
             {"done", std::min(job.finishedCount, job.tasks)},
             {"running", job.active() ? job.placed.size() : 0}};
   if (owner) {
-    // Members can tell whether a job that they find is the one that they ask for.
+    // These fields allow a member to verify that an existing job with this id is the job that the
+    // member wants to submit.
     v["job"] = id.value;
     v["tasks"] = job.tasks;
     v["class"] = job.record.spec->jobClass;
@@ -106,7 +109,7 @@
 }
 
 void JobService::poll(const JobId& id, const Respond& respond) {
-  // Done and cancelled are final, whatever is newer.
+  // The phases done and cancelled are final, so that no linearizable read is necessary.
   if (const auto* job = known(id); job && !job->active())
     return respond(stateResponse(id, *job, 200));
   watcher_.linearizableRead([this, id, respond](bool ok) {
@@ -161,7 +164,8 @@
   record.phase = JobPhase::cancelled;
   Transaction transaction;
   transaction.requestId = request.id;
-  // On the revision that was read: a placement or an end committed meanwhile makes this fail.
+  // The transaction compares the revision that was read, so that it fails if a placement or the end
+  // of the job is committed in between.
   transaction.compares.push_back({keys::job(id), job.modRevision});
   transaction.writes.push_back({keys::job(id), toJson(record), std::nullopt});
   store_.commit(
--- a/src/jobs/service.hpp
+++ b/src/jobs/service.hpp
@@ -1,4 +1,5 @@
-/// The users' interface to jobs: submissions, polls and cancellations.
+/// \file
+/// Implements the HTTP interface for jobs: submissions, polls and cancellations.
 #pragma once
 
 #include <functional>
@@ -16,36 +17,43 @@
 
 namespace kestrelhoist {
 
-/// Answers users' requests about jobs on any node. Runs on the node's event loop; everything that
-/// it is constructed with must outlive it.
+/// Answers users' requests about jobs on any controller. Runs on the controller's event loop; the
+/// objects that are passed to the constructor must outlive the service.
 class JobService {
  public:
   JobService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
              const Platform& platform, const MemberVersions& versions);
 
-  /// Answers /v2/runs and below; returns false if the path is not one of these. `member` is the
-  /// member that asks, within its own space of names; null for a user without a key.
+  /// Answers requests to /v2/runs and the paths below it; returns false for any other path.
+  /// `member` is the member that sends the request and whose namespace the job ids belong to; it is
+  /// null for a user without a key.
   bool handle(const Request& request, const Respond& respond, const Owner* member = nullptr);
 
-  std::function<void()> onCommitted;  ///< a job was accepted or cancelled here; may be null
-  /// Returns the machine types of the fleet, refreshed from the record; null if not known.
+  /// Runs after this controller has committed the acceptance or cancellation of a job; may be null.
+  std::function<void()> onCommitted;
+  /// Returns the machine types as the replica holds them; null if the replica has no valid
+  /// catalogue.
   const Catalogue* catalogue() const;
-  /// Returns what users are shown of a job. The digest is a hash over its description: not for
-  /// whole lists.
+  /// Returns the JSON form of a job's state for users. The digest is a hash of the job's
+  /// description; lists of jobs omit it because its computation is expensive.
   static Json view(const JobId& id, const JobState& job, bool withDigest = true);
 
  private:
-  static constexpr std::size_t kMaxInProgress = 256;  ///< user requests; above it: 429 at once
+  /// Limits the user requests in progress; requests above the limit get status 429 at once.
+  static constexpr std::size_t kMaxInProgress = 256;
   static constexpr Duration kCommitTimeout{1500};
-  static constexpr Duration kRetryDelay{150};  ///< after the state service refused a transaction
+  /// Delays the retry after the state service has refused a transaction.
+  static constexpr Duration kRetryDelay{150};
 
   static JobId jobIdOf(const std::string& ref, const Owner* member);
   static Response stateResponse(const JobId& id, const JobState& job, int status);
   const JobState* known(const JobId& id) const;
   bool knowsAll(const std::vector<JobId>& jobs) const;
-  /// Answers with the job's state if it is known after a read that begins now, else as `otherwise`.
+  /// Starts a linearizable read. Responds with the job's state if the replica holds the job after
+  /// the read; calls `otherwise` if it does not.
   void answerAfterRead(const JobId& id, const Respond& respond, std::function<void()> otherwise);
-  /// Calls `next` once a slot of the write rate is free; refuses when that takes too long.
+  /// Calls `next` as soon as the write rate limit permits another write; responds with status 429
+  /// after `triesLeft` waits without success.
   void withWriteSlot(const Respond& respond, std::function<void()> next, int triesLeft = 10);
 
   void poll(const JobId& id, const Respond& respond);
@@ -56,11 +64,13 @@
   void cancelled(const JobId& id, const Transaction& transaction, Revision revision,
                  const Respond& respond);
 
-  /// Submission, in submission.cpp; the steps in their order.
+  /// Handles a submission. This function and the following steps, declared in the order of their
+  /// execution, are implemented in submission.cpp.
   void submit(const Request& request, const Owner* member, const Respond& respond);
   std::optional<Response> refusalOf(const std::variant<JobSpec, Invalid>& parsed,
                                     const Owner* member) const;
-  /// Why a job with these dependencies must not be accepted, as far as the replica knows.
+  /// Returns the error response for dependencies that must not be accepted according to the
+  /// replica; nullopt if the replica holds no reason against them.
   std::optional<Response> refusalOfDependencies(const std::vector<JobId>& dependsOn) const;
   void accept(std::shared_ptr<const Submission> submission, const Respond& respond);
   void createParts(std::shared_ptr<const Submission> submission, std::uint32_t from,
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kMaxTypes = 64;
 constexpr double kMaxAmount = 1e9;
 
-// Collects the first fault of a submission.
+// Reads the fields of a submission and remembers the first field that is missing or invalid.
 class Fields {
  public:
   explicit Fields(const Json& body) : body_(body) {}
@@ -33,7 +33,8 @@
   void fault(const char* name) {
     if (why_.empty()) why_ = std::string("field ") + name + " is missing or invalid";
   }
-  // Names of jobs, each once and none of them this job's own; missing: none.
+  // Returns the distinct job ids in the list field `name`; an empty list if the field is missing.
+  // An invalid id or the id `own` makes the field invalid.
   std::vector<JobId> otherJobs(const char* name, const JobId& own) {
     std::vector<JobId> jobs;
     const Json* list = field(body_, name);
@@ -229,7 +230,7 @@
   if (field(v, "deadline_ms")) s.deadline = ms("deadline_ms");
   if (const Json* dependsOn = field(v, "awaits")) {
     auto jobs = jobIdsFrom(*dependsOn);
-    // A job that awaits something unknown must not start.
+    // A job whose dependencies can't be parsed must not start.
     if (!jobs) return std::nullopt;
     s.dependsOn = std::move(*jobs);
   }
--- a/src/jobs/spec.hpp
+++ b/src/jobs/spec.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a user asked for, and the record of it.
+/// Defines the description of a job, its parser for submissions and its form in job records.
 #pragma once
 
 #include <memory>
@@ -13,11 +13,13 @@
 
 namespace kestrelhoist {
 
-/// A gang is an array whose tasks only run all together.
+/// Kind of a job. A gang is a job array whose tasks run only all at the same time.
 enum class JobKind { array, service, gang };
-enum class Priority { low, normal, high, production };  ///< ordered
+/// Priority of a job, from the lowest to the highest.
+enum class Priority { low, normal, high, production };
 enum class JobPhase { active, done, cancelled };
 
+/// Description of a job as the user has submitted it.
 struct JobSpec {
   JobId id;
   std::string jobClass;
@@ -28,42 +30,45 @@
   Resources perTask;
   ImageId image;
   double imageGb{};
-  std::optional<std::vector<TypeId>> types;  ///< empty optional: any
+  std::optional<std::vector<TypeId>> types;  ///< any type is allowed if nullopt
   std::optional<ZoneId> zone;
   bool oneZone{};
   bool spread{};
   bool spotAllowed{};
   Duration estimate{};
-  Duration checkpointEvery{};  ///< 0: never saves
+  Duration checkpointEvery{};  ///< 0 if the tasks write no checkpoints
   Duration saveTime{};
   std::optional<Duration> deadline;
-  std::vector<JobId>
-      dependsOn;  ///< jobs that have to be done before any task starts; no repetitions
+  /// Jobs that must be done before any task of this job starts; contains no duplicates.
+  std::vector<JobId> dependsOn;
 
   bool allowsType(const TypeId& type) const;
   bool checkpoints() const { return checkpointEvery.count() > 0; }
-  /// How many tasks may be in one zone.
+  /// Returns how many tasks of the job may run in one zone.
   std::uint32_t zoneLimit() const { return spread ? (tasks + 1) / 2 : tasks; }
 };
 
+/// Explains why a submission is rejected.
 struct Invalid {
   std::string why;
 };
 
 inline constexpr std::uint32_t kMaxTasks = 100000;
 
-/// j- and digits.
+/// Returns whether `ref` is a valid job id: "j-" and 1 to 18 digits.
 bool validJobId(const std::string& ref);
 
-/// The body of POST /v2/runs.
+/// Parses the body of POST /v2/runs; returns the first invalid field on failure.
 std::variant<JobSpec, Invalid> parseSubmission(const Json& body);
 
-/// Lists of jobs in records; empty: not such a list.
+/// Converts job ids to the list form of the records.
 Json jobIdsToJson(const std::vector<JobId>& jobs);
+/// Parses a list of job ids from a record; returns nullopt if `list` is not a list of strings.
 std::optional<std::vector<JobId>> jobIdsFrom(const Json& list);
 
-/// The record's own form.
+/// Converts a job description to its form in the job record.
 Json jobSpecToJson(const JobSpec& spec);
+/// Parses a job description from the job record; returns nullopt if it is malformed.
 std::optional<JobSpec> jobSpecFromJson(const JobId& id, const Json& value);
 
 }  // namespace kestrelhoist
--- a/src/jobs/submission.cpp
+++ b/src/jobs/submission.cpp
@@ -1,4 +1,5 @@
-// JobService: submission of jobs. service.cpp has the routing, polls and cancellations.
+// This file implements the job submission of JobService; service.cpp implements its routing, polls
+// and cancellations.
 #include <algorithm>
 
 #include "base/log.hpp"
@@ -8,8 +9,8 @@
 namespace {
 
 constexpr int kCreateTries = 3;
-// From this format of records on a job may depend on others; a controller that does not know it
-// would start them too early.
+// Record format 2 introduces job dependencies. A controller with an older format ignores them and
+// would start dependent jobs too early.
 constexpr unsigned kFormatWithDependencies = 2;
 
 }  // namespace
@@ -48,7 +49,8 @@
     }
   }
   if (refusal || known(id)) {
-    // A job that was accepted before is answered with its state, whatever is sent now.
+    // A repeated submission of an accepted job returns the job's state, even if the new request
+    // body differs or is invalid.
     answerAfterRead(id, respond,
                     [respond, refusal] { respond(refusal ? *refusal : retryLater(503)); });
     return;
@@ -90,8 +92,8 @@
   return std::all_of(jobs.begin(), jobs.end(), [this](const JobId& id) { return known(id); });
 }
 
-// Its dependencies may have been accepted by a node whose commit has not been read here yet: only a
-// read that was sent after the request shows that a job was never accepted.
+// Another controller may have accepted a dependency in a commit that this controller has not read
+// yet. Only a linearizable read that begins after the request proves that a job was never accepted.
 void JobService::accept(std::shared_ptr<const Submission> submission, const Respond& respond) {
   auto dependsOn = submission->dependencies();
   auto begin = [this, submission, respond] {
@@ -108,8 +110,8 @@
       });
 }
 
-// The parts are written before the job itself, and only as long as it is not on record: nobody
-// changes them after that.
+// Writes the parts of the dependency list before the job record. The transaction requires that the
+// job record does not exist, so that no controller changes the parts of an accepted job.
 void JobService::createParts(std::shared_ptr<const Submission> submission, std::uint32_t from,
                              const Respond& respond) {
   const JobId& id = submission->record.spec->id;
@@ -155,10 +157,13 @@
       case CommitOutcome::applied:
         replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
         return accepted(*submission, respond);
-      case CommitOutcome::conflict:  // known already: by a retry, or by our own lost answer
+      case CommitOutcome::conflict:
+        // The job record exists: a retry of the user, or an earlier commit of this controller whose
+        // response was lost, has created it.
         return answerAfterRead(id, respond, [respond] { respond(retryLater(503)); });
       case CommitOutcome::refused:
-        // Rate limit or outage. One more try soon, unless reads fail as well.
+        // The state service is rate limiting or unavailable. The commit is retried after a short
+        // delay unless reads from the state service fail as well.
         if (triesLeft > 0 && watcher_.reachable()) {
           runtime_.after(kRetryDelay, [this, submission, triesLeft, respond] {
             create(submission, triesLeft - 1, respond);
@@ -167,7 +172,7 @@
         }
         return respond(retryLater(503));
       default:
-        // Not known whether it was accepted: the user asks again with the same id.
+        // The outcome of the commit is unknown. The user retries with the same job id.
         return respond(retryLater(503));
     }
   });
@@ -179,12 +184,14 @@
   logInfo("job accepted", "job", id, "tasks", record.spec->tasks, "class", record.spec->jobClass,
           "request", submission.requestId);
   const auto* job = known(id);
-  // It needs a cancelled job: another node may have answered so already.
+  // A job that depends on a cancelled job is cancelled as well, and another controller may have
+  // reported it to the user as cancelled already.
   const bool cancelled = job && job->phase() == JobPhase::cancelled;
   if (job && (record.owner || cancelled)) {
     respond(stateResponse(id, *job, 201));
   } else {
-    // Whatever the replica says by now: nothing was placed before this was committed.
+    // The response reports the phase at the commit, when no task of the job was placed yet. The
+    // replica may already hold a later phase.
     respond(jsonResponse(201, {{"ref", id.value}, {"phase", "pending"}}));
   }
   if (onCommitted) onCommitted();
