--- a/src/jobs/admission.cpp
+++ b/src/jobs/admission.cpp
@@ -9,12 +9,12 @@
 constexpr double kRoundingTolerance = 1e-6;
 // These bytes of a value are reserved for its key and for the fields that are added when the job
 // ends.
-constexpr std::size_t kReservedBytes = 256;
+constexpr std::size_t kOverheadBytes = 256;
 // The quotes and the comma of a list entry take 3 bytes.
 constexpr std::size_t kListSyntaxBytes = 3;
 
 bool fits(const Json& value, std::size_t valueBytes) {
-  return value.dump().size() + kReservedBytes <= valueBytes;
+  return value.dump().size() + kOverheadBytes <= valueBytes;
 }
 
 // Splits a dependency list into parts that each fit into a record of `valueBytes`.
@@ -24,7 +24,7 @@
   std::size_t bytes = 0;
   for (const auto& dependency : dependsOn) {
     std::size_t entryBytes = dependency.value.size() + kListSyntaxBytes;
-    if (parts.empty() || bytes + entryBytes + kReservedBytes > valueBytes) {
+    if (parts.empty() || bytes + entryBytes + kOverheadBytes > valueBytes) {
       parts.emplace_back();
       bytes = 0;
     }
--- a/src/jobs/admission.hpp
+++ b/src/jobs/admission.hpp
@@ -19,8 +19,8 @@
 /// Holds the records of a job that is ready to be committed.
 struct Submission {
   JobRecord record;
-  /// The job's dependencies if the list does not fit into the job record; each part becomes a
-  /// record of its own. Empty if the list is in the job record.
+  /// Holds the job's dependencies if the list does not fit into the job record; each part becomes a
+  /// record of its own. The vector is empty if the job record holds the list.
   std::vector<std::vector<JobId>> dependencyParts;
   std::string requestId;
 
--- a/src/jobs/service.hpp
+++ b/src/jobs/service.hpp
@@ -31,11 +31,11 @@
 
   /// Runs after this controller has committed the acceptance or cancellation of a job; may be null.
   std::function<void()> onCommitted;
-  /// Returns the machine types as the replica holds them; null if the replica has no valid
-  /// catalogue.
+  /// Returns the machine types from the catalogue record in the replica; null if the replica holds
+  /// no valid catalogue record.
   const Catalogue* catalogue() const;
   /// Returns the JSON form of a job's state for users. The digest is a hash of the job's
-  /// description; lists of jobs omit it because its computation is expensive.
+  /// description; it is not computed for whole lists of jobs.
   static Json view(const JobId& id, const JobState& job, bool withDigest = true);
 
  private:
--- a/src/jobs/spec.hpp
+++ b/src/jobs/spec.hpp
@@ -13,13 +13,14 @@
 
 namespace kestrelhoist {
 
-/// Kind of a job. A gang is a job array whose tasks run only all at the same time.
+/// Distinguishes the kinds of jobs. A gang is a job array whose tasks run only all at the same
+/// time.
 enum class JobKind { array, service, gang };
-/// Priority of a job, from the lowest to the highest.
+/// Ranks jobs; the enumerators are in ascending order.
 enum class Priority { low, normal, high, production };
 enum class JobPhase { active, done, cancelled };
 
-/// Description of a job as the user has submitted it.
+/// Describes a job as the user has submitted it.
 struct JobSpec {
   JobId id;
   std::string jobClass;
@@ -30,16 +31,16 @@
   Resources perTask;
   ImageId image;
   double imageGb{};
-  std::optional<std::vector<TypeId>> types;  ///< any type is allowed if nullopt
+  std::optional<std::vector<TypeId>> types;  ///< nullopt allows every type
   std::optional<ZoneId> zone;
   bool oneZone{};
   bool spread{};
   bool spotAllowed{};
   Duration estimate{};
-  Duration checkpointEvery{};  ///< 0 if the tasks write no checkpoints
+  Duration checkpointEvery{};  ///< is 0 if the tasks write no checkpoints
   Duration saveTime{};
   std::optional<Duration> deadline;
-  /// Jobs that must be done before any task of this job starts; contains no duplicates.
+  /// Lists the jobs that must be done before any task of this job starts, without duplicates.
   std::vector<JobId> dependsOn;
 
   bool allowsType(const TypeId& type) const;
--- a/src/policy/calendar.cpp
+++ b/src/policy/calendar.cpp
@@ -12,14 +12,15 @@
 
 std::int64_t utcMs(const date::time_zone* zone, date::local_days day, int minute, bool opens) {
   auto local = day + std::chrono::minutes{minute};
-  // A time that a day lacks is when its gap ends; of one that it repeats, a period opens with the
-  // first and closes with the last.
+  // A local time that daylight saving skips is mapped to the end of the skipped hour. If a local
+  // time occurs twice, a period opens at the first occurrence and closes at the second.
   auto choose = opens ? date::choose::earliest : date::choose::latest;
   auto at = zone->to_sys(std::chrono::time_point_cast<std::chrono::seconds>(local), choose);
   return std::chrono::duration_cast<Ms>(at.time_since_epoch()).count();
 }
 
-// All that open on the local days around a time, in order.
+// Returns all occurrences that open between `before` local days before a time and `after` local
+// days after it, in the order of their opening.
 std::vector<Occurrence> around(const Calendar& c, std::int64_t atMs, int before, int after) {
   std::vector<Occurrence> out;
   if (c.periods.empty()) return out;
@@ -76,8 +77,8 @@
 }
 
 std::optional<std::pair<std::size_t, std::size_t>> overlapping(const Calendar& calendar) {
-  // A week of winter and one of summer show every pair: holidays and changes of the clock only take
-  // openings away or move both.
+  // One week in winter and one in summer show every overlap: holidays only remove occurrences, and
+  // daylight saving changes shift both periods equally.
   Calendar c = calendar;
   c.holidays.clear();
   for (std::int64_t week : {1736726400000LL, 1752451200000LL}) {  // 2025-01-13, 2025-07-14
--- a/src/policy/calendar.hpp
+++ b/src/policy/calendar.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// When periods are open, by local time in an IANA zone. Pure; daylight saving, midnight, days that
-/// lack or repeat an hour and holidays are the library's zone data and the rules below.
+/// Computes when calendar periods open and close, in the local time of an IANA time zone. The
+/// functions handle daylight saving changes, periods across midnight and holidays. They are pure,
+/// except that they read the time zone data of the date library.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +12,21 @@
 
 namespace kestrelhoist {
 
-/// One opening of a period. Times of day are milliseconds since 1970, UTC.
+/// Describes one opening of a period. Times are milliseconds since 1970-01-01 UTC.
 struct Occurrence {
-  std::size_t period{};  ///< index in the calendar
+  std::size_t period{};  ///< is an index into Calendar::periods
   std::int64_t opensMs{}, closesMs{};
 };
 
+/// Returns whether the time zone data contain this zone.
 bool knownZone(const std::string& zone);
-/// The one that is open at this time, if any.
+/// Returns the occurrence that is open at this time; nullopt if none is.
 std::optional<Occurrence> openAt(const Calendar& calendar, std::int64_t atMs);
-/// The first that opens after this time, within the next ten days.
+/// Returns the first occurrence that opens after this time; nullopt if none opens within the next
+/// ten days.
 std::optional<Occurrence> nextAfter(const Calendar& calendar, std::int64_t atMs);
-/// Two periods that are open at the same time in some week of the year, if any.
+/// Returns two periods that are open at the same time in some week of the year; nullopt if none
+/// are.
 std::optional<std::pair<std::size_t, std::size_t>> overlapping(const Calendar& calendar);
 
 }  // namespace kestrelhoist
--- a/src/policy/charges.cpp
+++ b/src/policy/charges.cpp
@@ -6,7 +6,7 @@
 namespace kestrelhoist {
 namespace {
 
-// Splits a whole by shares; what rounding leaves goes to the last.
+// Splits a charge by shares; the last part gets the rounding difference.
 std::vector<Charge> split(const Charge& whole, const std::vector<double>& shares) {
   std::vector<Charge> out;
   Charge left = whole;
@@ -55,7 +55,7 @@
   if (from >= toMs) return;
   Charge whole;
   whole.ms = static_cast<std::uint64_t>(toMs - from);
-  // The same whatever windows it is cut into, but for less than a millionth each.
+  // Dividing a period into several intervals changes the total by less than one millionth each.
   whole.money = static_cast<std::uint64_t>(
       std::llround(m.pricePerHour * 1e6 * static_cast<double>(whole.ms) / 3600000.0));
   if (!m.up) {
@@ -71,7 +71,8 @@
     to.push_back(&account.used[team]);
     shares.push_back(share * scale);
   }
-  // The rest: theirs who want the machine warm, in equal parts, else nobody's.
+  // The unused share is charged in equal parts to the teams whose warm pools keep the machine, or
+  // to no team if there is none.
   double rest = std::max(0.0, 1 - sum);
   for (const auto& team : m.pools) {
     to.push_back(&account.warm[team]);
--- a/src/policy/charges.hpp
+++ b/src/policy/charges.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Who pays: machine time and money by team, split over what each machine did. Whole numbers
-/// throughout, so that the parts of a machine's time add up to it exactly. Pure.
+/// Splits machine time and its price among the teams that use the machines. All amounts are
+/// integers, so that the parts of a machine's time add up to it exactly. The functions are pure.
 #pragma once
 
 #include <map>
@@ -12,7 +12,8 @@
 
 namespace kestrelhoist {
 
-/// Money in millionths of the cloud's unit, time in milliseconds of a machine.
+/// Holds machine time in milliseconds and money in millionths of the cloud provider's currency
+/// unit.
 struct Charge {
   std::uint64_t ms{}, money{};
   Charge& operator+=(const Charge& o) {
@@ -23,32 +24,34 @@
   bool operator==(const Charge&) const = default;
 };
 
-/// What a machine's time was for.
+/// Distinguishes the purposes of machine time.
 enum class MachineUse { used, warm, idle, boot };
 
+/// Sums charges by team and purpose.
 struct ChargeAccount {
-  std::map<TeamId, Charge> used,
-      warm;           ///< by tasks that run or fetch; by pools that want the machine
-  Charge idle, boot;  ///< nobody's
+  std::map<TeamId, Charge> used;  ///< is for tasks that run or fetch their image
+  std::map<TeamId, Charge> warm;  ///< is for machines that warm pools keep
+  Charge idle, boot;              ///< are charged to no team
   Charge total() const;
   void add(const ChargeAccount& o);
 };
 
-/// One machine over a stretch of time.
+/// Describes the use of one machine during a time interval.
 struct MachineTime {
-  std::int64_t rentedAtMs{};  ///< time of day; counted from here on, if later
+  std::int64_t rentedAtMs{};  ///< is a time of day; earlier time is not charged
   double pricePerHour{};
-  std::map<TeamId, double> used;  ///< shares of it
-  std::vector<TeamId> pools;      ///< that want it, if any
-  bool up{};
+  std::map<TeamId, double> used;  ///< tasks of each team take this share of the machine
+  std::vector<TeamId> pools;      ///< warm pools of these teams keep the machine
+  bool up{};                      ///< is false while the worker has not reported yet
 };
 
-/// One hour, or one day; `throughMs`: up to where it was counted.
+/// Holds the charges of one hour or one day; they are counted up to the time of day `throughMs`.
 struct ChargeRecord {
   std::int64_t throughMs{};
   ChargeAccount account;
 };
 
+/// Adds the charges of one machine between two times of day to the account.
 void charge(ChargeAccount& account, const MachineTime& machine, std::int64_t fromMs,
             std::int64_t toMs);
 
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -9,8 +9,8 @@
 
 namespace kestrelhoist {
 
-// Fields that this version does not know are kept in the document and ignored: in a rolling restart
-// the older controllers must not drop what the newer ones were given.
+// The schema permits unknown fields, which are kept in the document and ignored. In a rolling
+// restart, older controllers must not drop fields that newer controllers have accepted.
 const char* const kPolicySchema = R"({
   "$schema": "http://json-schema.org/draft-07/schema#",
   "title": "kestrelhoist policy",
--- a/src/policy/document.hpp
+++ b/src/policy/document.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The operators' policy: who goes first at which hours, which services are kept whatever happens,
-/// which models are held ahead of a burst. One document, in the shared state; the form:
-/// docs/policy.md.
+/// Defines the operators' policy document and its parser. The document names the jobs that are
+/// prioritized in calendar periods, the protected services and the warm pools of images. It is
+/// stored in the state service; docs/policy.md describes its form.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace kestrelhoist {
 
-/// Which jobs are meant: all that is given must match.
+/// Selects jobs. A job matches if it matches every criterion that is set.
 struct Selector {
   std::string jobClass;
   TeamId team;
@@ -21,46 +21,60 @@
   std::optional<bool> service;
   bool matches(const JobSpec& spec) const;
 };
+/// Returns whether at least one of the selectors matches the job.
 bool anyMatches(const std::vector<Selector>& selectors, const JobSpec& spec);
 
+/// Describes a calendar period in which some jobs are prioritized and others yield.
 struct Period {
   std::string name;
-  std::vector<bool> days;        ///< Monday first, by the local date on which it opens
-  int fromMinute{}, toMinute{};  ///< local time; to <= from: on the next day
-  std::vector<Selector> first, yields;
-  double floor = 0.05;  ///< of the machines, what those that yield may hold at least
+  std::vector<bool> days;  ///< tells for each weekday, from Monday, whether the period opens
+  /// The period opens and closes at these minutes of the local day; it closes on the next day if
+  /// toMinute <= fromMinute.
+  int fromMinute{}, toMinute{};
+  std::vector<Selector> first, yields;  ///< select the prioritized jobs and the yielding jobs
+  double floor = 0.05;  ///< is the share of the machines that yielding jobs may always hold
 };
 
+/// Lists the calendar periods with their time zone and holidays.
 struct Calendar {
-  std::string zone = "UTC";           ///< IANA
-  std::vector<std::string> holidays;  ///< YYYY-MM-DD, on which no period opens
-  std::vector<Period> periods;        ///< none overlaps another
+  std::string zone = "UTC";           ///< names the IANA time zone
+  std::vector<std::string> holidays;  ///< no period opens on these dates (YYYY-MM-DD)
+  std::vector<Period> periods;        ///< the periods don't overlap
 };
 
+/// Selects the protected services and the losses that failover coverage is measured for.
 struct Continuity {
   std::vector<Selector> services;
-  int machines = 0;  ///< cover for the loss of any so many at once, beside any one zone
+  /// Coverage is measured for the loss of this number of machines at once, in addition to the loss
+  /// of any single zone.
+  int machines = 0;
 };
 
+/// Describes a warm pool: machines that hold images before tasks need them.
 struct Pool {
   std::string name;
   std::vector<ImageId> images;
-  TeamId team;                    ///< pays
-  std::uint32_t least{}, most{};  ///< machines that hold each image
-  Duration ahead{120000};
-  double budgetPerHour{};  ///< money for machines that only hold; 0: no bound
+  TeamId team;                    ///< this team is charged for the pool
+  std::uint32_t least{}, most{};  ///< bound the number of machines per image
+  Duration ahead{120000};         ///< the pool covers the task starts expected within this time
+  /// Limits the hourly price of the pool's machines that run no task; 0 means no limit.
+  double budgetPerHour{};
 };
 
+/// Holds a parsed policy document.
 struct Policy {
   Calendar calendar;
   Continuity continuity;
   std::vector<Pool> pools;
 };
 
+/// Contains the JSON schema of the policy document.
 extern const char* const kPolicySchema;
 
-/// Throws std::runtime_error with one line: what is wrong and where, as a JSON pointer.
+/// Parses a policy document. Throws std::runtime_error with a single line, the JSON pointer of the
+/// invalid field and the reason, if the document is invalid.
 std::shared_ptr<const Policy> parsePolicy(const Json& document);
-Json jsonFrom(const std::string& text);  ///< the same for what is no JSON
+/// Parses JSON text. Throws std::runtime_error like parsePolicy() if the text is not JSON.
+Json jsonFrom(const std::string& text);
 
 }  // namespace kestrelhoist
--- a/src/policy/effective_policy.hpp
+++ b/src/policy/effective_policy.hpp
@@ -1,34 +1,43 @@
 /// \file
-/// What the policy says of work at this moment, as it is committed in the shared state: the seam
-/// between the policy and those who place and rent. Without a policy nothing of it says anything.
+/// Defines the interface through which placement and scaling read the effective policy, which is
+/// the policy document applied to the committed policy state. The default implementations
+/// correspond to a cluster without a policy.
 #pragma once
 
 #include "jobs/spec.hpp"
 
 namespace kestrelhoist {
 
+/// Answers how the policy treats jobs and machines now. In the comments below a prioritized job is
+/// one that the open calendar period lists under `first`, a yielding job one that it lists under
+/// `yields`.
 class EffectivePolicy {
  public:
   virtual ~EffectivePolicy() = default;
-  /// Services that are kept whatever happens: before all batch work.
+  /// Returns whether the job is a protected service. Protected services go before all batch jobs.
   virtual bool protects(const JobSpec&) const { return false; }
-  /// Within its rank: 1 goes first, -1 yields, 0 neither.
+  /// Returns 1 if the job goes before other jobs of its priority, -1 if it yields to them, and 0
+  /// otherwise.
   virtual int priorityAdjustment(const JobSpec&) const { return 0; }
-  /// A storm: losses are being repaired, and what competes with that waits.
+  /// Returns whether a mass failure is in progress. Jobs that compete with the replacement of lost
+  /// replicas wait until it is over.
   virtual bool massFailure() const { return false; }
-  /// Of so many usable machines, those that work which yields may hold while those who go first
-  /// take and wait for so many; empty: no bound.
+  /// Returns how many of `machines` usable machines the yielding jobs may hold together while the
+  /// prioritized jobs hold or wait for `first` machines; nullopt if there is no bound.
   virtual std::optional<double> machinesForYielding(double machines, double first) const {
     (void)machines, (void)first;
     return std::nullopt;
   }
-  /// Work that will have to yield when the next period opens, in so much time.
+  /// Returns the time until the next calendar period opens if the job will yield in that period;
+  /// nullopt otherwise.
   virtual std::optional<Duration> untilYielding(const JobSpec&) const { return std::nullopt; }
-  /// What is held back may begin within this time: room for it is rented ahead.
+  /// Returns whether the open period closes within the given time. Jobs that it holds back may
+  /// start then, so machines for them are rented ahead.
   virtual bool returnsWithin(Duration) const { return false; }
-  /// Machines that the next opening's work will need, if it is within this time.
+  /// Returns how many machines the prioritized jobs of the next period are expected to need; 0 if
+  /// it does not open within the given time.
   virtual double machinesAhead(Duration) const { return 0; }
-  /// Machines kept because they hold an image ahead of a burst.
+  /// Returns whether a warm pool keeps the machine because it holds one of the pool's images.
   virtual bool keepsWarm(const MachineId&) const { return false; }
 };
 
--- a/src/policy/failover_coverage.cpp
+++ b/src/policy/failover_coverage.cpp
@@ -6,25 +6,28 @@
 namespace kestrelhoist {
 namespace {
 
+// A share may exceed the spare capacity by this rounding error.
 constexpr double kSlack = 1e-6;
 
-// A matching of replicas to machines that hold their image: those that need the same are one kind,
-// and where a kind finds no room, another is moved on for it.
+// Assigns replicas to machines that hold their image. Replicas with the same image and share are
+// one kind. If no machine has enough capacity for a replica, an already assigned replica of another
+// kind is reassigned to a different machine.
 class Matching {
  public:
-  using Kind = std::pair<std::uint32_t, std::int64_t>;  // image and share, in millionths
+  using Kind =
+      std::pair<std::uint32_t, std::int64_t>;  // image, and share in millionths of a machine
 
   explicit Matching(const std::vector<CoverageMachine>& machines, const std::set<std::size_t>& lost)
       : machines_(machines), lost_(lost), on_(machines.size()) {
     for (const auto& m : machines) room_.push_back(m.spare);
   }
 
-  // How many of `count` were placed.
+  // Assigns up to `count` replicas of the kind and returns how many were assigned.
   std::uint32_t place(const Kind& kind, std::uint32_t count) {
     std::uint32_t n = 0;
     while (n < count) {
       std::set<Kind> tried;
-      if (!placeOne(kind, tried)) break;  // nor will the next one of its kind
+      if (!placeOne(kind, tried)) break;  // the next replica of the same kind fails as well
       ++n;
     }
     return n;
@@ -35,8 +38,8 @@
 
   bool placeOne(const Kind& kind, std::set<Kind>& tried) {
     tried.insert(kind);
-    std::size_t& from =
-        next_[kind];  // earlier ones are full for this kind, until something moves on
+    // Machines before this index have no capacity for the kind unless a replica is reassigned.
+    std::size_t& from = next_[kind];
     for (; from < machines_.size(); ++from) {
       if (fits(kind, from)) return put(kind, from);
     }
@@ -45,7 +48,7 @@
       auto others = on_[m];
       for (const auto& [other, n] : others) {
         if (n == 0 || tried.contains(other) || other.second < kind.second) continue;
-        // Another goes elsewhere and leaves its place.
+        // The replica of the other kind moves to a different machine and frees its share here.
         if (!placeOne(other, tried)) continue;
         --on_[m][other];
         room_[m] += shareOf(other);
@@ -82,7 +85,7 @@
     if (!lost.contains(r.machine)) continue;
     moving[{r.image, static_cast<std::int64_t>(r.share * 1e6 + 0.5)}] += r.count;
   }
-  // The largest first: small ones fit into what they leave.
+  // The largest replicas are placed first; small ones fit into the capacity that is left.
   std::vector<std::pair<Matching::Kind, std::uint32_t>> kinds(moving.begin(), moving.end());
   std::stable_sort(kinds.begin(), kinds.end(),
                    [](const auto& a, const auto& b) { return a.first.second > b.first.second; });
--- a/src/policy/failover_coverage.hpp
+++ b/src/policy/failover_coverage.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Whether protected services survive what may come: for the loss of any one zone, or of the
-/// machines that hold most of them, room elsewhere that only lower ranks use, with the image held.
-/// Pure.
+/// Computes the failover coverage of protected services: how many of their replicas fit on other
+/// machines after the loss of a zone or of the machines with the most replicas. A replica fits on a
+/// machine that holds its image and has enough spare capacity. The functions are pure.
 #pragma once
 
 #include <cstdint>
@@ -12,30 +12,33 @@
 
 namespace kestrelhoist {
 
+/// Describes a machine that may take over protected replicas.
 struct CoverageMachine {
   std::uint32_t zone{};
-  double spare = 0;                ///< of a machine: free, or used by what may be stopped
-  std::set<std::uint32_t> images;  ///< held
+  double spare = 0;                ///< is the share that is free or used by preemptible tasks
+  std::set<std::uint32_t> images;  ///< the machine holds these images
 };
 
-/// Replicas that need the same: so many of them on one machine.
+/// Describes `count` protected replicas on one machine that have the same image and resource needs.
 struct CoverageReplicas {
   std::uint32_t image{};
-  double share{};         ///< of a machine, each
-  std::size_t machine{};  ///< where they are
+  double share{};         ///< each replica takes this share of a machine
+  std::size_t machine{};  ///< is the index of the machine that runs them
   std::uint32_t count{};
 };
 
+/// Counts the replicas on the lost machines, and those of them that fit on other machines.
 struct FailoverCoverage {
-  std::uint32_t moving{}, placed{};  ///< of the worst loss
+  std::uint32_t moving{}, placed{};
   double share() const { return moving == 0 ? 1.0 : static_cast<double>(placed) / moving; }
 };
 
-/// How many of the replicas on `lost` machines find a place on the others.
+/// Computes how many of the replicas on the `lost` machines fit on the other machines.
 FailoverCoverage coverageFor(const std::vector<CoverageMachine>& machines,
                              const std::vector<CoverageReplicas>& replicas,
                              const std::set<std::size_t>& lost);
-/// The worst of: any one zone; the `atOnce` machines with most replicas.
+/// Returns the lowest coverage among the loss of each single zone and the loss of the `atOnce`
+/// machines with the most replicas.
 FailoverCoverage worstCoverage(const std::vector<CoverageMachine>& machines,
                                const std::vector<CoverageReplicas>& replicas, std::size_t atOnce);
 
--- a/src/policy/policy_loop.cpp
+++ b/src/policy/policy_loop.cpp
@@ -9,8 +9,9 @@
 constexpr std::int64_t kHour = 3600000, kDay = 24 * kHour;
 constexpr std::size_t kHoursKept = 26, kDaysKept = 62;
 
-// With less of what can be learned or chosen anew, if it is more than a value takes: holders first,
-// then what pools' starts were like, then whole pools.
+// Returns the policy state as JSON of at most `bytes`. If the state is too large, the function
+// drops data that later intervals restore: first warm machines, then forecasts of starts, then
+// pools.
 Json fitting(PolicyState s, std::size_t bytes) {
   Json value = toJson(s);
   auto most = [&] {
@@ -37,7 +38,7 @@
 }  // namespace
 
 void PolicyLoop::onTimer() {
-  // Without a policy, and none before it whose standing is left, there is nothing to decide.
+  // No policy state has to be computed if there is no policy and no state of an earlier one.
   bool wanted = replica_.policy() || replica_.state().policy != 0 || replica_.version() != 0;
   if (!wanted || !context_.initialRoundOver || !context_.catalogue) return;
   Instant now = context_.runtime.now();
@@ -72,11 +73,11 @@
     chooseWarmMachines(s);
   }
   if (s.open != before.open) {
-    logInfo(s.open.empty() ? "period closes" : "period opens", "period",
+    logInfo(s.open.empty() ? "policy period closes" : "policy period opens", "period",
             s.open.empty() ? before.open : s.open, "opened", s.opened, "closed", s.closed);
   }
   if (s.massFailure.has_value() != before.massFailure.has_value()) {
-    logInfo(s.massFailure ? "storm" : "storm is over", "lost",
+    logInfo(s.massFailure ? "mass failure begins" : "mass failure is over", "lost",
             s.massFailure ? s.massFailure->lost : before.massFailure->lost, "missing",
             what.missing);
   }
@@ -110,7 +111,7 @@
     }
   }
   std::erase_if(noticed_, [&](const MachineId& id) { return !fleet_.find(id); });
-  // What ran when this leader came is no start.
+  // Tasks that were already running when this leader took over do not count as starts.
   if (startsSince_ != Instant{}) s.starts = std::move(starts);
   startsSince_ = now;
   for (const auto& [id, job] : context_.replica.live()) {
@@ -127,7 +128,8 @@
   return s;
 }
 
-// Machines' worth of what those who go first take or wait for.
+// Returns the number of machines that prioritized jobs hold or wait for, as a sum of machine
+// shares.
 double PolicyLoop::prioritizedMachines() const {
   double sum = 0;
   for (const auto& [id, job] : context_.replica.live()) {
@@ -184,12 +186,13 @@
   s.uncovered = worst.moving - worst.placed;
 }
 
-// Machines that hold an image stay chosen as long as they hold it; new ones where the fewest are.
+// Chooses the warm machines of each image. A chosen machine stays chosen as long as it holds the
+// image; further machines come from the zones with the fewest chosen machines.
 void PolicyLoop::chooseWarmMachines(PolicyState& s) const {
   if (!replica_.policy()) return;
   Instant now = context_.runtime.now();
   for (const auto& pool : replica_.policy()->pools) {
-    double perHour = 0;  // of machines that only hold
+    double perHour = 0;  // hourly price of the chosen machines that run no task
     for (const auto& image : pool.images) {
       WarmImage& warm = s.pools[image];
       std::map<ZoneId, int> perZone;
@@ -200,7 +203,7 @@
         const MachineType* type = context_.catalogue->find(m.type);
         bool idle = record && record->tasks.empty();
         double price = !type || !idle ? 0 : m.spot ? type->spotPrice : type->price;
-        // A pool at its budget shrinks.
+        // A machine that would exceed the hourly budget of the pool is not chosen.
         if (pool.budgetPerHour > 0 && perHour + price > pool.budgetPerHour) return;
         if (kept.size() >= warm.wanted) return;
         perHour += price;
@@ -233,8 +236,9 @@
   }
 }
 
-// What the machines cost since it was last counted, in the transaction of what is in force: it is
-// counted once, whoever leads and whatever is repeated, since the record says up to where.
+// Adds the charges since the last charge record to the transaction of the policy state. The record
+// holds the time up to which charges are counted, so that they are counted once, also across leader
+// changes and repeated transactions.
 void PolicyLoop::charge(Transaction& t, const PolicyState& s, std::int64_t now) const {
   std::int64_t hour = now / kHour;
   std::int64_t through = now;
@@ -275,8 +279,8 @@
     t.writes.push_back({key, std::move(value), std::nullopt});
   };
   put(keys::numbered(keys::kChargesOfHour, hour), toJson(record));
-  // Windows fold into hours by being written there, the oldest hour into its day, the oldest day
-  // goes.
+  // The charges of each interval are added to the record of the hour. The oldest hour is merged
+  // into the record of its day, and the oldest day is deleted.
   if (replica_.hours().size() > kHoursKept && replica_.hours().begin()->first != hour) {
     const auto& [oldest, old] = *replica_.hours().begin();
     std::int64_t day = oldest * kHour / kDay;
--- a/src/policy/policy_loop.hpp
+++ b/src/policy/policy_loop.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The leader's part of the policy: at each window and boundary it decides what is in force, and
-/// commits it with what the machines cost since, before anything follows from it.
+/// Defines the leader's control loop for the policy. At the end of each forecast interval and when
+/// a period opens or closes, it computes the policy state and commits it, together with the charges
+/// since the previous commit, before any decision depends on it.
 #pragma once
 
 #include "fleet/fleet.hpp"
@@ -10,6 +11,7 @@
 
 namespace kestrelhoist {
 
+/// Computes and commits the policy state and the charges while this controller leads.
 class PolicyLoop : public ControlLoop {
  public:
   PolicyLoop(LeaderContext& context, Fleet& fleet, PolicyReplica& replica)
--- a/src/policy/policy_replica.cpp
+++ b/src/policy/policy_replica.cpp
@@ -43,7 +43,7 @@
     try {
       policy_ = parsePolicy(current_->document);
     } catch (const std::exception& e) {
-      logError("policy can't be read", "why", e.what());
+      logError("policy document can't be parsed; no policy is applied", "why", e.what());
     }
   } else if (key.starts_with(keys::kPolicyPast)) {
     auto past = value ? policyVersionFrom(*value) : std::nullopt;
@@ -102,9 +102,9 @@
   return spec.kind != JobKind::service && anyMatches(p->yields, spec) ? -1 : 0;
 }
 
-// Room for those who go first: mean + k * spread of what they take, at least what they took at most
-// in the period's last opening, never less than what they take now; in it work that yields would
-// have to be stopped again, or waited for.
+// Leaves machines for the prioritized jobs, because yielding jobs on these machines would have to
+// be preempted again. The number of machines is the largest of three: the predicted mean plus its
+// spread, the peak of the period's most recent opening, and the current demand `first`.
 std::optional<double> PolicyReplica::machinesForYielding(double machines, double first) const {
   const Period* p = open();
   if (!p) return std::nullopt;
--- a/src/policy/policy_replica.hpp
+++ b/src/policy/policy_replica.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A controller's copy of the policy, of what of it is in force, and of who paid.
+/// Defines the in-memory replica of the policy document, the policy state and the charge records.
 #pragma once
 
 #include "policy/charges.hpp"
@@ -11,26 +11,30 @@
 
 namespace keys {
 inline const std::string kPolicy = "kh/policy/now";
-inline const std::string kPolicyPast =
-    "kh/policy/past/";  ///< by the version's last digit, so bounded
+/// Keys of past versions consist of this prefix and the version modulo kVersionsKept.
+inline const std::string kPolicyPast = "kh/policy/past/";
 inline const std::string kPolicyState = "kh/policy/standing";
 inline const std::string kChargesOfHour = "kh/paid/hour/";
 inline const std::string kChargesOfDay = "kh/paid/day/";
+/// Returns `prefix` followed by `n` with leading zeros, so that keys sort by number.
 inline std::string numbered(const std::string& prefix, std::int64_t n) {
   std::string digits = std::to_string(n);
   return prefix + std::string(digits.size() < 10 ? 10 - digits.size() : 0, '0') + digits;
 }
 }  // namespace keys
 
+/// Holds one version of the policy document as it is stored in the state service.
 struct PolicyVersion {
   std::uint64_t version{};
   std::int64_t atMs{};  ///< time of day
-  std::string by;       ///< the controller that wrote it
-  Json document;        ///< null: cleared
+  std::string by;       ///< names the operator's request that has set this version
+  Json document;        ///< is null if this version clears the policy
 };
 Json toJson(const PolicyVersion& v);
 std::optional<PolicyVersion> policyVersionFrom(const Json& v);
 
+/// Applies the records of the policy to an in-memory copy and answers queries about the effective
+/// policy from it.
 class PolicyReplica : public RecordHandler, public EffectivePolicy {
  public:
   static constexpr std::uint64_t kVersionsKept = 8;
@@ -41,16 +45,17 @@
 
   const std::optional<PolicyVersion>& current() const { return current_; }
   const std::map<std::uint64_t, PolicyVersion>& past() const { return past_; }
-  /// Null: none is set, or it can't be read by this version of the program.
+  /// Returns the parsed policy; null if none is set or this version of the program can't parse it.
   const std::shared_ptr<const Policy>& policy() const { return policy_; }
   std::uint64_t version() const { return current_ ? current_->version : 0; }
   const PolicyState& state() const { return state_; }
   bool active() const { return current_.has_value(); }
-  /// Whether a period has opened by then, if none is open.
+  /// Returns whether the next period opens at or before this time of day. The answer is only valid
+  /// while no period is open.
   bool opensBy(std::int64_t atMs) const;
   const std::map<std::int64_t, ChargeRecord>& hours() const { return hours_; }
   const std::map<std::int64_t, ChargeRecord>& days() const { return days_; }
-  /// How time of day is told; for what is to come.
+  /// Returns the time of day, from which the time to the next opening or closing is computed.
   std::function<std::int64_t()> timeOfDay;
 
   bool protects(const JobSpec& spec) const override;
@@ -75,7 +80,8 @@
   std::set<MachineId> warmMachines_;
   std::map<std::int64_t, ChargeRecord> hours_, days_;
   mutable std::optional<Occurrence> next_;
-  mutable std::int64_t nextOf_ = -1;  ///< for which standing it was computed
+  /// Holds the `actedMs` of the policy state for which `next_` was computed.
+  mutable std::int64_t nextOf_ = -1;
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -6,9 +6,12 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::uint32_t kMassFailureAtLeast = 3;  // machines lost in a window
-constexpr double kMassFailureShare = 0.05;        // or of all
-constexpr std::uint32_t kCalm = 6;                // windows without a loss or a repair
+// A mass failure begins if one forecast interval loses at least this number and this share of the
+// machines.
+constexpr std::uint32_t kMassFailureAtLeast = 3;
+constexpr double kMassFailureShare = 0.05;
+// A mass failure ends after this number of forecast intervals without a loss or a repair.
+constexpr std::uint32_t kCalm = 6;
 
 void openPeriod(PolicyState& s, const Calendar& c, const Occurrence& o, std::int64_t now) {
   s.open = c.periods[o.period].name;
@@ -26,12 +29,12 @@
   ++s.closed;
 }
 
-// A period opens once and closes once: what was acted on lies behind `actedMs`, which never goes
-// back, however clocks step, leaders change or the state service is out.
+// Opens and closes periods that are due. Each period opens once and closes once, because `actedMs`
+// never decreases, even if clocks step, the leader changes or the state service is unavailable.
 void turnCalendar(PolicyState& s, const Calendar& c, bool edited, std::int64_t now) {
   auto current = openAt(c, now);
   if (edited) {
-    // An edit while a period is open is one step.
+    // An edit of the policy document while a period is open takes effect in a single transaction.
     bool stays = current && c.periods[current->period].name == s.open;
     if (stays) {
       s.closesMs = current->closesMs;
@@ -59,7 +62,8 @@
   bool repaired = seen.missing < massFailure.missing;
   massFailure.calm = hit || repaired ? 0 : massFailure.calm + 1;
   massFailure.missing = seen.missing;
-  // By evidence: all is up again, or nothing gets better any more, so there is no room for it.
+  // The mass failure is over when all protected replicas are up again, or when the number
+  // of missing replicas no longer falls, which means that no machine can hold them.
   if (!hit && (seen.missing == 0 || massFailure.calm >= kCalm)) s.massFailure.reset();
 }
 
@@ -75,7 +79,7 @@
   if (seen.windowEnds) trackMassFailure(s, seen);
   static const Calendar kNone;
   const Calendar& calendar = policy ? policy->calendar : kNone;
-  // Within a storm the calendar moves nothing; what lies behind is done at its end.
+  // No period opens or closes during a mass failure; those that are due follow when it is over.
   if (!s.massFailure || edited) {
     turnCalendar(s, calendar, edited, now);
     s.actedMs = now;
@@ -100,7 +104,8 @@
       }
       auto p = held.starts.predict(random);
       double windows = std::max(1.0, toSeconds(pool.ahead) / 10.0);
-      // Aquatope's pre-warmed pool: mean + k * spread of the starts ahead of which it holds.
+      // The size of the warm pool follows Aquatope: the mean of the starts expected within `ahead`,
+      // plus their spread times a factor.
       double wanted = p.mean * windows + spreadMultiple * p.spread * std::sqrt(windows);
       held.wanted =
           std::clamp(static_cast<std::uint32_t>(std::ceil(wanted - 1e-6)), pool.least, pool.most);
@@ -114,12 +119,13 @@
   std::vector<std::uint32_t> most(jobs.size(), 0);
   std::vector<std::size_t> open(jobs.size());
   for (std::size_t j = 0; j < jobs.size(); ++j) open[j] = j;
-  // Each may begin: none stays longer than four minutes without.
+  // Each job may run one task, so that no job waits longer than four minutes for its first task.
   for (auto j : open) {
     if (jobs[j].waiting + jobs[j].held > 0) most[j] = 1;
     machines -= most[j] * jobs[j].share;
   }
-  // The rest evenly: who needs less than an even part leaves it to the others.
+  // The remaining machines are shared evenly. A job that needs less than an even share leaves the
+  // difference to the other jobs.
   while (!open.empty() && machines > 1e-6) {
     double even = machines / static_cast<double>(open.size());
     double given = 0;
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// What of the policy is in force, since when: decided by the leader once a window or at a
-/// boundary, and on record before anything follows from it. Pure: every leader comes to the same
-/// from the same record.
+/// Defines the policy state: the open calendar period, a mass failure, the warm machines. The
+/// leader computes it at the end of each forecast interval and when a period opens or closes, and
+/// commits it before any decision depends on it. The functions are pure, so every leader computes
+/// the same state from the same record.
 #pragma once
 
 #include <map>
@@ -12,63 +13,77 @@
 
 namespace kestrelhoist {
 
+/// Describes a mass failure in progress, in which many machines are lost at once.
 struct MassFailure {
   std::int64_t sinceMs{};
-  std::uint32_t lost{};     ///< machines, so far
-  std::uint32_t waves{};    ///< windows that brought more losses
-  std::uint32_t calm{};     ///< windows in a row in which nothing more was lost or repaired
-  std::uint32_t missing{};  ///< replicas of protected services that were not up in the last window
+  std::uint32_t lost{};   ///< counts the machines lost since it began
+  std::uint32_t waves{};  ///< counts the forecast intervals with many losses
+  std::uint32_t calm{};   ///< counts the latest intervals without losses or repairs
+  /// Counts the replicas of protected services that were not up at the end of the last interval.
+  std::uint32_t missing{};
 };
 
-/// One image of a pool: how many machines shall hold it, and which do.
+/// Describes one image of a warm pool: how many machines should hold it and which machines do.
 struct WarmImage {
   std::uint32_t wanted{};
   std::set<MachineId> machines;
   double gb{};
-  Forecast starts;  ///< in a window
+  Forecast starts;  ///< forecasts how many tasks with this image start in an interval
 };
 
+/// Holds the policy state as it is stored in the state service.
 struct PolicyState {
-  std::uint64_t policy{};  ///< the version it was decided under; 0: none
-  std::int64_t actedMs{};  ///< boundaries up to here were acted on; never goes back
-  std::string open;        ///< the period, if one is open
+  std::uint64_t policy{};  ///< is the version of the policy document applied; 0 if none
+  /// Openings and closings of periods up to this time of day have been applied; it never decreases.
+  std::int64_t actedMs{};
+  std::string open;  ///< names the open period; empty if no period is open
   std::int64_t openedAtMs{}, closesMs{};
-  std::uint64_t opened{}, closed{};
-  double peak{};                       ///< machines that the period's first took at most, so far
-  std::map<std::string, double> last;  ///< the same of each period's last opening
-  Forecast day{6};                     ///< of the machines that those who go first take
-  Prediction expected;                 ///< of it, at the horizon
+  std::uint64_t opened{}, closed{};  ///< count all openings and closings so far
+  /// Holds the maximum number of machines that prioritized jobs have held or waited for since the
+  /// period opened.
+  double peak{};
+  /// Maps the name of each period to the peak of its most recent opening.
+  std::map<std::string, double> last;
+  /// Forecasts the number of machines that prioritized jobs hold or wait for.
+  Forecast day{6};
+  /// Holds the value that `day` predicts at its horizon.
+  Prediction expected;
   std::optional<MassFailure> massFailure;
   std::map<ImageId, WarmImage> pools;
-  double covered =
-      1;  ///< share of the protected replicas that the loss of a zone leaves a place for
+  /// Holds the share of the protected replicas on lost machines that fit on other machines, for the
+  /// worst loss of a zone or of as many machines as the policy names.
+  double covered = 1;
+  /// Counts the protected replicas that fit on no other machine after this loss.
   std::uint32_t uncovered{};
-  Json others = Json::object();  ///< fields of a newer version, kept
+  /// Keeps the fields that a newer version of the program has written.
+  Json others = Json::object();
 };
 
 Json toJson(const PolicyState& s);
 PolicyState policyStateFrom(const Json& v);
 
-/// What was seen in the window that ends.
+/// Holds the leader's observations of the forecast interval that ends.
 struct PolicyObservation {
-  std::int64_t nowMs{};          ///< time of day, as the controllers agree on it
-  double prioritizedMachines{};  ///< taken or waited for by those who go first in the open period
-  bool windowEnds{};
+  std::int64_t nowMs{};  ///< is the time of day on which the controllers agree
+  /// Counts the machines that prioritized jobs of the open period hold or wait for.
+  double prioritizedMachines{};
+  bool windowEnds{};  ///< is true at the end of a forecast interval
   std::uint32_t machines{}, lost{}, notices{}, unreachableZones{}, lateBoots{}, missing{};
   std::map<ImageId, double> starts;
 };
 
-/// The next standing. `policy` null: none is set.
+/// Computes the next policy state from the state `before`. `policy` is null if no policy is set.
 PolicyState decidePolicyState(const Policy* policy, std::uint64_t version,
                               const PolicyState& before, const PolicyObservation& seen,
                               double spreadMultiple, std::mt19937_64& random);
 
-/// Of jobs that yield and together may hold so many machines: how many tasks each may hold. Each
-/// may begin; what is over goes evenly.
+/// Describes a yielding job for shareAmong().
 struct YieldingJob {
-  double share{};  ///< of a machine that a task takes
-  std::uint32_t waiting{}, held{};
+  double share{};                   ///< is the share of a machine that one task takes
+  std::uint32_t waiting{}, held{};  ///< count the waiting tasks and the placed tasks
 };
+/// Returns for each yielding job how many tasks it may run if all of them may hold `machines`
+/// together. Each job may run at least one task; the remaining machines are shared evenly.
 std::vector<std::uint32_t> shareAmong(const std::vector<YieldingJob>& jobs, double machines);
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -7,7 +7,7 @@
 namespace kestrelhoist {
 namespace {
 
-// One period, "day".
+// Returns a policy with a single period, "day".
 std::shared_ptr<const Policy> policyWith(const std::string& zone, const char* from, const char* to,
                                          std::vector<std::string> holidays = {},
                                          const char* days = nullptr) {
@@ -41,23 +41,23 @@
 }
 
 TEST(Calendar, ADayThatLacksAnHourAndOneThatRepeatsIt) {
-  // 2026-03-29: 02:00 to 03:00 does not exist; 2026-10-25: it comes twice.
+  // The local hour from 02:00 to 03:00 does not exist on 2026-03-29 and occurs twice on 2026-10-25.
   auto c = calendar("Europe/Bratislava", "02:30", "02:45");
-  EXPECT_FALSE(openAt(c, utc("2026-03-29 01:00")));  // opens and closes in the gap: not at all
+  EXPECT_FALSE(openAt(c, utc("2026-03-29 01:00")));  // the whole period is in the skipped hour
   c = calendar("Europe/Bratislava", "02:30", "04:00");
   EXPECT_EQ(openAt(c, utc("2026-03-29 01:10"))->opensMs, utc("2026-03-29 01:00"));
   auto twice = openAt(c, utc("2026-10-25 01:00"));
-  EXPECT_EQ(twice->opensMs, utc("2026-10-25 00:30"));  // the first 02:30
+  EXPECT_EQ(twice->opensMs, utc("2026-10-25 00:30"));  // the first of two 02:30
   EXPECT_EQ(twice->closesMs, utc("2026-10-25 03:00"));
-  // Once on each of these days.
+  // The period opens only once on the day with the repeated hour.
   EXPECT_EQ(nextAfter(c, twice->opensMs)->opensMs, utc("2026-10-26 01:30"));
 }
 
 TEST(Calendar, MidnightHolidaysAndWeekdays) {
   auto c = calendar("Africa/Accra", "22:00", "06:00", {"2026-12-25"}, R"(["thu","fri"])");
-  EXPECT_TRUE(openAt(c, utc("2026-12-25 05:00")));   // Thursday's, into the holiday
-  EXPECT_FALSE(openAt(c, utc("2026-12-25 23:00")));  // the holiday's own
-  EXPECT_FALSE(openAt(c, utc("2026-12-30 23:00")));  // a Wednesday
+  EXPECT_TRUE(openAt(c, utc("2026-12-25 05:00")));   // Thursday's period lasts into the holiday
+  EXPECT_FALSE(openAt(c, utc("2026-12-25 23:00")));  // no period opens on the holiday
+  EXPECT_FALSE(openAt(c, utc("2026-12-30 23:00")));  // no period opens on a Wednesday
 }
 
 TEST(PolicyDocument, FaultsNameTheirPlace) {
@@ -87,7 +87,8 @@
                 .find("/calendar/periods/0/from"),
             std::string::npos);
   EXPECT_EQ(why(doc(period("a", "08:00", "17:00"), period("b", "17:00", "18:00")).c_str()), "");
-  EXPECT_EQ(why(R"({"later":{"version":2}})"), "");  // of a newer version: kept, not refused
+  EXPECT_EQ(why(R"({"later":{"version":2}})"),
+            "");  // unknown fields of newer versions are accepted
 }
 
 PolicyObservation seenAt(std::int64_t ms, bool window = true) {
@@ -98,8 +99,8 @@
   return s;
 }
 
-// Whatever clocks say and whoever decides: each opening of a period is acted on once, and closed
-// once.
+// Guards against a period that opens or closes twice, which could happen when clocks step back or
+// when a new leader reads the policy state from its record.
 RC_GTEST_PROP(PolicyState, PeriodsOpenAndCloseOnce, ()) {
   auto policy = policyWith("Europe/Bratislava", "08:00", "17:00");
   std::mt19937_64 random(1);
@@ -111,7 +112,7 @@
     std::int64_t off = *rc::gen::inRange<std::int64_t>(-300, 300) * 1000;
     auto before = s;
     s = decidePolicyState(policy.get(), 1, s, seenAt(now + off, false), 1, random);
-    // Through the record, as a new leader reads it.
+    // The state is converted to its record and back, as when a new leader reads it.
     s = policyStateFrom(toJson(s));
     RC_ASSERT(s.actedMs >= before.actedMs);
     RC_ASSERT(s.opened <= before.opened + 1);
@@ -142,16 +143,16 @@
   PolicyState s = decidePolicyState(policy.get(), 1, {}, seen, 1, random);
   seen.lost = 4;
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
-  EXPECT_FALSE(s.massFailure);  // 4 of 100
+  EXPECT_FALSE(s.massFailure);  // 4 of 100 machines are too few
   seen.lost = 5;
   seen.missing = 40;
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   ASSERT_TRUE(s.massFailure);
   seen = seenAt(utc("2026-10-20 08:05"));
-  seen.missing = 20;  // being repaired
+  seen.missing = 20;  // lost replicas are being replaced
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_TRUE(s.open.empty());
-  seen.lost = 30;  // a second one within the first
+  seen.lost = 30;  // further losses during the mass failure
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_EQ(s.massFailure->waves, 2U);
   seen.lost = seen.missing = 0;
@@ -176,7 +177,7 @@
   for (int i = 0; i < 30; ++i) s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_GE(s.pools.at(ImageId{"w"}).wanted, 6U);
   EXPECT_LE(s.pools.at(ImageId{"w"}).wanted, 9U);
-  s = decidePolicyState(nullptr, 2, s, seen, 1, random);  // withdrawn
+  s = decidePolicyState(nullptr, 2, s, seen, 1, random);  // the policy is cleared
   EXPECT_TRUE(s.pools.empty());
 }
 
@@ -201,7 +202,7 @@
   RC_ASSERT(given <= std::max(machines, least) + 1e-6);
 }
 
-// Against every way to place them.
+// Returns the maximum number of placed replicas by trying every assignment.
 std::uint32_t bestOf(const std::vector<CoverageMachine>& machines, std::vector<double> room,
                      const std::vector<CoverageReplicas>& one, std::size_t next,
                      const std::set<std::size_t>& lost) {
@@ -247,7 +248,8 @@
   EXPECT_EQ(worstCoverage(machines, replicas, 2).moving, 4U);
 }
 
-// The parts of what a machine costs are what it costs, whoever uses it and however time is cut up.
+// Guards against machine time or money that is lost or counted twice when a machine's time is split
+// among teams and intervals.
 RC_GTEST_PROP(Ledger, PartsAddUpToWhatWasRented, ()) {
   ChargeAccount account;
   std::uint64_t ms = 0, money = 0;
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -5,7 +5,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kCommitTimeout{1500};
-constexpr std::size_t kAround = 256;  // of a value, around the document
+// These bytes of a stored value are reserved for the fields around the policy document.
+constexpr std::size_t kAround = 256;
 }  // namespace
 
 bool PolicyService::handle(const Request& request, const Respond& respond) {
@@ -90,8 +91,9 @@
   return std::nullopt;
 }
 
-// On the condition of the version that was read, and on the record's stamp: of two operators one is
-// told. The request's name tells a repetition from another's change.
+// Sets the policy with a compare-and-swap on the version that the operator has read and on the
+// record's revision, so that one of two concurrent changes is rejected. The name of the request
+// distinguishes a retry of a request from a change by another operator.
 void PolicyService::set(const Json& body, const Respond& respond) {
   std::shared_ptr<const Policy> policy;
   if (!body["document"].is_null()) {
@@ -113,7 +115,8 @@
     auto expected = countField(body, "if");
     const auto& now = policyReplica_.current();
     Json done = {{"version", policyReplica_.version()}};
-    // Also where another change has come since: a repetition must not take that one back.
+    // A retry returns the version that the first attempt has set, even if the policy has changed
+    // since then; it must not undo the later change.
     if (auto version = versionOf(request)) {
       return respond(jsonResponse(200, {{"version", *version}}));
     }
@@ -133,7 +136,8 @@
       t.writes.push_back({key, std::move(value), std::nullopt});
     };
     put(keys::kPolicy, toJson(next));
-    // One that was set under a larger limit can't be kept among the past ones.
+    // A policy that was set under a larger value limit may be too large to be kept as a past
+    // version.
     Json past = now ? toJson(*now) : Json();
     if (now && past.dump().size() <= platform_.valueBytes) {
       put(keys::kPolicyPast + std::to_string(now->version % PolicyReplica::kVersionsKept),
@@ -146,7 +150,8 @@
           logInfo("policy set", "version", next.version);
           return respond(jsonResponse(200, {{"version", next.version}}));
         case CommitOutcome::conflict:
-          // Possibly an earlier copy of this one, which nobody has heard of.
+          // The conflicting change may be an earlier attempt of this request whose response was
+          // lost.
           return watcher_.linearizableRead([this, request, respond](bool ok) {
             if (!ok) return respond(retryLater(503));
             auto version = versionOf(request);
@@ -154,7 +159,8 @@
                             : jsonResponse(409, {{"error", "another change was first"}}));
           });
         default:
-          return respond(retryLater(503));  // carried out or not: the same request again tells
+          // The change may have been committed; a retry of the same request returns the outcome.
+          return respond(retryLater(503));
       }
     });
   });
--- a/src/policy/service.hpp
+++ b/src/policy/service.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Operators read and set the policy, at the address that controllers speak to each other at: only
-/// controllers and operators reach it (docs/members.md), and no user's key permits any of it.
+/// Implements the HTTP interface through which operators read and set the policy. It is served at
+/// the address for requests between controllers, which only controllers and operators can reach
+/// (docs/members.md); no user's key permits these requests.
 #pragma once
 
 #include "config/platform.hpp"
@@ -9,6 +10,7 @@
 
 namespace kestrelhoist {
 
+/// Answers operators' requests for the policy and the charges on any controller.
 class PolicyService {
  public:
   PolicyService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
@@ -20,16 +22,16 @@
         policyReplica_(policyReplica),
         platform_(platform) {}
 
-  /// GET or POST /mesh/policy; GET /mesh/paid. False: not its path.
+  /// Answers GET and POST /mesh/policy and GET /mesh/paid; returns false for any other path.
   bool handle(const Request& request, const Respond& respond);
 
  private:
   Json view() const;
   Json paid() const;
-  /// What setting it would change now, in jobs.
+  /// Returns how many current jobs the policy would protect, prioritize or make yield.
   Json effectOf(const Policy& policy) const;
   void set(const Json& body, const Respond& respond);
-  /// Which version this request has made, of those that are kept.
+  /// Returns the version that this request has set; nullopt if no kept version is from the request.
   std::optional<std::uint64_t> versionOf(const std::string& request) const;
 
   Runtime& runtime_;
