--- a/cli/policy_commands.cpp
+++ b/cli/policy_commands.cpp
@@ -29,7 +29,7 @@
     std::ifstream in(file);
     std::stringstream text;
     text << in.rdbuf();
-    document = jsonFrom(text.str());
+    document = parseJson(text.str());
     parsePolicy(document);  // wrong ones are told here, with the pointer, and sent nowhere
   }
   Json body = {{"document", document}, {"check", check}, {"request", client_->drawId().value}};
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -56,7 +56,7 @@
   std::string why_;
 };
 
-const char* kindWord(JobKind kind) {
+const char* toString(JobKind kind) {
   switch (kind) {
     case JobKind::service:
       return "service";
@@ -67,7 +67,7 @@
   }
 }
 
-std::optional<Priority> priorityFrom(const std::string& word) {
+std::optional<Priority> parsePriority(const std::string& word) {
   if (word == "production") return Priority::production;
   if (word == "high") return Priority::high;
   if (word == "standard") return Priority::normal;
@@ -104,7 +104,7 @@
   } else {
     f.fault("shape");
   }
-  if (auto p = priorityFrom(f.text("rank"))) {
+  if (auto p = parsePriority(f.text("rank"))) {
     s.priority = *p;
   } else {
     f.fault("rank");
@@ -152,7 +152,7 @@
   return list;
 }
 
-std::optional<std::vector<JobId>> jobIdsFrom(const Json& list) {
+std::optional<std::vector<JobId>> jobIdsFromJson(const Json& list) {
   if (!list.is_array()) return std::nullopt;
   std::vector<JobId> jobs;
   for (const auto& entry : list) {
@@ -165,7 +165,7 @@
 Json jobSpecToJson(const JobSpec& s) {
   Json v = {{"class", s.jobClass},
             {"team", s.team.value},
-            {"kind", kindWord(s.kind)},
+            {"kind", toString(s.kind)},
             {"priority", static_cast<int>(s.priority)},
             {"tasks", s.tasks},
             {"cpus", s.perTask.cpus},
@@ -229,7 +229,7 @@
   if (auto z = textField(v, "zone")) s.zone = ZoneId{*z};
   if (field(v, "deadline_ms")) s.deadline = ms("deadline_ms");
   if (const Json* dependsOn = field(v, "awaits")) {
-    auto jobs = jobIdsFrom(*dependsOn);
+    auto jobs = jobIdsFromJson(*dependsOn);
     // A job whose dependencies can't be parsed must not start.
     if (!jobs) return std::nullopt;
     s.dependsOn = std::move(*jobs);
--- a/src/jobs/spec.hpp
+++ b/src/jobs/spec.hpp
@@ -65,7 +65,7 @@
 /// Converts job ids to the list form of the records.
 Json jobIdsToJson(const std::vector<JobId>& jobs);
 /// Parses a list of job ids from a record; returns nullopt if `list` is not a list of strings.
-std::optional<std::vector<JobId>> jobIdsFrom(const Json& list);
+std::optional<std::vector<JobId>> jobIdsFromJson(const Json& list);
 
 /// Converts a job description to its form in the job record.
 Json jobSpecToJson(const JobSpec& spec);
--- a/src/policy/charges.cpp
+++ b/src/policy/charges.cpp
@@ -23,9 +23,9 @@
   return out;
 }
 
-Json paidJson(const Charge& p) { return {p.ms, p.money}; }
+Json chargeToJson(const Charge& p) { return {p.ms, p.money}; }
 
-std::optional<Charge> paidFrom(const Json& v) {
+std::optional<Charge> chargeFromJson(const Json& v) {
   if (!v.is_array() || v.size() != 2 || !v[0].is_number_integer() || !v[1].is_number_integer()) {
     return std::nullopt;
   }
@@ -89,22 +89,22 @@
 Json toJson(const ChargeRecord& r) {
   auto teams = [](const std::map<TeamId, Charge>& of) {
     Json out = Json::object();
-    for (const auto& [team, paid] : of) out[team.value] = paidJson(paid);
+    for (const auto& [team, paid] : of) out[team.value] = chargeToJson(paid);
     return out;
   };
   return {{"through", r.throughMs},
           {"used", teams(r.account.used)},
           {"warm", teams(r.account.warm)},
-          {"idle", paidJson(r.account.idle)},
-          {"boot", paidJson(r.account.boot)}};
+          {"idle", chargeToJson(r.account.idle)},
+          {"boot", chargeToJson(r.account.boot)}};
 }
 
-std::optional<ChargeRecord> chargeRecordFrom(const Json& v) {
+std::optional<ChargeRecord> chargeRecordFromJson(const Json& v) {
   auto through = countField(v, "through");
   const Json* idle = field(v, "idle");
   const Json* boot = field(v, "boot");
-  auto idlePaid = idle ? paidFrom(*idle) : std::nullopt;
-  auto bootPaid = boot ? paidFrom(*boot) : std::nullopt;
+  auto idlePaid = idle ? chargeFromJson(*idle) : std::nullopt;
+  auto bootPaid = boot ? chargeFromJson(*boot) : std::nullopt;
   if (!through || !idlePaid || !bootPaid) return std::nullopt;
   ChargeRecord r;
   r.throughMs = static_cast<std::int64_t>(*through);
@@ -114,7 +114,7 @@
     const Json* teams = field(v, name);
     if (!teams || !teams->is_object()) return std::nullopt;
     for (const auto& [team, paid] : teams->items()) {
-      auto p = paidFrom(paid);
+      auto p = chargeFromJson(paid);
       if (!p) return std::nullopt;
       (*to)[TeamId{team}] = *p;
     }
--- a/src/policy/charges.hpp
+++ b/src/policy/charges.hpp
@@ -56,6 +56,6 @@
             std::int64_t toMs);
 
 Json toJson(const ChargeRecord& r);
-std::optional<ChargeRecord> chargeRecordFrom(const Json& v);
+std::optional<ChargeRecord> chargeRecordFromJson(const Json& v);
 
 }  // namespace kestrelhoist
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -94,30 +94,30 @@
 
 namespace {
 
-Priority rankFrom(const std::string& word) {
+Priority parsePriority(const std::string& word) {
   if (word == "production") return Priority::production;
   if (word == "high") return Priority::high;
   return word == "standard" ? Priority::normal : Priority::low;
 }
 
-std::vector<Selector> selectorsFrom(const Json& list) {
+std::vector<Selector> parseSelectors(const Json& list) {
   std::vector<Selector> out;
   for (const auto& s : list) {
     Selector one;
     one.jobClass = s.value("class", "");
     one.team = TeamId{s.value("team", "")};
-    if (s.contains("rank")) one.rank = rankFrom(s["rank"].get<std::string>());
+    if (s.contains("rank")) one.rank = parsePriority(s["rank"].get<std::string>());
     if (s.contains("kind")) one.service = s["kind"] == "service";
     out.push_back(std::move(one));
   }
   return out;
 }
 
-int minuteFrom(const std::string& text) {
+int parseMinuteOfDay(const std::string& text) {
   return std::stoi(text.substr(0, 2)) * 60 + std::stoi(text.substr(3, 2));
 }
 
-Period periodFrom(const Json& p) {
+Period parsePeriod(const Json& p) {
   static const std::vector<std::string> kDays{"mon", "tue", "wed", "thu", "fri", "sat", "sun"};
   Period out;
   out.name = p["name"].get<std::string>();
@@ -126,15 +126,15 @@
     out.days[static_cast<std::size_t>(std::find(kDays.begin(), kDays.end(), d.get<std::string>()) -
                                       kDays.begin())] = true;
   }
-  out.fromMinute = minuteFrom(p["from"].get<std::string>());
-  out.toMinute = minuteFrom(p["to"].get<std::string>());
-  out.first = selectorsFrom(p["first"]);
-  out.yields = selectorsFrom(p["yields"]);
+  out.fromMinute = parseMinuteOfDay(p["from"].get<std::string>());
+  out.toMinute = parseMinuteOfDay(p["to"].get<std::string>());
+  out.first = parseSelectors(p["first"]);
+  out.yields = parseSelectors(p["yields"]);
   out.floor = p.value("floor", out.floor);
   return out;
 }
 
-[[noreturn]] void wrong(const std::string& pointer, const std::string& what) {
+[[noreturn]] void throwInvalid(const std::string& pointer, const std::string& what) {
   throw std::runtime_error(pointer + ": " + what);
 }
 
@@ -151,9 +151,9 @@
                      [&](const Selector& s) { return s.matches(spec); });
 }
 
-Json jsonFrom(const std::string& text) {
+Json parseJson(const std::string& text) {
   Json value = Json::parse(text, nullptr, false);
-  if (value.is_discarded()) wrong("/", "is not JSON");
+  if (value.is_discarded()) throwInvalid("/", "is not JSON");
   return value;
 }
 
@@ -163,25 +163,25 @@
   if (document.contains("calendar")) {
     const Json& c = document["calendar"];
     out->calendar.zone = c["zone"].get<std::string>();
-    if (!knownZone(out->calendar.zone)) wrong("/calendar/zone", "no such time zone");
+    if (!knownZone(out->calendar.zone)) throwInvalid("/calendar/zone", "no such time zone");
     for (const auto& h : c.value("holidays", Json::array())) {
       out->calendar.holidays.push_back(h.get<std::string>());
     }
     std::set<std::string> names;
     for (const auto& p : c["periods"]) {
       std::string at = "/calendar/periods/" + std::to_string(out->calendar.periods.size());
-      out->calendar.periods.push_back(periodFrom(p));
+      out->calendar.periods.push_back(parsePeriod(p));
       const Period& period = out->calendar.periods.back();
-      if (!names.insert(period.name).second) wrong(at + "/name", "is used twice");
-      if (period.fromMinute == period.toMinute) wrong(at + "/to", "equals from");
+      if (!names.insert(period.name).second) throwInvalid(at + "/name", "is used twice");
+      if (period.fromMinute == period.toMinute) throwInvalid(at + "/to", "equals from");
     }
     if (auto clash = overlapping(out->calendar)) {
-      wrong("/calendar/periods/" + std::to_string(clash->second),
-            "overlaps /calendar/periods/" + std::to_string(clash->first));
+      throwInvalid("/calendar/periods/" + std::to_string(clash->second),
+                   "overlaps /calendar/periods/" + std::to_string(clash->first));
     }
   }
   if (document.contains("continuity")) {
-    out->continuity.services = selectorsFrom(document["continuity"]["services"]);
+    out->continuity.services = parseSelectors(document["continuity"]["services"]);
     out->continuity.machines = document["continuity"].value("machines", 0);
   }
   std::set<std::string> pools, images;
@@ -189,16 +189,16 @@
     std::string at = "/pools/" + std::to_string(out->pools.size());
     Pool pool;
     pool.name = p["name"].get<std::string>();
-    if (!pools.insert(pool.name).second) wrong(at + "/name", "is used twice");
+    if (!pools.insert(pool.name).second) throwInvalid(at + "/name", "is used twice");
     for (const auto& i : p["images"]) {
       pool.images.emplace_back(i.get<std::string>());
       if (!images.insert(pool.images.back().value).second)
-        wrong(at + "/images", "are in two pools");
+        throwInvalid(at + "/images", "are in two pools");
     }
     pool.team = TeamId{p["team"].get<std::string>()};
     pool.least = p.value("least", 0U);
     pool.most = p["most"].get<std::uint32_t>();
-    if (pool.least > pool.most) wrong(at + "/least", "is more than most");
+    if (pool.least > pool.most) throwInvalid(at + "/least", "is more than most");
     pool.ahead = fromSeconds(p.value("ahead_s", toSeconds(pool.ahead)));
     pool.budgetPerHour = p.value("budget_per_hour", 0.0);
     out->pools.push_back(std::move(pool));
--- a/src/policy/document.hpp
+++ b/src/policy/document.hpp
@@ -75,6 +75,6 @@
 /// invalid field and the reason, if the document is invalid.
 std::shared_ptr<const Policy> parsePolicy(const Json& document);
 /// Parses JSON text. Throws std::runtime_error like parsePolicy() if the text is not JSON.
-Json jsonFrom(const std::string& text);
+Json parseJson(const std::string& text);
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_replica.cpp
+++ b/src/policy/policy_replica.cpp
@@ -10,7 +10,7 @@
   return {{"version", v.version}, {"at", v.atMs}, {"by", v.by}, {"document", v.document}};
 }
 
-std::optional<PolicyVersion> policyVersionFrom(const Json& v) {
+std::optional<PolicyVersion> policyVersionFromJson(const Json& v) {
   auto version = countField(v, "version");
   auto at = countField(v, "at");
   auto by = textField(v, "by");
@@ -28,7 +28,7 @@
   auto numbered = [&](const std::string& prefix, std::map<std::int64_t, ChargeRecord>& to) {
     std::int64_t n = 0;
     std::from_chars(key.data() + prefix.size(), key.data() + key.size(), n);
-    auto record = value ? chargeRecordFrom(*value) : std::nullopt;
+    auto record = value ? chargeRecordFromJson(*value) : std::nullopt;
     if (record) {
       to[n] = std::move(*record);
     } else {
@@ -36,7 +36,7 @@
     }
   };
   if (key == keys::kPolicy) {
-    current_ = value ? policyVersionFrom(*value) : std::nullopt;
+    current_ = value ? policyVersionFromJson(*value) : std::nullopt;
     policy_.reset();
     nextOf_ = -1;
     if (!current_ || current_->document.is_null()) return;
@@ -46,12 +46,12 @@
       logError("policy document can't be parsed; no policy is applied", "why", e.what());
     }
   } else if (key.starts_with(keys::kPolicyPast)) {
-    auto past = value ? policyVersionFrom(*value) : std::nullopt;
+    auto past = value ? policyVersionFromJson(*value) : std::nullopt;
     if (!past) return;
     past_[past->version] = std::move(*past);
     while (past_.size() > kVersionsKept) past_.erase(past_.begin());
   } else if (key == keys::kPolicyState) {
-    state_ = value ? policyStateFrom(*value) : PolicyState{};
+    state_ = value ? policyStateFromJson(*value) : PolicyState{};
     warmMachines_.clear();
     for (const auto& [image, held] : state_.pools) {
       warmMachines_.insert(held.machines.begin(), held.machines.end());
--- a/src/policy/policy_replica.hpp
+++ b/src/policy/policy_replica.hpp
@@ -31,7 +31,7 @@
   Json document;        ///< is null if this version clears the policy
 };
 Json toJson(const PolicyVersion& v);
-std::optional<PolicyVersion> policyVersionFrom(const Json& v);
+std::optional<PolicyVersion> policyVersionFromJson(const Json& v);
 
 /// Applies the records of the policy to an in-memory copy and answers queries about the effective
 /// policy from it.
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -179,7 +179,7 @@
   return v;
 }
 
-PolicyState policyStateFrom(const Json& v) {
+PolicyState policyStateFromJson(const Json& v) {
   PolicyState s;
   if (!v.is_object()) return s;
   s.others = v;
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -60,7 +60,7 @@
 };
 
 Json toJson(const PolicyState& s);
-PolicyState policyStateFrom(const Json& v);
+PolicyState policyStateFromJson(const Json& v);
 
 /// Holds the leader's observations of the forecast interval that ends.
 struct PolicyObservation {
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -63,7 +63,7 @@
 TEST(PolicyDocument, FaultsNameTheirPlace) {
   auto why = [](const char* text) -> std::string {
     try {
-      parsePolicy(jsonFrom(text));
+      parsePolicy(parseJson(text));
     } catch (const std::exception& e) {
       return e.what();
     }
@@ -113,7 +113,7 @@
     auto before = s;
     s = decidePolicyState(policy.get(), 1, s, seenAt(now + off, false), 1, random);
     // The state is converted to its record and back, as when a new leader reads it.
-    s = policyStateFrom(toJson(s));
+    s = policyStateFromJson(toJson(s));
     RC_ASSERT(s.actedMs >= before.actedMs);
     RC_ASSERT(s.opened <= before.opened + 1);
     RC_ASSERT(s.opened == s.closed + (s.open.empty() ? 0 : 1));
@@ -124,7 +124,7 @@
 TEST(PolicyState, AnEditIsOneStepAndUnknownFieldsStay) {
   auto c = [](const char* to) { return policyWith("UTC", "08:00", to); };
   std::mt19937_64 random(1);
-  PolicyState s = policyStateFrom({{"of_a_newer_version", 7}});
+  PolicyState s = policyStateFromJson({{"of_a_newer_version", 7}});
   s = decidePolicyState(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
   EXPECT_EQ(s.open, "day");
   s = decidePolicyState(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
@@ -279,7 +279,7 @@
   RC_ASSERT(account.total().ms == ms);
   RC_ASSERT(account.total().money == money);
   ChargeRecord record{5, account};
-  auto again = chargeRecordFrom(toJson(record));
+  auto again = chargeRecordFromJson(toJson(record));
   RC_ASSERT(again.has_value());
   RC_ASSERT(again->account.total() == account.total());
 }
--- a/src/store/parts_test.cpp
+++ b/src/store/parts_test.cpp
@@ -87,7 +87,7 @@
   auto page = unpackPage(records["kh/flowp/w-1/0123456789abcdef/0"].get<std::string>());
   ASSERT_TRUE(page);
   EXPECT_EQ(page->size(), kPageSize);
-  EXPECT_EQ(chargeRecordFrom(records["kh/paid/hour/0000490181"])->account.used.size(), 6U);
+  EXPECT_EQ(chargeRecordFromJson(records["kh/paid/hour/0000490181"])->account.used.size(), 6U);
 }
 
 TEST(Parts, count_in_whatever_order_they_are_read) {
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -138,7 +138,7 @@
   auto parsed = keys::parseAwaits(key);
   if (!parsed || !value) return;
   const Json* list = field(*value, "jobs");
-  auto jobs = list ? jobIdsFrom(*list) : std::nullopt;
+  auto jobs = list ? jobIdsFromJson(*list) : std::nullopt;
   if (!jobs) {
     logError("dependency list can't be read", "key", key);
     return;
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -61,7 +61,7 @@
 
 std::optional<Json> rewriteDependencies(const Json& record) {
   const Json* list = field(record, "jobs");
-  auto jobs = list ? jobIdsFrom(*list) : std::nullopt;
+  auto jobs = list ? jobIdsFromJson(*list) : std::nullopt;
   return jobs ? std::optional(Json{{"jobs", jobIdsToJson(*jobs)}}) : std::nullopt;
 }
 
@@ -99,14 +99,14 @@
       {keys::kLeader, [](const auto&, const Json& v) { return written(leaderRecordFrom(v)); }},
       {keys::kCatalogue, [](const auto&, const Json& v) { return written(catalogueFrom(v)); }},
       {keys::kForecast, [](const auto&, const Json& v) { return rewriteForecast(v); }},
-      {keys::kPolicy, [](const auto&, const Json& v) { return written(policyVersionFrom(v)); }},
-      {keys::kPolicyPast, [](const auto&, const Json& v) { return written(policyVersionFrom(v)); }},
+      {keys::kPolicy, [](const auto&, const Json& v) { return written(policyVersionFromJson(v)); }},
+      {keys::kPolicyPast, [](const auto&, const Json& v) { return written(policyVersionFromJson(v)); }},
       {keys::kPolicyState,
-       [](const auto&, const Json& v) { return std::optional(toJson(policyStateFrom(v))); }},
+       [](const auto&, const Json& v) { return std::optional(toJson(policyStateFromJson(v))); }},
       {keys::kChargesOfHour,
-       [](const auto&, const Json& v) { return written(chargeRecordFrom(v)); }},
+       [](const auto&, const Json& v) { return written(chargeRecordFromJson(v)); }},
       {keys::kChargesOfDay,
-       [](const auto&, const Json& v) { return written(chargeRecordFrom(v)); }},
+       [](const auto&, const Json& v) { return written(chargeRecordFromJson(v)); }},
       {keys::kKey, [](const auto&, const Json& v) { return written(keyRecordFrom(v)); }},
       {keys::kFlow, [](const auto&, const Json& v) { return written(flowHeadFrom(v)); }},
       {keys::kUpload, [](const auto&, const Json& v) { return written(flowUploadFrom(v)); }},
@@ -238,7 +238,7 @@
 TEST(StoredRecords, of_the_policys_state_are_read_field_by_field) {
   for (const auto& entry : recordsWith(keys::kPolicyState)) {
     const Json& record = entry.at("value");
-    PolicyState state = policyStateFrom(record);
+    PolicyState state = policyStateFromJson(record);
     EXPECT_TRUE(state.others.empty()) << state.others.dump();
     EXPECT_EQ(state.policy, record.at("policy").get<std::uint64_t>());
     EXPECT_EQ(state.actedMs, record.at("acted").get<std::int64_t>());
@@ -250,7 +250,7 @@
 
 TEST(StoredRecords, of_policies_can_be_parsed_as_policies) {
   for (const auto& entry : recordsWith(keys::kPolicy)) {
-    auto version = policyVersionFrom(entry.at("value"));
+    auto version = policyVersionFromJson(entry.at("value"));
     ASSERT_TRUE(version) << whereOf(entry);
     if (version->document.is_null()) continue;
     EXPECT_TRUE(parsePolicy(version->document)) << whereOf(entry);
