--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -67,7 +67,7 @@
   }
   addProjectedDemand(type, demand);
   if (context_.effectivePolicy) {
-    const double calendarDemand = context_.effectivePolicy->machinesAhead(type.boot * 3 / 2) /
+    const double calendarDemand = context_.effectivePolicy->machinesForNextPeriod(type.boot * 3 / 2) /
                                   static_cast<double>(context_.catalogue->types.size());
     demand.firm.mean = std::max(demand.firm.mean, demand.firmBooked + calendarDemand);
   }
@@ -128,7 +128,7 @@
   out.late = !out.up && machine.listed == Listed::booting &&
              toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
   out.idle = !record || record->tasks.empty();
-  out.keep = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
+  out.keep = context_.effectivePolicy && context_.effectivePolicy->isWarmMachine(machine.id);
   return out;
 }
 
--- a/src/cloud/scaling_loop_consolidation.cpp
+++ b/src/cloud/scaling_loop_consolidation.cpp
@@ -21,7 +21,7 @@
   for (const auto& [id, record] : context_.replica.machines()) {
     const Machine* m = fleet_.find(id);
     if (record.type != type || record.spot || !m || !fleet_.usable(*m, now)) continue;
-    if (context_.effectivePolicy && context_.effectivePolicy->keepsWarm(id)) continue;
+    if (context_.effectivePolicy && context_.effectivePolicy->isWarmMachine(id)) continue;
     ConsolidationCandidate c{id, type, zones[record.zone], known->capacity, known->capacity,
                              {}, {}};
     for (const auto& i : m->images) c.images.push_back({i.id, i.gb, i.fetched});
--- a/src/placement/plan_input_builder.cpp
+++ b/src/placement/plan_input_builder.cpp
@@ -159,7 +159,7 @@
   result.type = record.type;
   result.zone = zoneNumber(record.zone);
   result.spot = record.spot;
-  result.keptForImage = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(id);
+  result.keptForImage = context_.effectivePolicy && context_.effectivePolicy->isWarmMachine(id);
   result.usable =
       type && machine && fleet_.usable(*machine, now_) && !fleet_.cordoned().contains(id);
   result.leaseAtRisk = result.usable && fleet_.isLeaseAtRisk(*machine, now_);
@@ -276,7 +276,7 @@
   }
   auto allowed = context_.effectivePolicy->machinesForYielding(usableMachines, demandOfPreferred);
   if (!allowed) return;
-  auto maxTasks = shareAmong(shares, *allowed - usedByOthers);
+  auto maxTasks = maxTasksOfYieldingJobs(shares, *allowed - usedByOthers);
   for (std::size_t i = 0; i < yielding.size(); ++i) {
     input_.jobs[yielding[i]].maxTasks = maxTasks[i];
   }
--- a/src/placement/planning_loop.cpp
+++ b/src/placement/planning_loop.cpp
@@ -64,7 +64,7 @@
   // demand until shortly before the period closes.
   bool yields = job.priorityAdjustment < 0;
   if (plan.withheld[index] > 0 &&
-      (yields || context_.effectivePolicy->returnsWithin(maxBootTime()))) {
+      (yields || context_.effectivePolicy->periodClosesWithin(maxBootTime()))) {
     demand += plan.withheld[index];
   }
   if (demand > 0) unplaced_[job.spec->id] = demand;
--- a/src/policy/calendar.cpp
+++ b/src/policy/calendar.cpp
@@ -21,7 +21,8 @@
 
 // Returns all occurrences that open between `before` local days before a time and `after` local
 // days after it, in the order of their opening.
-std::vector<Occurrence> around(const Calendar& c, std::int64_t atMs, int before, int after) {
+std::vector<Occurrence> occurrencesAround(const Calendar& c, std::int64_t atMs, int before,
+                                          int after) {
   std::vector<Occurrence> out;
   if (c.periods.empty()) return out;
   const date::time_zone* zone = nullptr;
@@ -54,7 +55,7 @@
 
 }  // namespace
 
-bool knownZone(const std::string& zone) {
+bool isKnownTimeZone(const std::string& zone) {
   try {
     return date::locate_zone(zone) != nullptr;
   } catch (const std::exception&) {
@@ -62,27 +63,27 @@
   }
 }
 
-std::optional<Occurrence> openAt(const Calendar& c, std::int64_t atMs) {
-  for (const auto& o : around(c, atMs, 2, 1)) {
+std::optional<Occurrence> occurrenceAt(const Calendar& c, std::int64_t atMs) {
+  for (const auto& o : occurrencesAround(c, atMs, 2, 1)) {
     if (o.opensMs <= atMs && atMs < o.closesMs) return o;
   }
   return std::nullopt;
 }
 
-std::optional<Occurrence> nextAfter(const Calendar& c, std::int64_t atMs) {
-  for (const auto& o : around(c, atMs, 1, 10)) {
+std::optional<Occurrence> nextOccurrenceAfter(const Calendar& c, std::int64_t atMs) {
+  for (const auto& o : occurrencesAround(c, atMs, 1, 10)) {
     if (o.opensMs > atMs) return o;
   }
   return std::nullopt;
 }
 
-std::optional<std::pair<std::size_t, std::size_t>> overlapping(const Calendar& calendar) {
+std::optional<std::pair<std::size_t, std::size_t>> findOverlap(const Calendar& calendar) {
   // One week in winter and one in summer show every overlap: holidays only remove occurrences, and
   // daylight saving changes shift both periods equally.
   Calendar c = calendar;
   c.holidays.clear();
   for (std::int64_t week : {1736726400000LL, 1752451200000LL}) {  // 2025-01-13, 2025-07-14
-    auto all = around(c, week, 1, 9);
+    auto all = occurrencesAround(c, week, 1, 9);
     for (std::size_t i = 0; i + 1 < all.size(); ++i) {
       if (all[i + 1].opensMs < all[i].closesMs) {
         return std::minmax(all[i].period, all[i + 1].period);
--- a/src/policy/calendar.hpp
+++ b/src/policy/calendar.hpp
@@ -19,14 +19,14 @@
 };
 
 /// Returns whether the time zone data contain this zone.
-bool knownZone(const std::string& zone);
+bool isKnownTimeZone(const std::string& zone);
 /// Returns the occurrence that is open at this time; nullopt if none is.
-std::optional<Occurrence> openAt(const Calendar& calendar, std::int64_t atMs);
+std::optional<Occurrence> occurrenceAt(const Calendar& calendar, std::int64_t atMs);
 /// Returns the first occurrence that opens after this time; nullopt if none opens within the next
 /// ten days.
-std::optional<Occurrence> nextAfter(const Calendar& calendar, std::int64_t atMs);
+std::optional<Occurrence> nextOccurrenceAfter(const Calendar& calendar, std::int64_t atMs);
 /// Returns two periods that are open at the same time in some week of the year; nullopt if none
 /// are.
-std::optional<std::pair<std::size_t, std::size_t>> overlapping(const Calendar& calendar);
+std::optional<std::pair<std::size_t, std::size_t>> findOverlap(const Calendar& calendar);
 
 }  // namespace kestrelhoist
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -163,7 +163,7 @@
   if (document.contains("calendar")) {
     const Json& c = document["calendar"];
     out->calendar.zone = c["zone"].get<std::string>();
-    if (!knownZone(out->calendar.zone)) throwInvalid("/calendar/zone", "no such time zone");
+    if (!isKnownTimeZone(out->calendar.zone)) throwInvalid("/calendar/zone", "no such time zone");
     for (const auto& h : c.value("holidays", Json::array())) {
       out->calendar.holidays.push_back(h.get<std::string>());
     }
@@ -175,7 +175,7 @@
       if (!names.insert(period.name).second) throwInvalid(at + "/name", "is used twice");
       if (period.fromMinute == period.toMinute) throwInvalid(at + "/to", "equals from");
     }
-    if (auto clash = overlapping(out->calendar)) {
+    if (auto clash = findOverlap(out->calendar)) {
       throwInvalid("/calendar/periods/" + std::to_string(clash->second),
                    "overlaps /calendar/periods/" + std::to_string(clash->first));
     }
--- a/src/policy/effective_policy.hpp
+++ b/src/policy/effective_policy.hpp
@@ -23,9 +23,11 @@
   /// replicas wait until it is over.
   virtual bool massFailure() const { return false; }
   /// Returns how many of `machines` usable machines the yielding jobs may hold together while the
-  /// prioritized jobs hold or wait for `first` machines; nullopt if there is no bound.
-  virtual std::optional<double> machinesForYielding(double machines, double first) const {
-    (void)machines, (void)first;
+  /// prioritized jobs hold or wait for `prioritizedMachines` machines; nullopt if there is no
+  /// bound.
+  virtual std::optional<double> machinesForYielding(double machines,
+                                                    double prioritizedMachines) const {
+    (void)machines, (void)prioritizedMachines;
     return std::nullopt;
   }
   /// Returns the time until the next calendar period opens if the job will yield in that period;
@@ -33,12 +35,12 @@
   virtual std::optional<Duration> untilYielding(const JobSpec&) const { return std::nullopt; }
   /// Returns whether the open period closes within the given time. Jobs that it holds back may
   /// start then, so machines for them are rented ahead.
-  virtual bool returnsWithin(Duration) const { return false; }
+  virtual bool periodClosesWithin(Duration) const { return false; }
   /// Returns how many machines the prioritized jobs of the next period are expected to need; 0 if
   /// it does not open within the given time.
-  virtual double machinesAhead(Duration) const { return 0; }
+  virtual double machinesForNextPeriod(Duration) const { return 0; }
   /// Returns whether a warm pool keeps the machine because it holds one of the pool's images.
-  virtual bool keepsWarm(const MachineId&) const { return false; }
+  virtual bool isWarmMachine(const MachineId&) const { return false; }
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_loop.cpp
+++ b/src/policy/policy_loop.cpp
@@ -52,7 +52,8 @@
   const PolicyState& s = replica_.state();
   std::int64_t time = context_.timeOfDay();
   windowDue_ = now >= windowEnds_;
-  bool boundary = !s.massFailure && (s.open.empty() ? replica_.opensBy(time) : time >= s.closesMs);
+  bool boundary =
+      !s.massFailure && (s.open.empty() ? replica_.nextPeriodOpensBy(time) : time >= s.closesMs);
   due_ = windowDue_ || boundary || s.policy != replica_.version();
 }
 
--- a/src/policy/policy_replica.cpp
+++ b/src/policy/policy_replica.cpp
@@ -38,7 +38,7 @@
   if (key == keys::kPolicy) {
     current_ = value ? policyVersionFromJson(*value) : std::nullopt;
     policy_.reset();
-    nextOf_ = -1;
+    nextComputedForMs_ = -1;
     if (!current_ || current_->document.is_null()) return;
     try {
       policy_ = parsePolicy(current_->document);
@@ -56,7 +56,7 @@
     for (const auto& [image, held] : state_.pools) {
       warmMachines_.insert(held.machines.begin(), held.machines.end());
     }
-    nextOf_ = -1;
+    nextComputedForMs_ = -1;
   } else if (key.starts_with(keys::kChargesOfHour)) {
     numbered(keys::kChargesOfHour, hours_);
   } else if (key.starts_with(keys::kChargesOfDay)) {
@@ -70,7 +70,7 @@
   timeOfDay = std::move(time);
 }
 
-const Period* PolicyReplica::open() const {
+const Period* PolicyReplica::openPeriod() const {
   if (!policy_ || state_.open.empty()) return nullptr;
   for (const auto& p : policy_->calendar.periods) {
     if (p.name == state_.open) return &p;
@@ -78,16 +78,16 @@
   return nullptr;
 }
 
-const std::optional<Occurrence>& PolicyReplica::next() const {
-  if (nextOf_ != state_.actedMs) {
-    nextOf_ = state_.actedMs;
-    next_ = policy_ ? nextAfter(policy_->calendar, state_.actedMs) : std::nullopt;
+const std::optional<Occurrence>& PolicyReplica::nextOccurrence() const {
+  if (nextComputedForMs_ != state_.actedMs) {
+    nextComputedForMs_ = state_.actedMs;
+    next_ = policy_ ? nextOccurrenceAfter(policy_->calendar, state_.actedMs) : std::nullopt;
   }
   return next_;
 }
 
-bool PolicyReplica::opensBy(std::int64_t atMs) const {
-  const auto& o = next();
+bool PolicyReplica::nextPeriodOpensBy(std::int64_t atMs) const {
+  const auto& o = nextOccurrence();
   return o && o->opensMs <= atMs;
 }
 
@@ -96,7 +96,7 @@
 }
 
 int PolicyReplica::priorityAdjustment(const JobSpec& spec) const {
-  const Period* p = open();
+  const Period* p = openPeriod();
   if (!p) return 0;
   if (anyMatches(p->first, spec)) return 1;
   return spec.kind != JobKind::service && anyMatches(p->yields, spec) ? -1 : 0;
@@ -104,30 +104,31 @@
 
 // Leaves machines for the prioritized jobs, because yielding jobs on these machines would have to
 // be preempted again. The number of machines is the largest of three: the predicted mean plus its
-// spread, the peak of the period's most recent opening, and the current demand `first`.
-std::optional<double> PolicyReplica::machinesForYielding(double machines, double first) const {
-  const Period* p = open();
+// spread, the peak of the period's most recent opening, and the current demand.
+std::optional<double> PolicyReplica::machinesForYielding(double machines,
+                                                         double prioritizedMachines) const {
+  const Period* p = openPeriod();
   if (!p) return std::nullopt;
-  double day = state_.expected.mean + state_.expected.spread;
+  double expectedDemand = state_.expected.mean + state_.expected.spread;
   if (auto last = state_.last.find(p->name); last != state_.last.end()) {
-    day = std::max(day, last->second);
+    expectedDemand = std::max(expectedDemand, last->second);
   }
-  return std::max(p->floor * machines, machines - std::max(day, first));
+  return std::max(p->floor * machines, machines - std::max(expectedDemand, prioritizedMachines));
 }
 
 std::optional<Duration> PolicyReplica::untilYielding(const JobSpec& spec) const {
-  const auto& o = next();
-  if (!o || open() || !timeOfDay || spec.kind == JobKind::service) return std::nullopt;
+  const auto& o = nextOccurrence();
+  if (!o || openPeriod() || !timeOfDay || spec.kind == JobKind::service) return std::nullopt;
   if (!anyMatches(policy_->calendar.periods[o->period].yields, spec)) return std::nullopt;
   return Duration{std::max<std::int64_t>(0, o->opensMs - timeOfDay())};
 }
 
-bool PolicyReplica::returnsWithin(Duration within) const {
-  return open() && timeOfDay && state_.closesMs - timeOfDay() <= within.count();
+bool PolicyReplica::periodClosesWithin(Duration within) const {
+  return openPeriod() && timeOfDay && state_.closesMs - timeOfDay() <= within.count();
 }
 
-double PolicyReplica::machinesAhead(Duration within) const {
-  const auto& o = next();
+double PolicyReplica::machinesForNextPeriod(Duration within) const {
+  const auto& o = nextOccurrence();
   if (!o || !timeOfDay || o->opensMs - timeOfDay() > within.count()) return 0;
   auto last = state_.last.find(policy_->calendar.periods[o->period].name);
   return last == state_.last.end() ? 0 : last->second;
--- a/src/policy/policy_replica.hpp
+++ b/src/policy/policy_replica.hpp
@@ -52,7 +52,7 @@
   bool active() const { return current_.has_value(); }
   /// Returns whether the next period opens at or before this time of day. The answer is only valid
   /// while no period is open.
-  bool opensBy(std::int64_t atMs) const;
+  bool nextPeriodOpensBy(std::int64_t atMs) const;
   const std::map<std::int64_t, ChargeRecord>& hours() const { return hours_; }
   const std::map<std::int64_t, ChargeRecord>& days() const { return days_; }
   /// Returns the time of day, from which the time to the next opening or closing is computed.
@@ -61,17 +61,18 @@
   bool protects(const JobSpec& spec) const override;
   int priorityAdjustment(const JobSpec& spec) const override;
   bool massFailure() const override { return state_.massFailure.has_value(); }
-  std::optional<double> machinesForYielding(double machines, double first) const override;
+  std::optional<double> machinesForYielding(double machines,
+                                            double prioritizedMachines) const override;
   std::optional<Duration> untilYielding(const JobSpec& spec) const override;
-  bool returnsWithin(Duration within) const override;
-  double machinesAhead(Duration within) const override;
-  bool keepsWarm(const MachineId& machine) const override {
+  bool periodClosesWithin(Duration within) const override;
+  double machinesForNextPeriod(Duration within) const override;
+  bool isWarmMachine(const MachineId& machine) const override {
     return warmMachines_.contains(machine);
   }
 
  private:
-  const Period* open() const;
-  const std::optional<Occurrence>& next() const;
+  const Period* openPeriod() const;
+  const std::optional<Occurrence>& nextOccurrence() const;
 
   std::optional<PolicyVersion> current_;
   std::map<std::uint64_t, PolicyVersion> past_;
@@ -81,7 +82,7 @@
   std::map<std::int64_t, ChargeRecord> hours_, days_;
   mutable std::optional<Occurrence> next_;
   /// Holds the `actedMs` of the policy state for which `next_` was computed.
-  mutable std::int64_t nextOf_ = -1;
+  mutable std::int64_t nextComputedForMs_ = -1;
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -31,8 +31,8 @@
 
 // Opens and closes periods that are due. Each period opens once and closes once, because `actedMs`
 // never decreases, even if clocks step, the leader changes or the state service is unavailable.
-void turnCalendar(PolicyState& s, const Calendar& c, bool edited, std::int64_t now) {
-  auto current = openAt(c, now);
+void advanceCalendar(PolicyState& s, const Calendar& c, bool edited, std::int64_t now) {
+  auto current = occurrenceAt(c, now);
   if (edited) {
     // An edit of the policy document while a period is open takes effect in a single transaction.
     bool stays = current && c.periods[current->period].name == s.open;
@@ -81,7 +81,7 @@
   const Calendar& calendar = policy ? policy->calendar : kNone;
   // No period opens or closes during a mass failure; those that are due follow when it is over.
   if (!s.massFailure || edited) {
-    turnCalendar(s, calendar, edited, now);
+    advanceCalendar(s, calendar, edited, now);
     s.actedMs = now;
   }
   if (seen.windowEnds && !s.open.empty()) {
@@ -115,7 +115,8 @@
   return s;
 }
 
-std::vector<std::uint32_t> shareAmong(const std::vector<YieldingJob>& jobs, double machines) {
+std::vector<std::uint32_t> maxTasksOfYieldingJobs(const std::vector<YieldingJob>& jobs,
+                                                  double machines) {
   std::vector<std::uint32_t> most(jobs.size(), 0);
   std::vector<std::size_t> open(jobs.size());
   for (std::size_t j = 0; j < jobs.size(); ++j) open[j] = j;
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -77,13 +77,14 @@
                               const PolicyState& before, const PolicyObservation& seen,
                               double spreadMultiple, std::mt19937_64& random);
 
-/// Describes a yielding job for shareAmong().
+/// Describes a yielding job for maxTasksOfYieldingJobs().
 struct YieldingJob {
   double share{};                   ///< is the share of a machine that one task takes
   std::uint32_t waiting{}, held{};  ///< count the waiting tasks and the placed tasks
 };
 /// Returns for each yielding job how many tasks it may run if all of them may hold `machines`
 /// together. Each job may run at least one task; the remaining machines are shared evenly.
-std::vector<std::uint32_t> shareAmong(const std::vector<YieldingJob>& jobs, double machines);
+std::vector<std::uint32_t> maxTasksOfYieldingJobs(const std::vector<YieldingJob>& jobs,
+                                                  double machines);
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -34,30 +34,32 @@
 
 TEST(Calendar, LocalTimesFollowDaylightSaving) {
   auto c = calendar("Europe/Bratislava", "08:00", "17:00");
-  EXPECT_EQ(openAt(c, utc("2026-01-15 12:00"))->opensMs, utc("2026-01-15 07:00"));
-  EXPECT_EQ(openAt(c, utc("2026-07-15 12:00"))->opensMs, utc("2026-07-15 06:00"));
-  EXPECT_FALSE(openAt(c, utc("2026-07-15 15:00")));
-  EXPECT_EQ(nextAfter(c, utc("2026-07-15 15:00"))->opensMs, utc("2026-07-16 06:00"));
+  EXPECT_EQ(occurrenceAt(c, utc("2026-01-15 12:00"))->opensMs, utc("2026-01-15 07:00"));
+  EXPECT_EQ(occurrenceAt(c, utc("2026-07-15 12:00"))->opensMs, utc("2026-07-15 06:00"));
+  EXPECT_FALSE(occurrenceAt(c, utc("2026-07-15 15:00")));
+  EXPECT_EQ(nextOccurrenceAfter(c, utc("2026-07-15 15:00"))->opensMs, utc("2026-07-16 06:00"));
 }
 
 TEST(Calendar, ADayThatLacksAnHourAndOneThatRepeatsIt) {
   // The local hour from 02:00 to 03:00 does not exist on 2026-03-29 and occurs twice on 2026-10-25.
   auto c = calendar("Europe/Bratislava", "02:30", "02:45");
-  EXPECT_FALSE(openAt(c, utc("2026-03-29 01:00")));  // the whole period is in the skipped hour
+  EXPECT_FALSE(
+      occurrenceAt(c, utc("2026-03-29 01:00")));  // the whole period is in the skipped hour
   c = calendar("Europe/Bratislava", "02:30", "04:00");
-  EXPECT_EQ(openAt(c, utc("2026-03-29 01:10"))->opensMs, utc("2026-03-29 01:00"));
-  auto twice = openAt(c, utc("2026-10-25 01:00"));
+  EXPECT_EQ(occurrenceAt(c, utc("2026-03-29 01:10"))->opensMs, utc("2026-03-29 01:00"));
+  auto twice = occurrenceAt(c, utc("2026-10-25 01:00"));
   EXPECT_EQ(twice->opensMs, utc("2026-10-25 00:30"));  // the first of two 02:30
   EXPECT_EQ(twice->closesMs, utc("2026-10-25 03:00"));
   // The period opens only once on the day with the repeated hour.
-  EXPECT_EQ(nextAfter(c, twice->opensMs)->opensMs, utc("2026-10-26 01:30"));
+  EXPECT_EQ(nextOccurrenceAfter(c, twice->opensMs)->opensMs, utc("2026-10-26 01:30"));
 }
 
 TEST(Calendar, MidnightHolidaysAndWeekdays) {
   auto c = calendar("Africa/Accra", "22:00", "06:00", {"2026-12-25"}, R"(["thu","fri"])");
-  EXPECT_TRUE(openAt(c, utc("2026-12-25 05:00")));   // Thursday's period lasts into the holiday
-  EXPECT_FALSE(openAt(c, utc("2026-12-25 23:00")));  // no period opens on the holiday
-  EXPECT_FALSE(openAt(c, utc("2026-12-30 23:00")));  // no period opens on a Wednesday
+  EXPECT_TRUE(
+      occurrenceAt(c, utc("2026-12-25 05:00")));  // Thursday's period lasts into the holiday
+  EXPECT_FALSE(occurrenceAt(c, utc("2026-12-25 23:00")));  // no period opens on the holiday
+  EXPECT_FALSE(occurrenceAt(c, utc("2026-12-30 23:00")));  // no period opens on a Wednesday
 }
 
 TEST(PolicyDocument, FaultsNameTheirPlace) {
@@ -192,7 +194,7 @@
     least += jobs.back().share;
   }
   double machines = *rc::gen::inRange(0, 30);
-  auto most = shareAmong(jobs, machines);
+  auto most = maxTasksOfYieldingJobs(jobs, machines);
   double given = 0;
   for (std::size_t i = 0; i < n; ++i) {
     RC_ASSERT(most[i] >= 1U);
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -77,7 +77,7 @@
   for (const auto& [name, n] : periods) {
     v["periods"][name] = {{"first", n.first}, {"yield", n.second}};
   }
-  auto open = openAt(policy.calendar, runtime_.wallMillis());
+  auto open = occurrenceAt(policy.calendar, runtime_.wallMillis());
   if (open) v["open"] = policy.calendar.periods[open->period].name;
   return v;
 }
