--- a/src/policy/policy_loop.cpp
+++ b/src/policy/policy_loop.cpp
@@ -39,7 +39,7 @@
 
 void PolicyLoop::onTimer() {
   // No policy state has to be computed if there is no policy and no state of an earlier one.
-  bool wanted = replica_.policy() || replica_.state().policy != 0 || replica_.version() != 0;
+  bool wanted = replica_.policy() || replica_.state().policyVersion != 0 || replica_.version() != 0;
   if (!wanted || !context_.initialRoundOver || !context_.catalogue) return;
   Instant now = context_.runtime.now();
   if (windowEnds_ == Instant{}) {
@@ -52,9 +52,9 @@
   const PolicyState& s = replica_.state();
   std::int64_t time = context_.timeOfDay();
   windowDue_ = now >= windowEnds_;
-  bool boundary =
-      !s.massFailure && (s.open.empty() ? replica_.nextPeriodOpensBy(time) : time >= s.closesMs);
-  due_ = windowDue_ || boundary || s.policy != replica_.version();
+  bool boundary = !s.massFailure && (s.openPeriodName.empty() ? replica_.nextPeriodOpensBy(time)
+                                                              : time >= s.closesMs);
+  due_ = windowDue_ || boundary || s.policyVersion != replica_.version();
 }
 
 LoopStep PolicyLoop::next() {
@@ -73,14 +73,15 @@
     measureCoverage(s);
     chooseWarmMachines(s);
   }
-  if (s.open != before.open) {
-    logInfo(s.open.empty() ? "policy period closes" : "policy period opens", "period",
-            s.open.empty() ? before.open : s.open, "opened", s.opened, "closed", s.closed);
+  if (s.openPeriodName != before.openPeriodName) {
+    logInfo(s.openPeriodName.empty() ? "policy period closes" : "policy period opens", "period",
+            s.openPeriodName.empty() ? before.openPeriodName : s.openPeriodName, "opened",
+            s.openedCount, "closed", s.closedCount);
   }
   if (s.massFailure.has_value() != before.massFailure.has_value()) {
     logInfo(s.massFailure ? "mass failure begins" : "mass failure is over", "lost",
             s.massFailure ? s.massFailure->lost : before.massFailure->lost, "missing",
-            what.missing);
+            what.missingReplicas);
   }
   Transaction t = context_.begin();
   t.compares.push_back({keys::kPolicyState, context_.replica.modRevisionOf(keys::kPolicyState)});
@@ -124,7 +125,7 @@
                 ? 1
                 : 0;
     }
-    s.missing += job->tasks - std::min(job->tasks, up);
+    s.missingReplicas += job->tasks - std::min(job->tasks, up);
   }
   return s;
 }
@@ -148,8 +149,8 @@
 }
 
 void PolicyLoop::measureCoverage(PolicyState& s) const {
-  s.covered = 1;
-  s.uncovered = 0;
+  s.coveredShare = 1;
+  s.uncoveredReplicas = 0;
   if (!replica_.policy() || replica_.policy()->continuity.services.empty()) return;
   std::vector<CoverageMachine> machines;
   std::vector<CoverageReplicas> replicas;
@@ -183,8 +184,8 @@
   }
   FailoverCoverage worst = worstCoverage(
       machines, replicas, static_cast<std::size_t>(replica_.policy()->continuity.machines));
-  s.covered = worst.share();
-  s.uncovered = worst.moving - worst.placed;
+  s.coveredShare = worst.share();
+  s.uncoveredReplicas = worst.moving - worst.placed;
 }
 
 // Chooses the warm machines of each image. A chosen machine stays chosen as long as it holds the
--- a/src/policy/policy_replica.cpp
+++ b/src/policy/policy_replica.cpp
@@ -71,9 +71,9 @@
 }
 
 const Period* PolicyReplica::openPeriod() const {
-  if (!policy_ || state_.open.empty()) return nullptr;
+  if (!policy_ || state_.openPeriodName.empty()) return nullptr;
   for (const auto& p : policy_->calendar.periods) {
-    if (p.name == state_.open) return &p;
+    if (p.name == state_.openPeriodName) return &p;
   }
   return nullptr;
 }
@@ -109,8 +109,8 @@
                                                          double prioritizedMachines) const {
   const Period* p = openPeriod();
   if (!p) return std::nullopt;
-  double expectedDemand = state_.expected.mean + state_.expected.spread;
-  if (auto last = state_.last.find(p->name); last != state_.last.end()) {
+  double expectedDemand = state_.expectedDemand.mean + state_.expectedDemand.spread;
+  if (auto last = state_.lastPeaks.find(p->name); last != state_.lastPeaks.end()) {
     expectedDemand = std::max(expectedDemand, last->second);
   }
   return std::max(p->floor * machines, machines - std::max(expectedDemand, prioritizedMachines));
@@ -130,8 +130,8 @@
 double PolicyReplica::machinesForNextPeriod(Duration within) const {
   const auto& o = nextOccurrence();
   if (!o || !timeOfDay || o->opensMs - timeOfDay() > within.count()) return 0;
-  auto last = state_.last.find(policy_->calendar.periods[o->period].name);
-  return last == state_.last.end() ? 0 : last->second;
+  auto last = state_.lastPeaks.find(policy_->calendar.periods[o->period].name);
+  return last == state_.lastPeaks.end() ? 0 : last->second;
 }
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -8,25 +8,25 @@
 
 // A mass failure begins if one forecast interval loses at least this number and this share of the
 // machines.
-constexpr std::uint32_t kMassFailureAtLeast = 3;
-constexpr double kMassFailureShare = 0.05;
+constexpr std::uint32_t kMassFailureMinMachines = 3;
+constexpr double kMassFailureMinShare = 0.05;
 // A mass failure ends after this number of forecast intervals without a loss or a repair.
-constexpr std::uint32_t kCalm = 6;
+constexpr std::uint32_t kMaxIntervalsWithoutChange = 6;
 
 void openPeriod(PolicyState& s, const Calendar& c, const Occurrence& o, std::int64_t now) {
-  s.open = c.periods[o.period].name;
+  s.openPeriodName = c.periods[o.period].name;
   s.openedAtMs = now;
   s.closesMs = o.closesMs;
   s.peak = 0;
-  ++s.opened;
+  ++s.openedCount;
 }
 
 void closePeriod(PolicyState& s) {
-  if (s.open.empty()) return;
-  if (s.peak > 0) s.last[s.open] = s.peak;
-  s.open.clear();
+  if (s.openPeriodName.empty()) return;
+  if (s.peak > 0) s.lastPeaks[s.openPeriodName] = s.peak;
+  s.openPeriodName.clear();
   s.closesMs = 0;
-  ++s.closed;
+  ++s.closedCount;
 }
 
 // Opens and closes periods that are due. Each period opens once and closes once, because `actedMs`
@@ -35,14 +35,14 @@
   auto current = occurrenceAt(c, now);
   if (edited) {
     // An edit of the policy document while a period is open takes effect in a single transaction.
-    bool stays = current && c.periods[current->period].name == s.open;
+    bool stays = current && c.periods[current->period].name == s.openPeriodName;
     if (stays) {
       s.closesMs = current->closesMs;
     } else {
       closePeriod(s);
       if (current) openPeriod(s, c, *current, now);
     }
-  } else if (s.open.empty() ? current.has_value() : now >= s.closesMs) {
+  } else if (s.openPeriodName.empty() ? current.has_value() : now >= s.closesMs) {
     closePeriod(s);
     if (current) openPeriod(s, c, *current, now);
   }
@@ -50,21 +50,24 @@
 
 void trackMassFailure(PolicyState& s, const PolicyObservation& seen) {
   std::uint32_t losses = seen.lost + seen.notices + seen.lateBoots;
-  bool many = losses >= std::max<double>(kMassFailureAtLeast, kMassFailureShare * seen.machines);
+  bool many =
+      losses >= std::max<double>(kMassFailureMinMachines, kMassFailureMinShare * seen.machines);
   bool hit = many || seen.unreachableZones > 0;
   if (!s.massFailure) {
-    if (hit) s.massFailure = MassFailure{seen.nowMs, losses, 1, 0, seen.missing};
+    if (hit) s.massFailure = MassFailure{seen.nowMs, losses, 1, 0, seen.missingReplicas};
     return;
   }
   MassFailure& massFailure = *s.massFailure;
   massFailure.lost += losses;
   if (hit) ++massFailure.waves;
-  bool repaired = seen.missing < massFailure.missing;
-  massFailure.calm = hit || repaired ? 0 : massFailure.calm + 1;
-  massFailure.missing = seen.missing;
+  bool repaired = seen.missingReplicas < massFailure.missingReplicas;
+  massFailure.intervalsWithoutChange = hit || repaired ? 0 : massFailure.intervalsWithoutChange + 1;
+  massFailure.missingReplicas = seen.missingReplicas;
   // The mass failure is over when all protected replicas are up again, or when the number
   // of missing replicas no longer falls, which means that no machine can hold them.
-  if (!hit && (seen.missing == 0 || massFailure.calm >= kCalm)) s.massFailure.reset();
+  if (!hit && (seen.missingReplicas == 0 ||
+               massFailure.intervalsWithoutChange >= kMaxIntervalsWithoutChange))
+    s.massFailure.reset();
 }
 
 }  // namespace
@@ -74,8 +77,8 @@
                               double spreadMultiple, std::mt19937_64& random) {
   PolicyState s = before;
   std::int64_t now = std::max(seen.nowMs, before.actedMs);
-  bool edited = version != before.policy;
-  s.policy = version;
+  bool edited = version != before.policyVersion;
+  s.policyVersion = version;
   if (seen.windowEnds) trackMassFailure(s, seen);
   static const Calendar kNone;
   const Calendar& calendar = policy ? policy->calendar : kNone;
@@ -84,10 +87,10 @@
     advanceCalendar(s, calendar, edited, now);
     s.actedMs = now;
   }
-  if (seen.windowEnds && !s.open.empty()) {
+  if (seen.windowEnds && !s.openPeriodName.empty()) {
     s.peak = std::max(s.peak, seen.prioritizedMachines);
-    s.day.observe(seen.prioritizedMachines);
-    s.expected = s.day.predict(random);
+    s.demandForecast.observe(seen.prioritizedMachines);
+    s.expectedDemand = s.demandForecast.predict(random);
   }
   if (!policy) {
     s.pools.clear();
@@ -147,27 +150,27 @@
 }
 
 Json toJson(const PolicyState& s) {
-  Json v = s.others;
-  v["policy"] = s.policy;
+  Json v = s.unknownFields;
+  v["policy"] = s.policyVersion;
   v["acted"] = s.actedMs;
-  v["open"] = s.open;
+  v["open"] = s.openPeriodName;
   v["since"] = s.openedAtMs;
   v["closes"] = s.closesMs;
-  v["opened"] = s.opened;
-  v["closed"] = s.closed;
+  v["opened"] = s.openedCount;
+  v["closed"] = s.closedCount;
   v["peak"] = s.peak;
-  v["last"] = s.last;
-  v["day"] = s.day.toJson();
-  v["expected"] = {s.expected.mean, s.expected.spread};
-  v["covered"] = s.covered;
-  v["uncovered"] = s.uncovered;
+  v["last"] = s.lastPeaks;
+  v["day"] = s.demandForecast.toJson();
+  v["expected"] = {s.expectedDemand.mean, s.expectedDemand.spread};
+  v["covered"] = s.coveredShare;
+  v["uncovered"] = s.uncoveredReplicas;
   v.erase("storm");
   if (s.massFailure) {
     v["storm"] = {{"since", s.massFailure->sinceMs},
                   {"lost", s.massFailure->lost},
                   {"waves", s.massFailure->waves},
-                  {"calm", s.massFailure->calm},
-                  {"missing", s.massFailure->missing}};
+                  {"calm", s.massFailure->intervalsWithoutChange},
+                  {"missing", s.massFailure->missingReplicas}};
   }
   Json pools = Json::object();
   for (const auto& [image, held] : s.pools) {
@@ -183,34 +186,34 @@
 PolicyState policyStateFromJson(const Json& v) {
   PolicyState s;
   if (!v.is_object()) return s;
-  s.others = v;
+  s.unknownFields = v;
   for (const char* known :
        {"policy", "acted", "open", "since", "closes", "opened", "closed", "peak", "last", "day",
         "expected", "covered", "uncovered", "storm", "pools"}) {
-    s.others.erase(known);
+    s.unknownFields.erase(known);
   }
   auto ms = [&](const char* name) {
     return static_cast<std::int64_t>(countField(v, name).value_or(0));
   };
-  s.policy = countField(v, "policy").value_or(0);
+  s.policyVersion = countField(v, "policy").value_or(0);
   s.actedMs = ms("acted");
-  s.open = textField(v, "open").value_or("");
+  s.openPeriodName = textField(v, "open").value_or("");
   s.openedAtMs = ms("since");
   s.closesMs = ms("closes");
-  s.opened = countField(v, "opened").value_or(0);
-  s.closed = countField(v, "closed").value_or(0);
+  s.openedCount = countField(v, "opened").value_or(0);
+  s.closedCount = countField(v, "closed").value_or(0);
   s.peak = numberField(v, "peak").value_or(0);
-  s.covered = numberField(v, "covered").value_or(1);
-  s.uncovered = static_cast<std::uint32_t>(countField(v, "uncovered").value_or(0));
+  s.coveredShare = numberField(v, "covered").value_or(1);
+  s.uncoveredReplicas = static_cast<std::uint32_t>(countField(v, "uncovered").value_or(0));
   if (const Json* last = field(v, "last"); last && last->is_object()) {
     for (const auto& [name, n] : last->items()) {
-      if (n.is_number()) s.last[name] = n.get<double>();
+      if (n.is_number()) s.lastPeaks[name] = n.get<double>();
     }
   }
-  if (const Json* day = field(v, "day")) s.day.fromJson(*day);
+  if (const Json* day = field(v, "day")) s.demandForecast.fromJson(*day);
   if (const Json* e = field(v, "expected");
       e && e->is_array() && e->size() == 2 && (*e)[0].is_number() && (*e)[1].is_number()) {
-    s.expected = {(*e)[0].get<double>(), (*e)[1].get<double>()};
+    s.expectedDemand = {(*e)[0].get<double>(), (*e)[1].get<double>()};
   }
   if (const Json* massFailure = field(v, "storm")) {
     auto n = [&](const char* name) {
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -18,9 +18,10 @@
   std::int64_t sinceMs{};
   std::uint32_t lost{};   ///< counts the machines lost since it began
   std::uint32_t waves{};  ///< counts the forecast intervals with many losses
-  std::uint32_t calm{};   ///< counts the latest intervals without losses or repairs
+  /// Counts the latest consecutive forecast intervals without losses or repairs.
+  std::uint32_t intervalsWithoutChange{};
   /// Counts the replicas of protected services that were not up at the end of the last interval.
-  std::uint32_t missing{};
+  std::uint32_t missingReplicas{};
 };
 
 /// Describes one image of a warm pool: how many machines should hold it and which machines do.
@@ -33,30 +34,30 @@
 
 /// Holds the policy state as it is stored in the state service.
 struct PolicyState {
-  std::uint64_t policy{};  ///< is the version of the policy document applied; 0 if none
+  std::uint64_t policyVersion{};  ///< is the version of the policy document applied; 0 if none
   /// Openings and closings of periods up to this time of day have been applied; it never decreases.
   std::int64_t actedMs{};
-  std::string open;  ///< names the open period; empty if no period is open
+  std::string openPeriodName;  ///< names the open period; empty if no period is open
   std::int64_t openedAtMs{}, closesMs{};
-  std::uint64_t opened{}, closed{};  ///< count all openings and closings so far
+  std::uint64_t openedCount{}, closedCount{};  ///< count all openings and closings so far
   /// Holds the maximum number of machines that prioritized jobs have held or waited for since the
   /// period opened.
   double peak{};
   /// Maps the name of each period to the peak of its most recent opening.
-  std::map<std::string, double> last;
+  std::map<std::string, double> lastPeaks;
   /// Forecasts the number of machines that prioritized jobs hold or wait for.
-  Forecast day{6};
-  /// Holds the value that `day` predicts at its horizon.
-  Prediction expected;
+  Forecast demandForecast{6};
+  /// Holds the value that `demandForecast` predicts at its horizon.
+  Prediction expectedDemand;
   std::optional<MassFailure> massFailure;
   std::map<ImageId, WarmImage> pools;
   /// Holds the share of the protected replicas on lost machines that fit on other machines, for the
   /// worst loss of a zone or of as many machines as the policy names.
-  double covered = 1;
+  double coveredShare = 1;
   /// Counts the protected replicas that fit on no other machine after this loss.
-  std::uint32_t uncovered{};
+  std::uint32_t uncoveredReplicas{};
   /// Keeps the fields that a newer version of the program has written.
-  Json others = Json::object();
+  Json unknownFields = Json::object();
 };
 
 Json toJson(const PolicyState& s);
@@ -68,7 +69,7 @@
   /// Counts the machines that prioritized jobs of the open period hold or wait for.
   double prioritizedMachines{};
   bool windowEnds{};  ///< is true at the end of a forecast interval
-  std::uint32_t machines{}, lost{}, notices{}, unreachableZones{}, lateBoots{}, missing{};
+  std::uint32_t machines{}, lost{}, notices{}, unreachableZones{}, lateBoots{}, missingReplicas{};
   std::map<ImageId, double> starts;
 };
 
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -117,10 +117,10 @@
     // The state is converted to its record and back, as when a new leader reads it.
     s = policyStateFromJson(toJson(s));
     RC_ASSERT(s.actedMs >= before.actedMs);
-    RC_ASSERT(s.opened <= before.opened + 1);
-    RC_ASSERT(s.opened == s.closed + (s.open.empty() ? 0 : 1));
+    RC_ASSERT(s.openedCount <= before.openedCount + 1);
+    RC_ASSERT(s.openedCount == s.closedCount + (s.openPeriodName.empty() ? 0 : 1));
   }
-  RC_ASSERT(s.opened <= 10U);
+  RC_ASSERT(s.openedCount <= 10U);
 }
 
 TEST(PolicyState, AnEditIsOneStepAndUnknownFieldsStay) {
@@ -128,12 +128,12 @@
   std::mt19937_64 random(1);
   PolicyState s = policyStateFromJson({{"of_a_newer_version", 7}});
   s = decidePolicyState(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
-  EXPECT_EQ(s.open, "day");
+  EXPECT_EQ(s.openPeriodName, "day");
   s = decidePolicyState(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
-  EXPECT_EQ(s.opened, 1U);
+  EXPECT_EQ(s.openedCount, 1U);
   EXPECT_EQ(s.closesMs, utc("2026-10-20 18:00"));
   s = decidePolicyState(nullptr, 3, s, seenAt(utc("2026-10-20 09:02")), 1, random);
-  EXPECT_EQ(s.closed, 1U);
+  EXPECT_EQ(s.closedCount, 1U);
   EXPECT_EQ(toJson(s).at("of_a_newer_version"), 7);
 }
 
@@ -147,20 +147,20 @@
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_FALSE(s.massFailure);  // 4 of 100 machines are too few
   seen.lost = 5;
-  seen.missing = 40;
+  seen.missingReplicas = 40;
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   ASSERT_TRUE(s.massFailure);
   seen = seenAt(utc("2026-10-20 08:05"));
-  seen.missing = 20;  // lost replicas are being replaced
+  seen.missingReplicas = 20;  // lost replicas are being replaced
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
-  EXPECT_TRUE(s.open.empty());
+  EXPECT_TRUE(s.openPeriodName.empty());
   seen.lost = 30;  // further losses during the mass failure
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_EQ(s.massFailure->waves, 2U);
-  seen.lost = seen.missing = 0;
+  seen.lost = seen.missingReplicas = 0;
   s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
   EXPECT_FALSE(s.massFailure);
-  EXPECT_EQ(s.open, "day");
+  EXPECT_EQ(s.openPeriodName, "day");
 }
 
 TEST(PolicyState, PoolsHoldMeanAndSpreadOfTheStartsWithinTheirBounds) {
--- a/tests/scenario_expect_policy.cpp
+++ b/tests/scenario_expect_policy.cpp
@@ -15,16 +15,16 @@
   const auto& words = line.words;
   ASSERT_NE(world_->policy(), nullptr);
   const auto& s = world_->policy()->state();
-  EXPECT_EQ(s.open.empty() ? "none" : s.open, words.at(2));
-  EXPECT_EQ(s.opened, std::stoul(words.at(4)));
-  EXPECT_EQ(s.closed, std::stoul(words.at(6)));
+  EXPECT_EQ(s.openPeriodName.empty() ? "none" : s.openPeriodName, words.at(2));
+  EXPECT_EQ(s.openedCount, std::stoul(words.at(4)));
+  EXPECT_EQ(s.closedCount, std::stoul(words.at(6)));
 }
 
 // expect periods sound: as often closed as opened, or one open
 void ScenarioExpect::expectSoundPeriods(const Line&) {
   ASSERT_NE(world_->policy(), nullptr);
   const auto& s = world_->policy()->state();
-  EXPECT_EQ(s.opened, s.closed + (s.open.empty() ? 0 : 1));
+  EXPECT_EQ(s.openedCount, s.closedCount + (s.openPeriodName.empty() ? 0 : 1));
 }
 
 // expect storm yes|no
--- a/tests/scenario_steps_output.cpp
+++ b/tests/scenario_steps_output.cpp
@@ -25,8 +25,8 @@
   world.tellWaits(std::cout);
   if (const auto* policy = world.policy(); policy && policy->active()) {
     const auto& state = policy->state();
-    std::cout << "  covered " << state.covered << ", uncovered " << state.uncovered << ", storm "
-              << policy->massFailure() << "\n";
+    std::cout << "  covered " << state.coveredShare << ", uncovered " << state.uncoveredReplicas
+              << ", storm " << policy->massFailure() << "\n";
   }
 }
 
