--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kMaxSlotWait{200};
 constexpr int kCancelTries = 5;
 
-const char* phaseWord(const JobState& job) {
+const char* phaseName(const JobState& job) {
   switch (job.phase()) {
     case JobPhase::done:
       return "done";
@@ -44,8 +44,8 @@
       replica_(replica),
       platform_(platform),
       versions_(versions),
-      writes_(platform.stateWritesPerS * kUserWriteShare,
-              std::max(2.0, platform.stateWritesPerS * kUserWriteShare)) {}
+      userWriteRate_(platform.stateWritesPerS * kUserWriteShare,
+                     std::max(2.0, platform.stateWritesPerS * kUserWriteShare)) {}
 
 bool JobService::handle(const Request& request, const Respond& respond, const Owner* member) {
   std::string path = request.path.substr(0, request.path.find('?'));
@@ -75,7 +75,7 @@
   return true;
 }
 
-const JobState* JobService::known(const JobId& id) const {
+const JobState* JobService::findJob(const JobId& id) const {
   const auto* job = replica_.job(id);
   return job && job->record.spec ? job : nullptr;
 }
@@ -93,7 +93,7 @@
 Json JobService::view(const JobId& id, const JobState& job, bool withDigest) {
   const auto& owner = job.record.owner;
   Json v = {{"ref", owner ? owner->ref : id.value},
-            {"phase", phaseWord(job)},
+            {"phase", phaseName(job)},
             {"done", std::min(job.finishedCount, job.tasks)},
             {"running", job.active() ? job.placed.size() : 0}};
   if (owner) {
@@ -110,11 +110,11 @@
 
 void JobService::poll(const JobId& id, const Respond& respond) {
   // The phases done and cancelled are final, so that no linearizable read is necessary.
-  if (const auto* job = known(id); job && !job->active())
+  if (const auto* job = findJob(id); job && !job->active())
     return respond(stateResponse(id, *job, 200));
   watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
-    const auto* job = known(id);
+    const auto* job = findJob(id);
     respond(job ? stateResponse(id, *job, 200) : jsonResponse(404, {{"error", "no such job"}}));
   });
 }
@@ -123,35 +123,35 @@
                                  std::function<void()> otherwise) {
   watcher_.linearizableRead([this, id, respond, otherwise = std::move(otherwise)](bool ok) {
     if (!ok) return respond(retryLater(503));
-    if (const auto* job = known(id)) return respond(stateResponse(id, *job, 200));
+    if (const auto* job = findJob(id)) return respond(stateResponse(id, *job, 200));
     otherwise();
   });
 }
 
 void JobService::withWriteSlot(const Respond& respond, std::function<void()> next, int triesLeft) {
-  if (inProgress_ >= kMaxInProgress) return respond(retryLater(429));
-  Duration wait = writes_.waitFor(runtime_.now(), 1);
+  if (requestsInProgress_ >= kMaxRequestsInProgress) return respond(retryLater(429));
+  Duration wait = userWriteRate_.waitFor(runtime_.now(), 1);
   if (wait.count() == 0) {
-    writes_.take(runtime_.now(), 1);
+    userWriteRate_.take(runtime_.now(), 1);
     next();
     return;
   }
   if (triesLeft == 0) return respond(retryLater(429));
-  ++inProgress_;
+  ++requestsInProgress_;
   runtime_.after(std::min(wait, kMaxSlotWait), [this, respond, next = std::move(next), triesLeft] {
-    --inProgress_;
+    --requestsInProgress_;
     withWriteSlot(respond, next, triesLeft - 1);
   });
 }
 
 void JobService::cancel(const JobId& id, int triesLeft, const Request& request,
                         const Respond& respond) {
-  if (const auto* job = known(id); job && !job->active()) {
+  if (const auto* job = findJob(id); job && !job->active()) {
     return respond(stateResponse(id, *job, 200));
   }
   watcher_.linearizableRead([this, id, triesLeft, request, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
-    const auto* job = known(id);
+    const auto* job = findJob(id);
     if (!job) return respond(jsonResponse(404, {{"error", "no such job"}}));
     if (!job->active()) return respond(stateResponse(id, *job, 200));
     commitCancellation(id, *job, triesLeft, request, respond);
@@ -193,7 +193,7 @@
   replica_.apply({write.key, write.value, revision});
   logInfo("job cancelled by its user", "job", id, "request", transaction.requestId);
   if (onCommitted) onCommitted();
-  const auto* job = write.value->contains("owner") ? known(id) : nullptr;
+  const auto* job = write.value->contains("owner") ? findJob(id) : nullptr;
   respond(job ? stateResponse(id, *job, 200)
               : jsonResponse(200, {{"ref", id.value}, {"phase", "withdrawn"}}));
 }
--- a/src/jobs/service.hpp
+++ b/src/jobs/service.hpp
@@ -40,15 +40,15 @@
 
  private:
   /// Limits the user requests in progress; requests above the limit get status 429 at once.
-  static constexpr std::size_t kMaxInProgress = 256;
+  static constexpr std::size_t kMaxRequestsInProgress = 256;
   static constexpr Duration kCommitTimeout{1500};
   /// Delays the retry after the state service has refused a transaction.
   static constexpr Duration kRetryDelay{150};
 
   static JobId jobIdOf(const std::string& ref, const Owner* member);
   static Response stateResponse(const JobId& id, const JobState& job, int status);
-  const JobState* known(const JobId& id) const;
-  bool knowsAll(const std::vector<JobId>& jobs) const;
+  const JobState* findJob(const JobId& id) const;
+  bool hasAllJobs(const std::vector<JobId>& jobs) const;
   /// Starts a linearizable read. Responds with the job's state if the replica holds the job after
   /// the read; calls `otherwise` if it does not.
   void answerAfterRead(const JobId& id, const Respond& respond, std::function<void()> otherwise);
@@ -67,14 +67,14 @@
   /// Handles a submission. This function and the following steps, declared in the order of their
   /// execution, are implemented in submission.cpp.
   void submit(const Request& request, const Owner* member, const Respond& respond);
-  std::optional<Response> refusalOf(const std::variant<JobSpec, Invalid>& parsed,
-                                    const Owner* member) const;
+  std::optional<Response> checkSubmission(const std::variant<JobSpec, Invalid>& parsed,
+                                          const Owner* member) const;
   /// Returns the error response for dependencies that must not be accepted according to the
   /// replica; nullopt if the replica holds no reason against them.
-  std::optional<Response> refusalOfDependencies(const std::vector<JobId>& dependsOn) const;
+  std::optional<Response> checkDependencies(const std::vector<JobId>& dependsOn) const;
   void accept(std::shared_ptr<const Submission> submission, const Respond& respond);
-  void createParts(std::shared_ptr<const Submission> submission, std::uint32_t from,
-                   const Respond& respond);
+  void createDependencyParts(std::shared_ptr<const Submission> submission, std::uint32_t from,
+                             const Respond& respond);
   void create(std::shared_ptr<const Submission> submission, int triesLeft, const Respond& respond);
   void accepted(const Submission& submission, const Respond& respond);
 
@@ -84,8 +84,8 @@
   Replica& replica_;
   const Platform& platform_;
   const MemberVersions& versions_;
-  RateBudget writes_;
-  std::size_t inProgress_ = 0;
+  RateBudget userWriteRate_;
+  std::size_t requestsInProgress_ = 0;
   mutable std::optional<Catalogue> catalogue_;
   mutable Revision catalogueRevision_;
 };
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -6,7 +6,7 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxName = 200;
+constexpr std::size_t kMaxNameBytes = 200;
 constexpr std::size_t kMaxTypes = 64;
 constexpr double kMaxAmount = 1e9;
 
@@ -17,7 +17,7 @@
 
   std::string text(const char* name) {
     auto v = textField(body_, name);
-    if (!v || v->empty() || v->size() > kMaxName) return fault(name), std::string{};
+    if (!v || v->empty() || v->size() > kMaxNameBytes) return fault(name), std::string{};
     return *v;
   }
   double amount(const char* name) {
@@ -125,7 +125,7 @@
       s.types.emplace();
       for (const auto& t : *types) {
         auto type = textOf(t);
-        if (!type || type->size() > kMaxName) {
+        if (!type || type->size() > kMaxNameBytes) {
           f.fault("rigs");
           break;
         }
--- a/src/jobs/submission.cpp
+++ b/src/jobs/submission.cpp
@@ -27,19 +27,19 @@
   auto ref = textField(*body, "ref");
   if (!ref || !validJobId(*ref)) return respond(jsonResponse(400, {{"error", "bad ref"}}));
   JobId id = jobIdOf(*ref, member);
-  if (const auto* job = known(id); job && !job->active()) {
+  if (const auto* job = findJob(id); job && !job->active()) {
     return respond(stateResponse(id, *job, 200));
   }
   if (!watcher_.loaded()) return respond(retryLater(503));
 
   auto parsed = parseSubmission(*body);
-  std::optional<Response> refusal = refusalOf(parsed, member);
+  std::optional<Response> refusal = checkSubmission(parsed, member);
   std::shared_ptr<const Submission> submission;
   if (!refusal) {
     JobSpec spec = std::get<JobSpec>(std::move(parsed));
     spec.id = id;
     for (auto& dependency : spec.dependsOn) dependency = jobIdOf(dependency.value, member);
-    refusal = refusalOfDependencies(spec.dependsOn);
+    refusal = checkDependencies(spec.dependsOn);
     auto owner = member ? std::make_shared<const JobOwner>(JobOwner{*member, *ref}) : nullptr;
     if (auto prepared = prepareSubmission(std::move(spec), std::move(owner), request.id,
                                           runtime_.wallMillis(), platform_.valueBytes)) {
@@ -48,7 +48,7 @@
       refusal = jsonResponse(400, {{"error", "too long"}});
     }
   }
-  if (refusal || known(id)) {
+  if (refusal || findJob(id)) {
     // A repeated submission of an accepted job returns the job's state, even if the new request
     // body differs or is invalid.
     answerAfterRead(id, respond,
@@ -58,8 +58,8 @@
   accept(submission, respond);
 }
 
-std::optional<Response> JobService::refusalOf(const std::variant<JobSpec, Invalid>& parsed,
-                                              const Owner* member) const {
+std::optional<Response> JobService::checkSubmission(const std::variant<JobSpec, Invalid>& parsed,
+                                                    const Owner* member) const {
   const auto* types = catalogue();
   if (const auto* bad = std::get_if<Invalid>(&parsed)) {
     return jsonResponse(400, {{"error", bad->why}});
@@ -75,12 +75,11 @@
   return std::nullopt;
 }
 
-std::optional<Response> JobService::refusalOfDependencies(
-    const std::vector<JobId>& dependsOn) const {
+std::optional<Response> JobService::checkDependencies(const std::vector<JobId>& dependsOn) const {
   if (dependsOn.empty()) return std::nullopt;
   if (!versions_.allAtLeast(kFormatWithDependencies)) return retryLater(503);
   for (const auto& dependency : dependsOn) {
-    const auto* job = known(dependency);
+    const auto* job = findJob(dependency);
     if (job && job->record.spec->kind == JobKind::service) {
       return jsonResponse(422, {{"error", "awaits a service, which is never done"}});
     }
@@ -88,32 +87,33 @@
   return std::nullopt;
 }
 
-bool JobService::knowsAll(const std::vector<JobId>& jobs) const {
-  return std::all_of(jobs.begin(), jobs.end(), [this](const JobId& id) { return known(id); });
+bool JobService::hasAllJobs(const std::vector<JobId>& jobs) const {
+  return std::all_of(jobs.begin(), jobs.end(), [this](const JobId& id) { return findJob(id); });
 }
 
 // Another controller may have accepted a dependency in a commit that this controller has not read
 // yet. Only a linearizable read that begins after the request proves that a job was never accepted.
 void JobService::accept(std::shared_ptr<const Submission> submission, const Respond& respond) {
   auto dependsOn = submission->dependencies();
-  auto begin = [this, submission, respond] {
-    withWriteSlot(respond, [this, submission, respond] { createParts(submission, 0, respond); });
+  auto writeRecords = [this, submission, respond] {
+    withWriteSlot(respond,
+                  [this, submission, respond] { createDependencyParts(submission, 0, respond); });
   };
-  if (knowsAll(dependsOn)) return begin();
+  if (hasAllJobs(dependsOn)) return writeRecords();
   answerAfterRead(
-      submission->record.spec->id, respond, [this, submission, dependsOn, begin, respond] {
-        if (!knowsAll(dependsOn)) {
+      submission->record.spec->id, respond, [this, submission, dependsOn, writeRecords, respond] {
+        if (!hasAllJobs(dependsOn)) {
           return respond(jsonResponse(422, {{"error", "awaits a job that was never accepted"}}));
         }
-        if (auto refusal = refusalOfDependencies(dependsOn)) return respond(*refusal);
-        begin();
+        if (auto refusal = checkDependencies(dependsOn)) return respond(*refusal);
+        writeRecords();
       });
 }
 
 // Writes the parts of the dependency list before the job record. The transaction requires that the
 // job record does not exist, so that no controller changes the parts of an accepted job.
-void JobService::createParts(std::shared_ptr<const Submission> submission, std::uint32_t from,
-                             const Respond& respond) {
+void JobService::createDependencyParts(std::shared_ptr<const Submission> submission,
+                                       std::uint32_t from, const Respond& respond) {
   const JobId& id = submission->record.spec->id;
   const auto count = static_cast<std::uint32_t>(submission->dependencyParts.size());
   if (from >= count) return create(submission, kCreateTries, respond);
@@ -129,30 +129,30 @@
     t.writes.push_back({keys::awaits(id, next), std::move(value), std::nullopt});
     ++next;
   }
-  ++inProgress_;
+  ++requestsInProgress_;
   store_.commit(t, kCommitTimeout, [this, submission, next, t, respond](CommitResult r) {
-    --inProgress_;
+    --requestsInProgress_;
     if (r.outcome == CommitOutcome::conflict) {
       return answerAfterRead(submission->record.spec->id, respond,
                              [respond] { respond(retryLater(503)); });
     }
     if (r.outcome != CommitOutcome::applied) return respond(retryLater(503));
     for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
-    createParts(submission, next, respond);
+    createDependencyParts(submission, next, respond);
   });
 }
 
 void JobService::create(std::shared_ptr<const Submission> submission, int triesLeft,
                         const Respond& respond) {
-  if (inProgress_ >= kMaxInProgress) return respond(retryLater(429));
+  if (requestsInProgress_ >= kMaxRequestsInProgress) return respond(retryLater(429));
   const JobId id = submission->record.spec->id;
   Transaction t;
   t.requestId = submission->requestId;
   t.compares.push_back({keys::job(id), Revision{}});
   t.writes.push_back({keys::job(id), toJson(submission->record), std::nullopt});
-  ++inProgress_;
+  ++requestsInProgress_;
   store_.commit(t, kCommitTimeout, [this, submission, id, t, triesLeft, respond](CommitResult r) {
-    --inProgress_;
+    --requestsInProgress_;
     switch (r.outcome) {
       case CommitOutcome::applied:
         replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
@@ -162,7 +162,7 @@
         // response was lost, has created it.
         return answerAfterRead(id, respond, [respond] { respond(retryLater(503)); });
       case CommitOutcome::refused:
-        // The state service is rate limiting or unavailable. The commit is retried after a short
+        // The state service limits the rate or is unavailable. The commit is retried after a short
         // delay unless reads from the state service fail as well.
         if (triesLeft > 0 && watcher_.reachable()) {
           runtime_.after(kRetryDelay, [this, submission, triesLeft, respond] {
@@ -183,7 +183,7 @@
   const JobId& id = record.spec->id;
   logInfo("job accepted", "job", id, "tasks", record.spec->tasks, "class", record.spec->jobClass,
           "request", submission.requestId);
-  const auto* job = known(id);
+  const auto* job = findJob(id);
   // A job that depends on a cancelled job is cancelled as well, and another controller may have
   // reported it to the user as cancelled already.
   const bool cancelled = job && job->phase() == JobPhase::cancelled;
--- a/src/policy/charges.cpp
+++ b/src/policy/charges.cpp
@@ -58,7 +58,7 @@
   // Dividing a period into several intervals changes the total by less than one millionth each.
   whole.money = static_cast<std::uint64_t>(
       std::llround(m.pricePerHour * 1e6 * static_cast<double>(whole.ms) / 3600000.0));
-  if (!m.up) {
+  if (!m.hasReported) {
     account.boot += whole;
     return;
   }
@@ -74,11 +74,11 @@
   // The unused share is charged in equal parts to the teams whose warm pools keep the machine, or
   // to no team if there is none.
   double rest = std::max(0.0, 1 - sum);
-  for (const auto& team : m.pools) {
+  for (const auto& team : m.poolTeams) {
     to.push_back(&account.warm[team]);
-    shares.push_back(rest / static_cast<double>(m.pools.size()));
+    shares.push_back(rest / static_cast<double>(m.poolTeams.size()));
   }
-  if (m.pools.empty()) {
+  if (m.poolTeams.empty()) {
     to.push_back(&account.idle);
     shares.push_back(rest);
   }
--- a/src/policy/charges.hpp
+++ b/src/policy/charges.hpp
@@ -41,8 +41,8 @@
   std::int64_t rentedAtMs{};  ///< is a time of day; earlier time is not charged
   double pricePerHour{};
   std::map<TeamId, double> used;  ///< tasks of each team take this share of the machine
-  std::vector<TeamId> pools;      ///< warm pools of these teams keep the machine
-  bool up{};                      ///< is false while the worker has not reported yet
+  std::vector<TeamId> poolTeams;  ///< warm pools of these teams keep the machine
+  bool hasReported{};             ///< is false while the worker has not reported yet
 };
 
 /// Holds the charges of one hour or one day; they are counted up to the time of day `throughMs`.
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -196,9 +196,9 @@
         throwInvalid(at + "/images", "are in two pools");
     }
     pool.team = TeamId{p["team"].get<std::string>()};
-    pool.least = p.value("least", 0U);
-    pool.most = p["most"].get<std::uint32_t>();
-    if (pool.least > pool.most) throwInvalid(at + "/least", "is more than most");
+    pool.minMachines = p.value("least", 0U);
+    pool.maxMachines = p["most"].get<std::uint32_t>();
+    if (pool.minMachines > pool.maxMachines) throwInvalid(at + "/least", "is more than most");
     pool.ahead = fromSeconds(p.value("ahead_s", toSeconds(pool.ahead)));
     pool.budgetPerHour = p.value("budget_per_hour", 0.0);
     out->pools.push_back(std::move(pool));
--- a/src/policy/document.hpp
+++ b/src/policy/document.hpp
@@ -54,9 +54,9 @@
 struct Pool {
   std::string name;
   std::vector<ImageId> images;
-  TeamId team;                    ///< this team is charged for the pool
-  std::uint32_t least{}, most{};  ///< bound the number of machines per image
-  Duration ahead{120000};         ///< the pool covers the task starts expected within this time
+  TeamId team;                                 ///< this team is charged for the pool
+  std::uint32_t minMachines{}, maxMachines{};  ///< bound the number of machines per image
+  Duration ahead{120000};  ///< the pool covers the task starts expected within this time
   /// Limits the hourly price of the pool's machines that run no task; 0 means no limit.
   double budgetPerHour{};
 };
--- a/src/policy/failover_coverage.hpp
+++ b/src/policy/failover_coverage.hpp
@@ -29,17 +29,18 @@
 
 /// Counts the replicas on the lost machines, and those of them that fit on other machines.
 struct FailoverCoverage {
-  std::uint32_t moving{}, placed{};
-  double share() const { return moving == 0 ? 1.0 : static_cast<double>(placed) / moving; }
+  std::uint32_t displaced{}, placed{};
+  double share() const { return displaced == 0 ? 1.0 : static_cast<double>(placed) / displaced; }
 };
 
 /// Computes how many of the replicas on the `lost` machines fit on the other machines.
 FailoverCoverage coverageFor(const std::vector<CoverageMachine>& machines,
                              const std::vector<CoverageReplicas>& replicas,
                              const std::set<std::size_t>& lost);
-/// Returns the lowest coverage among the loss of each single zone and the loss of the `atOnce`
-/// machines with the most replicas.
+/// Returns the lowest coverage among the loss of each single zone and the loss of the
+/// `lostMachines` machines with the most replicas.
 FailoverCoverage worstCoverage(const std::vector<CoverageMachine>& machines,
-                               const std::vector<CoverageReplicas>& replicas, std::size_t atOnce);
+                               const std::vector<CoverageReplicas>& replicas,
+                               std::size_t lostMachines);
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_loop.cpp
+++ b/src/policy/policy_loop.cpp
@@ -6,21 +6,21 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr std::int64_t kHour = 3600000, kDay = 24 * kHour;
-constexpr std::size_t kHoursKept = 26, kDaysKept = 62;
+constexpr std::int64_t kHourMs = 3600000, kDayMs = 24 * kHourMs;
+constexpr std::size_t kMaxHourRecords = 26, kMaxDayRecords = 62;
 
 // Returns the policy state as JSON of at most `bytes`. If the state is too large, the function
 // drops data that later intervals restore: first warm machines, then forecasts of starts, then
 // pools.
-Json fitting(PolicyState s, std::size_t bytes) {
+Json toJsonWithin(PolicyState s, std::size_t bytes) {
   Json value = toJson(s);
-  auto most = [&] {
+  auto maxWarmMachines = [&] {
     std::size_t n = 0;
     for (const auto& [image, warm] : s.pools) n = std::max(n, warm.machines.size());
     return n;
   };
-  while (value.dump().size() > bytes && most() > 0) {
-    std::size_t keep = most() / 2;
+  while (value.dump().size() > bytes && maxWarmMachines() > 0) {
+    std::size_t keep = maxWarmMachines() / 2;
     for (auto& [image, warm] : s.pools) {
       while (warm.machines.size() > keep) warm.machines.erase(std::prev(warm.machines.end()));
     }
@@ -66,9 +66,9 @@
       windowEnds_ = windowEnds_ + context_.settings.window;
   }
   const PolicyState& before = replica_.state();
-  PolicyObservation what = seen(window);
-  PolicyState s = decidePolicyState(replica_.policy().get(), replica_.version(), before, what,
-                                    context_.settings.spreadMultiple, random_);
+  PolicyObservation observation = observe(window);
+  PolicyState s = computePolicyState(replica_.policy().get(), replica_.version(), before,
+                                     observation, context_.settings.spreadMultiple, random_);
   if (window) {
     measureCoverage(s);
     chooseWarmMachines(s);
@@ -81,41 +81,42 @@
   if (s.massFailure.has_value() != before.massFailure.has_value()) {
     logInfo(s.massFailure ? "mass failure begins" : "mass failure is over", "lost",
             s.massFailure ? s.massFailure->lost : before.massFailure->lost, "missing",
-            what.missingReplicas);
+            observation.missingReplicas);
   }
   Transaction t = context_.begin();
   t.compares.push_back({keys::kPolicyState, context_.replica.modRevisionOf(keys::kPolicyState)});
   t.writes.push_back({keys::kPolicyState, toJson(s), std::nullopt});
-  if (window) charge(t, s, what.nowMs);
-  t.writes[0].value = fitting(s, context_.platform.valueBytes);
+  if (window) charge(t, s, observation.nowMs);
+  t.writes[0].value = toJsonWithin(s, context_.platform.valueBytes);
   return LoopStep::committing(
       Commit{std::move(t), [this] { context_.planInvalidated = true; }, "what is in force"});
 }
 
-PolicyObservation PolicyLoop::seen(bool windowEnds) {
+PolicyObservation PolicyLoop::observe(bool windowEnds) {
   PolicyObservation s;
   s.nowMs = context_.timeOfDay();
   s.windowEnds = windowEnds;
   if (!windowEnds) return s;
   Instant now = context_.runtime.now();
   s.prioritizedMachines = prioritizedMachines();
-  s.lost = fleet_.lost() - std::exchange(lostBefore_, fleet_.lost());
-  s.lateBoots = fleet_.neverBooted() - std::exchange(lateBefore_, fleet_.neverBooted());
+  s.lost = fleet_.lost() - std::exchange(lostCountBefore_, fleet_.lost());
+  s.neverBooted =
+      fleet_.neverBooted() - std::exchange(neverBootedCountBefore_, fleet_.neverBooted());
   s.unreachableZones = static_cast<std::uint32_t>(fleet_.unreachableZones().size());
   std::map<ImageId, double> starts;
   for (const auto& [id, m] : fleet_.machines()) {
     if (!m.hasReported()) continue;
     ++s.machines;
-    if (m.terminationNoticeEnds && noticed_.insert(id).second) ++s.notices;
+    if (m.terminationNoticeEnds && machinesWithNotice_.insert(id).second) ++s.notices;
     for (const auto& [attempt, since] : m.firstSeenRunning) {
       const auto* job = context_.replica.job(attempt.task.job);
-      if (job && job->record.spec && since > startsSince_) ++starts[job->record.spec->image];
+      if (job && job->record.spec && since > startsCountedUntil_) ++starts[job->record.spec->image];
     }
   }
-  std::erase_if(noticed_, [&](const MachineId& id) { return !fleet_.find(id); });
+  std::erase_if(machinesWithNotice_, [&](const MachineId& id) { return !fleet_.find(id); });
   // Tasks that were already running when this leader took over do not count as starts.
-  if (startsSince_ != Instant{}) s.starts = std::move(starts);
-  startsSince_ = now;
+  if (startsCountedUntil_ != Instant{}) s.starts = std::move(starts);
+  startsCountedUntil_ = now;
   for (const auto& [id, job] : context_.replica.live()) {
     if (!job->active() || !job->record.spec || !replica_.protects(*job->record.spec)) continue;
     std::uint32_t up = 0;
@@ -185,7 +186,7 @@
   FailoverCoverage worst = worstCoverage(
       machines, replicas, static_cast<std::size_t>(replica_.policy()->continuity.machines));
   s.coveredShare = worst.share();
-  s.uncoveredReplicas = worst.moving - worst.placed;
+  s.uncoveredReplicas = worst.displaced - worst.placed;
 }
 
 // Chooses the warm machines of each image. A chosen machine stays chosen as long as it holds the
@@ -198,7 +199,7 @@
     for (const auto& image : pool.images) {
       WarmImage& warm = s.pools[image];
       std::map<ZoneId, int> perZone;
-      std::vector<const Machine*> fit;
+      std::vector<const Machine*> candidates;
       std::set<MachineId> kept;
       auto take = [&](const Machine& m) {
         const auto* record = context_.replica.machine(m.id);
@@ -223,15 +224,15 @@
         if (warm.machines.contains(id)) {
           take(m);
         } else {
-          fit.push_back(&m);
+          candidates.push_back(&m);
         }
       }
-      while (!fit.empty() && kept.size() < warm.wanted) {
-        auto best = std::min_element(fit.begin(), fit.end(), [&](const auto* a, const auto* b) {
-          return perZone[a->zone] < perZone[b->zone];
-        });
+      while (!candidates.empty() && kept.size() < warm.wanted) {
+        auto best = std::min_element(
+            candidates.begin(), candidates.end(),
+            [&](const auto* a, const auto* b) { return perZone[a->zone] < perZone[b->zone]; });
         take(**best);
-        fit.erase(best);
+        candidates.erase(best);
       }
       warm.machines = std::move(kept);
     }
@@ -242,7 +243,7 @@
 // holds the time up to which charges are counted, so that they are counted once, also across leader
 // changes and repeated transactions.
 void PolicyLoop::charge(Transaction& t, const PolicyState& s, std::int64_t now) const {
-  std::int64_t hour = now / kHour;
+  std::int64_t hour = now / kHourMs;
   std::int64_t through = now;
   if (!replica_.hours().empty()) through = replica_.hours().rbegin()->second.throughMs;
   if (now <= through && !replica_.hours().empty()) return;
@@ -266,13 +267,13 @@
     MachineTime time;
     time.rentedAtMs = state.rentedAtMs;
     time.pricePerHour = state.spot ? type->spotPrice : type->price;
-    time.up = m && m->hasReported();
+    time.hasReported = m && m->hasReported();
     for (const auto& task : state.tasks) {
       if (!task.job->record.spec) continue;
       const JobSpec& spec = *task.job->record.spec;
       time.used[spec.team] += spec.perTask.shareOf(type->capacity);
     }
-    if (auto wanted = wantedBy.find(id); wanted != wantedBy.end()) time.pools = wanted->second;
+    if (auto wanted = wantedBy.find(id); wanted != wantedBy.end()) time.poolTeams = wanted->second;
     kestrelhoist::charge(record.account, time, through, now);
   }
   record.throughMs = now;
@@ -283,9 +284,9 @@
   put(keys::numbered(keys::kChargesOfHour, hour), toJson(record));
   // The charges of each interval are added to the record of the hour. The oldest hour is merged
   // into the record of its day, and the oldest day is deleted.
-  if (replica_.hours().size() > kHoursKept && replica_.hours().begin()->first != hour) {
+  if (replica_.hours().size() > kMaxHourRecords && replica_.hours().begin()->first != hour) {
     const auto& [oldest, old] = *replica_.hours().begin();
-    std::int64_t day = oldest * kHour / kDay;
+    std::int64_t day = oldest * kHourMs / kDayMs;
     ChargeRecord whole;
     if (auto known = replica_.days().find(day); known != replica_.days().end())
       whole = known->second;
@@ -293,8 +294,8 @@
     whole.throughMs = old.throughMs;
     put(keys::numbered(keys::kChargesOfDay, day), toJson(whole));
     put(keys::numbered(keys::kChargesOfHour, oldest), std::nullopt);
-    if (t.writes.size() < context_.platform.transactionOps && replica_.days().size() > kDaysKept &&
-        replica_.days().begin()->first != day) {
+    if (t.writes.size() < context_.platform.transactionOps &&
+        replica_.days().size() > kMaxDayRecords && replica_.days().begin()->first != day) {
       put(keys::numbered(keys::kChargesOfDay, replica_.days().begin()->first), std::nullopt);
     }
   }
--- a/src/policy/policy_loop.hpp
+++ b/src/policy/policy_loop.hpp
@@ -21,7 +21,7 @@
   void onTimer() override;
 
  private:
-  PolicyObservation seen(bool windowEnds);
+  PolicyObservation observe(bool windowEnds);
   double prioritizedMachines() const;
   void measureCoverage(PolicyState& s) const;
   void chooseWarmMachines(PolicyState& s) const;
@@ -33,9 +33,9 @@
   std::mt19937_64 random_;
   Instant windowEnds_{};
   bool due_ = false, windowDue_ = false;
-  std::uint32_t lostBefore_ = 0, lateBefore_ = 0;
-  std::set<MachineId> noticed_;
-  Instant startsSince_{};
+  std::uint32_t lostCountBefore_ = 0, neverBootedCountBefore_ = 0;
+  std::set<MachineId> machinesWithNotice_;
+  Instant startsCountedUntil_{};
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_replica.cpp
+++ b/src/policy/policy_replica.cpp
@@ -79,9 +79,9 @@
 }
 
 const std::optional<Occurrence>& PolicyReplica::nextOccurrence() const {
-  if (nextComputedForMs_ != state_.actedMs) {
-    nextComputedForMs_ = state_.actedMs;
-    next_ = policy_ ? nextOccurrenceAfter(policy_->calendar, state_.actedMs) : std::nullopt;
+  if (nextComputedForMs_ != state_.appliedUntilMs) {
+    nextComputedForMs_ = state_.appliedUntilMs;
+    next_ = policy_ ? nextOccurrenceAfter(policy_->calendar, state_.appliedUntilMs) : std::nullopt;
   }
   return next_;
 }
--- a/src/policy/policy_replica.hpp
+++ b/src/policy/policy_replica.hpp
@@ -81,7 +81,7 @@
   std::set<MachineId> warmMachines_;
   std::map<std::int64_t, ChargeRecord> hours_, days_;
   mutable std::optional<Occurrence> next_;
-  /// Holds the `actedMs` of the policy state for which `next_` was computed.
+  /// Holds the `appliedUntilMs` of the policy state for which `next_` was computed.
   mutable std::int64_t nextComputedForMs_ = -1;
 };
 
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -29,8 +29,9 @@
   ++s.closedCount;
 }
 
-// Opens and closes periods that are due. Each period opens once and closes once, because `actedMs`
-// never decreases, even if clocks step, the leader changes or the state service is unavailable.
+// Opens and closes periods that are due. Each period opens once and closes once, because
+// `appliedUntilMs` never decreases, even if clocks step, the leader changes or the state service is
+// unavailable.
 void advanceCalendar(PolicyState& s, const Calendar& c, bool edited, std::int64_t now) {
   auto current = occurrenceAt(c, now);
   if (edited) {
@@ -48,48 +49,49 @@
   }
 }
 
-void trackMassFailure(PolicyState& s, const PolicyObservation& seen) {
-  std::uint32_t losses = seen.lost + seen.notices + seen.lateBoots;
-  bool many =
-      losses >= std::max<double>(kMassFailureMinMachines, kMassFailureMinShare * seen.machines);
-  bool hit = many || seen.unreachableZones > 0;
+void trackMassFailure(PolicyState& s, const PolicyObservation& observation) {
+  std::uint32_t losses = observation.lost + observation.notices + observation.neverBooted;
+  bool many = losses >= std::max<double>(kMassFailureMinMachines,
+                                         kMassFailureMinShare * observation.machines);
+  bool hit = many || observation.unreachableZones > 0;
   if (!s.massFailure) {
-    if (hit) s.massFailure = MassFailure{seen.nowMs, losses, 1, 0, seen.missingReplicas};
+    if (hit)
+      s.massFailure = MassFailure{observation.nowMs, losses, 1, 0, observation.missingReplicas};
     return;
   }
   MassFailure& massFailure = *s.massFailure;
   massFailure.lost += losses;
   if (hit) ++massFailure.waves;
-  bool repaired = seen.missingReplicas < massFailure.missingReplicas;
+  bool repaired = observation.missingReplicas < massFailure.missingReplicas;
   massFailure.intervalsWithoutChange = hit || repaired ? 0 : massFailure.intervalsWithoutChange + 1;
-  massFailure.missingReplicas = seen.missingReplicas;
+  massFailure.missingReplicas = observation.missingReplicas;
   // The mass failure is over when all protected replicas are up again, or when the number
   // of missing replicas no longer falls, which means that no machine can hold them.
-  if (!hit && (seen.missingReplicas == 0 ||
+  if (!hit && (observation.missingReplicas == 0 ||
                massFailure.intervalsWithoutChange >= kMaxIntervalsWithoutChange))
     s.massFailure.reset();
 }
 
 }  // namespace
 
-PolicyState decidePolicyState(const Policy* policy, std::uint64_t version,
-                              const PolicyState& before, const PolicyObservation& seen,
-                              double spreadMultiple, std::mt19937_64& random) {
+PolicyState computePolicyState(const Policy* policy, std::uint64_t version,
+                               const PolicyState& before, const PolicyObservation& observation,
+                               double spreadMultiple, std::mt19937_64& random) {
   PolicyState s = before;
-  std::int64_t now = std::max(seen.nowMs, before.actedMs);
+  std::int64_t now = std::max(observation.nowMs, before.appliedUntilMs);
   bool edited = version != before.policyVersion;
   s.policyVersion = version;
-  if (seen.windowEnds) trackMassFailure(s, seen);
+  if (observation.windowEnds) trackMassFailure(s, observation);
   static const Calendar kNone;
   const Calendar& calendar = policy ? policy->calendar : kNone;
   // No period opens or closes during a mass failure; those that are due follow when it is over.
   if (!s.massFailure || edited) {
     advanceCalendar(s, calendar, edited, now);
-    s.actedMs = now;
+    s.appliedUntilMs = now;
   }
-  if (seen.windowEnds && !s.openPeriodName.empty()) {
-    s.peak = std::max(s.peak, seen.prioritizedMachines);
-    s.demandForecast.observe(seen.prioritizedMachines);
+  if (observation.windowEnds && !s.openPeriodName.empty()) {
+    s.peak = std::max(s.peak, observation.prioritizedMachines);
+    s.demandForecast.observe(observation.prioritizedMachines);
     s.expectedDemand = s.demandForecast.predict(random);
   }
   if (!policy) {
@@ -101,17 +103,17 @@
     for (const auto& image : pool.images) {
       WarmImage& held = pools[image];
       if (auto old = s.pools.find(image); old != s.pools.end()) held = std::move(old->second);
-      if (seen.windowEnds) {
-        auto starts = seen.starts.find(image);
-        held.starts.observe(starts == seen.starts.end() ? 0 : starts->second);
+      if (observation.windowEnds) {
+        auto starts = observation.starts.find(image);
+        held.starts.observe(starts == observation.starts.end() ? 0 : starts->second);
       }
       auto p = held.starts.predict(random);
       double windows = std::max(1.0, toSeconds(pool.ahead) / 10.0);
       // The size of the warm pool follows Aquatope: the mean of the starts expected within `ahead`,
       // plus their spread times a factor.
       double wanted = p.mean * windows + spreadMultiple * p.spread * std::sqrt(windows);
-      held.wanted =
-          std::clamp(static_cast<std::uint32_t>(std::ceil(wanted - 1e-6)), pool.least, pool.most);
+      held.wanted = std::clamp(static_cast<std::uint32_t>(std::ceil(wanted - 1e-6)),
+                               pool.minMachines, pool.maxMachines);
     }
   }
   s.pools = std::move(pools);
@@ -152,7 +154,7 @@
 Json toJson(const PolicyState& s) {
   Json v = s.unknownFields;
   v["policy"] = s.policyVersion;
-  v["acted"] = s.actedMs;
+  v["acted"] = s.appliedUntilMs;
   v["open"] = s.openPeriodName;
   v["since"] = s.openedAtMs;
   v["closes"] = s.closesMs;
@@ -196,7 +198,7 @@
     return static_cast<std::int64_t>(countField(v, name).value_or(0));
   };
   s.policyVersion = countField(v, "policy").value_or(0);
-  s.actedMs = ms("acted");
+  s.appliedUntilMs = ms("acted");
   s.openPeriodName = textField(v, "open").value_or("");
   s.openedAtMs = ms("since");
   s.closesMs = ms("closes");
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -36,7 +36,7 @@
 struct PolicyState {
   std::uint64_t policyVersion{};  ///< is the version of the policy document applied; 0 if none
   /// Openings and closings of periods up to this time of day have been applied; it never decreases.
-  std::int64_t actedMs{};
+  std::int64_t appliedUntilMs{};
   std::string openPeriodName;  ///< names the open period; empty if no period is open
   std::int64_t openedAtMs{}, closesMs{};
   std::uint64_t openedCount{}, closedCount{};  ///< count all openings and closings so far
@@ -69,14 +69,14 @@
   /// Counts the machines that prioritized jobs of the open period hold or wait for.
   double prioritizedMachines{};
   bool windowEnds{};  ///< is true at the end of a forecast interval
-  std::uint32_t machines{}, lost{}, notices{}, unreachableZones{}, lateBoots{}, missingReplicas{};
+  std::uint32_t machines{}, lost{}, notices{}, unreachableZones{}, neverBooted{}, missingReplicas{};
   std::map<ImageId, double> starts;
 };
 
 /// Computes the next policy state from the state `before`. `policy` is null if no policy is set.
-PolicyState decidePolicyState(const Policy* policy, std::uint64_t version,
-                              const PolicyState& before, const PolicyObservation& seen,
-                              double spreadMultiple, std::mt19937_64& random);
+PolicyState computePolicyState(const Policy* policy, std::uint64_t version,
+                               const PolicyState& before, const PolicyObservation& observation,
+                               double spreadMultiple, std::mt19937_64& random);
 
 /// Describes a yielding job for maxTasksOfYieldingJobs().
 struct YieldingJob {
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -108,15 +108,15 @@
   std::mt19937_64 random(1);
   PolicyState s;
   std::int64_t now = utc("2026-10-20 00:00"), end = utc("2026-10-30 00:00");
-  s = decidePolicyState(policy.get(), 1, s, seenAt(now), 1, random);
+  s = computePolicyState(policy.get(), 1, s, seenAt(now), 1, random);
   while (now < end) {
     now += *rc::gen::inRange<std::int64_t>(1, 6 * 3600) * 1000;
     std::int64_t off = *rc::gen::inRange<std::int64_t>(-300, 300) * 1000;
     auto before = s;
-    s = decidePolicyState(policy.get(), 1, s, seenAt(now + off, false), 1, random);
+    s = computePolicyState(policy.get(), 1, s, seenAt(now + off, false), 1, random);
     // The state is converted to its record and back, as when a new leader reads it.
     s = policyStateFromJson(toJson(s));
-    RC_ASSERT(s.actedMs >= before.actedMs);
+    RC_ASSERT(s.appliedUntilMs >= before.appliedUntilMs);
     RC_ASSERT(s.openedCount <= before.openedCount + 1);
     RC_ASSERT(s.openedCount == s.closedCount + (s.openPeriodName.empty() ? 0 : 1));
   }
@@ -127,12 +127,12 @@
   auto c = [](const char* to) { return policyWith("UTC", "08:00", to); };
   std::mt19937_64 random(1);
   PolicyState s = policyStateFromJson({{"of_a_newer_version", 7}});
-  s = decidePolicyState(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
+  s = computePolicyState(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
   EXPECT_EQ(s.openPeriodName, "day");
-  s = decidePolicyState(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
+  s = computePolicyState(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
   EXPECT_EQ(s.openedCount, 1U);
   EXPECT_EQ(s.closesMs, utc("2026-10-20 18:00"));
-  s = decidePolicyState(nullptr, 3, s, seenAt(utc("2026-10-20 09:02")), 1, random);
+  s = computePolicyState(nullptr, 3, s, seenAt(utc("2026-10-20 09:02")), 1, random);
   EXPECT_EQ(s.closedCount, 1U);
   EXPECT_EQ(toJson(s).at("of_a_newer_version"), 7);
 }
@@ -141,24 +141,24 @@
   auto policy = policyWith("UTC", "08:00", "17:00");
   std::mt19937_64 random(1);
   auto at = utc("2026-10-20 07:59");
-  auto seen = seenAt(at);
-  PolicyState s = decidePolicyState(policy.get(), 1, {}, seen, 1, random);
-  seen.lost = 4;
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  auto observation = seenAt(at);
+  PolicyState s = computePolicyState(policy.get(), 1, {}, observation, 1, random);
+  observation.lost = 4;
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_FALSE(s.massFailure);  // 4 of 100 machines are too few
-  seen.lost = 5;
-  seen.missingReplicas = 40;
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  observation.lost = 5;
+  observation.missingReplicas = 40;
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   ASSERT_TRUE(s.massFailure);
-  seen = seenAt(utc("2026-10-20 08:05"));
-  seen.missingReplicas = 20;  // lost replicas are being replaced
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  observation = seenAt(utc("2026-10-20 08:05"));
+  observation.missingReplicas = 20;  // lost replicas are being replaced
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_TRUE(s.openPeriodName.empty());
-  seen.lost = 30;  // further losses during the mass failure
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  observation.lost = 30;  // further losses during the mass failure
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_EQ(s.massFailure->waves, 2U);
-  seen.lost = seen.missingReplicas = 0;
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  observation.lost = observation.missingReplicas = 0;
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_FALSE(s.massFailure);
   EXPECT_EQ(s.openPeriodName, "day");
 }
@@ -172,14 +172,14 @@
                                 {"most", 9},
                                 {"ahead_s", 20}}}}});
   std::mt19937_64 random(1);
-  PolicyState s = decidePolicyState(policy.get(), 1, {}, seenAt(1000), 1, random);
+  PolicyState s = computePolicyState(policy.get(), 1, {}, seenAt(1000), 1, random);
   EXPECT_EQ(s.pools.at(ImageId{"w"}).wanted, 2U);
-  auto seen = seenAt(2000);
-  seen.starts[ImageId{"w"}] = 3;
-  for (int i = 0; i < 30; ++i) s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  auto observation = seenAt(2000);
+  observation.starts[ImageId{"w"}] = 3;
+  for (int i = 0; i < 30; ++i) s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_GE(s.pools.at(ImageId{"w"}).wanted, 6U);
   EXPECT_LE(s.pools.at(ImageId{"w"}).wanted, 9U);
-  s = decidePolicyState(nullptr, 2, s, seen, 1, random);  // the policy is cleared
+  s = computePolicyState(nullptr, 2, s, observation, 1, random);  // the policy is cleared
   EXPECT_TRUE(s.pools.empty());
 }
 
@@ -237,7 +237,7 @@
   for (const auto& m : machines) room.push_back(m.spare);
   std::set<std::size_t> lost{0, 3};
   auto cover = coverageFor(machines, replicas, lost);
-  RC_ASSERT(cover.moving == replicas.size());
+  RC_ASSERT(cover.displaced == replicas.size());
   RC_ASSERT(cover.placed == bestOf(machines, room, replicas, 0, lost));
 }
 
@@ -245,9 +245,9 @@
   std::vector<CoverageMachine> machines{{0, 0, {1}}, {1, 0.25, {1}}, {2, 0, {}}};
   std::vector<CoverageReplicas> replicas{{1, 0.25, 0, 1}, {1, 0.25, 2, 3}};
   auto worst = worstCoverage(machines, replicas, 0);
-  EXPECT_EQ(worst.moving, 3U);
+  EXPECT_EQ(worst.displaced, 3U);
   EXPECT_EQ(worst.placed, 1U);
-  EXPECT_EQ(worstCoverage(machines, replicas, 2).moving, 4U);
+  EXPECT_EQ(worstCoverage(machines, replicas, 2).displaced, 4U);
 }
 
 // Guards against machine time or money that is lost or counted twice when a machine's time is split
@@ -259,11 +259,11 @@
     MachineTime m;
     m.rentedAtMs = *rc::gen::inRange<std::int64_t>(0, 20000);
     m.pricePerHour = *rc::gen::inRange(1, 3000) / 100.0;
-    m.up = *rc::gen::arbitrary<bool>();
+    m.hasReported = *rc::gen::arbitrary<bool>();
     for (const char* team : {"a", "b", "c"}) {
       if (*rc::gen::arbitrary<bool>()) m.used[TeamId{team}] = *rc::gen::inRange(1, 70) / 100.0;
     }
-    if (*rc::gen::arbitrary<bool>()) m.pools = {TeamId{"a"}, TeamId{"d"}};
+    if (*rc::gen::arbitrary<bool>()) m.poolTeams = {TeamId{"a"}, TeamId{"d"}};
     std::int64_t from = 0;
     while (from < 30000) {
       std::int64_t to = from + *rc::gen::inRange<std::int64_t>(1, 12000);
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr Duration kCommitTimeout{1500};
 // These bytes of a stored value are reserved for the fields around the policy document.
-constexpr std::size_t kAround = 256;
+constexpr std::size_t kOverheadBytes = 256;
 }  // namespace
 
 bool PolicyService::handle(const Request& request, const Respond& respond) {
@@ -102,11 +102,11 @@
     } catch (const std::exception& e) {
       return respond(jsonResponse(400, {{"error", e.what()}}));
     }
-    if (body["document"].dump().size() + kAround > platform_.valueBytes) {
-      return respond(jsonResponse(
-          400,
-          {{"error", "/: takes more than the " + std::to_string(platform_.valueBytes - kAround) +
-                         " bytes of a value"}}));
+    if (body["document"].dump().size() + kOverheadBytes > platform_.valueBytes) {
+      return respond(
+          jsonResponse(400, {{"error", "/: takes more than the " +
+                                           std::to_string(platform_.valueBytes - kOverheadBytes) +
+                                           " bytes of a value"}}));
     }
   }
   watcher_.linearizableRead([this, body, policy, respond](bool ok) {
@@ -114,19 +114,19 @@
     auto request = *textField(body, "request");
     auto expected = countField(body, "if");
     const auto& now = policyReplica_.current();
-    Json done = {{"version", policyReplica_.version()}};
+    Json result = {{"version", policyReplica_.version()}};
     // A retry returns the version that the first attempt has set, even if the policy has changed
     // since then; it must not undo the later change.
     if (auto version = versionOf(request)) {
       return respond(jsonResponse(200, {{"version", *version}}));
     }
     if (expected && *expected != policyReplica_.version()) {
-      done["error"] = "version " + std::to_string(policyReplica_.version()) + " was first";
-      return respond(jsonResponse(409, done));
+      result["error"] = "version " + std::to_string(policyReplica_.version()) + " was first";
+      return respond(jsonResponse(409, result));
     }
     if (boolField(body, "check").value_or(false)) {
-      done["effect"] = effectOf(policy ? *policy : Policy{});
-      return respond(jsonResponse(200, done));
+      result["effect"] = effectOf(policy ? *policy : Policy{});
+      return respond(jsonResponse(200, result));
     }
     PolicyVersion next{policyReplica_.version() + 1, runtime_.wallMillis(), request,
                        body["document"]};
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -197,7 +197,7 @@
   for (const auto& n : nodes_) {
     if (!n.controller) continue;
     const auto* p = &n.controller->policy();
-    if (!best || p->state().actedMs > best->state().actedMs) best = p;
+    if (!best || p->state().appliedUntilMs > best->state().appliedUntilMs) best = p;
   }
   return best;
 }
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -241,7 +241,7 @@
     PolicyState state = policyStateFromJson(record);
     EXPECT_TRUE(state.unknownFields.empty()) << state.unknownFields.dump();
     EXPECT_EQ(state.policyVersion, record.at("policy").get<std::uint64_t>());
-    EXPECT_EQ(state.actedMs, record.at("acted").get<std::int64_t>());
+    EXPECT_EQ(state.appliedUntilMs, record.at("acted").get<std::int64_t>());
     EXPECT_EQ(state.openPeriodName, record.at("open").get<std::string>());
     EXPECT_EQ(state.massFailure.has_value(), record.contains("storm"));
     EXPECT_EQ(state.pools.size(), record.at("pools").size());
