--- a/src/members/admission.cpp
+++ b/src/members/admission.cpp
@@ -4,12 +4,12 @@
 
 namespace kestrelhoist {
 namespace {
-// A user waits 2 s for a poll and 5 s for a submission: what would be answered later than about
-// half of that is better refused, so that the rest is answered in time.
+// A client waits 2 s for a poll and 5 s for a submission. A request that would be answered later
+// than about half of that time is refused, so that the others are answered in time.
 constexpr Duration kNoLists{250};
 constexpr Duration kNoPolls{1000};
 constexpr Duration kNoSubmissions{2500};
-constexpr int kSpreadS = 3;  // those refused come back within so many seconds of one another
+constexpr int kSpreadS = 3;  // The jitter of retry delays is below this many seconds.
 constexpr Duration kTidyEvery{10000};
 }  // namespace
 
@@ -45,13 +45,13 @@
 }
 
 MemberRates::Buckets& MemberRates::of(Instant now, const Owner& owner) {
-  // A member that was quiet for long has full buckets: as if it were new.
+  // The buckets of a member without recent requests are full, so its entry can be removed.
   if (now - tidied_ > kTidyEvery) {
     tidied_ = now;
     double fullAfterS =
         std::max({limits_.submitBurst / limits_.submitsPerS, limits_.readBurst / limits_.readsPerS,
                   limits_.bytesBurst / limits_.bytesPerS});
-    Duration quiet = fromSeconds(2 * fullAfterS);  // twice: there may have been a debt
+    Duration quiet = fromSeconds(2 * fullAfterS);  // Doubled, since a bucket may be negative.
     std::erase_if(buckets_, [&](const auto& b) { return now - b.second.used > quiet; });
   }
   auto it = buckets_.find(owner);
@@ -121,7 +121,8 @@
   pump();
 }
 
-// One that is answered at once comes here again: the loop only goes on where room is left.
+// A write that is answered at once calls finished() and so this function from within start(). The
+// loop checks the limits anew at every step, so this recursion is safe.
 void FairTurns::pump() {
   while (working_ < inWork_ && waiting_ > 0 && (!room_ || room_())) {
     auto start = cancels_.take();
--- a/src/members/key_ring.hpp
+++ b/src/members/key_ring.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A controller's copy of the keys, part of the replica.
+/// The keys of all members in a controller's replica of the state service.
 #pragma once
 
 #include <unordered_map>
@@ -8,18 +8,22 @@
 
 namespace kestrelhoist {
 
+/// The paths of the keys' records in the state service.
 namespace keys {
 inline const std::string kKey = "kh/key/";
 inline const std::string kCursorKey = "kh/cursorkey";
 inline std::string key(const KeyId& id) { return kKey + id.value; }
 }  // namespace keys
 
+/// The records of all keys, by key id.
 class KeyRing {
  public:
+  /// A key's record and the revision of its last change.
   struct Entry {
     KeyRecord record;
     Revision modRevision;
   };
+  /// Applies a change of a key's record. A null or malformed value removes the key.
   void apply(const KeyId& id, const Json* value, Revision modRevision) {
     auto record = value ? keyRecordFrom(*value) : std::nullopt;
     if (record) {
@@ -28,6 +32,7 @@
       entries_.erase(id);
     }
   }
+  /// Returns the entry of a key, or null if there is none.
   const Entry* find(const KeyId& id) const {
     auto it = entries_.find(id);
     return it == entries_.end() ? nullptr : &it->second;
--- a/src/members/records.cpp
+++ b/src/members/records.cpp
@@ -34,7 +34,8 @@
   return out;
 }
 
-// Fields one after the other with their lengths, so that no two lists of fields are the same text.
+// Hashes each field with its length in front, so that two different lists of fields never give the
+// same input to the hash.
 std::string hashOfFields(std::size_t bytes, const std::string& purpose,
                          std::initializer_list<const std::string*> fields) {
   std::array<unsigned char, crypto_generichash_BYTES_MAX> out{};
@@ -115,7 +116,7 @@
 }
 
 std::optional<Credential> credentialFrom(const std::string& text) {
-  // The secret may have '_' in it, so everything is found by length.
+  // The secret may contain '_', so the parts are separated by their fixed lengths.
   if (text.size() != kMark.size() + kIdDigits + 1 + kSecretLetters || !text.starts_with(kMark) ||
       text[kMark.size() + kIdDigits] != '_') {
     return std::nullopt;
--- a/src/members/records.hpp
+++ b/src/members/records.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Who may ask: keys of members, and what a key lets its holder do (docs/members.md). A key in text
-/// form is "kh_<id>_<secret>"; on record is only a hash of the secret.
+/// Members, their keys and the rights of a key (docs/members.md). The text form of a key is
+/// "kh_<id>_<secret>". The state service stores only a hash of the secret.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace kestrelhoist {
 
-/// A member of a team; jobs, keys and limits belong to one.
+/// Identifies a member of a team. Each job, key and set of limits belongs to one member.
 struct Owner {
   TeamId team;
   std::string member;
@@ -19,56 +19,72 @@
   std::string str() const { return team.value + "/" + member; }
 };
 
-using KeyId = Name<struct KeyIdTag>;  ///< 16 hex digits
+using KeyId = Name<struct KeyIdTag>;  ///< The id consists of 16 hex digits.
 
+/// The rights of a key, which are combined as bits.
 namespace right {
 inline constexpr unsigned kSubmit = 1, kRead = 2, kCancel = 4, kAdmin = 8, kAll = 15;
 }
-/// "submit,read,cancel,admin" and back; empty if a word is unknown or none is there.
+/// Parses a list of rights such as "submit,read,cancel,admin". Returns nullopt if a word is unknown
+/// or the list is empty.
 std::optional<unsigned> rightsFrom(const std::string& words);
+/// Returns the rights as a comma-separated list.
 std::string wordsOf(unsigned rights);
 
+/// The record of a key in the state service.
 struct KeyRecord {
-  std::string hash;  ///< 64 hex digits, see hashOfSecret
+  std::string hash;  ///< The result of hashOfSecret(), which has 64 hex digits.
   Owner owner;
   unsigned rights{};
-  std::int64_t madeAtMs{};                 ///< time of day
-  std::optional<std::int64_t> endsAtMs{};  ///< time of day; revoked keys: when that was
-  std::string note;                        ///< for people
+  std::int64_t madeAtMs{};  ///< The wall-clock time of creation.
+  /// The wall-clock time at which the key expires or was revoked.
+  std::optional<std::int64_t> endsAtMs{};
+  std::string note;  ///< A free text for people, which the service does not interpret.
+  /// Whether the key has expired or is revoked at this wall-clock time.
   bool endedAt(std::int64_t wallMs) const { return endsAtMs && wallMs >= *endsAtMs; }
 };
 
+/// Encodes a key record for the state service.
 Json toJson(const KeyRecord& r);
+/// Parses a key record; returns nullopt if it is malformed.
 std::optional<KeyRecord> keyRecordFrom(const Json& v);
 
-/// A key as its holder has it.
+/// A key with its secret, as the member holds it.
 struct Credential {
   KeyId id;
-  std::string secret;  ///< 43 letters: 256 bits
+  std::string secret;  ///< The secret has 256 bits, encoded in 43 base64url characters.
+  /// Returns the text form "kh_<id>_<secret>".
   std::string str() const { return "kh_" + id.value + "_" + secret; }
 };
+/// Parses the text form of a key; returns nullopt if it is malformed.
 std::optional<Credential> credentialFrom(const std::string& text);
+/// Generates a key with a random id and secret.
 Credential drawCredential();
-/// BLAKE2b-256 over id and secret. The secret has 256 random bits, so nothing slower is needed.
+/// Returns the BLAKE2b-256 hash of id and secret. The secret has 256 random bits, so a slow
+/// password hash is not needed.
 std::string hashOfSecret(const Credential& credential);
-/// In a time that does not depend on where they differ.
+/// Compares two hashes in constant time.
 bool sameHash(const std::string& a, const std::string& b);
+/// Whether the text has the form of a key id.
 bool validKeyId(const std::string& id);
+/// Whether the text has the form of a key's hash.
 bool validHash(const std::string& hash);
+/// Whether the text may be the name of a member.
 bool validMember(const std::string& name);
 
-/// The job that a member calls `ref`. Members have spaces of names of their own: no two of them can
-/// mean the same job, and no name that a user without a key may choose looks like one.
+/// Returns the job id for the reference `ref` of a member. Each member has a separate namespace, so
+/// references of two members never give the same id. A user without a key can't choose such an id.
 JobId memberJob(const Owner& owner, const std::string& ref);
+/// Whether the id was made by memberJob().
 bool isMemberJob(const JobId& id);
-/// Of everything that a user said of a job but its name: 32 hex digits. Two submissions ask for the
-/// same if and only if their digests are equal.
+/// Returns a hash, in 32 hex digits, of all fields of a job's specification except its id. Two
+/// submissions describe the same job if and only if their digests are equal.
 std::string digestOf(const JobSpec& spec);
 
-/// What a member's job of this idempotency key is called: j- and up to 18 digits, the same for
-/// ever.
+/// Returns the job reference for an idempotency key of a member: "j-" and up to 18 digits. The
+/// result must stay the same in all versions, because scripts rely on it.
 std::string refFor(const Owner& owner, const std::string& idempotencyKey);
-/// Drawn: of 10^18.
+/// Returns a random job reference: "j-" and a number below 10^18.
 std::string drawRef();
 
 }  // namespace kestrelhoist
--- a/src/members/service.cpp
+++ b/src/members/service.cpp
@@ -9,18 +9,18 @@
 namespace kestrelhoist {
 namespace {
 
-// Members' writes of all controllers take half of the state service's changes, in equal parts; the
-// leader's own (placements, ends) have the rest. What is beyond waits where members take turns, not
-// behind one another at the state service.
+// Members' writes may use half of the state service's write rate, shared equally by all
+// controllers. The leader's own writes (placements, task ends) have the other half. Writes above
+// the share wait in the fair queue of this controller instead of at the state service.
 double writesPerS(const Platform& p) {
   return std::max(1.0, 0.5 * p.stateWritesPerS / static_cast<double>(p.nodes()));
 }
 constexpr std::size_t kInWork = 8;
 constexpr std::size_t kMostWaiting = 1024;
-// Of the sockets, what held watches may take; the rest is for everybody else.
+// Held watches may use this share of the sockets. The rest stays free for other requests.
 constexpr double kWatchShare = 0.7;
 
-// The same for every way in which a key is no good.
+// Every kind of invalid key gets the same answer, so that a client can't tell the kinds apart.
 Response noKey() { return jsonResponse(401, {{"error", "not a valid key"}}); }
 Response forbidden() { return jsonResponse(403, {{"error", "the key does not permit this"}}); }
 
@@ -78,16 +78,17 @@
                                                            bool sure) const {
   auto credential = credentialFrom(text);
   if (!credential) return noKey();
-  // Unknown keys cost the same as wrong ones.
+  // An unknown key is hashed and compared like a known one, so that response times don't show
+  // which keys exist.
   std::string hash = hashOfSecret(*credential);
   const auto* entry = replica_.keyRing().find(credential->id);
   std::string known = credential->id == settings_.rootKey ? settings_.rootHash
                       : entry                             ? entry->record.hash
                                                           : std::string(hash.size(), '0');
   bool same = sameHash(hash, known);
-  // Made on another controller a moment ago: read first.
+  // Another controller may have made the key a moment ago, so a linearizable read comes first.
   if (!entry && !same && !sure) return std::nullopt;
-  // A revocation that this copy has not heard of must not be outlived for longer than stated.
+  // A replica older than `keyTrust` is not used, because a revocation may be missing from it.
   if (watcher_.contactAge() > settings_.keyTrust) return retryLater(503);
   auto caller = callerOf(credential->id);
   if (!same || !caller) return noKey();
@@ -97,7 +98,7 @@
 bool MemberService::handle(const Request& request, const Respond& respond, bool hold) {
   std::string path = request.path.substr(0, request.path.find('?'));
   if (!path.starts_with("/v2/")) return false;
-  // What workers ask has no key (docs/members.md, "What keys do not cover").
+  // Workers' requests carry no key (docs/members.md, "What keys do not cover").
   if (path.starts_with("/v2/flows/tasks/")) return flows_.handle(request, respond);
   if (request.credential.empty()) {
     if (!settings_.open) {
@@ -153,7 +154,7 @@
     return shed("rate", *seconds);
   }
   if (path == "/v2/jobs" && request.method == "GET" && (caller.rights & right::kRead) != 0) {
-    return list(caller, query, hold, plain);  // counts its answers itself, since it may be held
+    return list(caller, query, hold, plain);  // A list counts its answers itself: it may be held.
   }
   Respond respond = counted(caller.owner, kind, plain);
   if ((caller.rights & route.right) != route.right) return respond(forbidden());
@@ -164,7 +165,7 @@
                                       {"rights", wordsOf(caller.rights)}}));
   }
   if (path.starts_with("/v2/keys") && handleKeys(caller, request, path, respond)) return;
-  // The operator's own key makes keys and has no jobs.
+  // The root key manages other keys and has no jobs or flows.
   if (caller.root) return respond(forbidden());
   bool writes = route.work == Work::submit || route.work == Work::cancel;
   auto start = [this, caller, request, path](const Respond& answer) {
@@ -185,7 +186,7 @@
   };
   auto begin = [this, once, start = std::move(start), since = runtime_.now()] {
     if (metrics_) metrics_->queued(runtime_.now() - since);
-    // A turn must end, whatever happens in it.
+    // finished() must be called also after an exception, or the queue's slot stays occupied.
     try {
       start(once);
     } catch (const std::exception& e) {
@@ -212,7 +213,7 @@
     return own ? pass(respond) : respond(forbidden());
   }
   if (path == "/v2/flows/account") {
-    // Tells of all members of the team.
+    // The account covers all members of the team, so it needs the admin right.
     bool may = (caller.rights & right::kAdmin) != 0 && queryValue(query, "owner") == who.team.value;
     return may ? pass(respond) : respond(forbidden());
   }
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The users' interface with keys on: every request is asked for its key, checked against what the
-/// key may do, the member's rates and turns, and answered within the member's own space of names.
-/// Paths, fields and statuses are in docs/members.md.
+/// The HTTP interface for members. It authenticates each request by its key, checks the rights of
+/// the key, applies the member's rate limits and the fair queue, and resolves job names in the
+/// member's own namespace. docs/members.md lists the paths, fields and status codes.
 #pragma once
 
 #include <functional>
@@ -15,23 +15,28 @@
 
 namespace kestrelhoist {
 
+/// Serves the requests of members and of users without a key.
 class MemberService {
  public:
-  /// `metrics` may be null.
+  /// Stores the references. `metrics` may be null.
   MemberService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
                 const Platform& platform, const MemberSettings& settings, JobService& jobs,
                 FlowService& flows, Metrics* metrics, std::uint64_t seed);
 
-  /// Answers all users' paths; false if the path is not one of these. `hold`: whether a watch may
-  /// be held open; not if another controller passed it on and waits.
+  /// Answers a request for one of the users' paths, and returns false for any other path. `hold`
+  /// says whether a watch may be held open. It is false for a request that another controller
+  /// forwarded, since that controller waits for the answer.
   bool handle(const Request& request, const Respond& respond, bool hold = true);
-  /// The records have changed: watches may have something to tell.
+  /// Answers the held watches for which the changed records contain a result.
   void onRecordsChanged();
-  /// Ten times a second; `took` since the last one.
+  /// Runs the periodic work. The caller schedules it every `due`, ten times a second; `took` is
+  /// the time since the last call.
   void onTimer(Duration due, Duration took);
+  /// Sets the gauges of the member service.
   void fill(MetricGauges& gauges) const;
 
  private:
+  /// The holder of a valid key, and the rights of the key.
   struct Caller {
     KeyId key;
     Owner owner;
@@ -39,16 +44,24 @@
     bool root{};
   };
   using Checked = std::variant<Caller, Response>;
-  /// What the key in the request says now; `sure`: after a read that was sent after the request.
+  /// Returns the caller for a credential, or the response that refuses it. Returns nullopt if the
+  /// key is not in the replica and `sure` is false; the caller then calls again with `sure` after a
+  /// linearizable read.
   std::optional<Checked> check(const std::string& credential, bool sure) const;
+  /// Returns the caller for a key, or nullopt if the key is unknown, expired or revoked.
   std::optional<Caller> callerOf(const KeyId& key) const;
+  /// Applies load shedding, rate limits and rights to an authenticated request and runs it.
   void admitted(const Caller& caller, const Request& request, const Respond& respond, bool hold);
+  /// Runs `start` once the fair queue admits it, or answers 429 if the queue is full.
   void write(const Caller& caller, Work work, const Respond& respond,
              std::function<void(const Respond&)> start);
-  /// Answers and counts.
+  /// Wraps `respond` so that the answer is charged to the member's byte rate and counted in the
+  /// metrics.
   Respond counted(const Owner& owner, const char* kind, const Respond& respond);
 
-  /// members/job_lists.cpp
+  // The following members are defined in members/job_lists.cpp.
+
+  /// One page of a member's job list.
   struct Page {
     Json jobs = Json::array();
     ChangePlace next;
@@ -60,7 +73,8 @@
   void park(Watch watch, Duration wait);
   void serve(const Owner& owner);
 
-  /// members/key_service.cpp
+  // The following members are defined in members/key_service.cpp.
+
   bool handleKeys(const Caller& caller, const Request& request, const std::string& path,
                   const Respond& respond);
   void makeKey(const Caller& caller, const Request& request, const Respond& respond);
@@ -70,7 +84,8 @@
   Json viewOf(const KeyId& id, const KeyRecord& record) const;
   void makeCursorKey();
 
-  /// A member's flows; a flow of another member is answered like none.
+  /// Serves requests for the caller's flows. A flow of another member is answered with 404, like
+  /// one that does not exist.
   void flows(const Caller& caller, const Request& request, const std::string& path,
              const Respond& respond);
 
--- a/src/members/watches.hpp
+++ b/src/members/watches.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Requests that are held open until something of their member changes, or their time is over. What
-/// one holds is bounded: a place in the order, its filter and its answer.
+/// Watches: list requests that are held open until a job of the member changes or a timeout passes.
+/// The memory of each watch is bounded: it holds a place in the change order, a filter and the
+/// callback for the answer.
 #pragma once
 
 #include <functional>
@@ -12,13 +13,15 @@
 
 namespace kestrelhoist {
 
-/// Which jobs of the member are asked for.
+/// Selects which of the member's jobs a list returns.
 struct JobFilter {
-  std::string phase;     ///< pending, running, done, withdrawn; empty: any
-  std::string jobClass;  ///< empty: any
+  /// The phase is pending, running, done or withdrawn. If it is empty, all phases match.
+  std::string phase;
+  std::string jobClass;  ///< If it is empty, all classes match.
   std::size_t limit = 100;
 };
 
+/// One held request.
 struct Watch {
   Owner owner;
   KeyId key;
@@ -27,23 +30,29 @@
   Respond respond;
 };
 
+/// The held requests of all members on this controller.
 class Watches {
  public:
   using Number = std::uint64_t;
+  /// Limits the watches of one member and of all members together.
   Watches(std::size_t perMember, std::size_t all) : perMember_(perMember), all_(all) {}
 
+  /// Whether a limit allows no further watch of this member.
   bool full(const Owner& owner) const;
+  /// Adds a watch and returns its new number.
   Number add(Watch watch);
-  /// Back, under the number that it had.
+  /// Inserts a watch again under the number that add() returned for it.
   void put(Number number, Watch watch);
-  /// Takes it out, if it is still there.
+  /// Removes and returns a watch, or returns nullopt if it was already removed.
   std::optional<Watch> take(Number number);
-  /// Numbers of a member's watches.
+  /// Returns the numbers of a member's watches.
   std::vector<Number> of(const Owner& owner) const;
   std::size_t size() const { return watches_.size(); }
-  /// A member whose newest change is not to be shown yet: this copy may miss older ones of others.
+  /// Marks a member whose watches must be checked again after the next change of the records. Its
+  /// newest change is above the replica's revision and can't be shown before older changes, which
+  /// may still be missing from the replica.
   void defer(const Owner& owner) { early_.insert(owner); }
-  /// Those that were put off, once.
+  /// Returns the members that defer() marked and clears the marks.
   std::set<Owner> takeDeferred() { return std::exchange(early_, {}); }
 
  private:
