--- a/src/base/hedged_request.hpp
+++ b/src/base/hedged_request.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Hedged requests: a request that is not answered soon is sent once more, and the first usable
-/// answer counts. Only for requests that may be carried out twice.
+/// Hedged requests. A request that is not answered soon is sent a second time, and the first usable
+/// answer is taken. Only idempotent requests may be hedged.
 #pragma once
 
 #include <functional>
@@ -11,22 +11,23 @@
 
 namespace kestrelhoist {
 
-/// When a request is repeated and given up, both counted from its first send.
+/// The delay until a request is sent a second time and its timeout, both counted from the first
+/// send.
 struct HedgeTimes {
   Duration repeatAfter;
   Duration timeout;
 };
 
-/// One hedged request. It keeps itself alive until it is settled.
+/// One hedged request. It keeps itself alive by shared_from_this until `done` is called.
 template <class Result>
 class HedgedRequest : public std::enable_shared_from_this<HedgedRequest<Result>> {
  public:
-  /// Sends the request with this timeout and calls back once.
+  /// Sends the request with this timeout and calls `done` exactly once.
   using Send = std::function<void(Duration timeout, std::function<void(Result)> done)>;
-  /// Whether the result is worth waiting for the other send's.
+  /// Returns whether the result is a failure, so that the answer to the other send is awaited.
   using IsFailure = std::function<bool(const Result&)>;
-  /// Receives the result that counts and when its request was sent; of two failures the last, as
-  /// sent first.
+  /// Receives the first usable result and the time at which its request was sent. If both sends
+  /// fail, it receives the later failure and the time of the first send.
   using Done = std::function<void(Instant sentAt, Result result)>;
 
   HedgedRequest(Runtime& runtime, Send send, IsFailure isFailure, Done done)
@@ -35,7 +36,8 @@
         isFailure_(std::move(isFailure)),
         done_(std::move(done)) {}
 
-  /// Sends the request. `onRepeated` is called if it is sent once more; it may be null.
+  /// Sends the request. `onRepeated` is called before the second send, if there is one. It may be
+  /// null.
   void start(HedgeTimes times, const std::function<void()>& onRepeated) {
     firstSentAt_ = runtime_.now();
     sendOnce(times.timeout);
@@ -69,7 +71,7 @@
   IsFailure isFailure_;
   Done done_;
   Instant firstSentAt_{};
-  int awaited_ = 0;  ///< sends that may still be answered
+  int awaited_ = 0;  ///< The number of sends that have no result yet.
   bool settled_ = false;
 };
 
--- a/src/base/hedged_request_test.cpp
+++ b/src/base/hedged_request_test.cpp
@@ -1,4 +1,5 @@
-// Guards against: one lost answer stopped reads for a second, and leaders stepped down over two.
+// Guards against a fault in which one lost answer delayed reads by a second. Two lost answers in a
+// row made a leader step down.
 #include "base/hedged_request.hpp"
 
 #include <gtest/gtest.h>
@@ -58,7 +59,7 @@
   sends[1](8);
   ASSERT_EQ(results.size(), 1U);
   EXPECT_EQ(results[0].first, begun + Duration{400});
-  sends[0](7);  // late: not used
+  sends[0](7);  // This answer is late and is ignored.
   EXPECT_EQ(results.size(), 1U);
 }
 
--- a/src/base/http.hpp
+++ b/src/base/http.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// HTTP over libevent's evhttp, both ways, with TLS where it is asked for.
+/// An HTTP server and an HTTP client over libevent's evhttp, with optional TLS.
 #pragma once
 
 #include <map>
@@ -22,20 +22,26 @@
 class TlsClient;
 class TlsServer;
 
-/// What a server bears from those who connect.
+/// Limits on the connections of a server. The system assigns the lowest free socket number, so a
+/// high number means that many sockets are open.
 struct ServerLimits {
-  Duration idle{120000};  ///< a connection on which nothing is asked
-  Duration slowest{0};    ///< for one request to arrive in full; 0: no bound
-  int highestSocket = 0;  ///< a connection with a higher number is refused; 0: no bound
-  /// A connection with a higher number is closed after its answer; 0: no bound. Numbers are given
-  /// from the lowest on, so that many are open: those of workers, of which each asks once in
-  /// seconds, can't all be kept where a controller has few sockets for them (two of three down, a
-  /// larger fleet).
+  /// A connection without a request for this long is closed.
+  Duration idle{120000};
+  /// One request must arrive in full within this time; 0 means no limit.
+  Duration slowest{0};
+  /// A request on a connection with a higher socket number is answered 429; 0 means no limit.
+  int highestSocket = 0;
+  /// A connection with a higher socket number is closed after its answer; 0 means no limit. Each
+  /// worker sends one request in several seconds. A controller can't keep all their connections
+  /// open if it has few sockets for them, as in a larger fleet or with two of three controllers
+  /// down.
   int crowdedSocket = 0;
-  std::function<void()> crowded{};  ///< one was answered so
+  /// The server calls this function for each connection that it closes because of `crowdedSocket`.
+  std::function<void()> crowded{};
 };
 
-/// Serves one address. Bodies over the protocol's limit are answered 400 before the handler.
+/// Listens on one address. A request with a body above the protocol's limit is answered 400 and
+/// does not reach the handler.
 class HttpServer {
  public:
   /// `tls` may be null. Throws std::runtime_error if the address can't be bound.
@@ -44,6 +50,7 @@
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
+  /// Returns the port that the server listens on.
   int port() const { return port_; }
 
  private:
@@ -51,8 +58,9 @@
   static bufferevent* onConnection(event_base* base, void* self);
   static void onInput(evbuffer* buffer, const evbuffer_cb_info* info, void* arrival);
 
-  /// A request that has begun to arrive. Kept by the address of its connection's buffer, which
-  /// libevent uses again: as many as there were ever connections at a time.
+  /// The arrival of a request on one connection. The entries are keyed by the address of the
+  /// connection's bufferevent and never removed. libevent reuses the addresses, so there are at
+  /// most as many entries as connections were ever open at the same time.
   struct Arrival {
     HttpServer* server{};
     bufferevent* connection{};
@@ -68,17 +76,19 @@
   int port_{};
 };
 
-/// Keeps a few connections per address; one request at a time on each, every one with a deadline.
+/// An HTTP client that keeps a few idle connections for each address. A connection carries one
+/// request at a time, and each request has a timeout.
 class EvHttpClient : public HttpClient {
  public:
   explicit EvHttpClient(EventLoop& loop, std::size_t maxConnections);
   ~EvHttpClient() override;
   void send(const std::string& address, Request request, Duration timeout,
             OnReply onReply) override;
-  /// Lets go of connections on which nothing is asked.
+  /// Closes all idle connections.
   void closeIdle();
-  /// Speaks TLS to this address from now on; "": to all. `name`: whose certificate must be shown;
-  /// empty: the address's own.
+  /// Uses TLS for new connections to this address; the address "" stands for all addresses without
+  /// a setting of their own. The server must present a certificate for `name`, or for the IP
+  /// address if `name` is empty.
   void secure(const std::string& address, std::shared_ptr<TlsClient> tls, std::string name = "");
 
  private:
@@ -103,10 +113,10 @@
   std::map<std::string, Secured> secured_;
 };
 
-/// What is left in a buffer.
+/// Returns a copy of the contents of a buffer, or an empty text if the buffer is null.
 std::string takeBody(evbuffer* buffer);
 
-/// "host:port" with a numeric IPv4 host.
+/// Splits "host:port" with a numeric IPv4 host; returns nullopt if the text is malformed.
 std::optional<std::pair<std::string, int>> splitAddress(const std::string& address);
 
 }  // namespace kestrelhoist
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -17,7 +17,7 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxReply = 16UL * 1024 * 1024;  // change feeds have no limit of their own
+constexpr std::size_t kMaxReply = 16UL * 1024 * 1024;  // The change feed has no limit of its own.
 constexpr std::size_t kIdlePerAddress = 4;
 
 timeval toTimeval(Duration d) {
@@ -79,14 +79,14 @@
 void EvHttpClient::send(const std::string& address, Request request, Duration timeout,
                         OnReply onReply) {
   auto fail = [&](const char* why) {
-    logDebug("no request sent", "to", address, "why", why);
+    logDebug("HTTP request could not be sent", "to", address, "why", why);
     loop_.after(Duration{0}, [onReply = std::move(onReply)] { onReply(std::nullopt); });
   };
   evhttp_connection* connection = takeIdle(idle_.find(address));
   if (!connection) {
     if (!splitAddress(address)) return fail("bad address");
     if (open_ >= maxConnections_) {
-      // Sockets used up: close an idle one of another address rather than fail.
+      // All sockets are in use, so an idle connection to another address is closed.
       if (auto* other = takeIdle(idle_.begin())) {
         evhttp_connection_free(other);
         --open_;
@@ -121,7 +121,7 @@
   }
   if (evhttp_make_request(connection, call->request, methodType(request.method),
                           request.path.c_str()) != 0) {
-    // evhttp has freed the request; its callback is not called.
+    // evhttp has already freed the request and will not call its callback.
     loop_.after(Duration{0}, [this, call] { finish(call, std::nullopt, false); });
     evtimer_del(call->deadline);
   }
@@ -150,7 +150,8 @@
   secured_[address] = {std::move(tls), std::move(name)};
 }
 
-// A TLS session can't be used for a second connection: what the server has closed is let go of.
+// A TLS session can't be used for a second connection. So an idle connection that the server has
+// closed is removed here and not reopened by evhttp.
 void EvHttpClient::onIdleClosed(evhttp_connection* connection, void* selfPointer) {
   auto* self = static_cast<EvHttpClient*>(selfPointer);
   for (auto it = self->idle_.begin(); it != self->idle_.end(); ++it) {
@@ -164,7 +165,8 @@
   }
 }
 
-// Addresses without idle connections have no entry, so any entry will do to make room.
+// An address without idle connections has no entry in `idle_`, so every entry holds at least one
+// connection.
 evhttp_connection* EvHttpClient::takeIdle(Idle::iterator at) {
   if (at == idle_.end()) return nullptr;
   auto* connection = at->second.back();
@@ -189,7 +191,7 @@
     idle_[call->address].push_back(call->connection);
     if (!secured_.empty()) evhttp_connection_set_closecb(call->connection, onIdleClosed, this);
   } else {
-    // Not from inside evhttp's own callback.
+    // A connection must not be freed within evhttp's own callback.
     --open_;
     loop_.after(Duration{0}, [c = call->connection] { evhttp_connection_free(c); });
   }
@@ -215,7 +217,7 @@
 
 void EvHttpClient::onDeadline(int, short, void* arg) {
   auto* call = static_cast<Call*>(arg);
-  evhttp_cancel_request(call->request);  // its callback is not called any more
+  evhttp_cancel_request(call->request);  // The request's callback is not called after this.
   call->client->finish(call, std::nullopt, false);
 }
 
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -17,15 +17,15 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxBody = 64 * 1024;       // the protocol's limit for requests
-constexpr std::size_t kHardMaxBody = 256 * 1024;  // past this evhttp itself answers 413
+constexpr std::size_t kMaxBody = 64 * 1024;       // This is the protocol's limit for requests.
+constexpr std::size_t kHardMaxBody = 256 * 1024;  // Above this, evhttp itself answers 413.
 
-// A request that waits for its answer. The client may hang up first, which frees `req`.
+// A request without an answer yet. If the client closes the connection first, evhttp frees `req`.
 struct PendingReply {
   evhttp_request* req;
   std::shared_ptr<PendingReply> self;
-  std::string id;     // of the request, told back
-  bool last = false;  // the connection is closed after it
+  std::string id;     // The request's id is returned in the answer's header.
+  bool last = false;  // If true, the connection is closed after the answer.
 };
 
 void onHangUp(evhttp_connection*, void* arg) {
@@ -52,7 +52,7 @@
   evbuffer_add(out, response.body.data(), response.body.size());
   evhttp_send_reply(req, response.status, nullptr, out);
   evbuffer_free(out);
-  auto keep = std::move(pending.self);  // the last step: may free `pending`
+  auto keep = std::move(pending.self);  // This must be the last step, since it may free `pending`.
 }
 
 const char* methodName(evhttp_cmd_type type) {
@@ -113,7 +113,8 @@
   if (self->tls_) {
     connection = bufferevent_openssl_socket_new(base, -1, self->tls_->session(),
                                                 BUFFEREVENT_SSL_ACCEPTING, BEV_OPT_CLOSE_ON_FREE);
-    // A peer that hangs up without a word has said all that HTTP needs.
+    // A peer may close the connection without a TLS close_notify, since HTTP messages carry their
+    // own length.
     if (connection) bufferevent_openssl_set_allow_dirty_shutdown(connection, 1);
   } else {
     connection = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
@@ -127,8 +128,8 @@
   return connection;
 }
 
-// Whoever sends a request byte by byte holds a socket and its buffers: a request has its time, from
-// its first byte on, however often something comes.
+// A client that sends a request byte by byte would occupy a socket and its buffers for long. So the
+// time for a request counts from its first byte, no matter how often more bytes arrive.
 void HttpServer::onInput(evbuffer*, const evbuffer_cb_info* info, void* arg) {
   auto* arrival = static_cast<Arrival*>(arg);
   if (info->n_added == 0) return;
@@ -136,7 +137,7 @@
   if (!arrival->since) arrival->since = now;
   if (now - *arrival->since > arrival->server->limits_.slowest) {
     evutil_socket_t fd = bufferevent_getfd(arrival->connection);
-    if (fd >= 0) shutdown(fd, SHUT_RDWR);  // evhttp sees its end and lets go of it
+    if (fd >= 0) shutdown(fd, SHUT_RDWR);  // evhttp then closes the connection.
   }
 }
 
@@ -158,7 +159,7 @@
   if (std::string id = header("X-Request-Id"); validRequestId(id)) pending->id = id;
   if (self->limits_.highestSocket > 0 &&
       bufferevent_getfd(connection) > self->limits_.highestSocket) {
-    // The lowest free number is always given, so this many sockets are open.
+    // The system assigns the lowest free socket number, so at least this many sockets are open.
     pending->last = true;
     reply(*pending, retryLater(429, 2));
     return;
@@ -179,12 +180,12 @@
   if (std::string given = header("Authorization"); given.starts_with(bearer)) {
     request.credential = given.substr(bearer.size());
   } else if (!given.empty()) {
-    request.credential = "?";  // of a kind that is not known here
+    request.credential = "?";  // This stands for an unsupported authentication scheme.
   }
   try {
     self->handler_(request, [pending](const Response& r) { reply(*pending, r); });
   } catch (const std::exception& e) {
-    logError("exception in a handler", "method", request.method, "what", e.what());
+    logError("HTTP request handler threw an exception", "method", request.method, "what", e.what());
     reply(*pending, jsonResponse(500, {{"error", "internal"}}));
   }
 }
--- a/src/base/http_test.cpp
+++ b/src/base/http_test.cpp
@@ -1,4 +1,4 @@
-// evhttp server and client over real loopback sockets.
+// Tests the HTTP server and client over real loopback sockets.
 #include "base/http.hpp"
 
 #include <gtest/gtest.h>
@@ -56,8 +56,9 @@
                       {"kh_secret", "client-1-2"}, {"", ""}, {"k", ""}}));
 }
 
-// Found by arithmetic: at half as many machines again, one controller alone has fewer sockets than
-// workers. All are answered; those beyond the bound are closed after it.
+// Guards against running out of sockets: with half as many machines again, a single controller has
+// fewer sockets than workers. Every request is answered, and connections above the limit are closed
+// after the answer.
 TEST(Http, ConnectionsBeyondTheBoundAreClosedAfterTheirAnswer) {
   EventLoop loop;
   int crowded = 0, answers = 0;
@@ -114,7 +115,7 @@
   client.send("127.0.0.1:" + std::to_string(server.port()), {"GET", "/", ""}, Duration{100},
               [&](std::optional<Response> r) {
                 silent = !r;
-                // The asker is gone by now: answering late must do no harm.
+                // The client has closed its connection, so the late answers must be ignored.
                 loop.after(Duration{100}, [&] {
                   for (auto& respond : held) respond({200, "", 0});
                   loop.after(Duration{20}, [&] { loop.stop(); });
--- a/src/members/job_index.cpp
+++ b/src/members/job_index.cpp
@@ -43,12 +43,13 @@
 // ---- cursors ----
 
 namespace {
-// Revision (8), whether a job follows (1), the job's 16 bytes: always the same length.
+// The plain text holds the revision (8 bytes), whether a job follows (1 byte) and the job's id
+// (16 bytes), so it always has the same length.
 constexpr std::size_t kPlain = 25;
 constexpr std::size_t kNonce = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
 constexpr std::size_t kTag = crypto_aead_xchacha20poly1305_ietf_ABYTES;
 constexpr std::size_t kSealed = kNonce + kPlain + kTag;
-constexpr std::size_t kDigits = 32;  // of a member's job: m- and hex
+constexpr std::size_t kDigits = 32;  // A member's job id is "m-" and this many hex digits.
 
 const unsigned char* bytes(const std::string& s) {
   return reinterpret_cast<const unsigned char*>(s.data());
@@ -70,8 +71,8 @@
     std::size_t n = 0;
     sodium_hex2bin(plain.data() + 9, 16, place.job.value.data() + 2, kDigits, nullptr, &n, nullptr);
   }
-  // The nonce comes from what is sealed: the same place is the same text, different ones never
-  // share a nonce.
+  // The nonce is a hash of the plain text and the owner. So the same place gives the same cursor,
+  // and different places never share a nonce.
   std::array<unsigned char, kSealed> out{};
   std::string who = owner.str(), nonceOf = "nonce " + who + std::string(1, '\0');
   nonceOf.append(reinterpret_cast<const char*>(plain.data()), plain.size());
--- a/src/members/job_lists.cpp
+++ b/src/members/job_lists.cpp
@@ -1,4 +1,5 @@
-// Lists and watches of a member's jobs: pages of the index, in the order of the last change.
+// Serves lists and watches of a member's jobs. They are pages of the JobIndex, in the order of the
+// jobs' last changes.
 #include <algorithm>
 #include <charconv>
 
@@ -8,7 +9,8 @@
 namespace {
 constexpr std::size_t kMostOnPage = 200;
 constexpr std::size_t kPageBytes = 48 * 1024;
-// Entries looked at for one page, so that a filter that fits nothing costs no more than a page.
+// Limits the entries examined for one page, so that a filter without matches costs no more than a
+// full page.
 constexpr std::size_t kMostLookedAt = 2000;
 
 std::optional<std::uint64_t> numberOr(const std::string& text, std::uint64_t otherwise) {
@@ -20,8 +22,8 @@
 }
 }  // namespace
 
-// Only changes up to the copy's own revision are shown: commits of this controller are in the copy
-// before older ones of others, and a place beyond those would skip them.
+// Lists only changes up to the replica's revision. A commit of this controller enters the replica
+// at once, maybe before older commits of other controllers. A cursor after it would skip these.
 MemberService::Page MemberService::page(const Owner& owner, const ChangePlace& since,
                                         const JobFilter& filter) const {
   Page page;
@@ -73,14 +75,15 @@
       hold ? std::min(Duration{static_cast<std::int64_t>(std::min<std::uint64_t>(*wait, 3600000))},
                       settings_.longestWatch)
            : Duration{0};
-  // Never older than the question: what this member was told by another controller is in it.
+  // The linearizable read makes sure that the list contains every change that another controller
+  // has already confirmed to this member.
   watcher_.linearizableRead([this, caller, filter, since, held, plain, respond](bool ok) {
     if (!ok || replica_.cursorKey().empty()) return respond(retryLater(503));
     if (sealedWith_ != replica_.cursorKey()) {
       sealedWith_ = replica_.cursorKey();
       seal_.emplace(sealedWith_);
     }
-    // "now": only the place.
+    // The value "now" asks only for a cursor at the present revision.
     if (since == "now") {
       return respond(answer(caller.owner, {Json::array(), {replica_.cursor(), JobId{}}, false}));
     }
--- a/src/members/key_service.cpp
+++ b/src/members/key_service.cpp
@@ -1,5 +1,5 @@
-// Keys: made, listed and ended by those who may. The secret is drawn by whoever asks for the key
-// and never comes here; every request may be repeated.
+// Creates, lists and revokes keys for callers with the admin right. The client generates the secret
+// and sends only its hash. All requests are idempotent.
 #include <algorithm>
 
 #include "base/log.hpp"
@@ -82,11 +82,12 @@
   store_.commit(t, kCommitTimeout, [this, key, record, t, respond](const CommitResult& r) {
     if (r.outcome == CommitOutcome::applied) {
       replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
-      logInfo("key made", "key", key, "team", record.owner.team, "request", t.requestId);
+      logInfo("key created", "key", key, "team", record.owner.team, "request", t.requestId);
       return respond(jsonResponse(201, viewOf(key, record)));
     }
     if (r.outcome != CommitOutcome::conflict) return respond(retryLater(503));
-    // There already: by a repeated request, or another key with this id.
+    // A key with this id exists. Either an earlier send of this request made it, or it is another
+    // key.
     watcher_.linearizableRead([this, key, record, respond](bool ok) {
       const auto* entry = ok ? replica_.keyRing().find(key) : nullptr;
       if (!entry) return respond(retryLater(503));
@@ -128,7 +129,8 @@
   });
 }
 
-// An ended key stays on record: a late copy of the request that made it must not bring it back.
+// The record of a revoked key is kept, because otherwise a delayed duplicate of the request that
+// made the key would make it again.
 void MemberService::endKey(const Caller& caller, const KeyId& id, const Request& request,
                            int triesLeft, const Respond& respond) {
   auto body = request.body.empty() ? std::optional(Json::object()) : decodeBody(request.body);
@@ -139,7 +141,7 @@
   watcher_.linearizableRead([this, caller, id, request, afterS, triesLeft, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const auto* entry = replica_.keyRing().find(id);
-    // A key of another team is answered like none.
+    // A key of another team gets the same answer as a key that does not exist.
     if (!entry || (!caller.root && entry->record.owner.team != caller.owner.team)) {
       return respond(jsonResponse(404, {{"error", "no such key"}}));
     }
@@ -158,7 +160,7 @@
         [this, caller, id, request, record, t, triesLeft, respond](const CommitResult& r) {
           if (r.outcome == CommitOutcome::applied) {
             replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
-            logInfo("key ends", "key", id, "request", t.requestId);
+            logInfo("key expiry set", "key", id, "request", t.requestId);
             return respond(jsonResponse(200, viewOf(id, record)));
           }
           if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
@@ -169,7 +171,8 @@
   });
 }
 
-// One secret for all controllers; whoever is first makes it.
+// Writes the secret from which all controllers derive the encryption key of cursors. The first
+// controller to commit sets it; the transactions of the others fail with a conflict.
 void MemberService::makeCursorKey() {
   if (makingCursorKey_) return;
   makingCursorKey_ = true;
--- a/src/members/members_test.cpp
+++ b/src/members/members_test.cpp
@@ -1,4 +1,4 @@
-// The pure parts: credentials, names, cursors, the index, rates and turns.
+// Tests credentials, job names, cursors, the job index, rate limits and the fair queue without I/O.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
     EXPECT_TRUE(sameHash(hashOfSecret(*back), hashOfSecret(c)));
     EXPECT_FALSE(credentialFrom(c.str().substr(1)));
     EXPECT_FALSE(credentialFrom(c.str() + "a"));
-    // The hash is bound to the id: a secret is no good under another.
+    // The hash covers the id, so a secret is invalid under the id of another key.
     Credential moved{drawCredential().id, c.secret};
     EXPECT_FALSE(sameHash(hashOfSecret(moved), hashOfSecret(c)));
   }
@@ -33,11 +33,11 @@
 
 TEST(Names, AreApartByMemberAndTheSameForEver) {
   EXPECT_NE(memberJob(kAna, "j-1"), memberJob(kBen, "j-1"));
-  // The fields have their lengths with them: no two lists of them are one text.
+  // The hash covers the length of each field, so these two lists of fields give different ids.
   EXPECT_NE(memberJob({TeamId{"a"}, "bj-1"}, "j-1"), memberJob({TeamId{"ab"}, "j-1"}, "j-1"));
   EXPECT_FALSE(validJobId(memberJob(kAna, "j-1").value));
   EXPECT_TRUE(validJobId(refFor(kAna, "drawer-12")));
-  // As in version 0.4.0: scripts rely on it.
+  // The reference is the same as in version 0.4.0, because scripts rely on it.
   EXPECT_EQ(refFor(kAna, "drawer-12"), refFor(kAna, "drawer-12"));
   EXPECT_NE(refFor(kAna, "drawer-12"), refFor(kBen, "drawer-12"));
 }
@@ -81,7 +81,7 @@
   }));
 }
 
-// Against a plain list, whatever the order in which changes are read.
+// Compares the index with a plain sorted list, for changes read in any order.
 TEST(JobIndexProperty, PagesCoverEachJobInTheOrderOfItsLastChange) {
   EXPECT_TRUE(rc::check([] {
     JobIndex index;
@@ -100,7 +100,7 @@
     const auto* order = index.of(kAna);
     RC_ASSERT((order ? *order : JobIndex::Order{}) == expected);
     if (!order) return;
-    // Page by page, each from the last place of the one before.
+    // Each page starts after the last place of the page before.
     auto page = *rc::gen::inRange<std::size_t>(1, 4);
     ChangePlace place;
     std::vector<std::pair<Revision, JobId>> read;
@@ -136,7 +136,7 @@
   EXPECT_EQ(turns.working(), 0U);
 }
 
-// Starts that are answered at once end their turn from within it.
+// A write that is answered at once calls finished() from within its own start callback.
 TEST(FairTurns, MayBeAnsweredAtOnce) {
   FairTurns turns(1, 100, 100);
   int ended = 0;
@@ -153,7 +153,7 @@
   EXPECT_EQ(turns.working(), 0U);
 }
 
-// Over any stretch of time no more than burst and rate; those refused come back spread.
+// The admitted requests never exceed burst plus rate, and the retry delays are spread.
 TEST(MemberRates, BoundWhatAMemberDoesAndSpreadItsReturn) {
   MemberLimits limits;
   limits.submitsPerS = 5;
@@ -173,10 +173,10 @@
   EXPECT_GE(taken, 68);
   EXPECT_LE(taken, 71);
   EXPECT_GE(seconds.size(), 3U);
-  // Answers are charged after they were made: the next request waits.
+  // The bytes of an answer are charged afterwards, so the next request is refused.
   rates.charge(Instant{20000}, kBen, 10 * 1024 * 1024);
   EXPECT_TRUE(rates.refuse(Instant{20000}, kBen, Work::poll, 1));
-  // What is known of members that are quiet goes.
+  // The buckets of a member without recent requests are removed.
   rates.refuse(Instant{20000 + 3600000}, kAna, Work::poll, 1);
   EXPECT_EQ(rates.known(), 1U);
 }
--- a/src/members/service.cpp
+++ b/src/members/service.cpp
@@ -190,7 +190,7 @@
     try {
       start(once);
     } catch (const std::exception& e) {
-      logError("exception in a member's request", "what", e.what());
+      logError("request handler of a member threw an exception", "what", e.what());
       once(jsonResponse(500, {{"error", "internal"}}));
     }
   };
