--- a/src/base/codec.cpp
+++ b/src/base/codec.cpp
@@ -34,7 +34,7 @@
       if ((at(i + k) & 0xC0) != 0x80) return false;
     }
     unsigned char next = at(i + 1);
-    // Overlong forms, surrogates, beyond the last code point.
+    // Overlong forms, surrogates and values above the last code point are invalid.
     if ((c == 0xE0 && next < 0xA0) || (c == 0xED && next > 0x9F) || (c == 0xF0 && next < 0x90) ||
         (c == 0xF4 && next > 0x8F)) {
       return false;
@@ -56,7 +56,7 @@
 std::optional<std::string> textOf(const Json& value) {
   if (!value.is_string()) return std::nullopt;
   const auto& text = value.get_ref<const std::string&>();
-  // CBOR text from outside may be no text: it would make records that can't be written as JSON.
+  // A CBOR text from outside may be invalid UTF-8, and a record with it can't be written as JSON.
   if (!validUtf8(text)) return std::nullopt;
   return text;
 }
--- a/src/base/event_loop.cpp
+++ b/src/base/event_loop.cpp
@@ -31,7 +31,7 @@
   try {
     f();
   } catch (const std::exception& e) {
-    logError("exception", "where", where, "what", e.what());
+    logError("event loop callback threw an exception", "where", where, "what", e.what());
   }
 }
 
--- a/src/base/event_loop.hpp
+++ b/src/base/event_loop.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The one I/O thread: libevent's loop. HTTP on it is in base/http.hpp.
+/// The event loop of the process's single I/O thread, over libevent. base/http.hpp has HTTP on it.
 #pragma once
 
 #include <event2/event.h>
@@ -14,6 +14,7 @@
 
 namespace kestrelhoist {
 
+/// A Runtime over a libevent loop.
 class EventLoop : public Runtime {
  public:
   EventLoop();
@@ -25,12 +26,15 @@
   std::int64_t wallMillis() override;
   void after(Duration delay, std::function<void()> f) override;
 
-  /// From any thread: runs `f` on the loop's thread.
+  /// Runs `f` on the loop's thread. It may be called from any thread.
   void post(std::function<void()> f);
+  /// Runs the loop until stop() is called.
   void run();
+  /// Makes run() return.
   void stop();
+  /// Returns the libevent loop.
   event_base* base() { return base_; }
-  /// Calls `f`; exceptions stop at the event loop's edge: logged, the process goes on.
+  /// Calls `f` and logs an exception that it throws, so that the process continues.
   static void guarded(const char* where, const std::function<void()>& f);
 
  private:
--- a/src/base/guarded.hpp
+++ b/src/base/guarded.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Shared state behind a short lock: no I/O and no callback while it is held.
+/// A value shared between threads and protected by a mutex.
 #pragma once
 
 #include <mutex>
@@ -7,12 +7,14 @@
 
 namespace kestrelhoist {
 
+/// Holds a value and the mutex that protects it.
 template <class T>
 class Guarded {
  public:
   Guarded() = default;
   explicit Guarded(T value) : value_(std::move(value)) {}
 
+  /// Calls `f` with the value while holding the mutex. `f` must do no I/O and call no callbacks.
   template <class F>
   auto with(F&& f) {
     std::lock_guard lock(mutex_);
--- a/src/base/interned.hpp
+++ b/src/base/interned.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Small numbers for names that repeat, so that hot paths compare numbers. For one process only.
+/// Maps ids to small numbers, so that hot code compares numbers instead of texts. The numbers are
+/// valid in one process only.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +8,11 @@
 
 namespace kestrelhoist {
 
+/// The numbers given to ids so far.
 template <class Id>
 class Interned {
  public:
+  /// Returns the number of an id and assigns the next number if the id is new.
   std::uint32_t of(const Id& id) {
     return numbers_.try_emplace(id, static_cast<std::uint32_t>(numbers_.size())).first->second;
   }
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -15,7 +15,7 @@
       .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Text in which something else could be mistaken for the next key is put in quotes.
+// Whether a value can be written without quotes, because nothing in it looks like the next field.
 bool plain(std::string_view text) {
   return text.find_first_of(" =\"\\\n\t") == std::string_view::npos;
 }
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Logs: an event's name and keys with values, one line each, to standard error.
+/// Structured logging to standard error. Each line has an event and its fields as keys and values.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -11,13 +11,15 @@
 
 namespace kestrelhoist {
 
+/// The format of the log lines.
 enum class LogFormat { text, json };
 
-/// The level comes from LOG_LEVEL (error, info, debug). False if it is unknown (info is used then).
+/// Sets up the logger for a process with this name. The level comes from the environment variable
+/// LOG_LEVEL (error, info or debug). Returns false if the level is unknown; info is used then.
 bool setupLogging(const std::string& member, LogFormat format = LogFormat::text);
 
 namespace log_detail {
-/// One line being put together, in the form that was set up.
+/// Builds one log line in the format given to setupLogging().
 class Line {
  public:
   explicit Line(std::string_view event);
@@ -67,16 +69,19 @@
 }
 }  // namespace log_detail
 
-/// logInfo("job accepted", "job", id, "tasks", n). Durations are milliseconds. Never a key's
-/// secret, and of a member's job only the name that the service gave it.
+/// Logs an event with its fields, as in logInfo("job accepted", "job", id, "tasks", n). Durations
+/// are written in milliseconds. Callers must not log the secret of a key, and must log a member's
+/// job by the id from memberJob() only.
 template <class... Fields>
 void logInfo(std::string_view event, const Fields&... fields) {
   log_detail::write(spdlog::level::info, event, fields...);
 }
+/// Logs an event at the debug level.
 template <class... Fields>
 void logDebug(std::string_view event, const Fields&... fields) {
   log_detail::write(spdlog::level::debug, event, fields...);
 }
+/// Logs an event at the error level.
 template <class... Fields>
 void logError(std::string_view event, const Fields&... fields) {
   log_detail::write(spdlog::level::err, event, fields...);
--- a/src/base/rate.hpp
+++ b/src/base/rate.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// A token bucket, so that our side paces itself instead of running into 429.
+/// A token bucket. Clients use it to stay below a server's rate limit and avoid 429 answers, and
+/// the member service uses it to limit members' requests.
 #pragma once
 
 #include <algorithm>
@@ -8,25 +9,27 @@
 
 namespace kestrelhoist {
 
+/// A token bucket whose level may become negative.
 class RateBudget {
  public:
   RateBudget(double perSecond, double burst) : rate_(perSecond), burst_(burst), level_(burst) {}
 
+  /// Takes the tokens and returns true if there are enough; otherwise returns false.
   bool take(Instant now, double amount) {
     refill(now);
-    // An amount above the burst goes once the bucket is full and leaves a debt.
+    // An amount above the burst is allowed once the bucket is full, and makes the level negative.
     if (level_ < std::min(amount, burst_)) return false;
     level_ -= amount;
     return true;
   }
 
-  /// Takes it in any case; what is not there is a debt.
+  /// Takes the tokens in any case; the level may become negative.
   void charge(Instant now, double amount) {
     refill(now);
     level_ -= amount;
   }
 
-  /// Time until `amount` can be taken.
+  /// Returns the time until `amount` can be taken.
   Duration waitFor(Instant now, double amount) {
     refill(now);
     double missing = std::min(amount, burst_) - level_;
--- a/src/base/tls.cpp
+++ b/src/base/tls.cpp
@@ -15,10 +15,10 @@
 
 std::shared_ptr<SSL_CTX> newContext(const SSL_METHOD* method) {
   std::shared_ptr<SSL_CTX> context(SSL_CTX_new(method), SSL_CTX_free);
-  if (!context) throw std::runtime_error("no TLS: " + tlsFault());
+  if (!context) throw std::runtime_error("cannot create a TLS context: " + tlsFault());
   SSL_CTX_set_min_proto_version(context.get(), TLS1_2_VERSION);
   SSL_CTX_set_options(context.get(), SSL_OP_NO_RENEGOTIATION | SSL_OP_NO_COMPRESSION);
-  // Memory of idle connections goes back: thousands of watches are held open.
+  // Idle connections release their buffers, since thousands of watches may be held open.
   SSL_CTX_set_mode(context.get(), SSL_MODE_RELEASE_BUFFERS);
   return context;
 }
@@ -63,7 +63,8 @@
 
 TlsServer::~TlsServer() = default;
 
-// Unsigned: the product of a time in nanoseconds wraps, which signed numbers may not.
+// The result is unsigned, because the product with a time in nanoseconds overflows, which is
+// undefined behaviour for signed numbers.
 std::uint64_t TlsServer::stamp() const {
   auto at = [](const std::string& file) { return static_cast<std::uint64_t>(changedAt(file)); };
   return at(certificate_) * 31 + at(key_) * 7 + at(authority_);
@@ -82,14 +83,14 @@
 bool TlsServer::reload() {
   auto now = stamp();
   if (now == stamp_) return false;
-  stamp_ = now;  // what is no good is tried again when it changes again
+  stamp_ = now;  // Invalid files are not read again until they change again.
   try {
     context_ = load();
   } catch (const std::exception& e) {
-    logError("certificate not exchanged", "why", e.what());
+    logError("TLS certificate reload failed; keeping the old certificate", "why", e.what());
     return false;
   }
-  logInfo("certificate exchanged", "file", certificate_);
+  logInfo("TLS certificate reloaded", "file", certificate_);
   return true;
 }
 
--- a/src/base/tls.hpp
+++ b/src/base/tls.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// TLS by OpenSSL: certificates that may be exchanged while the process runs, and who is believed.
+/// TLS over OpenSSL for servers and clients. A server can reload its certificate while it runs.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,20 @@
 
 namespace kestrelhoist {
 
+/// The TLS settings of a server, which accepts TLS 1.2 or newer.
 class TlsServer {
  public:
-  /// PEM files. With `authority`, whoever connects must show a certificate that it has signed.
-  /// TLS 1.2 at least. Throws std::runtime_error naming the file.
+  /// Loads the PEM files. If `authority` is not empty, clients must present a certificate signed by
+  /// it. Throws std::runtime_error naming the file.
   TlsServer(std::string certificate, std::string key, std::string authority = "");
   ~TlsServer();
   TlsServer(const TlsServer&) = delete;
   TlsServer& operator=(const TlsServer&) = delete;
 
-  /// Reads the files again if they changed; what is no good is reported and the old ones stay.
-  /// Connections that are open go on. True if new ones are used from now on.
+  /// Reloads the files if they have changed and returns whether new ones are in use. If a new file
+  /// is invalid, logs an error and keeps the old ones. Open connections are not affected.
   bool reload();
-  /// For one connection.
+  /// Creates the TLS state for one connection.
   ssl_st* session() const;
 
  private:
@@ -34,19 +35,22 @@
   std::shared_ptr<ssl_ctx_st> context_;
 };
 
+/// The TLS settings of a client.
 class TlsClient {
  public:
-  /// `authority`: PEM file with those who are believed; empty: the system's. Certificate and key:
-  /// what is shown if the server asks; may be empty. Throws std::runtime_error naming the file.
+  /// Loads the PEM files. `authority` has the trusted CA certificates; if it is empty, those of the
+  /// system are used. `certificate` and `key` are presented if the server asks for them, and may be
+  /// empty. Throws std::runtime_error naming the file.
   explicit TlsClient(std::string authority, std::string certificate = "", std::string key = "");
-  /// For one connection to a server that must show a certificate of this name or IP address.
+  /// Creates the TLS state for one connection. The server must present a certificate for this name
+  /// or IP address.
   ssl_st* session(const std::string& name) const;
 
  private:
   std::shared_ptr<ssl_ctx_st> context_;
 };
 
-/// What OpenSSL has last complained of.
+/// Returns the text of the first error in OpenSSL's error queue and clears the queue.
 std::string tlsFault();
 
 }  // namespace kestrelhoist
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Small types of their own for ids, versions and times.
+/// Distinct types for ids, counters, times and resources.
 #pragma once
 
 #include <chrono>
@@ -11,6 +11,7 @@
 
 namespace kestrelhoist {
 
+/// A text id. Ids with different tags are different types.
 template <class Tag>
 struct Name {
   std::string value;
@@ -21,6 +22,7 @@
   const std::string& str() const { return value; }
 };
 
+/// A counter or numeric id. Numbers with different tags are different types.
 template <class Tag, class Rep = std::uint64_t>
 struct Number {
   Rep value{};
@@ -38,14 +40,17 @@
 using ImageId = Name<struct ImageIdTag>;
 using RentalId = Name<struct RentalIdTag>;
 
-using Revision = Number<struct RevisionTag>;  ///< the state service's counter; a key's version
-using FencingToken =
-    Number<struct FencingTokenTag>;  ///< stamp of the leader key: who may command workers
+/// A revision of the state service, which increases with each transaction.
+using Revision = Number<struct RevisionTag>;
+/// The revision of the leader's key. Workers ignore commands with a smaller token than the largest
+/// that they have received.
+using FencingToken = Number<struct FencingTokenTag>;
 using LeaseId = Number<struct LeaseIdTag>;
 using Attempt = Number<struct AttemptTag>;
-using WorkerEpoch = Number<struct WorkerEpochTag>;  ///< a worker's session
-using ReportSequence =
-    Number<struct ReportSequenceTag>;  ///< counts a worker's messages within a session
+/// Identifies a session of a worker.
+using WorkerEpoch = Number<struct WorkerEpochTag>;
+/// The sequence number of a worker's report within a session.
+using ReportSequence = Number<struct ReportSequenceTag>;
 
 using Duration = std::chrono::milliseconds;
 
@@ -58,11 +63,14 @@
   friend Duration operator-(Instant a, Instant b) { return Duration{a.ms - b.ms}; }
 };
 
+/// Converts a duration to seconds.
 inline double toSeconds(Duration d) { return static_cast<double>(d.count()) / 1000.0; }
+/// Converts seconds to a duration, rounded to milliseconds.
 inline Duration fromSeconds(double s) {
   return Duration{static_cast<std::int64_t>(s * 1000.0 + 0.5)};
 }
 
+/// Identifies a task of a job by its index.
 struct TaskId {
   JobId job;
   std::uint32_t index{};
@@ -70,7 +78,7 @@
   std::string str() const { return job.value + "/" + std::to_string(index); }
 };
 
-/// One placement of a task on a machine.
+/// Identifies one attempt of a task, which is one placement on a machine.
 struct AttemptId {
   TaskId task;
   Attempt attempt;
@@ -78,7 +86,7 @@
   std::string str() const { return task.str() + "#" + std::to_string(attempt.value); }
 };
 
-/// What a task takes or a machine has.
+/// The resources that a task needs or that a machine has.
 struct Resources {
   double cpus{}, gpus{}, ramGb{};
   Resources& operator+=(const Resources& o) {
@@ -98,11 +106,12 @@
   friend Resources operator*(Resources a, double k) {
     return {a.cpus * k, a.gpus * k, a.ramGb * k};
   }
+  /// Whether `o` has at least these resources, apart from rounding errors.
   bool fitsIn(const Resources& o) const {
     constexpr double kSlack = 1e-6;
     return cpus <= o.cpus + kSlack && gpus <= o.gpus + kSlack && ramGb <= o.ramGb + kSlack;
   }
-  /// The largest share this takes of any dimension of `whole`.
+  /// Returns the largest of the shares that this takes of the CPUs, GPUs and memory of `whole`.
   double shareOf(const Resources& whole) const {
     double s = 0;
     if (whole.cpus > 0) s = std::max(s, cpus / whole.cpus);
--- a/src/config/config_test.cpp
+++ b/src/config/config_test.cpp
@@ -84,7 +84,7 @@
   EXPECT_EQ(p.transactionOps, 4U);
   EXPECT_EQ(p.stateWritesPerS, 18.0);
   EXPECT_EQ(p.stateRequestsPerS, 150.0);
-  // Each is optional, and none is raised by what is to come.
+  // Each later limit is optional, and none raises a present limit.
   p = parsePlatform(withNext("txn_ops = 64\n"), "settings.toml");
   EXPECT_EQ(p.valueBytes, 8192U);
   EXPECT_EQ(p.transactionOps, 8U);
@@ -121,7 +121,7 @@
   EXPECT_NE(fault(R"({"surprise": 1})").find("surprise"), std::string::npos);
 }
 
-// The program itself: exit codes and one clear line.
+// Runs the program itself and returns its exit code and output.
 std::pair<int, std::string> runProgram(const std::string& arguments) {
   std::string command = std::string(PROGRAM_PATH) + " " + arguments + " 2>&1";
   FILE* pipe = popen(command.c_str(), "r");
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -97,7 +97,7 @@
 
 namespace {
 
-// Files are named relative to the settings file.
+// Resolves a file name relative to the folder of the settings file.
 std::string beside(const std::string& file, const std::string& name) {
   return (std::filesystem::path(file).parent_path() / name).string();
 }
--- a/src/config/operator.hpp
+++ b/src/config/operator.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The operator's own settings: an optional JSON file, checked by a schema. Defaults work.
+/// The operator's settings, an optional JSON file that is checked against a schema. Every setting
+/// has a usable default.
 #pragma once
 
 #include <optional>
@@ -11,45 +12,58 @@
 
 namespace kestrelhoist {
 
-/// Where a TLS server finds what it shows, and whom it lets in. "{member}" in a path stands for the
-/// controller's name, so that one file serves all.
+/// The files of a TLS endpoint. "{member}" in a path is replaced by the controller's name, so that
+/// all controllers can use the same settings file.
 struct TlsFiles {
-  std::string certificate, key;  ///< PEM
-  std::string authority;         ///< PEM; for the other controllers: who signs their certificates
+  std::string certificate, key;  ///< The certificate chain and its private key are PEM files.
+  std::string authority;  ///< This PEM file has the CA certificates of the other controllers.
+  /// Whether no certificate is configured.
   bool empty() const { return certificate.empty(); }
 };
 
-/// Members with keys (docs/members.md).
+/// The settings for members and their keys (docs/members.md).
 struct MemberSettings {
   bool enabled = false;
-  bool open = false;  ///< users without a key are served too, apart from all members
-  KeyId rootKey;      ///< the operator's own key, which makes the first others
+  /// If true, users without a key are served too, in a namespace separate from all members'.
+  bool open = false;
+  KeyId rootKey;  ///< The root key belongs to the operator and creates the first other keys.
   std::string rootHash;
-  Duration keyTrust{10000};  ///< no answer under a key that was not checked for longer
+  /// Keys are checked against the controller's replica only if it is not older than this.
+  Duration keyTrust{10000};
   Duration longestWatch{30000};
   MemberLimits limits;
-  TlsFiles usersTls;        ///< empty: none
-  int usersTlsPort = 0;     ///< added to the port of api_addr
-  bool plainUsers = false;  ///< whether members may also come without TLS
-  TlsFiles meshTls;         ///< between controllers; empty: none
-  int metricsPort = 0;      ///< added to the port of api_addr; 0: none
+  TlsFiles usersTls;     ///< If it is empty, there is no TLS endpoint for members.
+  int usersTlsPort = 0;  ///< The offset is added to the port of api_addr.
+  /// Whether members may also connect without TLS.
+  bool plainUsers = false;
+  /// The files for connections between controllers. If it is empty, they don't use TLS.
+  TlsFiles meshTls;
+  /// The offset is added to the port of api_addr. If it is 0, no metrics are served.
+  int metricsPort = 0;
 };
 
+/// All settings of the operator.
 struct OperatorSettings {
-  Duration window{10000};              ///< forecast window
-  double spreadMultiple = 1.0;         ///< k of mean + k * spread
-  bool useSpot = true;                 ///< rent spot machines for jobs that allow them
-  unsigned maxMachines = 0;            ///< never rent above this many; 0: no bound of ours
-  bool flows = false;                  ///< whether rule files may be submitted (docs/flows.md)
-  unsigned flowInstances = 100000;     ///< the most of one flow
-  unsigned flowInstancesAll = 200000;  ///< and of all graphs that a controller holds
+  Duration window{10000};  ///< The length of a forecast interval.
+  /// The scaling target is the mean demand plus this factor times its spread.
+  double spreadMultiple = 1.0;
+  bool useSpot = true;  ///< Whether spot machines are rented for jobs that allow them.
+  /// The maximum number of rented machines. If it is 0, only the cloud limits their number.
+  unsigned maxMachines = 0;
+  bool flows = false;               ///< Whether rule files may be submitted (docs/flows.md).
+  unsigned flowInstances = 100000;  ///< The maximum number of instances of one flow.
+  /// The maximum number of instances of all open flows together.
+  unsigned flowInstancesAll = 200000;
   MemberSettings members;
 };
 
+/// The JSON schema of the settings file.
 extern const char* const kOperatorSchema;
 
-/// Throws std::runtime_error with one line that names the file and the field.
+/// Reads and checks the settings file. Throws std::runtime_error with one line that names the file
+/// and the field.
 OperatorSettings loadOperatorSettings(const std::string& file);
+/// Checks settings given as text; `file` is used in error messages and for relative paths.
 OperatorSettings parseOperatorSettings(const std::string& text, const std::string& file);
 
 }  // namespace kestrelhoist
--- a/src/config/platform.cpp
+++ b/src/config/platform.cpp
@@ -44,7 +44,7 @@
     if (!v) fail(at + key, t.contains(key) ? "must be a table" : "is missing");
     return *v;
   }
-  // The tables of a list that may be missing.
+  // Returns the tables of a list with their paths. The result is empty if the list is missing.
   std::vector<std::pair<std::string, const toml::table*>> tables(const toml::table& t,
                                                                  const std::string& at,
                                                                  const char* key) const {
@@ -66,7 +66,7 @@
   std::string file_;
 };
 
-// The limits that the state service will have from some moment on, without notice.
+// Lowers the limits to those that the state service will switch to at an unannounced time.
 void readNextLimits(const Reader& r, const toml::table& next, Platform& p) {
   const std::string at = "settings.state.next.";
   if (next.contains("write_rps")) {
--- a/src/config/platform.hpp
+++ b/src/config/platform.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's settings file (TOML). Unknown fields are ignored, the rest is checked.
+/// The settings file of the platform, in TOML. Unknown fields are ignored and all others checked.
 #pragma once
 
 #include <map>
@@ -10,19 +10,21 @@
 
 namespace kestrelhoist {
 
+/// Another controller.
 struct Peer {
   MemberId member;
   ZoneId zone;
   std::string address;
 };
 
-/// What a team is guaranteed and may use; 0 means none.
+/// The quota of a team. A guarantee of 0 means that the team has none.
 struct Team {
   Resources guaranteed;
   Resources limit;
 };
 
-/// An aim on a class of jobs: "wait" (start within) or "finished" (done within).
+/// A service level objective for a class of jobs: a share of them must start (kind "wait") or
+/// finish (kind "finished") within a time.
 struct Objective {
   std::string kind;
   std::string jobClass;
@@ -30,6 +32,7 @@
   double share{};
 };
 
+/// All settings of the platform for this controller.
 struct Platform {
   MemberId member;
   ZoneId zone;
@@ -47,12 +50,14 @@
   Duration cancelWithin{};
 
   double stateRequestsPerS{};
-  /// Of the state service: the smaller of its present limits and of those that it will have from
-  /// some moment on (`state.next`), so that what is written is taken before and after.
+  /// This and the next two limits belong to the state service. Each is the smaller of the present
+  /// limit and the announced later one (`state.next`), so that writes are accepted both before and
+  /// after the change.
   double stateWritesPerS{};
   std::size_t valueBytes{};
   std::size_t transactionOps{};
-  /// Its present limit alone: of what an older version, which knows no other, may have written.
+  /// The present limit alone. An older version of the program ignores `state.next`, so it may have
+  /// written values up to this size.
   std::size_t valueBytesNow{};
 
   double cloudRequestsPerS{};
@@ -61,11 +66,14 @@
   double ramMb{};
   std::size_t maxConnections{};
 
+  /// Returns the number of controllers, including this one.
   std::size_t nodes() const { return peers.size() + 1; }
 };
 
-/// Throws std::runtime_error with one line that names the file and the field.
+/// Reads and checks the settings file. Throws std::runtime_error with one line that names the file
+/// and the field.
 Platform loadPlatform(const std::string& file);
+/// Checks settings given as text; `file` is used in error messages.
 Platform parsePlatform(const std::string& text, const std::string& file);
 
 }  // namespace kestrelhoist
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The deepest context names the field; the first error is the most specific one.
+// Returns the first error, since it is the most specific one and its context names the field.
 std::optional<valijson::ValidationResults::Error> faultOf(const nlohmann::json& value,
                                                           const char* schemaText) {
   valijson::Schema schema;
@@ -43,7 +43,7 @@
 std::optional<std::string> schemaFault(const nlohmann::json& value, const char* schemaText) {
   auto error = faultOf(value, schemaText);
   if (!error) return std::nullopt;
-  // The library names parts as "<root>", "[name]" and "[0]".
+  // The library writes the parts of a path as "<root>", "[name]" and "[0]".
   std::string pointer;
   for (const auto& part : error->context) {
     if (part.size() > 2 && part.front() == '[') pointer += "/" + part.substr(1, part.size() - 2);
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// JSON settings checked by a schema.
+/// Checks JSON settings against a schema.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,10 +8,12 @@
 
 namespace kestrelhoist {
 
-/// Throws std::runtime_error with one line that names the file and the field.
+/// Parses a JSON text and checks it against a schema. Throws std::runtime_error with one line that
+/// names the file and the field.
 nlohmann::json parseChecked(const std::string& text, const std::string& file, const char* schema);
 
-/// What is wrong with a value, in one line that begins with the JSON pointer; empty: nothing.
+/// Returns the first violation of the schema as one line that begins with a JSON pointer, or
+/// nullopt if the value is valid.
 std::optional<std::string> schemaFault(const nlohmann::json& value, const char* schema);
 
 }  // namespace kestrelhoist
--- a/src/config/worker_timing.hpp
+++ b/src/config/worker_timing.hpp
@@ -1,24 +1,26 @@
 /// \file
-/// The workers' side of heartbeats (PROTOCOL, "Workers"), which no setting changes.
+/// Times of the workers' heartbeats that the protocol fixes (PROTOCOL, "Workers"). No setting
+/// changes them.
 #pragma once
 
 #include "base/types.hpp"
 
 namespace kestrelhoist {
 
-/// How long a worker waits for the answer to a heartbeat.
+/// The time that a worker waits for the answer to a heartbeat.
 inline constexpr Duration kWorkerAnswerTimeout{4000};
-/// How long after a failed heartbeat it tries the next controller.
+/// The delay after a failed heartbeat until the worker tries the next controller.
 inline constexpr Duration kWorkerNextControllerDelay{1000};
-/// From a heartbeat whose answer is lost to the next one.
+/// The time from a heartbeat whose answer is lost to the worker's next heartbeat.
 inline constexpr Duration kWorkerRetryAfterLostAnswer =
     kWorkerAnswerTimeout + kWorkerNextControllerDelay;
 
-/// Workers report every `reportEvery`, give or take a quarter.
+/// Returns the longest interval between two heartbeats of a worker. The worker varies the interval
+/// `reportEvery` by up to a quarter.
 constexpr Duration longestHeartbeatInterval(Duration reportEvery) { return reportEvery * 5 / 4; }
-/// How much later than that a heartbeat may be before it counts as overdue.
+/// A heartbeat counts as overdue if it is later than the longest interval by more than this.
 inline constexpr Duration kHeartbeatLateMargin{1000};
-/// After how long without a heartbeat the next one is overdue.
+/// Returns the time since a worker's last heartbeat after which the next one is overdue.
 constexpr Duration heartbeatDueAfter(Duration reportEvery) {
   return longestHeartbeatInterval(reportEvery) + kHeartbeatLateMargin;
 }
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a controller counts, in the Prometheus text form (docs/members.md lists the names). Labels
-/// come from small fixed sets: never a member, a key or a job.
+/// The metrics of a controller, in the Prometheus text format (docs/members.md lists the names).
+/// Label values come from small fixed sets. A member, a key or a job is never a label value.
 #pragma once
 
 #include <functional>
@@ -11,12 +11,13 @@
 
 namespace kestrelhoist {
 
-/// What is read when somebody asks.
+/// The values of the gauges, which are read at each scrape.
 struct MetricGauges {
   double watches{}, waiting{}, working{}, lateS{}, liveJobs{}, memberJobs{}, keys{}, machines{};
   double leading{}, storeAgeS{};
 };
 
+/// Collects and renders the metrics of one controller.
 class Metrics {
  public:
   Metrics();
@@ -24,27 +25,33 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  /// A member's request was answered.
+  /// Counts an answered request of a member and its duration.
   void answered(const char* kind, int status, Duration took);
-  /// It was refused before any work: "load", "rate", "queue", "key", "watches".
+  /// Counts a member's request that was refused before any work. The cause `why` is "load", "rate",
+  /// "queue", "key" or "watches".
   void shed(const char* kind, const char* why);
-  /// How long a write waited for its turn.
+  /// Records how long a member's write waited in the fair queue.
   void queued(Duration waited);
-  /// A transaction of this node: "applied", "conflict", "refused", "unknown", ...
+  /// Counts a transaction of this controller by its outcome: "applied", "conflict", "refused",
+  /// "unknown" or another.
   void committed(const char* outcome, bool leading);
 
-  /// A request that nobody had answered yet was sent once more: "state_read", "forward",
-  /// "commands".
+  /// Counts a hedged request that was sent a second time. Its kind `what` is "state_read",
+  /// "forward" or "commands".
   void repeated(const char* what);
 
-  /// The leader requested a machine's release after this silence, counted from the newest
-  /// acknowledged heartbeat that it knows of.
+  /// Records that the leader requested the termination of an unreachable machine. The silence is
+  /// the time since the newest acknowledged heartbeat of the machine that the leader has a record
+  /// of.
   void machineGivenUp(Duration silence);
 
-  /// A worker was probed at the end of its lease: "same_session", "new_session", "none".
+  /// Counts a probe of a worker whose lease expired. The answer is "same_session", "new_session" or
+  /// "none".
   void leaseEndProbed(const char* answer);
 
+  /// Returns the present values of the gauges. If it is not set, no gauges are rendered.
   std::function<MetricGauges()> gauges;
+  /// Returns all metrics in the Prometheus text format.
   std::string text();
 
  private:
