--- a/src/members/admission.hpp
+++ b/src/members/admission.hpp
@@ -16,9 +16,9 @@
 
 /// The kinds of members' requests, from the last one shed under overload to the first. Workers'
 /// heartbeats have precedence over all of them and are not subject to admission control.
-enum class Work { cancel, submit, poll, list };
+enum class RequestKind { cancel, submit, poll, list };
 /// Returns the name of the kind, as used in metrics and logs.
-const char* wordOf(Work work);
+const char* toString(RequestKind kind);
 
 /// The limits of one member on one controller.
 struct MemberLimits {
@@ -38,15 +38,15 @@
 class LoadGauge {
  public:
   /// Records that a timer set for `due` fired after `took`.
-  void note(Duration due, Duration took);
+  void recordTimer(Duration due, Duration took);
   /// Whether requests of this kind are admitted at the present lateness.
-  bool takes(Work work) const;
+  bool admits(RequestKind kind) const;
   /// Returns the present lateness of the timers.
-  Duration lateness() const { return late_; }
+  Duration lateness() const { return lateness_; }
 
  private:
   /// The lateness rises at once and falls by half with each tick that is on time.
-  Duration late_{0};
+  Duration lateness_{0};
 };
 
 /// Enforces the members' rate limits with token buckets.
@@ -56,61 +56,64 @@
   /// Takes the tokens for a request of this size and returns nullopt. If there are too few tokens,
   /// returns the seconds after which the client should retry; they contain a random jitter so that
   /// clients refused at the same time don't retry at the same time.
-  std::optional<int> refuse(Instant now, const Owner& owner, Work work, std::size_t bytes);
+  std::optional<int> refuse(Instant now, const Owner& owner, RequestKind kind, std::size_t bytes);
   /// Takes the bytes of an answer from the member's byte bucket, which may become negative. Later
   /// requests are then refused until the bucket has refilled.
   void charge(Instant now, const Owner& owner, std::size_t bytes);
   /// Returns a retry delay in seconds of at least `atLeast` (but at most 30 s) with random jitter.
-  int spread(Duration atLeast);
+  int jitteredDelayS(Duration atLeast);
   /// Returns the number of members that have buckets at present.
-  std::size_t known() const { return buckets_.size(); }
+  std::size_t memberCount() const { return buckets_.size(); }
 
  private:
   struct Buckets {
     RateBudget submits, reads, bytes;
     Instant used{};
   };
-  Buckets& of(Instant now, const Owner& owner);
+  Buckets& bucketsOf(Instant now, const Owner& owner);
 
   MemberLimits limits_;
   std::mt19937_64 random_;
   std::map<Owner, Buckets> buckets_;
-  Instant tidied_{};
+  Instant lastCleanup_{};
 };
 
 /// A fair queue for members' writes. It limits the writes in progress; the others wait in a queue
 /// for each member, and the queues are served round-robin. Cancellations go before submissions.
-class FairTurns {
+class FairQueue {
  public:
-  /// `inWork` limits the writes in progress, `perMember` those that wait for one member, and `all`
-  /// those that wait in total. `room` takes a token for one write and returns false if there is
-  /// none; if it is null, there is no such rate limit.
-  FairTurns(std::size_t inWork, std::size_t perMember, std::size_t all,
-            std::function<bool()> room = nullptr)
-      : inWork_(inWork), perMember_(perMember), all_(all), room_(std::move(room)) {}
+  /// `maxInProgress` limits the writes in progress, `maxPerMember` those that wait for one member,
+  /// and `maxTotal` those that wait in total. `tryTakeToken` takes a token for one write and
+  /// returns false if there is none; if it is null, there is no such rate limit.
+  FairQueue(std::size_t maxInProgress, std::size_t maxPerMember, std::size_t maxTotal,
+            std::function<bool()> tryTakeToken = nullptr)
+      : maxInProgress_(maxInProgress),
+        maxPerMember_(maxPerMember),
+        maxTotal_(maxTotal),
+        tryTakeToken_(std::move(tryTakeToken)) {}
   /// Calls `start` at once or when the write is dequeued. Returns false if the queue is full.
-  bool offer(const Owner& owner, Work work, std::function<void()> start);
+  bool offer(const Owner& owner, RequestKind kind, std::function<void()> start);
   /// Records that a started write was answered, and starts waiting ones.
   void finished();
   /// Starts waiting writes as far as the limits allow.
-  void pump();
+  void startWaiting();
   /// Returns the number of writes that wait.
   std::size_t waiting() const { return waiting_; }
   /// Returns the number of writes in progress.
-  std::size_t working() const { return working_; }
+  std::size_t inProgress() const { return inProgress_; }
 
  private:
   /// The queues of all members for one kind of write.
-  struct Lane {
-    std::map<Owner, std::deque<std::function<void()>>> queues;
-    Owner last;  ///< The member whose write was dequeued last.
+  struct MemberQueues {
+    std::map<Owner, std::deque<std::function<void()>>> byMember;
+    Owner lastServed;  ///< The member whose write was dequeued last.
     /// Dequeues the next write round-robin; returns null if there is none.
-    std::function<void()> take();
+    std::function<void()> dequeue();
   };
-  std::size_t inWork_, perMember_, all_;
-  std::function<bool()> room_;
-  std::size_t waiting_ = 0, working_ = 0;
-  Lane cancels_, submits_;
+  std::size_t maxInProgress_, maxPerMember_, maxTotal_;
+  std::function<bool()> tryTakeToken_;
+  std::size_t waiting_ = 0, inProgress_ = 0;
+  MemberQueues cancellations_, submissions_;
 };
 
 }  // namespace kestrelhoist
--- a/src/members/job_index.cpp
+++ b/src/members/job_index.cpp
@@ -35,9 +35,12 @@
   return it == orders_.end() ? nullptr : &it->second;
 }
 
-JobIndex::Order::const_iterator after(const JobIndex::Order& order, const ChangePlace& place) {
-  if (place.job.empty()) return order.lower_bound({Revision{place.revision.value + 1}, JobId{}});
-  return order.upper_bound({place.revision, place.job});
+JobIndex::Order::const_iterator after(const JobIndex::Order& order,
+                                      const ChangePosition& position) {
+  if (position.job.empty()) {
+    return order.lower_bound({Revision{position.revision.value + 1}, JobId{}});
+  }
+  return order.upper_bound({position.revision, position.job});
 }
 
 // ---- cursors ----
@@ -45,75 +48,78 @@
 namespace {
 // The plain text holds the revision (8 bytes), whether a job follows (1 byte) and the job's id
 // (16 bytes), so it always has the same length.
-constexpr std::size_t kPlain = 25;
-constexpr std::size_t kNonce = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
-constexpr std::size_t kTag = crypto_aead_xchacha20poly1305_ietf_ABYTES;
-constexpr std::size_t kSealed = kNonce + kPlain + kTag;
-constexpr std::size_t kDigits = 32;  // A member's job id is "m-" and this many hex digits.
+constexpr std::size_t kPlainBytes = 25;
+constexpr std::size_t kNonceBytes = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES;
+constexpr std::size_t kTagBytes = crypto_aead_xchacha20poly1305_ietf_ABYTES;
+constexpr std::size_t kCursorBytes = kNonceBytes + kPlainBytes + kTagBytes;
+constexpr std::size_t kJobHexDigits = 32;  // A member's job id is "m-" and this many hex digits.
 
 const unsigned char* bytes(const std::string& s) {
   return reinterpret_cast<const unsigned char*>(s.data());
 }
 }  // namespace
 
-CursorSeal::CursorSeal(const std::string& key) : key_(32, '\0') {
+CursorCipher::CursorCipher(const std::string& key) : key_(32, '\0') {
   crypto_generichash(reinterpret_cast<unsigned char*>(key_.data()), key_.size(), bytes(key),
                      key.size(), nullptr, 0);
 }
 
-std::string CursorSeal::seal(const Owner& owner, const ChangePlace& place) const {
-  std::array<unsigned char, kPlain> plain{};
+std::string CursorCipher::encrypt(const Owner& owner, const ChangePosition& position) const {
+  std::array<unsigned char, kPlainBytes> plain{};
   for (std::size_t i = 0; i < 8; ++i) {
-    plain[i] = static_cast<unsigned char>(place.revision.value >> (8 * i));
+    plain[i] = static_cast<unsigned char>(position.revision.value >> (8 * i));
   }
-  if (!place.job.empty()) {
+  if (!position.job.empty()) {
     plain[8] = 1;
     std::size_t n = 0;
-    sodium_hex2bin(plain.data() + 9, 16, place.job.value.data() + 2, kDigits, nullptr, &n, nullptr);
+    sodium_hex2bin(plain.data() + 9, 16, position.job.value.data() + 2, kJobHexDigits, nullptr, &n,
+                   nullptr);
   }
-  // The nonce is a hash of the plain text and the owner. So the same place gives the same cursor,
-  // and different places never share a nonce.
-  std::array<unsigned char, kSealed> out{};
-  std::string who = owner.str(), nonceOf = "nonce " + who + std::string(1, '\0');
-  nonceOf.append(reinterpret_cast<const char*>(plain.data()), plain.size());
-  crypto_generichash(out.data(), kNonce, bytes(nonceOf), nonceOf.size(), bytes(key_), key_.size());
+  // The nonce is a hash of the plain text and the owner. So the same position gives the same
+  // cursor, and different positions never share a nonce.
+  std::array<unsigned char, kCursorBytes> out{};
+  std::string ownerText = owner.str(), nonceInput = "nonce " + ownerText + std::string(1, '\0');
+  nonceInput.append(reinterpret_cast<const char*>(plain.data()), plain.size());
+  crypto_generichash(out.data(), kNonceBytes, bytes(nonceInput), nonceInput.size(), bytes(key_),
+                     key_.size());
   unsigned long long n = 0;
-  crypto_aead_xchacha20poly1305_ietf_encrypt(out.data() + kNonce, &n, plain.data(), plain.size(),
-                                             bytes(who), who.size(), nullptr, out.data(),
-                                             bytes(key_));
-  std::string text(sodium_base64_ENCODED_LEN(kSealed, sodium_base64_VARIANT_URLSAFE_NO_PADDING),
-                   '\0');
+  crypto_aead_xchacha20poly1305_ietf_encrypt(out.data() + kNonceBytes, &n, plain.data(),
+                                             plain.size(), bytes(ownerText), ownerText.size(),
+                                             nullptr, out.data(), bytes(key_));
+  std::string text(
+      sodium_base64_ENCODED_LEN(kCursorBytes, sodium_base64_VARIANT_URLSAFE_NO_PADDING), '\0');
   sodium_bin2base64(text.data(), text.size(), out.data(), out.size(),
                     sodium_base64_VARIANT_URLSAFE_NO_PADDING);
   text.pop_back();
   return text;
 }
 
-std::optional<ChangePlace> CursorSeal::open(const Owner& owner, const std::string& cursor) const {
-  std::array<unsigned char, kSealed> sealed{};
+std::optional<ChangePosition> CursorCipher::decrypt(const Owner& owner,
+                                                    const std::string& cursor) const {
+  std::array<unsigned char, kCursorBytes> cipherText{};
   std::size_t n = 0;
-  if (sodium_base642bin(sealed.data(), sealed.size(), cursor.data(), cursor.size(), nullptr, &n,
-                        nullptr, sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0 ||
-      n != kSealed) {
+  if (sodium_base642bin(cipherText.data(), cipherText.size(), cursor.data(), cursor.size(), nullptr,
+                        &n, nullptr, sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0 ||
+      n != kCursorBytes) {
     return std::nullopt;
   }
-  std::array<unsigned char, kPlain> plain{};
-  std::string who = owner.str();
+  std::array<unsigned char, kPlainBytes> plain{};
+  std::string ownerText = owner.str();
   unsigned long long length = 0;
-  if (crypto_aead_xchacha20poly1305_ietf_decrypt(plain.data(), &length, nullptr,
-                                                 sealed.data() + kNonce, kPlain + kTag, bytes(who),
-                                                 who.size(), sealed.data(), bytes(key_)) != 0) {
+  if (crypto_aead_xchacha20poly1305_ietf_decrypt(
+          plain.data(), &length, nullptr, cipherText.data() + kNonceBytes, kPlainBytes + kTagBytes,
+          bytes(ownerText), ownerText.size(), cipherText.data(), bytes(key_)) != 0) {
     return std::nullopt;
   }
-  ChangePlace place;
-  for (std::size_t i = 0; i < 8; ++i) place.revision.value |= std::uint64_t{plain[i]} << (8 * i);
+  ChangePosition position;
+  for (std::size_t i = 0; i < 8; ++i) position.revision.value |= std::uint64_t{plain[i]} << (8 * i);
   if (plain[8] == 1) {
-    std::string hex(kDigits + 1, '\0');
+    std::string hex(kJobHexDigits + 1, '\0');
     sodium_bin2hex(hex.data(), hex.size(), plain.data() + 9, 16);
     hex.pop_back();
-    place.job = JobId{"m-" + hex};
+    position.job = JobId{"m-" + hex};
   }
-  return place;
+  return position;
 }
 
 }  // namespace kestrelhoist
--- a/src/members/job_index.hpp
+++ b/src/members/job_index.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// An index of each member's jobs by their last change, which is part of the replica. Lists and
-/// watches read it, so the cost of a page depends on its length only. A place in the order (a
+/// watches read it, so the cost of a page depends on its length only. A position in the order (a
 /// revision and a job id) is the same on every controller, because it depends on the records alone.
 #pragma once
 
@@ -12,12 +12,12 @@
 
 namespace kestrelhoist {
 
-/// A place in the change order of a member's jobs. A reader at this place has received this change
-/// and all earlier ones.
-struct ChangePlace {
+/// A position in the change order of a member's jobs. A reader at this position has received this
+/// change and all earlier ones.
+struct ChangePosition {
   Revision revision;
-  JobId job;  ///< If it is empty, the place is after all jobs that changed at the revision.
-  auto operator<=>(const ChangePlace&) const = default;
+  JobId job;  ///< If it is empty, the position is after all jobs that changed at the revision.
+  auto operator<=>(const ChangePosition&) const = default;
 };
 
 /// The jobs of all members, ordered by their last change.
@@ -49,20 +49,20 @@
   std::set<Owner> touched_;
 };
 
-/// Returns an iterator to the first entry after a place.
-JobIndex::Order::const_iterator after(const JobIndex::Order& order, const ChangePlace& place);
+/// Returns an iterator to the first entry after a position.
+JobIndex::Order::const_iterator after(const JobIndex::Order& order, const ChangePosition& position);
 
-/// Encrypts a place as the cursor that clients receive. Neither the text nor the length of a cursor
-/// shows how many changes other members make. A cursor is valid for its owner only, and the same
-/// place always has the same text.
-class CursorSeal {
+/// Encrypts a position as the cursor that clients receive. Neither the text nor the length of a
+/// cursor shows how many changes other members make. A cursor is valid for its owner only, and the
+/// same position always has the same text.
+class CursorCipher {
  public:
   /// Derives the encryption key from a text of any length, which all controllers share.
-  explicit CursorSeal(const std::string& key);
-  /// Returns the cursor for a place of this owner.
-  std::string seal(const Owner& owner, const ChangePlace& place) const;
-  /// Returns the place of a cursor, or nullopt if it is invalid or belongs to another owner.
-  std::optional<ChangePlace> open(const Owner& owner, const std::string& cursor) const;
+  explicit CursorCipher(const std::string& key);
+  /// Returns the cursor for a position of this owner.
+  std::string encrypt(const Owner& owner, const ChangePosition& position) const;
+  /// Returns the position of a cursor, or nullopt if it is invalid or belongs to another owner.
+  std::optional<ChangePosition> decrypt(const Owner& owner, const std::string& cursor) const;
 
  private:
   std::string key_;  ///< The derived key has 32 bytes.
--- a/src/members/key_service.cpp
+++ b/src/members/key_service.cpp
@@ -8,8 +8,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kCommitTimeout{1500};
-constexpr std::size_t kMostListed = 200;
-constexpr std::size_t kMostNote = 200;
+constexpr std::size_t kMaxListedKeys = 200;
+constexpr std::size_t kMaxNoteBytes = 200;
 }  // namespace
 
 bool MemberService::handleKeys(const Caller& caller, const Request& request,
@@ -18,8 +18,8 @@
   std::string rest = path.substr(root.size());
   if (rest.empty()) {
     if (request.method == "POST") {
-      write(caller, Work::submit, respond,
-            [this, caller, request](const Respond& answer) { makeKey(caller, request, answer); });
+      write(caller, RequestKind::submit, respond,
+            [this, caller, request](const Respond& answer) { createKey(caller, request, answer); });
     } else if (request.method == "GET") {
       auto mark = request.path.find('?');
       listKeys(caller, mark == std::string::npos ? "" : request.path.substr(mark + 1), respond);
@@ -36,8 +36,8 @@
   } else if (!validKeyId(id)) {
     respond(jsonResponse(404, {{"error", "no such key"}}));
   } else {
-    write(caller, Work::cancel, respond, [this, caller, id, request](const Respond& answer) {
-      endKey(caller, KeyId{id}, request, 5, answer);
+    write(caller, RequestKind::cancel, respond, [this, caller, id, request](const Respond& answer) {
+      revokeKey(caller, KeyId{id}, request, 5, answer);
     });
   }
   return true;
@@ -48,14 +48,15 @@
             {"team", r.owner.team.value},
             {"member", r.owner.member},
             {"rights", wordsOf(r.rights)},
-            {"at_ms", r.madeAtMs},
-            {"ended", r.endedAt(runtime_.wallMillis())},
+            {"at_ms", r.createdAtMs},
+            {"ended", r.isExpiredAt(runtime_.wallMillis())},
             {"note", r.note}};
-  if (r.endsAtMs) v["ends_ms"] = *r.endsAtMs;
+  if (r.expiresAtMs) v["ends_ms"] = *r.expiresAtMs;
   return v;
 }
 
-void MemberService::makeKey(const Caller& caller, const Request& request, const Respond& respond) {
+void MemberService::createKey(const Caller& caller, const Request& request,
+                              const Respond& respond) {
   auto body = decodeBody(request.body);
   auto id = body ? textField(*body, "key") : std::nullopt;
   auto hash = body ? textField(*body, "hash") : std::nullopt;
@@ -64,7 +65,7 @@
   auto rights = body ? rightsFrom(textField(*body, "rights").value_or("")) : std::nullopt;
   std::string note = body ? textField(*body, "note").value_or("") : "";
   if (!id || !validKeyId(*id) || !hash || !validHash(*hash) || !team || !member ||
-      !validMember(*member) || !rights || note.size() > kMostNote) {
+      !validMember(*member) || !rights || note.size() > kMaxNoteBytes) {
     return respond(jsonResponse(400, {{"error", "not the description of a key"}}));
   }
   if (!caller.root && *team != caller.owner.team.value) {
@@ -121,8 +122,8 @@
       }
     }
     std::sort(ids.begin(), ids.end());
-    bool more = ids.size() > kMostListed;
-    if (more) ids.resize(kMostListed);
+    bool more = ids.size() > kMaxListedKeys;
+    if (more) ids.resize(kMaxListedKeys);
     Json list = Json::array();
     for (const auto& id : ids) list.push_back(viewOf(id, replica_.keyRing().find(id)->record));
     respond(jsonResponse(200, {{"keys", std::move(list)}, {"more", more}}));
@@ -131,8 +132,8 @@
 
 // The record of a revoked key is kept, because otherwise a delayed duplicate of the request that
 // made the key would make it again.
-void MemberService::endKey(const Caller& caller, const KeyId& id, const Request& request,
-                           int triesLeft, const Respond& respond) {
+void MemberService::revokeKey(const Caller& caller, const KeyId& id, const Request& request,
+                              int triesLeft, const Respond& respond) {
   auto body = request.body.empty() ? std::optional(Json::object()) : decodeBody(request.body);
   double afterS = body ? numberField(*body, "after_s").value_or(0) : -1;
   if (afterS < 0 || afterS > 366 * 86400.0) {
@@ -147,10 +148,10 @@
     }
     KeyRecord record = entry->record;
     std::int64_t ends = runtime_.wallMillis() + static_cast<std::int64_t>(afterS * 1000);
-    if (record.endsAtMs && *record.endsAtMs <= ends) {
+    if (record.expiresAtMs && *record.expiresAtMs <= ends) {
       return respond(jsonResponse(200, viewOf(id, record)));
     }
-    record.endsAtMs = ends;
+    record.expiresAtMs = ends;
     Transaction t;
     t.requestId = request.id;
     t.compares.push_back({keys::key(id), entry->modRevision});
@@ -164,7 +165,7 @@
             return respond(jsonResponse(200, viewOf(id, record)));
           }
           if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
-            return endKey(caller, id, request, triesLeft - 1, respond);
+            return revokeKey(caller, id, request, triesLeft - 1, respond);
           }
           respond(retryLater(503));
         });
@@ -173,14 +174,14 @@
 
 // Writes the secret from which all controllers derive the encryption key of cursors. The first
 // controller to commit sets it; the transactions of the others fail with a conflict.
-void MemberService::makeCursorKey() {
-  if (makingCursorKey_) return;
-  makingCursorKey_ = true;
+void MemberService::createCursorSecret() {
+  if (creatingCursorSecret_) return;
+  creatingCursorSecret_ = true;
   Transaction t;
   t.compares.push_back({keys::kCursorKey, Revision{}});
   t.writes.push_back({keys::kCursorKey, Json{{"secret", drawCredential().secret}}, std::nullopt});
   store_.commit(t, kCommitTimeout, [this](const CommitResult&) {
-    runtime_.after(Duration{1000}, [this] { makingCursorKey_ = false; });
+    runtime_.after(Duration{1000}, [this] { creatingCursorSecret_ = false; });
   });
 }
 
--- a/src/members/members_test.cpp
+++ b/src/members/members_test.cpp
@@ -57,27 +57,27 @@
   auto key = keyRecordFrom(toJson(k));
   ASSERT_TRUE(key);
   EXPECT_EQ(key->owner, kAna);
-  EXPECT_FALSE(key->endedAt(8));
-  EXPECT_TRUE(key->endedAt(9));
+  EXPECT_FALSE(key->isExpiredAt(8));
+  EXPECT_TRUE(key->isExpiredAt(9));
 }
 
 TEST(Cursors, TellNothingAndBelongToTheirOwner) {
-  CursorSeal seal("secret"), same("secret"), other("another");
-  ChangePlace place{Revision{12345}, memberJob(kAna, "j-1")}, end{Revision{7}, JobId{}};
-  std::string text = seal.seal(kAna, place);
-  EXPECT_EQ(same.open(kAna, text), place);
-  EXPECT_EQ(same.open(kAna, seal.seal(kAna, end)), end);
-  EXPECT_EQ(text, same.seal(kAna, place));
-  EXPECT_FALSE(seal.open(kBen, text));
-  EXPECT_FALSE(other.open(kAna, text));
-  EXPECT_EQ(text.size(), seal.seal(kAna, {Revision{}, JobId{}}).size());
+  CursorCipher cipher("secret"), same("secret"), other("another");
+  ChangePosition position{Revision{12345}, memberJob(kAna, "j-1")}, end{Revision{7}, JobId{}};
+  std::string text = cipher.encrypt(kAna, position);
+  EXPECT_EQ(same.decrypt(kAna, text), position);
+  EXPECT_EQ(same.decrypt(kAna, cipher.encrypt(kAna, end)), end);
+  EXPECT_EQ(text, same.encrypt(kAna, position));
+  EXPECT_FALSE(cipher.decrypt(kBen, text));
+  EXPECT_FALSE(other.decrypt(kAna, text));
+  EXPECT_EQ(text.size(), cipher.encrypt(kAna, {Revision{}, JobId{}}).size());
   EXPECT_TRUE(rc::check([&] {
     std::string changed = text;
     auto at = *rc::gen::inRange<std::size_t>(0, changed.size());
     char letter = *rc::gen::elementOf(std::string("ABCXYZabcxyz0189-_"));
     RC_PRE(changed[at] != letter);
     changed[at] = letter;
-    RC_ASSERT(!seal.open(kAna, changed));
+    RC_ASSERT(!cipher.decrypt(kAna, changed));
   }));
 }
 
@@ -100,57 +100,59 @@
     const auto* order = index.of(kAna);
     RC_ASSERT((order ? *order : JobIndex::Order{}) == expected);
     if (!order) return;
-    // Each page starts after the last place of the page before.
+    // Each page starts after the last position of the page before.
     auto page = *rc::gen::inRange<std::size_t>(1, 4);
-    ChangePlace place;
+    ChangePosition position;
     std::vector<std::pair<Revision, JobId>> read;
     for (bool more = true; more;) {
       std::size_t n = 0;
-      auto it = after(*order, place);
+      auto it = after(*order, position);
       for (; it != order->end() && n < page; ++it, ++n) {
         read.push_back(*it);
-        place = {it->first, it->second};
+        position = {it->first, it->second};
       }
       more = it != order->end();
     }
     RC_ASSERT(read == std::vector(expected.begin(), expected.end()));
-    ChangePlace all{Revision{place.revision}, JobId{}};
+    ChangePosition all{Revision{position.revision}, JobId{}};
     RC_ASSERT(after(*order, all) == order->end());
   }));
 }
 
 TEST(FairTurns, GoRoundAmongMembersAndCancellationsGoFirst) {
-  FairTurns turns(2, 4, 100);
+  FairQueue turns(2, 4, 100);
   std::vector<std::string> order;
-  auto offer = [&](const Owner& who, Work work, const std::string& name) {
+  auto offer = [&](const Owner& who, RequestKind work, const std::string& name) {
     return turns.offer(who, work, [&order, name] { order.push_back(name); });
   };
-  for (int i = 0; i < 6; ++i) EXPECT_TRUE(offer(kAna, Work::submit, "a" + std::to_string(i)));
-  EXPECT_FALSE(offer(kAna, Work::submit, "a6")) << "four of one member wait";
-  EXPECT_TRUE(offer(kBen, Work::submit, "b0"));
-  EXPECT_TRUE(offer(kBen, Work::cancel, "bc"));
+  for (int i = 0; i < 6; ++i) {
+    EXPECT_TRUE(offer(kAna, RequestKind::submit, "a" + std::to_string(i)));
+  }
+  EXPECT_FALSE(offer(kAna, RequestKind::submit, "a6")) << "four of one member wait";
+  EXPECT_TRUE(offer(kBen, RequestKind::submit, "b0"));
+  EXPECT_TRUE(offer(kBen, RequestKind::cancel, "bc"));
   EXPECT_EQ(order, (std::vector<std::string>{"a0", "a1"}));
   for (int i = 0; i < 8; ++i) turns.finished();
   EXPECT_EQ(order, (std::vector<std::string>{"a0", "a1", "bc", "a2", "b0", "a3", "a4", "a5"}));
   EXPECT_EQ(turns.waiting(), 0U);
-  EXPECT_EQ(turns.working(), 0U);
+  EXPECT_EQ(turns.inProgress(), 0U);
 }
 
 // A write that is answered at once calls finished() from within its own start callback.
 TEST(FairTurns, MayBeAnsweredAtOnce) {
-  FairTurns turns(1, 100, 100);
+  FairQueue turns(1, 100, 100);
   int ended = 0;
   std::function<void()> first;
-  turns.offer(kAna, Work::submit, [] {});
+  turns.offer(kAna, RequestKind::submit, [] {});
   for (int i = 0; i < 50; ++i) {
-    turns.offer(kBen, Work::submit, [&] {
+    turns.offer(kBen, RequestKind::submit, [&] {
       ++ended;
       turns.finished();
     });
   }
   turns.finished();
   EXPECT_EQ(ended, 50);
-  EXPECT_EQ(turns.working(), 0U);
+  EXPECT_EQ(turns.inProgress(), 0U);
 }
 
 // The admitted requests never exceed burst plus rate, and the retry delays are spread.
@@ -162,12 +164,12 @@
   int taken = 0;
   std::set<int> seconds;
   for (std::int64_t ms = 0; ms < 10000; ms += 5) {
-    auto refused = rates.refuse(Instant{1000 + ms}, kAna, Work::submit, 100);
+    auto refused = rates.refuse(Instant{1000 + ms}, kAna, RequestKind::submit, 100);
     taken += refused ? 0 : 1;
     if (refused) seconds.insert(*refused);
     if (ms % 1000 == 0) {
-      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kBen, Work::submit, 100));
-      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kAna, Work::poll, 100));
+      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kBen, RequestKind::submit, 100));
+      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kAna, RequestKind::poll, 100));
     }
   }
   EXPECT_GE(taken, 68);
@@ -175,29 +177,30 @@
   EXPECT_GE(seconds.size(), 3U);
   // The bytes of an answer are charged afterwards, so the next request is refused.
   rates.charge(Instant{20000}, kBen, 10 * 1024 * 1024);
-  EXPECT_TRUE(rates.refuse(Instant{20000}, kBen, Work::poll, 1));
+  EXPECT_TRUE(rates.refuse(Instant{20000}, kBen, RequestKind::poll, 1));
   // The buckets of a member without recent requests are removed.
-  rates.refuse(Instant{20000 + 3600000}, kAna, Work::poll, 1);
-  EXPECT_EQ(rates.known(), 1U);
+  rates.refuse(Instant{20000 + 3600000}, kAna, RequestKind::poll, 1);
+  EXPECT_EQ(rates.memberCount(), 1U);
 }
 
 TEST(LoadGauge, GivesUpTheLeastImportantFirst) {
   LoadGauge gauge;
   auto takes = [&] {
     std::string out;
-    for (Work w : {Work::cancel, Work::submit, Work::poll, Work::list}) {
-      out += gauge.takes(w) ? wordOf(w)[0] : '-';
+    for (RequestKind w :
+         {RequestKind::cancel, RequestKind::submit, RequestKind::poll, RequestKind::list}) {
+      out += gauge.admits(w) ? toString(w)[0] : '-';
     }
     return out;
   };
   EXPECT_EQ(takes(), "cspl");
-  gauge.note(Duration{100}, Duration{500});
+  gauge.recordTimer(Duration{100}, Duration{500});
   EXPECT_EQ(takes(), "csp-");
-  gauge.note(Duration{100}, Duration{1400});
+  gauge.recordTimer(Duration{100}, Duration{1400});
   EXPECT_EQ(takes(), "cs--");
-  gauge.note(Duration{100}, Duration{4000});
+  gauge.recordTimer(Duration{100}, Duration{4000});
   EXPECT_EQ(takes(), "c---");
-  for (int i = 0; i < 5; ++i) gauge.note(Duration{100}, Duration{101});
+  for (int i = 0; i < 5; ++i) gauge.recordTimer(Duration{100}, Duration{101});
   EXPECT_EQ(takes(), "cspl");
 }
 
--- a/src/members/records.cpp
+++ b/src/members/records.cpp
@@ -15,17 +15,17 @@
 constexpr std::size_t kSecretBytes = 32;
 constexpr std::size_t kSecretLetters = 43;
 constexpr std::size_t kHashBytes = 32;
-const std::string kMark = "kh_";
-const std::string kMemberJob = "m-";
+const std::string kKeyPrefix = "kh_";
+const std::string kMemberJobPrefix = "m-";
 
-struct RightWord {
+struct RightName {
   unsigned right;
   const char* word;
 };
-constexpr std::array<RightWord, 4> kWords{{{right::kSubmit, "submit"},
-                                           {right::kRead, "read"},
-                                           {right::kCancel, "cancel"},
-                                           {right::kAdmin, "admin"}}};
+constexpr std::array<RightName, 4> kRightNames{{{right::kSubmit, "submit"},
+                                                {right::kRead, "read"},
+                                                {right::kCancel, "cancel"},
+                                                {right::kAdmin, "admin"}}};
 
 std::string hexOf(const unsigned char* bytes, std::size_t n) {
   std::string out(n * 2 + 1, '\0');
@@ -66,9 +66,9 @@
   unsigned rights = 0;
   std::istringstream in(words);
   for (std::string word; std::getline(in, word, ',');) {
-    auto it = std::find_if(kWords.begin(), kWords.end(),
-                           [&](const RightWord& w) { return word == w.word; });
-    if (it == kWords.end()) return std::nullopt;
+    auto it = std::find_if(kRightNames.begin(), kRightNames.end(),
+                           [&](const RightName& w) { return word == w.word; });
+    if (it == kRightNames.end()) return std::nullopt;
     rights |= it->right;
   }
   return rights == 0 ? std::nullopt : std::optional(rights);
@@ -76,7 +76,7 @@
 
 std::string wordsOf(unsigned rights) {
   std::string out;
-  for (const auto& w : kWords) {
+  for (const auto& w : kRightNames) {
     if ((rights & w.right) != 0) out += (out.empty() ? "" : ",") + std::string(w.word);
   }
   return out;
@@ -84,8 +84,8 @@
 
 Json toJson(const KeyRecord& r) {
   Json v = {{"hash", r.hash},     {"team", r.owner.team.value}, {"member", r.owner.member},
-            {"rights", r.rights}, {"at", r.madeAtMs},           {"note", r.note}};
-  if (r.endsAtMs) v["ends"] = *r.endsAtMs;
+            {"rights", r.rights}, {"at", r.createdAtMs},        {"note", r.note}};
+  if (r.expiresAtMs) v["ends"] = *r.expiresAtMs;
   return v;
 }
 
@@ -101,7 +101,7 @@
               static_cast<std::int64_t>(countField(v, "at").value_or(0)),
               {},
               textField(v, "note").value_or("")};
-  if (auto ends = countField(v, "ends")) r.endsAtMs = static_cast<std::int64_t>(*ends);
+  if (auto ends = countField(v, "ends")) r.expiresAtMs = static_cast<std::int64_t>(*ends);
   return r;
 }
 
@@ -117,12 +117,12 @@
 
 std::optional<Credential> credentialFrom(const std::string& text) {
   // The secret may contain '_', so the parts are separated by their fixed lengths.
-  if (text.size() != kMark.size() + kIdDigits + 1 + kSecretLetters || !text.starts_with(kMark) ||
-      text[kMark.size() + kIdDigits] != '_') {
+  if (text.size() != kKeyPrefix.size() + kIdDigits + 1 + kSecretLetters ||
+      !text.starts_with(kKeyPrefix) || text[kKeyPrefix.size() + kIdDigits] != '_') {
     return std::nullopt;
   }
-  Credential c{KeyId{text.substr(kMark.size(), kIdDigits)},
-               text.substr(kMark.size() + kIdDigits + 1)};
+  Credential c{KeyId{text.substr(kKeyPrefix.size(), kIdDigits)},
+               text.substr(kKeyPrefix.size() + kIdDigits + 1)};
   bool letters = std::all_of(c.secret.begin(), c.secret.end(), [](unsigned char x) {
     return std::isalnum(x) != 0 || x == '-' || x == '_';
   });
@@ -153,11 +153,11 @@
 }
 
 JobId memberJob(const Owner& owner, const std::string& ref) {
-  return JobId{kMemberJob +
+  return JobId{kMemberJobPrefix +
                hashOfFields(16, "kestrelhoist job", {&owner.team.value, &owner.member, &ref})};
 }
 
-bool isMemberJob(const JobId& id) { return id.value.starts_with(kMemberJob); }
+bool isMemberJob(const JobId& id) { return id.value.starts_with(kMemberJobPrefix); }
 
 std::string digestOf(const JobSpec& spec) {
   std::string text = jobSpecToJson(spec).dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -165,21 +165,21 @@
 }
 
 namespace {
-constexpr std::uint64_t kRefs = 1000000000000000000ULL;
+constexpr std::uint64_t kRefCount = 1000000000000000000ULL;
 }
 
 std::string refFor(const Owner& owner, const std::string& idempotencyKey) {
   std::string hex =
       hashOfFields(16, "kestrelhoist ref", {&owner.team.value, &owner.member, &idempotencyKey});
   std::uint64_t n = std::stoull(hex.substr(0, 16), nullptr, 16);
-  return "j-" + std::to_string(n % kRefs);
+  return "j-" + std::to_string(n % kRefCount);
 }
 
 std::string drawRef() {
   if (sodium_init() < 0) throw std::runtime_error("libsodium can't be used");
   std::uint64_t n = 0;
   randombytes_buf(&n, sizeof n);
-  return "j-" + std::to_string(n % kRefs);
+  return "j-" + std::to_string(n % kRefCount);
 }
 
 }  // namespace kestrelhoist
--- a/src/members/records.hpp
+++ b/src/members/records.hpp
@@ -36,12 +36,12 @@
   std::string hash;  ///< The result of hashOfSecret(), which has 64 hex digits.
   Owner owner;
   unsigned rights{};
-  std::int64_t madeAtMs{};  ///< The wall-clock time of creation.
+  std::int64_t createdAtMs{};  ///< The wall-clock time of creation.
   /// The wall-clock time at which the key expires or was revoked.
-  std::optional<std::int64_t> endsAtMs{};
+  std::optional<std::int64_t> expiresAtMs{};
   std::string note;  ///< A free text for people, which the service does not interpret.
   /// Whether the key has expired or is revoked at this wall-clock time.
-  bool endedAt(std::int64_t wallMs) const { return endsAtMs && wallMs >= *endsAtMs; }
+  bool isExpiredAt(std::int64_t wallMs) const { return expiresAtMs && wallMs >= *expiresAtMs; }
 };
 
 /// Encodes a key record for the state service.
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -43,46 +43,47 @@
     unsigned rights{};
     bool root{};
   };
-  using Checked = std::variant<Caller, Response>;
+  using AuthResult = std::variant<Caller, Response>;
   /// Returns the caller for a credential, or the response that refuses it. Returns nullopt if the
-  /// key is not in the replica and `sure` is false; the caller then calls again with `sure` after a
-  /// linearizable read.
-  std::optional<Checked> check(const std::string& credential, bool sure) const;
+  /// key is not in the replica and `afterRead` is false. In this case it is called again with
+  /// `afterRead` true after a linearizable read.
+  std::optional<AuthResult> authenticate(const std::string& credential, bool afterRead) const;
   /// Returns the caller for a key, or nullopt if the key is unknown, expired or revoked.
   std::optional<Caller> callerOf(const KeyId& key) const;
   /// Applies load shedding, rate limits and rights to an authenticated request and runs it.
-  void admitted(const Caller& caller, const Request& request, const Respond& respond, bool hold);
+  void handleAuthenticated(const Caller& caller, const Request& request, const Respond& respond,
+                           bool hold);
   /// Runs `start` once the fair queue admits it, or answers 429 if the queue is full.
-  void write(const Caller& caller, Work work, const Respond& respond,
+  void write(const Caller& caller, RequestKind kind, const Respond& respond,
              std::function<void(const Respond&)> start);
   /// Wraps `respond` so that the answer is charged to the member's byte rate and counted in the
   /// metrics.
-  Respond counted(const Owner& owner, const char* kind, const Respond& respond);
+  Respond counted(const Owner& owner, const char* kindName, const Respond& respond);
 
   // The following members are defined in members/job_lists.cpp.
 
   /// One page of a member's job list.
   struct Page {
     Json jobs = Json::array();
-    ChangePlace next;
+    ChangePosition next;
     bool more{};
   };
-  Page page(const Owner& owner, const ChangePlace& since, const JobFilter& filter) const;
+  Page page(const Owner& owner, const ChangePosition& since, const JobFilter& filter) const;
   Response answer(const Owner& owner, const Page& page) const;
   void list(const Caller& caller, const std::string& query, bool hold, const Respond& respond);
-  void park(Watch watch, Duration wait);
-  void serve(const Owner& owner);
+  void holdWatch(Watch watch, Duration wait);
+  void answerWatches(const Owner& owner);
 
   // The following members are defined in members/key_service.cpp.
 
   bool handleKeys(const Caller& caller, const Request& request, const std::string& path,
                   const Respond& respond);
-  void makeKey(const Caller& caller, const Request& request, const Respond& respond);
+  void createKey(const Caller& caller, const Request& request, const Respond& respond);
   void listKeys(const Caller& caller, const std::string& query, const Respond& respond);
-  void endKey(const Caller& caller, const KeyId& id, const Request& request, int triesLeft,
-              const Respond& respond);
+  void revokeKey(const Caller& caller, const KeyId& id, const Request& request, int triesLeft,
+                 const Respond& respond);
   Json viewOf(const KeyId& id, const KeyRecord& record) const;
-  void makeCursorKey();
+  void createCursorSecret();
 
   /// Serves requests for the caller's flows. A flow of another member is answered with 404, like
   /// one that does not exist.
@@ -101,11 +102,11 @@
   LoadGauge gauge_;
   MemberRates rates_;
   RateBudget writes_;
-  FairTurns turns_;
+  FairQueue fairQueue_;
   Watches watches_;
-  std::optional<CursorSeal> seal_;
-  std::string sealedWith_;
-  bool makingCursorKey_ = false;
+  std::optional<CursorCipher> cursorCipher_;
+  std::string cursorSecret_;
+  bool creatingCursorSecret_ = false;
 };
 
 }  // namespace kestrelhoist
--- a/src/members/watches.cpp
+++ b/src/members/watches.cpp
@@ -2,17 +2,18 @@
 
 namespace kestrelhoist {
 
-bool Watches::full(const Owner& owner) const {
+bool Watches::isFull(const Owner& owner) const {
   auto it = byOwner_.find(owner);
-  return watches_.size() >= all_ || (it != byOwner_.end() && it->second.size() >= perMember_);
+  return watches_.size() >= maxTotal_ ||
+         (it != byOwner_.end() && it->second.size() >= maxPerMember_);
 }
 
 Watches::Number Watches::add(Watch watch) {
-  put(++next_, std::move(watch));
+  reinsert(++next_, std::move(watch));
   return next_;
 }
 
-void Watches::put(Number number, Watch watch) {
+void Watches::reinsert(Number number, Watch watch) {
   byOwner_[watch.owner].insert(number);
   watches_.emplace(number, std::move(watch));
 }
@@ -28,7 +29,7 @@
   return watch;
 }
 
-std::vector<Watches::Number> Watches::of(const Owner& owner) const {
+std::vector<Watches::Number> Watches::numbersOf(const Owner& owner) const {
   auto it = byOwner_.find(owner);
   if (it == byOwner_.end()) return {};
   return {it->second.begin(), it->second.end()};
--- a/src/members/watches.hpp
+++ b/src/members/watches.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// Watches: list requests that are held open until a job of the member changes or a timeout passes.
-/// The memory of each watch is bounded: it holds a place in the change order, a filter and the
+/// The memory of each watch is bounded: it holds a position in the change order, a filter and the
 /// callback for the answer.
 #pragma once
 
@@ -25,7 +25,7 @@
 struct Watch {
   Owner owner;
   KeyId key;
-  ChangePlace since;
+  ChangePosition since;
   JobFilter filter;
   Respond respond;
 };
@@ -35,32 +35,33 @@
  public:
   using Number = std::uint64_t;
   /// Limits the watches of one member and of all members together.
-  Watches(std::size_t perMember, std::size_t all) : perMember_(perMember), all_(all) {}
+  Watches(std::size_t maxPerMember, std::size_t maxTotal)
+      : maxPerMember_(maxPerMember), maxTotal_(maxTotal) {}
 
   /// Whether a limit allows no further watch of this member.
-  bool full(const Owner& owner) const;
+  bool isFull(const Owner& owner) const;
   /// Adds a watch and returns its new number.
   Number add(Watch watch);
   /// Inserts a watch again under the number that add() returned for it.
-  void put(Number number, Watch watch);
+  void reinsert(Number number, Watch watch);
   /// Removes and returns a watch, or returns nullopt if it was already removed.
   std::optional<Watch> take(Number number);
   /// Returns the numbers of a member's watches.
-  std::vector<Number> of(const Owner& owner) const;
+  std::vector<Number> numbersOf(const Owner& owner) const;
   std::size_t size() const { return watches_.size(); }
   /// Marks a member whose watches must be checked again after the next change of the records. Its
   /// newest change is above the replica's revision and can't be shown before older changes, which
   /// may still be missing from the replica.
-  void defer(const Owner& owner) { early_.insert(owner); }
+  void defer(const Owner& owner) { deferred_.insert(owner); }
   /// Returns the members that defer() marked and clears the marks.
-  std::set<Owner> takeDeferred() { return std::exchange(early_, {}); }
+  std::set<Owner> takeDeferred() { return std::exchange(deferred_, {}); }
 
  private:
-  std::size_t perMember_, all_;
+  std::size_t maxPerMember_, maxTotal_;
   Number next_ = 0;
   std::map<Number, Watch> watches_;
   std::map<Owner, std::set<Number>> byOwner_;
-  std::set<Owner> early_;
+  std::set<Owner> deferred_;
 };
 
 }  // namespace kestrelhoist
