--- a/cli/commands.cpp
+++ b/cli/commands.cpp
@@ -144,7 +144,7 @@
 Session::Session(const Options& options) : options_(options), settings_(clientSettings(options)) {
   http_ = std::make_unique<EvHttpClient>(loop_, 8);
   if (settings_.tls) {
-    http_->secure("", std::make_shared<TlsClient>(settings_.authority), settings_.serverName);
+    http_->useTls("", std::make_shared<TlsClient>(settings_.authority), settings_.serverName);
   }
   client::CallerSettings calling;
   calling.credential = settings_.key;
--- a/cli/job_commands.cpp
+++ b/cli/job_commands.cpp
@@ -134,7 +134,8 @@
     auto who = identity(c, o);
     if (!who) return told(who.error(), o.json);
     if (submit.id.empty()) {
-      submit.id = o.batch.empty() ? drawRef() : refFor({TeamId{who->team}, who->member}, o.batch);
+      submit.id = o.batch.empty() ? generateRef()
+                                  : refForIdempotencyKey({TeamId{who->team}, who->member}, o.batch);
       submit.idempotencyKey.clear();
     }
     if (o.job.team.empty()) o.job.team = who->team;
@@ -255,7 +256,7 @@
 
 // The operator's own key: its hash goes to the controllers, by file.
 int keyInit(const JobOptions& o) {
-  Credential made = drawCredential();
+  Credential made = generateCredential();
   if (fs::exists(o.hashFile)) {
     throw std::runtime_error(o.hashFile + " is there already: keys made under it stay valid");
   }
@@ -274,7 +275,7 @@
 }
 
 int keyMake(const JobOptions& o) {
-  if (!rightsFrom(o.rights)) {
+  if (!parseRights(o.rights)) {
     throw std::runtime_error("rights are some of submit,read,cancel,admin, not " + o.rights);
   }
   client::Client c(librarySettings(o.settings));
--- a/client/src/caller.hpp
+++ b/client/src/caller.hpp
@@ -78,7 +78,7 @@
   CallerSettings settings_;
   std::mt19937_64 random_;
   Router router_;
-  RateBudget budget_;
+  TokenBucket budget_;
   Counts counts_;
   std::uint64_t lastId_ = 0;
   std::set<std::shared_ptr<Call>> open_;  ///< each until it has ended, whatever it waits for
--- a/client/src/client.cpp
+++ b/client/src/client.cpp
@@ -95,11 +95,11 @@
       for (const auto& server : settings.servers) {
         if (!splitAddress(server)) throw std::runtime_error(server + " is no address (ip:port)");
       }
-      if (!settings.key.empty() && !credentialFrom(settings.key)) {
+      if (!settings.key.empty() && !parseCredential(settings.key)) {
         throw std::runtime_error("the key is not of the form kh_..._...");
       }
       if (settings.tls) {
-        http.secure("", std::make_shared<TlsClient>(settings.authority), settings.serverName);
+        http.useTls("", std::make_shared<TlsClient>(settings.authority), settings.serverName);
       }
     } catch (const std::exception& e) {
       fault = e.what();
--- a/client/src/job_calls.cpp
+++ b/client/src/job_calls.cpp
@@ -106,7 +106,7 @@
   auto steps = std::make_shared<Steps>();
   identity(steps, within, [key, done = std::move(done)](Result<Identity> who) {
     if (!who) return done(who.error());
-    done(refFor({TeamId{who->team}, who->member}, key));
+    done(refForIdempotencyKey({TeamId{who->team}, who->member}, key));
   });
   return steps;
 }
@@ -128,7 +128,8 @@
     }
     if (s->id.empty()) {
       s->drawn = key.empty();
-      s->id = s->drawn ? drawRef() : refFor({TeamId{who->team}, who->member}, key);
+      s->id =
+          s->drawn ? generateRef() : refForIdempotencyKey({TeamId{who->team}, who->member}, key);
     }
     s->tried = "submit " + s->id;
     s->digest = digestFor(s->job);
@@ -173,7 +174,7 @@
           : !s->digest.empty() && state.digest != s->digest;
   if (!another) return s->done(state);
   if (s->drawn && s->draws < kMostDraws) {
-    s->id = drawRef();
+    s->id = generateRef();
     s->tried = "submit " + s->id;
     return send(s);
   }
@@ -190,7 +191,7 @@
                            const std::string& rights, const std::string& note, Duration within,
                            Done<KeyInfo> done) {
   auto steps = std::make_shared<Steps>();
-  Credential made = drawCredential();
+  Credential made = generateCredential();
   Json body = {{"key", made.id.value}, {"hash", hashOfSecret(made)}, {"team", team},
                {"member", member},     {"rights", rights},           {"note", note}};
   std::string tried = "make a key";
--- a/client/src/job_codec.cpp
+++ b/client/src/job_codec.cpp
@@ -66,7 +66,7 @@
   // The name is no part of it.
   auto parsed = parseSubmission(toBody(job, "j-0"));
   const auto* spec = std::get_if<JobSpec>(&parsed);
-  return spec ? digestOf(*spec) : "";
+  return spec ? specDigest(*spec) : "";
 }
 
 std::optional<JobState> jobStateFrom(const Json& body) {
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -17,7 +17,7 @@
 ChangeWatcher::Settings watcherSettings(const Platform& p, Duration staleAfter) {
   ChangeWatcher::Settings s;
   // Reads of all nodes together take at most about half of the state service's rate.
-  double gapS = static_cast<double>(p.nodes()) / (0.5 * p.stateRequestsPerS);
+  double gapS = static_cast<double>(p.controllerCount()) / (0.5 * p.stateRequestsPerS);
   s.minGap = std::max(Duration{10}, fromSeconds(gapS));
   s.timeout = kStoreTimeout;
   s.staleAfter = staleAfter;
@@ -56,7 +56,7 @@
       leaseLog_(platform),
       zoneAcks_(platform, runtime.now()),
       store_(runtime, stateProxy_, platform.stateAddress,
-             platform.stateRequestsPerS / static_cast<double>(platform.nodes())),
+             platform.stateRequestsPerS / static_cast<double>(platform.controllerCount())),
       cloud_(runtime, cloudProxy_, platform.cloudAddress, platform.cloudRequestsPerS * 0.9),
       versions_(platform),
       versionWriter_(runtime, store_, replica_, versions_, platform.member),
@@ -66,7 +66,7 @@
              [this] { return jobs_.catalogue(); }),
       policy_(runtime, store_, watcher_, replica_, policyReplica_, platform),
       election_({platform.member, incarnation, kLeaseLife, kLeaseRenew}),
-      canary_(kWorkerRetryAfterLostAnswer * static_cast<int>(platform.nodes() - 1) +
+      canary_(kWorkerRetryAfterLostAnswer * static_cast<int>(platform.controllerCount() - 1) +
                   kWorkerNextControllerDelay,
               platform.workerLease, platform.reportEvery) {
   replica_.add(policyReplica_);
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -107,7 +107,7 @@
   const RedirectCandidate worker = redirectCandidate(report);
   bool fresh =
       worker.sinceAcknowledged &&
-      *worker.sinceAcknowledged < longestHeartbeatInterval(platform_.reportEvery) + Duration{1500};
+      *worker.sinceAcknowledged < maxHeartbeatInterval(platform_.reportEvery) + Duration{1500};
   v.mayRedirect = canary_.mayRedirect(*v.unreachableLeader, worker, v.now) &&
                   (fresh || worker.idle || !mayRenewLocally(v));
 }
--- a/src/app/controller_leadership.cpp
+++ b/src/app/controller_leadership.cpp
@@ -117,7 +117,9 @@
   context.zoneAckBounds = [this] { return zoneAckBounds(); };
   context.onCommandsRepeated = [this] { countRepeat("commands"); };
   if (metrics_) {
-    context.onGivenUpForSilence = [this](Duration silence) { metrics_->machineGivenUp(silence); };
+    context.onGivenUpForSilence = [this](Duration silence) {
+      metrics_->terminationRequested(silence);
+    };
     context.onLeaseEndProbe = [this](const char* answer) { metrics_->leaseEndProbed(answer); };
   }
   leader_ = std::make_unique<Leader>(context, planner_, policyReplica_, [this](const ZoneId& zone) {
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -79,7 +79,7 @@
   FlowLoop flows_;
   PolicyLoop policy_;
   std::vector<ControlLoop*> loops_;  ///< in the order in which they take turns
-  RateBudget writes_;
+  TokenBucket writes_;
   SentCommitPtr sent_;         ///< the newest commit; null before the first
   bool stepUnderWay_ = false;  ///< a commit or an asynchronous step is under way
   bool cycleScheduled_ = false;
--- a/src/app/servers.cpp
+++ b/src/app/servers.cpp
@@ -68,10 +68,10 @@
 
 void Servers::serveApi(ServerLimits limits) {
   // Workers connect here, too; the socket limit bounds members only.
-  limits.highestSocket = 0;
-  limits.crowdedSocket =
+  limits.maxSocket = 0;
+  limits.closeAboveSocket =
       std::max(16, static_cast<int>(static_cast<double>(platform_.maxConnections) * kCrowded));
-  limits.crowded = [this] { closeIdleConnections(); };
+  limits.onCrowded = [this] { closeIdleConnections(); };
   listen(
       platform_.apiAddress,
       [this](const Request& request, const Respond& respond) {
@@ -106,7 +106,7 @@
   // Each controller presents a certificate for its own name and is accepted under no other name.
   auto client = std::make_shared<TlsClient>(files.authority, files.certificate, files.key);
   for (const auto& peer : platform_.peers) {
-    http_.secure(peer.address, client, peer.member.value);
+    http_.useTls(peer.address, client, peer.member.value);
   }
 }
 
--- a/src/base/hedged_request.hpp
+++ b/src/base/hedged_request.hpp
@@ -51,17 +51,17 @@
 
  private:
   void sendOnce(Duration timeout) {
-    ++awaited_;
+    ++pendingSends_;
     send_(timeout, [self = this->shared_from_this(), sentAt = runtime_.now()](Result result) {
       self->onResult(sentAt, std::move(result));
     });
   }
 
   void onResult(Instant sentAt, Result result) {
-    --awaited_;
+    --pendingSends_;
     if (settled_) return;
     const bool failed = isFailure_(result);
-    if (failed && awaited_ > 0) return;
+    if (failed && pendingSends_ > 0) return;
     settled_ = true;
     done_(failed ? firstSentAt_ : sentAt, std::move(result));
   }
@@ -71,7 +71,7 @@
   IsFailure isFailure_;
   Done done_;
   Instant firstSentAt_{};
-  int awaited_ = 0;  ///< The number of sends that have no result yet.
+  int pendingSends_ = 0;  ///< The number of sends that have no result yet.
   bool settled_ = false;
 };
 
--- a/src/base/hedged_request_test.cpp
+++ b/src/base/hedged_request_test.cpp
@@ -36,14 +36,14 @@
         [this](Instant sentAt, Answer answer) { results.emplace_back(sentAt, answer); });
     request->start(kTimes, [this] { ++repeats; });
   }
-  void passTo(std::int64_t ms) { clock.runUntil(begun.ms + ms); }
+  void advanceTo(std::int64_t ms) { clock.runUntil(begun.ms + ms); }
 };
 
 TEST_F(Hedged, IsSentOnceIfItIsAnsweredSoon) {
   start();
-  passTo(10);
+  advanceTo(10);
   sends[0](7);
-  passTo(2000);
+  advanceTo(2000);
   EXPECT_EQ(sends.size(), 1U);
   EXPECT_EQ(repeats, 0);
   ASSERT_EQ(results.size(), 1U);
@@ -52,7 +52,7 @@
 
 TEST_F(Hedged, IsSentOnceMoreWithinTheSameTimeout) {
   start();
-  passTo(450);
+  advanceTo(450);
   ASSERT_EQ(sends.size(), 2U);
   EXPECT_EQ(timeouts[1], Duration{600});
   EXPECT_EQ(repeats, 1);
@@ -65,7 +65,7 @@
 
 TEST_F(Hedged, TheFirstSendMayStillBeAnswered) {
   start();
-  passTo(500);
+  advanceTo(500);
   sends[0](7);
   ASSERT_EQ(results.size(), 1U);
   EXPECT_EQ(results[0].first, begun);
@@ -73,7 +73,7 @@
 
 TEST_F(Hedged, FailsOnceNoSendCanBeAnswered) {
   start();
-  passTo(1000);
+  advanceTo(1000);
   sends[0](std::nullopt);
   EXPECT_TRUE(results.empty());
   sends[1](std::nullopt);
@@ -84,10 +84,10 @@
 
 TEST_F(Hedged, ARefusalAtOnceIsNotRepeated) {
   start();
-  passTo(5);
+  advanceTo(5);
   sends[0](std::nullopt);
   EXPECT_EQ(results.size(), 1U);
-  passTo(2000);
+  advanceTo(2000);
   EXPECT_EQ(sends.size(), 1U);
 }
 
--- a/src/base/http.hpp
+++ b/src/base/http.hpp
@@ -26,18 +26,19 @@
 /// high number means that many sockets are open.
 struct ServerLimits {
   /// A connection without a request for this long is closed.
-  Duration idle{120000};
+  Duration idleTimeout{120000};
   /// One request must arrive in full within this time; 0 means no limit.
-  Duration slowest{0};
+  Duration requestTimeout{0};
   /// A request on a connection with a higher socket number is answered 429; 0 means no limit.
-  int highestSocket = 0;
+  int maxSocket = 0;
   /// A connection with a higher socket number is closed after its answer; 0 means no limit. Each
   /// worker sends one request in several seconds. A controller can't keep all their connections
   /// open if it has few sockets for them, as in a larger fleet or with two of three controllers
   /// down.
-  int crowdedSocket = 0;
-  /// The server calls this function for each connection that it closes because of `crowdedSocket`.
-  std::function<void()> crowded{};
+  int closeAboveSocket = 0;
+  /// The server calls this function for each connection that it closes because of
+  /// `closeAboveSocket`.
+  std::function<void()> onCrowded{};
 };
 
 /// Listens on one address. A request with a body above the protocol's limit is answered 400 and
@@ -64,7 +65,7 @@
   struct Arrival {
     HttpServer* server{};
     bufferevent* connection{};
-    std::optional<Instant> since;
+    std::optional<Instant> firstByteAt;
   };
 
   EventLoop& loop_;
@@ -89,14 +90,14 @@
   /// Uses TLS for new connections to this address; the address "" stands for all addresses without
   /// a setting of their own. The server must present a certificate for `name`, or for the IP
   /// address if `name` is empty.
-  void secure(const std::string& address, std::shared_ptr<TlsClient> tls, std::string name = "");
+  void useTls(const std::string& address, std::shared_ptr<TlsClient> tls, std::string name = "");
 
  private:
   struct Call;
   static void onDone(evhttp_request* req, void* arg);
   static void onDeadline(int, short, void* arg);
   static void onIdleClosed(evhttp_connection* connection, void* self);
-  struct Secured {
+  struct TlsTarget {
     std::shared_ptr<TlsClient> tls;
     std::string name;
   };
@@ -110,7 +111,7 @@
   std::size_t open_{};
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   Idle idle_;
-  std::map<std::string, Secured> secured_;
+  std::map<std::string, TlsTarget> tlsByAddress_;
 };
 
 /// Returns a copy of the contents of a buffer, or an empty text if the buffer is null.
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -17,8 +17,9 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxReply = 16UL * 1024 * 1024;  // The change feed has no limit of its own.
-constexpr std::size_t kIdlePerAddress = 4;
+// The limit is large because the answers of the change feed are not limited by the protocol.
+constexpr std::size_t kMaxReplyBytes = 16UL * 1024 * 1024;
+constexpr std::size_t kMaxIdlePerAddress = 4;
 
 timeval toTimeval(Duration d) {
   auto ms = std::max<std::int64_t>(0, d.count());
@@ -98,10 +99,10 @@
     ++open_;
     evhttp_connection_set_retries(connection, 0);
     evhttp_connection_set_family(connection, AF_INET);
-    evhttp_connection_set_max_body_size(connection, static_cast<ev_ssize_t>(kMaxReply));
+    evhttp_connection_set_max_body_size(connection, static_cast<ev_ssize_t>(kMaxReplyBytes));
   }
-  timeval patience = toTimeval(timeout + Duration{2000});
-  evhttp_connection_set_timeout_tv(connection, &patience);
+  timeval connectionTimeout = toTimeval(timeout + Duration{2000});
+  evhttp_connection_set_timeout_tv(connection, &connectionTimeout);
 
   auto* call = new Call{this, address, connection, nullptr, nullptr, std::move(onReply)};
   call->request = evhttp_request_new(onDone, call);
@@ -129,12 +130,12 @@
 
 evhttp_connection* EvHttpClient::connect(const std::string& address) {
   auto parts = splitAddress(address);
-  auto secured = secured_.find(address);
-  if (secured == secured_.end()) secured = secured_.find("");
+  auto target = tlsByAddress_.find(address);
+  if (target == tlsByAddress_.end()) target = tlsByAddress_.find("");
   bufferevent* stream = nullptr;
-  if (secured != secured_.end()) {
-    const std::string& name = secured->second.name.empty() ? parts->first : secured->second.name;
-    stream = bufferevent_openssl_socket_new(loop_.base(), -1, secured->second.tls->session(name),
+  if (target != tlsByAddress_.end()) {
+    const std::string& name = target->second.name.empty() ? parts->first : target->second.name;
+    stream = bufferevent_openssl_socket_new(loop_.base(), -1, target->second.tls->session(name),
                                             BUFFEREVENT_SSL_CONNECTING, BEV_OPT_CLOSE_ON_FREE);
     if (!stream) return nullptr;
     bufferevent_openssl_set_allow_dirty_shutdown(stream, 1);
@@ -145,9 +146,9 @@
   return connection;
 }
 
-void EvHttpClient::secure(const std::string& address, std::shared_ptr<TlsClient> tls,
+void EvHttpClient::useTls(const std::string& address, std::shared_ptr<TlsClient> tls,
                           std::string name) {
-  secured_[address] = {std::move(tls), std::move(name)};
+  tlsByAddress_[address] = {std::move(tls), std::move(name)};
 }
 
 // A TLS session can't be used for a second connection. So an idle connection that the server has
@@ -187,9 +188,9 @@
   std::unique_ptr<Call> owned(call);
   event_free(call->deadline);
   auto idle = idle_.find(call->address);
-  if (reuse && (idle == idle_.end() || idle->second.size() < kIdlePerAddress)) {
+  if (reuse && (idle == idle_.end() || idle->second.size() < kMaxIdlePerAddress)) {
     idle_[call->address].push_back(call->connection);
-    if (!secured_.empty()) evhttp_connection_set_closecb(call->connection, onIdleClosed, this);
+    if (!tlsByAddress_.empty()) evhttp_connection_set_closecb(call->connection, onIdleClosed, this);
   } else {
     // A connection must not be freed within evhttp's own callback.
     --open_;
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -17,15 +17,15 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxBody = 64 * 1024;       // This is the protocol's limit for requests.
-constexpr std::size_t kHardMaxBody = 256 * 1024;  // Above this, evhttp itself answers 413.
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;       // This is the protocol's limit for requests.
+constexpr std::size_t kHardMaxBodyBytes = 256 * 1024;  // Above this, evhttp itself answers 413.
 
 // A request without an answer yet. If the client closes the connection first, evhttp frees `req`.
 struct PendingReply {
   evhttp_request* req;
   std::shared_ptr<PendingReply> self;
-  std::string id;     // The request's id is returned in the answer's header.
-  bool last = false;  // If true, the connection is closed after the answer.
+  std::string id;           // The request's id is returned in the answer's header.
+  bool closeAfter = false;  // If true, the connection is closed after the answer.
 };
 
 void onHangUp(evhttp_connection*, void* arg) {
@@ -44,7 +44,7 @@
   auto* headers = evhttp_request_get_output_headers(req);
   evhttp_add_header(headers, "Content-Type", response.type.c_str());
   if (!pending.id.empty()) evhttp_add_header(headers, "X-Request-Id", pending.id.c_str());
-  if (pending.last) evhttp_add_header(headers, "Connection", "close");
+  if (pending.closeAfter) evhttp_add_header(headers, "Connection", "close");
   if (response.retryAfterS > 0) {
     evhttp_add_header(headers, "Retry-After", std::to_string(response.retryAfterS).c_str());
   }
@@ -86,10 +86,10 @@
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT |
                                         EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD | EVHTTP_REQ_PATCH |
                                         EVHTTP_REQ_OPTIONS);
-  evhttp_set_max_body_size(http_, kHardMaxBody);
+  evhttp_set_max_body_size(http_, kHardMaxBodyBytes);
   evhttp_set_max_headers_size(http_, 16 * 1024);
-  evhttp_set_timeout(http_, static_cast<int>(limits_.idle.count() / 1000));
-  if (tls_ || limits_.slowest.count() > 0) evhttp_set_bevcb(http_, onConnection, this);
+  evhttp_set_timeout(http_, static_cast<int>(limits_.idleTimeout.count() / 1000));
+  if (tls_ || limits_.requestTimeout.count() > 0) evhttp_set_bevcb(http_, onConnection, this);
   evhttp_set_gencb(http_, onRequest, this);
   auto* bound = evhttp_bind_socket_with_handle(http_, parts->first.c_str(),
                                                static_cast<ev_uint16_t>(parts->second));
@@ -119,7 +119,7 @@
   } else {
     connection = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
   }
-  if (connection && self->limits_.slowest.count() > 0) {
+  if (connection && self->limits_.requestTimeout.count() > 0) {
     auto& arrival = self->arrivals_[connection];
     if (!arrival) arrival = std::make_unique<Arrival>();
     *arrival = {self, connection, std::nullopt};
@@ -134,8 +134,8 @@
   auto* arrival = static_cast<Arrival*>(arg);
   if (info->n_added == 0) return;
   Instant now = arrival->server->loop_.now();
-  if (!arrival->since) arrival->since = now;
-  if (now - *arrival->since > arrival->server->limits_.slowest) {
+  if (!arrival->firstByteAt) arrival->firstByteAt = now;
+  if (now - *arrival->firstByteAt > arrival->server->limits_.requestTimeout) {
     evutil_socket_t fd = bufferevent_getfd(arrival->connection);
     if (fd >= 0) shutdown(fd, SHUT_RDWR);  // evhttp then closes the connection.
   }
@@ -149,7 +149,7 @@
   evhttp_connection_set_closecb(evhttp_request_get_connection(req), onHangUp, pending.get());
   bufferevent* connection = evhttp_connection_get_bufferevent(evhttp_request_get_connection(req));
   if (auto it = self->arrivals_.find(connection); it != self->arrivals_.end()) {
-    it->second->since.reset();
+    it->second->firstByteAt.reset();
   }
   auto* headers = evhttp_request_get_input_headers(req);
   auto header = [&](const char* name) {
@@ -157,20 +157,19 @@
     return std::string(value ? value : "");
   };
   if (std::string id = header("X-Request-Id"); validRequestId(id)) pending->id = id;
-  if (self->limits_.highestSocket > 0 &&
-      bufferevent_getfd(connection) > self->limits_.highestSocket) {
+  if (self->limits_.maxSocket > 0 && bufferevent_getfd(connection) > self->limits_.maxSocket) {
     // The system assigns the lowest free socket number, so at least this many sockets are open.
-    pending->last = true;
+    pending->closeAfter = true;
     reply(*pending, retryLater(429, 2));
     return;
   }
-  if (self->limits_.crowdedSocket > 0 &&
-      bufferevent_getfd(connection) > self->limits_.crowdedSocket) {
-    pending->last = true;
-    if (self->limits_.crowded) self->limits_.crowded();
+  if (self->limits_.closeAboveSocket > 0 &&
+      bufferevent_getfd(connection) > self->limits_.closeAboveSocket) {
+    pending->closeAfter = true;
+    if (self->limits_.onCrowded) self->limits_.onCrowded();
   }
   std::string body = takeBody(evhttp_request_get_input_buffer(req));
-  if (body.size() > kMaxBody) {
+  if (body.size() > kMaxBodyBytes) {
     reply(*pending, jsonResponse(400, {{"error", "body too large"}}));
     return;
   }
--- a/src/base/http_test.cpp
+++ b/src/base/http_test.cpp
@@ -63,8 +63,8 @@
   EventLoop loop;
   int crowded = 0, answers = 0;
   ServerLimits limits;
-  limits.crowdedSocket = 1;
-  limits.crowded = [&] { ++crowded; };
+  limits.closeAboveSocket = 1;
+  limits.onCrowded = [&] { ++crowded; };
   HttpServer server(
       loop, "127.0.0.1:0",
       [](const Request&, const Respond& r) {
@@ -111,10 +111,10 @@
   HttpServer server(loop, "127.0.0.1:0",
                     [&](const Request&, const Respond& respond) { held.push_back(respond); });
   EvHttpClient client(loop, 8);
-  bool silent = false;
+  bool unanswered = false;
   client.send("127.0.0.1:" + std::to_string(server.port()), {"GET", "/", ""}, Duration{100},
               [&](std::optional<Response> r) {
-                silent = !r;
+                unanswered = !r;
                 // The client has closed its connection, so the late answers must be ignored.
                 loop.after(Duration{100}, [&] {
                   for (auto& respond : held) respond({200, "", 0});
@@ -122,19 +122,19 @@
                 });
               });
   loop.run();
-  EXPECT_TRUE(silent);
+  EXPECT_TRUE(unanswered);
 }
 
 TEST(Http, ARefusedConnectionIsNoAnswer) {
   EventLoop loop;
   EvHttpClient client(loop, 8);
-  bool silent = false;
+  bool unanswered = false;
   client.send("127.0.0.1:1", {"GET", "/", ""}, Duration{2000}, [&](std::optional<Response> r) {
-    silent = !r;
+    unanswered = !r;
     loop.stop();
   });
   loop.run();
-  EXPECT_TRUE(silent);
+  EXPECT_TRUE(unanswered);
 }
 
 TEST(Cbor, BadBodiesAreNoValue) {
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -8,7 +8,7 @@
 namespace kestrelhoist {
 namespace {
 
-LogFormat chosen = LogFormat::text;
+LogFormat logFormat = LogFormat::text;
 
 std::string jsonText(std::string_view text) {
   return nlohmann::json(std::string(text))
@@ -16,14 +16,14 @@
 }
 
 // Whether a value can be written without quotes, because nothing in it looks like the next field.
-bool plain(std::string_view text) {
+bool needsNoQuotes(std::string_view text) {
   return text.find_first_of(" =\"\\\n\t") == std::string_view::npos;
 }
 
 }  // namespace
 
 bool setupLogging(const std::string& member, LogFormat format) {
-  chosen = format;
+  logFormat = format;
   std::string name = member.empty() ? "kestrelhoist" : member;
   auto logger =
       std::make_shared<spdlog::logger>(name, std::make_shared<spdlog::sinks::stderr_sink_mt>());
@@ -35,15 +35,15 @@
   }
   spdlog::set_default_logger(logger);
   const char* level = std::getenv("LOG_LEVEL");
-  std::string wanted = level ? level : "info";
+  std::string levelName = level ? level : "info";
   bool known = true;
-  if (wanted == "error") {
+  if (levelName == "error") {
     spdlog::set_level(spdlog::level::err);
-  } else if (wanted == "debug") {
+  } else if (levelName == "debug") {
     spdlog::set_level(spdlog::level::debug);
   } else {
     spdlog::set_level(spdlog::level::info);
-    known = wanted == "info";
+    known = levelName == "info";
   }
   return known;
 }
@@ -51,16 +51,17 @@
 namespace log_detail {
 
 Line::Line(std::string_view event) {
-  text_ = chosen == LogFormat::json ? "\"event\":" + jsonText(event) : std::string(event);
+  text_ = logFormat == LogFormat::json ? "\"event\":" + jsonText(event) : std::string(event);
 }
 
 void Line::add(std::string_view key, std::string_view value) {
   if (value.empty()) return;
-  bare(key, chosen == LogFormat::json || !plain(value) ? jsonText(value) : std::string(value));
+  appendField(key, logFormat == LogFormat::json || !needsNoQuotes(value) ? jsonText(value)
+                                                                         : std::string(value));
 }
 
-void Line::bare(std::string_view key, const std::string& value) {
-  if (chosen == LogFormat::json) {
+void Line::appendField(std::string_view key, const std::string& value) {
+  if (logFormat == LogFormat::json) {
     text_ += ',' + jsonText(key) + ':' + value;
   } else {
     text_ += ' ' + std::string(key) + '=' + value;
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -26,7 +26,7 @@
   void add(std::string_view key, std::string_view value);
   void add(std::string_view key, const std::string& value) { add(key, std::string_view(value)); }
   void add(std::string_view key, const char* value) { add(key, std::string_view(value)); }
-  void add(std::string_view key, bool value) { bare(key, value ? "true" : "false"); }
+  void add(std::string_view key, bool value) { appendField(key, value ? "true" : "false"); }
   template <class Tag>
   void add(std::string_view key, const Name<Tag>& name) {
     add(key, std::string_view(name.value));
@@ -35,20 +35,20 @@
   void add(std::string_view key, Number<Tag, Rep> number) {
     add(key, number.value);
   }
-  void add(std::string_view key, Duration d) { bare(key, std::to_string(d.count())); }
+  void add(std::string_view key, Duration d) { appendField(key, std::to_string(d.count())); }
   template <class T>
   requires std::is_arithmetic_v<T>
   void add(std::string_view key, T value) {
     if constexpr (std::is_floating_point_v<T>) {
-      bare(key, fmt::format("{:.2f}", value));
+      appendField(key, fmt::format("{:.2f}", value));
     } else {
-      bare(key, std::to_string(value));
+      appendField(key, std::to_string(value));
     }
   }
   const std::string& text() const { return text_; }
 
  private:
-  void bare(std::string_view key, const std::string& value);
+  void appendField(std::string_view key, const std::string& value);
   std::string text_;
 };
 
--- a/src/base/rate.hpp
+++ b/src/base/rate.hpp
@@ -10,9 +10,9 @@
 namespace kestrelhoist {
 
 /// A token bucket whose level may become negative.
-class RateBudget {
+class TokenBucket {
  public:
-  RateBudget(double perSecond, double burst) : rate_(perSecond), burst_(burst), level_(burst) {}
+  TokenBucket(double perSecond, double burst) : rate_(perSecond), burst_(burst), level_(burst) {}
 
   /// Takes the tokens and returns true if there are enough; otherwise returns false.
   bool take(Instant now, double amount) {
--- a/src/base/tls.cpp
+++ b/src/base/tls.cpp
@@ -15,7 +15,7 @@
 
 std::shared_ptr<SSL_CTX> newContext(const SSL_METHOD* method) {
   std::shared_ptr<SSL_CTX> context(SSL_CTX_new(method), SSL_CTX_free);
-  if (!context) throw std::runtime_error("cannot create a TLS context: " + tlsFault());
+  if (!context) throw std::runtime_error("cannot create a TLS context: " + tlsError());
   SSL_CTX_set_min_proto_version(context.get(), TLS1_2_VERSION);
   SSL_CTX_set_options(context.get(), SSL_OP_NO_RENEGOTIATION | SSL_OP_NO_COMPRESSION);
   // Idle connections release their buffers, since thousands of watches may be held open.
@@ -23,23 +23,23 @@
   return context;
 }
 
-void show(SSL_CTX* context, const std::string& certificate, const std::string& key) {
+void setCertificate(SSL_CTX* context, const std::string& certificate, const std::string& key) {
   if (SSL_CTX_use_certificate_chain_file(context, certificate.c_str()) != 1) {
-    throw std::runtime_error(certificate + ": " + tlsFault());
+    throw std::runtime_error(certificate + ": " + tlsError());
   }
   if (SSL_CTX_use_PrivateKey_file(context, key.c_str(), SSL_FILETYPE_PEM) != 1 ||
       SSL_CTX_check_private_key(context) != 1) {
-    throw std::runtime_error(key + ": " + tlsFault());
+    throw std::runtime_error(key + ": " + tlsError());
   }
 }
 
-void believe(SSL_CTX* context, const std::string& authority) {
+void trustAuthority(SSL_CTX* context, const std::string& authority) {
   if (SSL_CTX_load_verify_locations(context, authority.c_str(), nullptr) != 1) {
-    throw std::runtime_error(authority + ": " + tlsFault());
+    throw std::runtime_error(authority + ": " + tlsError());
   }
 }
 
-std::int64_t changedAt(const std::string& file) {
+std::int64_t fileFingerprint(const std::string& file) {
   struct stat s {};
   if (file.empty() || stat(file.c_str(), &s) != 0) return 0;
   return s.st_mtim.tv_sec * 1000000000LL + s.st_mtim.tv_nsec + s.st_size;
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-std::string tlsFault() {
+std::string tlsError() {
   char text[256] = "unknown fault";
   if (auto code = ERR_get_error()) ERR_error_string_n(code, text, sizeof text);
   ERR_clear_error();
@@ -58,32 +58,34 @@
     : certificate_(std::move(certificate)),
       key_(std::move(key)),
       authority_(std::move(authority)),
-      stamp_(stamp()),
+      fingerprint_(filesFingerprint()),
       context_(load()) {}
 
 TlsServer::~TlsServer() = default;
 
 // The result is unsigned, because the product with a time in nanoseconds overflows, which is
 // undefined behaviour for signed numbers.
-std::uint64_t TlsServer::stamp() const {
-  auto at = [](const std::string& file) { return static_cast<std::uint64_t>(changedAt(file)); };
+std::uint64_t TlsServer::filesFingerprint() const {
+  auto at = [](const std::string& file) {
+    return static_cast<std::uint64_t>(fileFingerprint(file));
+  };
   return at(certificate_) * 31 + at(key_) * 7 + at(authority_);
 }
 
 std::shared_ptr<ssl_ctx_st> TlsServer::load() const {
   auto context = newContext(TLS_server_method());
-  show(context.get(), certificate_, key_);
+  setCertificate(context.get(), certificate_, key_);
   if (!authority_.empty()) {
-    believe(context.get(), authority_);
+    trustAuthority(context.get(), authority_);
     SSL_CTX_set_verify(context.get(), SSL_VERIFY_PEER | SSL_VERIFY_FAIL_IF_NO_PEER_CERT, nullptr);
   }
   return context;
 }
 
 bool TlsServer::reload() {
-  auto now = stamp();
-  if (now == stamp_) return false;
-  stamp_ = now;  // Invalid files are not read again until they change again.
+  auto now = filesFingerprint();
+  if (now == fingerprint_) return false;
+  fingerprint_ = now;  // Invalid files are not read again until they change again.
   try {
     context_ = load();
   } catch (const std::exception& e) {
@@ -101,9 +103,9 @@
   if (authority.empty()) {
     SSL_CTX_set_default_verify_paths(context_.get());
   } else {
-    believe(context_.get(), authority);
+    trustAuthority(context_.get(), authority);
   }
-  if (!certificate.empty()) show(context_.get(), certificate, key);
+  if (!certificate.empty()) setCertificate(context_.get(), certificate, key);
   SSL_CTX_set_verify(context_.get(), SSL_VERIFY_PEER, nullptr);
 }
 
--- a/src/base/tls.hpp
+++ b/src/base/tls.hpp
@@ -29,9 +29,9 @@
 
  private:
   std::shared_ptr<ssl_ctx_st> load() const;
-  std::uint64_t stamp() const;
+  std::uint64_t filesFingerprint() const;
   std::string certificate_, key_, authority_;
-  std::uint64_t stamp_{};
+  std::uint64_t fingerprint_{};
   std::shared_ptr<ssl_ctx_st> context_;
 };
 
@@ -51,6 +51,6 @@
 };
 
 /// Returns the text of the first error in OpenSSL's error queue and clears the queue.
-std::string tlsFault();
+std::string tlsError();
 
 }  // namespace kestrelhoist
--- a/src/cloud/client.hpp
+++ b/src/cloud/client.hpp
@@ -45,7 +45,7 @@
   Runtime& runtime_;
   HttpClient& http_;
   std::string address_;
-  RateBudget budget_;
+  TokenBucket budget_;
 };
 
 }  // namespace kestrelhoist
--- a/src/config/config_test.cpp
+++ b/src/config/config_test.cpp
@@ -9,7 +9,7 @@
 namespace kestrelhoist {
 namespace {
 
-const std::string kGood = R"(
+const std::string kValidSettings = R"(
 member = "n0"
 site = "a"
 api_addr = "127.0.0.1:8080"
@@ -47,13 +47,13 @@
 max_connections = 600
 )";
 
-std::string without(const std::string& line) {
-  std::string s = kGood;
+std::string settingsWithout(const std::string& line) {
+  std::string s = kValidSettings;
   auto at = s.find(line);
   return s.erase(at, line.size());
 }
 
-std::string faultOf(const std::string& text) {
+std::string parseError(const std::string& text) {
   try {
     parsePlatform(text, "settings.toml");
   } catch (const std::exception& e) {
@@ -63,44 +63,45 @@
 }
 
 TEST(PlatformSettings, AreReadAndUnknownFieldsIgnored) {
-  auto p = parsePlatform(kGood, "settings.toml");
+  auto p = parsePlatform(kValidSettings, "settings.toml");
   EXPECT_EQ(p.member.value, "n0");
-  EXPECT_EQ(p.nodes(), 2U);
+  EXPECT_EQ(p.controllerCount(), 2U);
   EXPECT_EQ(p.workerLease, Duration{11000});
   EXPECT_EQ(p.valueBytes, 8192U);
   EXPECT_EQ(p.teams.at(TeamId{"t"}).limit.gpus, 4.0);
 }
 
-std::string withNext(const std::string& next) {
-  std::string s = kGood;
+std::string settingsWithNextLimits(const std::string& next) {
+  std::string s = kValidSettings;
   return s + "[settings.state.next]\n" + next;
 }
 
 TEST(PlatformSettings, LimitsThatFallHoldFromTheStart) {
-  auto p = parsePlatform(withNext("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 18.0\nother = 1\n"),
-                         "settings.toml");
+  auto p = parsePlatform(
+      settingsWithNextLimits("value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 18.0\nother = 1\n"),
+      "settings.toml");
   EXPECT_EQ(p.valueBytes, 2048U);
   EXPECT_EQ(p.valueBytesNow, 8192U);
   EXPECT_EQ(p.transactionOps, 4U);
   EXPECT_EQ(p.stateWritesPerS, 18.0);
   EXPECT_EQ(p.stateRequestsPerS, 150.0);
   // Each later limit is optional, and none raises a present limit.
-  p = parsePlatform(withNext("txn_ops = 64\n"), "settings.toml");
+  p = parsePlatform(settingsWithNextLimits("txn_ops = 64\n"), "settings.toml");
   EXPECT_EQ(p.valueBytes, 8192U);
   EXPECT_EQ(p.transactionOps, 8U);
   EXPECT_EQ(p.stateWritesPerS, 25.0);
-  EXPECT_EQ(faultOf(withNext("value_kb = \"2\"\n")),
+  EXPECT_EQ(parseError(settingsWithNextLimits("value_kb = \"2\"\n")),
             "settings.toml: settings.state.next.value_kb: must be a number");
 }
 
 TEST(PlatformSettings, FaultsNameFileAndField) {
-  EXPECT_EQ(faultOf(without("lease_s = 11.0")),
+  EXPECT_EQ(parseError(settingsWithout("lease_s = 11.0")),
             "settings.toml: settings.workers.lease_s: is missing");
-  EXPECT_EQ(faultOf(without("cloud = \"127.0.0.3:1\"")),
+  EXPECT_EQ(parseError(settingsWithout("cloud = \"127.0.0.3:1\"")),
             "settings.toml: external.cloud: is missing");
-  EXPECT_NE(faultOf(without(".1:8080")).find("settings.toml: api_addr: must be"),
+  EXPECT_NE(parseError(settingsWithout(".1:8080")).find("settings.toml: api_addr: must be"),
             std::string::npos);
-  EXPECT_NE(faultOf("member = ").find("settings.toml: line 1"), std::string::npos);
+  EXPECT_NE(parseError("member = ").find("settings.toml: line 1"), std::string::npos);
 }
 
 TEST(OperatorSettings, AreCheckedByTheSchema) {
@@ -134,9 +135,9 @@
 
 TEST(Program, ChecksSettingsAndExits) {
   std::string file = testing::TempDir() + "kestrelhoist-settings.toml";
-  std::ofstream(file) << kGood;
+  std::ofstream(file) << kValidSettings;
   EXPECT_EQ(runProgram("--check --config " + file).first, 0);
-  std::ofstream(file) << without("site = \"a\"\n");
+  std::ofstream(file) << settingsWithout("site = \"a\"\n");
   auto [code, out] = runProgram("--config " + file);
   EXPECT_EQ(code, 2);
   EXPECT_EQ(out, "kestrelhoist: " + file + ": site: is missing\n");
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -98,25 +98,25 @@
 namespace {
 
 // Resolves a file name relative to the folder of the settings file.
-std::string beside(const std::string& file, const std::string& name) {
+std::string resolveBeside(const std::string& file, const std::string& name) {
   return (std::filesystem::path(file).parent_path() / name).string();
 }
 
-TlsFiles tlsFrom(const nlohmann::json& v, const std::string& file) {
+TlsFiles tlsFilesFromJson(const nlohmann::json& v, const std::string& file) {
   TlsFiles t;
   if (!v.contains("certificate")) return t;
-  t.certificate = beside(file, v["certificate"]);
-  t.key = beside(file, v["key"]);
-  if (v.contains("authority")) t.authority = beside(file, v["authority"]);
+  t.certificate = resolveBeside(file, v["certificate"]);
+  t.key = resolveBeside(file, v["key"]);
+  if (v.contains("authority")) t.authority = resolveBeside(file, v["authority"]);
   return t;
 }
 
-MemberSettings membersFrom(const nlohmann::json& v, const std::string& file) {
+MemberSettings memberSettingsFromJson(const nlohmann::json& v, const std::string& file) {
   MemberSettings s;
   s.enabled = v.value("enabled", s.enabled);
   s.open = v.value("open", s.open);
-  s.keyTrust = fromSeconds(v.value("key_trust_s", toSeconds(s.keyTrust)));
-  s.longestWatch = fromSeconds(v.value("longest_watch_s", toSeconds(s.longestWatch)));
+  s.maxReplicaAge = fromSeconds(v.value("key_trust_s", toSeconds(s.maxReplicaAge)));
+  s.maxWatchDuration = fromSeconds(v.value("longest_watch_s", toSeconds(s.maxWatchDuration)));
   auto limits = v.value("limits", nlohmann::json::object());
   MemberLimits& l = s.limits;
   l.submitsPerS = limits.value("submits_per_s", l.submitsPerS);
@@ -128,13 +128,13 @@
   l.watches = limits.value("watches", l.watches);
   l.queued = limits.value("queued", l.queued);
   auto tls = v.value("tls", nlohmann::json::object());
-  s.usersTls = tlsFrom(tls, file);
+  s.usersTls = tlsFilesFromJson(tls, file);
   s.usersTlsPort = tls.value("port_offset", 0);
   s.plainUsers = s.usersTls.empty() || tls.value("also_plain", false);
-  s.meshTls = tlsFrom(v.value("mesh_tls", nlohmann::json::object()), file);
+  s.meshTls = tlsFilesFromJson(v.value("mesh_tls", nlohmann::json::object()), file);
   s.metricsPort = v.value("metrics", nlohmann::json::object()).value("port_offset", 0);
   if (v.contains("root_key_file")) {
-    std::string name = beside(file, v["root_key_file"]);
+    std::string name = resolveBeside(file, v["root_key_file"]);
     std::ifstream in(name);
     in >> s.rootKey.value >> s.rootHash;
     if (!in || !validKeyId(s.rootKey.value) || !validHash(s.rootHash)) {
@@ -163,9 +163,9 @@
   s.maxMachines = fleet.value("max_machines", s.maxMachines);
   auto flows = value.value("flows", nlohmann::json::object());
   s.flows = flows.value("enabled", s.flows);
-  s.flowInstances = flows.value("max_instances", s.flowInstances);
-  s.flowInstancesAll = flows.value("max_instances_all", s.flowInstancesAll);
-  s.members = membersFrom(value.value("members", nlohmann::json::object()), file);
+  s.maxFlowInstances = flows.value("max_instances", s.maxFlowInstances);
+  s.maxFlowInstancesTotal = flows.value("max_instances_all", s.maxFlowInstancesTotal);
+  s.members = memberSettingsFromJson(value.value("members", nlohmann::json::object()), file);
   return s;
 }
 
--- a/src/config/operator.hpp
+++ b/src/config/operator.hpp
@@ -29,8 +29,8 @@
   KeyId rootKey;  ///< The root key belongs to the operator and creates the first other keys.
   std::string rootHash;
   /// Keys are checked against the controller's replica only if it is not older than this.
-  Duration keyTrust{10000};
-  Duration longestWatch{30000};
+  Duration maxReplicaAge{10000};
+  Duration maxWatchDuration{30000};
   MemberLimits limits;
   TlsFiles usersTls;     ///< If it is empty, there is no TLS endpoint for members.
   int usersTlsPort = 0;  ///< The offset is added to the port of api_addr.
@@ -50,10 +50,10 @@
   bool useSpot = true;  ///< Whether spot machines are rented for jobs that allow them.
   /// The maximum number of rented machines. If it is 0, only the cloud limits their number.
   unsigned maxMachines = 0;
-  bool flows = false;               ///< Whether rule files may be submitted (docs/flows.md).
-  unsigned flowInstances = 100000;  ///< The maximum number of instances of one flow.
+  bool flows = false;                  ///< Whether rule files may be submitted (docs/flows.md).
+  unsigned maxFlowInstances = 100000;  ///< The maximum number of instances of one flow.
   /// The maximum number of instances of all open flows together.
-  unsigned flowInstancesAll = 200000;
+  unsigned maxFlowInstancesTotal = 200000;
   MemberSettings members;
 };
 
--- a/src/config/platform.cpp
+++ b/src/config/platform.cpp
@@ -31,12 +31,13 @@
     if (!splitAddress(v)) fail(at + key, "must be an IPv4 address with a port, not '" + v + "'");
     return v;
   }
-  double number(const toml::table& t, const std::string& at, const char* key, double least) const {
+  double number(const toml::table& t, const std::string& at, const char* key,
+                double minimum) const {
     auto node = t[key];
     if (!node) fail(at + key, "is missing");
     if (!node.is_number()) fail(at + key, "must be a number");
     double v = *node.value<double>();
-    if (!(v >= least) || v > 1e12) fail(at + key, "is out of range");
+    if (!(v >= minimum) || v > 1e12) fail(at + key, "is out of range");
     return v;
   }
   const toml::table& table(const toml::table& t, const std::string& at, const char* key) const {
--- a/src/config/platform.hpp
+++ b/src/config/platform.hpp
@@ -67,7 +67,7 @@
   std::size_t maxConnections{};
 
   /// Returns the number of controllers, including this one.
-  std::size_t nodes() const { return peers.size() + 1; }
+  std::size_t controllerCount() const { return peers.size() + 1; }
 };
 
 /// Reads and checks the settings file. Throws std::runtime_error with one line that names the file
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 // Returns the first error, since it is the most specific one and its context names the field.
-std::optional<valijson::ValidationResults::Error> faultOf(const nlohmann::json& value,
-                                                          const char* schemaText) {
+std::optional<valijson::ValidationResults::Error> findViolation(const nlohmann::json& value,
+                                                                const char* schemaText) {
   valijson::Schema schema;
   auto schemaJson = nlohmann::json::parse(schemaText);
   valijson::adapters::NlohmannJsonAdapter schemaAdapter(schemaJson);
@@ -32,7 +32,7 @@
                             const char* schemaText) {
   nlohmann::json value = nlohmann::json::parse(text, nullptr, false);
   if (value.is_discarded()) throw std::runtime_error(file + ": is not JSON");
-  if (auto error = faultOf(value, schemaText)) {
+  if (auto error = findViolation(value, schemaText)) {
     std::string line = file + ":";
     for (const auto& part : error->context) line += " " + part;
     throw std::runtime_error(line + ": " + error->description);
@@ -40,8 +40,8 @@
   return value;
 }
 
-std::optional<std::string> schemaFault(const nlohmann::json& value, const char* schemaText) {
-  auto error = faultOf(value, schemaText);
+std::optional<std::string> schemaViolation(const nlohmann::json& value, const char* schemaText) {
+  auto error = findViolation(value, schemaText);
   if (!error) return std::nullopt;
   // The library writes the parts of a path as "<root>", "[name]" and "[0]".
   std::string pointer;
--- a/src/config/schema.hpp
+++ b/src/config/schema.hpp
@@ -14,6 +14,6 @@
 
 /// Returns the first violation of the schema as one line that begins with a JSON pointer, or
 /// nullopt if the value is valid.
-std::optional<std::string> schemaFault(const nlohmann::json& value, const char* schema);
+std::optional<std::string> schemaViolation(const nlohmann::json& value, const char* schema);
 
 }  // namespace kestrelhoist
--- a/src/config/worker_timing.hpp
+++ b/src/config/worker_timing.hpp
@@ -17,12 +17,12 @@
 
 /// Returns the longest interval between two heartbeats of a worker. The worker varies the interval
 /// `reportEvery` by up to a quarter.
-constexpr Duration longestHeartbeatInterval(Duration reportEvery) { return reportEvery * 5 / 4; }
+constexpr Duration maxHeartbeatInterval(Duration reportEvery) { return reportEvery * 5 / 4; }
 /// A heartbeat counts as overdue if it is later than the longest interval by more than this.
 inline constexpr Duration kHeartbeatLateMargin{1000};
 /// Returns the time since a worker's last heartbeat after which the next one is overdue.
 constexpr Duration heartbeatDueAfter(Duration reportEvery) {
-  return longestHeartbeatInterval(reportEvery) + kHeartbeatLateMargin;
+  return maxHeartbeatInterval(reportEvery) + kHeartbeatLateMargin;
 }
 
 }  // namespace kestrelhoist
--- a/src/connectivity/redirect_canary.cpp
+++ b/src/connectivity/redirect_canary.cpp
@@ -19,7 +19,7 @@
     : failoverCycle_(failoverCycle),
       lease_(lease),
       reportEvery_(reportEvery),
-      leaseOutlastsCycle_(failoverCycle + longestHeartbeatInterval(reportEvery) + kScheduleSlack <
+      leaseOutlastsCycle_(failoverCycle + maxHeartbeatInterval(reportEvery) + kScheduleSlack <
                           lease) {}
 
 // Between an answer and the next heartbeat pass at least three quarters of the interval.
--- a/src/connectivity/worker_transport.cpp
+++ b/src/connectivity/worker_transport.cpp
@@ -38,7 +38,7 @@
     : runtime_(runtime),
       http_(http),
       peerMembership_(peers),
-      reporters_(longestHeartbeatInterval(reportEvery) + kProbePatience) {}
+      reporters_(maxHeartbeatInterval(reportEvery) + kProbePatience) {}
 
 const char* toString(ProbeOutcome outcome) {
   switch (outcome) {
--- a/src/fleet/failure_detector.cpp
+++ b/src/fleet/failure_detector.cpp
@@ -230,8 +230,9 @@
 
 FailureDetector::Timeout FailureDetector::silenceTimeout(const Machine& machine) const {
   Timeout timeout{failoverTime(), SilenceLimit::failover};
-  if (!workersReachable_ && platform_.nodes() > 2) {
-    timeout.duration += static_cast<int>(platform_.nodes() - 2) * kWorkerRetryAfterLostAnswer;
+  if (!workersReachable_ && platform_.controllerCount() > 2) {
+    timeout.duration +=
+        static_cast<int>(platform_.controllerCount() - 2) * kWorkerRetryAfterLostAnswer;
   }
   if (mayBeCutOff(machine) && cutOffTimeout(machine) > timeout.duration) {
     timeout = {cutOffTimeout(machine),
--- a/src/fleet/initial_round.cpp
+++ b/src/fleet/initial_round.cpp
@@ -20,7 +20,7 @@
 // DESIGN: a new leader waits one full report round before placing or giving back. It asks for the
 // reports, so that the round is over sooner if all answer.
 bool InitialRound::isOver() const {
-  const Duration round = longestHeartbeatInterval(context_.platform.reportEvery) + kReportTravel;
+  const Duration round = maxHeartbeatInterval(context_.platform.reportEvery) + kReportTravel;
   if (context_.runtime.now() - context_.electedAt >= round) return true;
   return isProbing_ && queue_.empty() && !prober_.awaitsUnheard();
 }
--- a/src/fleet/lease_estimate.cpp
+++ b/src/fleet/lease_estimate.cpp
@@ -65,7 +65,7 @@
     newest_ = theirs;
     directAnswers_ = 0;
   }
-  const Duration interval = longestHeartbeatInterval(terms.reportEvery) + kTransitSlack;
+  const Duration interval = maxHeartbeatInterval(terms.reportEvery) + kTransitSlack;
   const auto since = renewedAt_ ? renewedAt_ : unansweredSince_;
   lostAnswer_ = lostAnswer_ || (since && newest_->at - *since > interval);
 }
@@ -94,7 +94,7 @@
 void LeaseEstimate::beginFromEarlierAcknowledgement(Instant heardAt, const LeaseTerms& terms) {
   lostAnswer_ = heardAt - *earlierAcknowledgement_ >= kWorkerRetryAfterLostAnswer - kTransitSlack;
   renewedAt_ = *earlierAcknowledgement_ -
-               (lostAnswer_ ? longestHeartbeatInterval(terms.reportEvery) : Duration{0});
+               (lostAnswer_ ? maxHeartbeatInterval(terms.reportEvery) : Duration{0});
 }
 
 // What the next heartbeat tells of the answer to the newest one.
@@ -131,7 +131,7 @@
 void LeaseEstimate::noteOutlived(Instant now, const LeaseTerms& terms) {
   if (unansweredSince_) {
     noteRenewed(*unansweredSince_ - kWorkerNextControllerDelay -
-                longestHeartbeatInterval(terms.reportEvery));
+                maxHeartbeatInterval(terms.reportEvery));
     return;
   }
   const bool explains = newest_ && newest_->workerEpoch == workerEpoch_ &&
@@ -143,8 +143,8 @@
   if (renewedAt_) return *renewedAt_ + terms.lease;
   if (!unansweredSince_) return std::nullopt;
   // A worker comes to another controller after a lost answer, and an interval before that one.
-  return *unansweredSince_ - kWorkerRetryAfterLostAnswer -
-         longestHeartbeatInterval(terms.reportEvery) + terms.lease;
+  return *unansweredSince_ - kWorkerRetryAfterLostAnswer - maxHeartbeatInterval(terms.reportEvery) +
+         terms.lease;
 }
 
 bool LeaseEstimate::isAtRisk(const LeaseTerms& terms, Instant now) const {
--- a/src/fleet/lease_log.cpp
+++ b/src/fleet/lease_log.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 LeaseTerms leaseTermsOf(const Platform& platform) {
-  return {platform.workerLease, platform.reportEvery, platform.nodes()};
+  return {platform.workerLease, platform.reportEvery, platform.controllerCount()};
 }
 
 LeaseLog::LeaseLog(const Platform& platform)
--- a/src/flows/service.hpp
+++ b/src/flows/service.hpp
@@ -77,7 +77,7 @@
   const Platform& platform_;
   const OperatorSettings& settings_;
   std::function<const Catalogue*()> catalogue_;
-  RateBudget writes_;
+  TokenBucket writes_;
   std::size_t waiting_ = 0;
   /// Texts are read by many workers at once: one read serves all who wait, and the last few stay.
   using OnText = std::function<void(const GetResult&)>;
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -128,8 +128,8 @@
     return respond(errorResponse(
         400, "field version, instances, parts, texts or per_text is missing or invalid"));
   }
-  if (announcement->instances > settings_.flowInstances) {
-    return respond(errorResponse(422, "more than " + std::to_string(settings_.flowInstances) +
+  if (announcement->instances > settings_.maxFlowInstances) {
+    return respond(errorResponse(422, "more than " + std::to_string(settings_.maxFlowInstances) +
                                           " instances, the most that one flow may have here"));
   }
   watcher_.linearizableRead([this, id, announcement = *announcement, respond](bool ok) {
@@ -142,7 +142,7 @@
       if (known->upload->closing) return respond(retryLater(503, kClosingRetryS));
       return respond(jsonResponse(200, answer));
     }
-    if (replica_.flows().instances() + announcement.instances > settings_.flowInstancesAll) {
+    if (replica_.flows().instances() + announcement.instances > settings_.maxFlowInstancesTotal) {
       return respond(Response{
           503, encodeBody(Json{{"error", "open flows have too many instances"}}), kCapacityRetryS});
     }
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -100,7 +100,7 @@
     v["tasks"] = job.tasks;
     v["class"] = job.record.spec->jobClass;
     v["at_ms"] = job.record.acceptedAtMs;
-    if (withDigest) v["digest"] = digestOf(*job.record.spec);
+    if (withDigest) v["digest"] = specDigest(*job.record.spec);
   }
   return v;
 }
--- a/src/jobs/service.hpp
+++ b/src/jobs/service.hpp
@@ -74,7 +74,7 @@
   Replica& replica_;
   const Platform& platform_;
   const MemberVersions& versions_;
-  RateBudget writes_;
+  TokenBucket writes_;
   std::size_t inProgress_ = 0;
   mutable std::optional<Catalogue> catalogue_;
   mutable Revision catalogueRevision_;
--- a/src/members/admission.cpp
+++ b/src/members/admission.cpp
@@ -71,7 +71,7 @@
                                        std::size_t bytes) {
   Buckets& b = bucketsOf(now, owner);
   bool read = kind == RequestKind::poll || kind == RequestKind::list;
-  RateBudget& requests = read ? b.reads : b.submits;
+  TokenBucket& requests = read ? b.reads : b.submits;
   auto size = static_cast<double>(bytes);
   Duration wait = std::max(requests.waitFor(now, 1), b.bytes.waitFor(now, size));
   if (wait.count() > 0) return jitteredDelayS(wait);
--- a/src/members/admission.hpp
+++ b/src/members/admission.hpp
@@ -67,7 +67,7 @@
 
  private:
   struct Buckets {
-    RateBudget submits, reads, bytes;
+    TokenBucket submits, reads, bytes;
     Instant used{};
   };
   Buckets& bucketsOf(Instant now, const Owner& owner);
--- a/src/members/job_lists.cpp
+++ b/src/members/job_lists.cpp
@@ -75,7 +75,7 @@
   std::string since = queryValue(query, "since");
   Duration held =
       hold ? std::min(Duration{static_cast<std::int64_t>(std::min<std::uint64_t>(*wait, 3600000))},
-                      settings_.longestWatch)
+                      settings_.maxWatchDuration)
            : Duration{0};
   // The linearizable read makes sure that the list contains every change that another controller
   // has already confirmed to this member.
--- a/src/members/key_ring.hpp
+++ b/src/members/key_ring.hpp
@@ -25,7 +25,7 @@
   };
   /// Applies a change of a key's record. A null or malformed value removes the key.
   void apply(const KeyId& id, const Json* value, Revision modRevision) {
-    auto record = value ? keyRecordFrom(*value) : std::nullopt;
+    auto record = value ? keyRecordFromJson(*value) : std::nullopt;
     if (record) {
       entries_[id] = {std::move(*record), modRevision};
     } else {
--- a/src/members/key_service.cpp
+++ b/src/members/key_service.cpp
@@ -47,7 +47,7 @@
   Json v = {{"key", id.value},
             {"team", r.owner.team.value},
             {"member", r.owner.member},
-            {"rights", wordsOf(r.rights)},
+            {"rights", rightsToString(r.rights)},
             {"at_ms", r.createdAtMs},
             {"ended", r.isExpiredAt(runtime_.wallMillis())},
             {"note", r.note}};
@@ -62,7 +62,7 @@
   auto hash = body ? textField(*body, "hash") : std::nullopt;
   auto team = body ? textField(*body, "team") : std::nullopt;
   auto member = body ? textField(*body, "member") : std::nullopt;
-  auto rights = body ? rightsFrom(textField(*body, "rights").value_or("")) : std::nullopt;
+  auto rights = body ? parseRights(textField(*body, "rights").value_or("")) : std::nullopt;
   std::string note = body ? textField(*body, "note").value_or("") : "";
   if (!id || !validKeyId(*id) || !hash || !validHash(*hash) || !team || !member ||
       !validMember(*member) || !rights || note.size() > kMaxNoteBytes) {
@@ -179,7 +179,8 @@
   creatingCursorSecret_ = true;
   Transaction t;
   t.compares.push_back({keys::kCursorKey, Revision{}});
-  t.writes.push_back({keys::kCursorKey, Json{{"secret", drawCredential().secret}}, std::nullopt});
+  t.writes.push_back(
+      {keys::kCursorKey, Json{{"secret", generateCredential().secret}}, std::nullopt});
   store_.commit(t, kCommitTimeout, [this](const CommitResult&) {
     runtime_.after(Duration{1000}, [this] { creatingCursorSecret_ = false; });
   });
--- a/src/members/members_test.cpp
+++ b/src/members/members_test.cpp
@@ -13,22 +13,22 @@
 
 TEST(Credentials, AreReadAsTheyWereWrittenAndNothingElseIs) {
   for (int i = 0; i < 50; ++i) {
-    Credential c = drawCredential();
-    auto back = credentialFrom(c.str());
+    Credential c = generateCredential();
+    auto back = parseCredential(c.str());
     ASSERT_TRUE(back) << c.str();
     EXPECT_EQ(back->id, c.id);
     EXPECT_TRUE(sameHash(hashOfSecret(*back), hashOfSecret(c)));
-    EXPECT_FALSE(credentialFrom(c.str().substr(1)));
-    EXPECT_FALSE(credentialFrom(c.str() + "a"));
+    EXPECT_FALSE(parseCredential(c.str().substr(1)));
+    EXPECT_FALSE(parseCredential(c.str() + "a"));
     // The hash covers the id, so a secret is invalid under the id of another key.
-    Credential moved{drawCredential().id, c.secret};
+    Credential moved{generateCredential().id, c.secret};
     EXPECT_FALSE(sameHash(hashOfSecret(moved), hashOfSecret(c)));
   }
-  EXPECT_FALSE(credentialFrom(""));
-  EXPECT_EQ(rightsFrom("read,cancel"), right::kRead | right::kCancel);
-  EXPECT_EQ(wordsOf(right::kAll), "submit,read,cancel,admin");
+  EXPECT_FALSE(parseCredential(""));
+  EXPECT_EQ(parseRights("read,cancel"), right::kRead | right::kCancel);
+  EXPECT_EQ(rightsToString(right::kAll), "submit,read,cancel,admin");
   for (const char* bad : {"", "reed", "read,,cancel", "read, cancel"})
-    EXPECT_FALSE(rightsFrom(bad));
+    EXPECT_FALSE(parseRights(bad));
 }
 
 TEST(Names, AreApartByMemberAndTheSameForEver) {
@@ -36,10 +36,10 @@
   // The hash covers the length of each field, so these two lists of fields give different ids.
   EXPECT_NE(memberJob({TeamId{"a"}, "bj-1"}, "j-1"), memberJob({TeamId{"ab"}, "j-1"}, "j-1"));
   EXPECT_FALSE(validJobId(memberJob(kAna, "j-1").value));
-  EXPECT_TRUE(validJobId(refFor(kAna, "drawer-12")));
+  EXPECT_TRUE(validJobId(refForIdempotencyKey(kAna, "drawer-12")));
   // The reference is the same as in version 0.4.0, because scripts rely on it.
-  EXPECT_EQ(refFor(kAna, "drawer-12"), refFor(kAna, "drawer-12"));
-  EXPECT_NE(refFor(kAna, "drawer-12"), refFor(kBen, "drawer-12"));
+  EXPECT_EQ(refForIdempotencyKey(kAna, "drawer-12"), refForIdempotencyKey(kAna, "drawer-12"));
+  EXPECT_NE(refForIdempotencyKey(kAna, "drawer-12"), refForIdempotencyKey(kBen, "drawer-12"));
 }
 
 TEST(Records, KeepWhoseAJobIs) {
@@ -54,7 +54,7 @@
   EXPECT_EQ(back->owner->owner, kAna);
   EXPECT_EQ(back->owner->ref, "j-1");
   KeyRecord k{std::string(64, 'a'), kAna, right::kRead, 7, 9, "a note"};
-  auto key = keyRecordFrom(toJson(k));
+  auto key = keyRecordFromJson(toJson(k));
   ASSERT_TRUE(key);
   EXPECT_EQ(key->owner, kAna);
   EXPECT_FALSE(key->isExpiredAt(8));
--- a/src/members/records.cpp
+++ b/src/members/records.cpp
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-std::optional<unsigned> rightsFrom(const std::string& words) {
+std::optional<unsigned> parseRights(const std::string& words) {
   unsigned rights = 0;
   std::istringstream in(words);
   for (std::string word; std::getline(in, word, ',');) {
@@ -74,7 +74,7 @@
   return rights == 0 ? std::nullopt : std::optional(rights);
 }
 
-std::string wordsOf(unsigned rights) {
+std::string rightsToString(unsigned rights) {
   std::string out;
   for (const auto& w : kRightNames) {
     if ((rights & w.right) != 0) out += (out.empty() ? "" : ",") + std::string(w.word);
@@ -89,7 +89,7 @@
   return v;
 }
 
-std::optional<KeyRecord> keyRecordFrom(const Json& v) {
+std::optional<KeyRecord> keyRecordFromJson(const Json& v) {
   auto hash = textField(v, "hash"), team = textField(v, "team"), member = textField(v, "member");
   auto rights = countField(v, "rights");
   if (!hash || !validHash(*hash) || !team || !member || !rights || *rights > right::kAll) {
@@ -115,7 +115,7 @@
          });
 }
 
-std::optional<Credential> credentialFrom(const std::string& text) {
+std::optional<Credential> parseCredential(const std::string& text) {
   // The secret may contain '_', so the parts are separated by their fixed lengths.
   if (text.size() != kKeyPrefix.size() + kIdDigits + 1 + kSecretLetters ||
       !text.starts_with(kKeyPrefix) || text[kKeyPrefix.size() + kIdDigits] != '_') {
@@ -130,7 +130,7 @@
   return c;
 }
 
-Credential drawCredential() {
+Credential generateCredential() {
   if (sodium_init() < 0) throw std::runtime_error("libsodium can't be used");
   std::array<unsigned char, kIdDigits / 2> id{};
   std::array<unsigned char, kSecretBytes> secret{};
@@ -159,7 +159,7 @@
 
 bool isMemberJob(const JobId& id) { return id.value.starts_with(kMemberJobPrefix); }
 
-std::string digestOf(const JobSpec& spec) {
+std::string specDigest(const JobSpec& spec) {
   std::string text = jobSpecToJson(spec).dump(-1, ' ', false, Json::error_handler_t::replace);
   return hashOfFields(16, "kestrelhoist job description", {&text});
 }
@@ -168,14 +168,14 @@
 constexpr std::uint64_t kRefCount = 1000000000000000000ULL;
 }
 
-std::string refFor(const Owner& owner, const std::string& idempotencyKey) {
+std::string refForIdempotencyKey(const Owner& owner, const std::string& idempotencyKey) {
   std::string hex =
       hashOfFields(16, "kestrelhoist ref", {&owner.team.value, &owner.member, &idempotencyKey});
   std::uint64_t n = std::stoull(hex.substr(0, 16), nullptr, 16);
   return "j-" + std::to_string(n % kRefCount);
 }
 
-std::string drawRef() {
+std::string generateRef() {
   if (sodium_init() < 0) throw std::runtime_error("libsodium can't be used");
   std::uint64_t n = 0;
   randombytes_buf(&n, sizeof n);
--- a/src/members/records.hpp
+++ b/src/members/records.hpp
@@ -27,9 +27,9 @@
 }
 /// Parses a list of rights such as "submit,read,cancel,admin". Returns nullopt if a word is unknown
 /// or the list is empty.
-std::optional<unsigned> rightsFrom(const std::string& words);
+std::optional<unsigned> parseRights(const std::string& words);
 /// Returns the rights as a comma-separated list.
-std::string wordsOf(unsigned rights);
+std::string rightsToString(unsigned rights);
 
 /// The record of a key in the state service.
 struct KeyRecord {
@@ -47,7 +47,7 @@
 /// Encodes a key record for the state service.
 Json toJson(const KeyRecord& r);
 /// Parses a key record; returns nullopt if it is malformed.
-std::optional<KeyRecord> keyRecordFrom(const Json& v);
+std::optional<KeyRecord> keyRecordFromJson(const Json& v);
 
 /// A key with its secret, as the member holds it.
 struct Credential {
@@ -57,9 +57,9 @@
   std::string str() const { return "kh_" + id.value + "_" + secret; }
 };
 /// Parses the text form of a key; returns nullopt if it is malformed.
-std::optional<Credential> credentialFrom(const std::string& text);
+std::optional<Credential> parseCredential(const std::string& text);
 /// Generates a key with a random id and secret.
-Credential drawCredential();
+Credential generateCredential();
 /// Returns the BLAKE2b-256 hash of id and secret. The secret has 256 random bits, so a slow
 /// password hash is not needed.
 std::string hashOfSecret(const Credential& credential);
@@ -79,12 +79,12 @@
 bool isMemberJob(const JobId& id);
 /// Returns a hash, in 32 hex digits, of all fields of a job's specification except its id. Two
 /// submissions describe the same job if and only if their digests are equal.
-std::string digestOf(const JobSpec& spec);
+std::string specDigest(const JobSpec& spec);
 
 /// Returns the job reference for an idempotency key of a member: "j-" and up to 18 digits. The
 /// result must stay the same in all versions, because scripts rely on it.
-std::string refFor(const Owner& owner, const std::string& idempotencyKey);
+std::string refForIdempotencyKey(const Owner& owner, const std::string& idempotencyKey);
 /// Returns a random job reference: "j-" and a number below 10^18.
-std::string drawRef();
+std::string generateRef();
 
 }  // namespace kestrelhoist
--- a/src/members/service.cpp
+++ b/src/members/service.cpp
@@ -13,7 +13,7 @@
 // controllers. The leader's own writes (placements, task ends) have the other half. Writes above
 // the share wait in the fair queue of this controller instead of at the state service.
 double writesPerS(const Platform& p) {
-  return std::max(1.0, 0.5 * p.stateWritesPerS / static_cast<double>(p.nodes()));
+  return std::max(1.0, 0.5 * p.stateWritesPerS / static_cast<double>(p.controllerCount()));
 }
 constexpr std::size_t kMaxWritesInProgress = 8;
 constexpr std::size_t kMaxWaitingWrites = 1024;
@@ -80,7 +80,7 @@
 
 std::optional<MemberService::AuthResult> MemberService::authenticate(const std::string& text,
                                                                      bool afterRead) const {
-  auto credential = credentialFrom(text);
+  auto credential = parseCredential(text);
   if (!credential) return invalidKeyResponse();
   // An unknown key is hashed and compared like a known one, so that response times don't show
   // which keys exist.
@@ -92,8 +92,8 @@
   bool same = sameHash(hash, known);
   // Another controller may have made the key a moment ago, so a linearizable read comes first.
   if (!entry && !same && !afterRead) return std::nullopt;
-  // A replica older than `keyTrust` is not used, because a revocation may be missing from it.
-  if (watcher_.contactAge() > settings_.keyTrust) return retryLater(503);
+  // A replica older than `maxReplicaAge` is not used, because a revocation may be missing from it.
+  if (watcher_.contactAge() > settings_.maxReplicaAge) return retryLater(503);
   auto caller = callerOf(credential->id);
   if (!same || !caller) return invalidKeyResponse();
   return *caller;
@@ -167,7 +167,7 @@
     return respond(jsonResponse(200, {{"key", caller.key.value},
                                       {"team", caller.owner.team.value},
                                       {"member", caller.owner.member},
-                                      {"rights", wordsOf(caller.rights)}}));
+                                      {"rights", rightsToString(caller.rights)}}));
   }
   if (path.starts_with("/v2/keys") && handleKeys(caller, request, path, respond)) return;
   // The root key manages other keys and has no jobs or flows.
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -101,7 +101,7 @@
   Metrics* metrics_;
   LoadGauge gauge_;
   MemberRates rates_;
-  RateBudget writes_;
+  TokenBucket writes_;
   FairQueue fairQueue_;
   Watches watches_;
   std::optional<CursorCipher> cursorCipher_;
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -49,36 +49,38 @@
       family<prometheus::Gauge>(registry, "state", "what this controller holds or sees now");
 };
 
-Metrics::Metrics() : f_(std::make_unique<Families>()) {}
+Metrics::Metrics() : families_(std::make_unique<Families>()) {}
 Metrics::~Metrics() = default;
 
 void Metrics::answered(const char* kind, int status, Duration took) {
-  f_->requests.Add({{"kind", kind}, {"status", std::to_string(status)}}).Increment();
-  f_->seconds.Add({{"kind", kind}}, kSeconds).Observe(toSeconds(took));
+  families_->requests.Add({{"kind", kind}, {"status", std::to_string(status)}}).Increment();
+  families_->seconds.Add({{"kind", kind}}, kSeconds).Observe(toSeconds(took));
 }
 
 void Metrics::shed(const char* kind, const char* why) {
-  f_->sheds.Add({{"kind", kind}, {"why", why}}).Increment();
+  families_->sheds.Add({{"kind", kind}, {"why", why}}).Increment();
 }
 
-void Metrics::queued(Duration waited) { f_->wait.Observe(toSeconds(waited)); }
+void Metrics::queued(Duration waited) { families_->wait.Observe(toSeconds(waited)); }
 
 void Metrics::committed(const char* outcome, bool leading) {
-  f_->commits.Add({{"outcome", outcome}, {"role", leading ? "leader" : "node"}}).Increment();
+  families_->commits.Add({{"outcome", outcome}, {"role", leading ? "leader" : "node"}}).Increment();
 }
 
-void Metrics::repeated(const char* what) { f_->repeats.Add({{"what", what}}).Increment(); }
+void Metrics::repeated(const char* what) { families_->repeats.Add({{"what", what}}).Increment(); }
 
-void Metrics::machineGivenUp(Duration silence) { f_->silence.Observe(toSeconds(silence)); }
+void Metrics::terminationRequested(Duration silence) {
+  families_->silence.Observe(toSeconds(silence));
+}
 
 void Metrics::leaseEndProbed(const char* answer) {
-  f_->leaseEndProbes.Add({{"answer", answer}}).Increment();
+  families_->leaseEndProbes.Add({{"answer", answer}}).Increment();
 }
 
 std::string Metrics::text() {
   if (gauges) {
     MetricGauges g = gauges();
-    auto set = [&](const char* what, double v) { f_->state.Add({{"what", what}}).Set(v); };
+    auto set = [&](const char* what, double v) { families_->state.Add({{"what", what}}).Set(v); };
     set("watches", g.watches);
     set("writes_waiting", g.waiting);
     set("writes_working", g.working);
@@ -90,7 +92,7 @@
     set("leading", g.leading);
     set("store_age_seconds", g.storeAgeS);
   }
-  return prometheus::TextSerializer().Serialize(f_->registry.Collect());
+  return prometheus::TextSerializer().Serialize(families_->registry.Collect());
 }
 
 }  // namespace kestrelhoist
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -43,7 +43,7 @@
   /// Records that the leader requested the termination of an unreachable machine. The silence is
   /// the time since the newest acknowledged heartbeat of the machine that the leader has a record
   /// of.
-  void machineGivenUp(Duration silence);
+  void terminationRequested(Duration silence);
 
   /// Counts a probe of a worker whose lease expired. The answer is "same_session", "new_session" or
   /// "none".
@@ -56,7 +56,7 @@
 
  private:
   struct Families;
-  std::unique_ptr<Families> f_;
+  std::unique_ptr<Families> families_;
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -158,7 +158,7 @@
 }
 
 std::shared_ptr<const Policy> parsePolicy(const Json& document) {
-  if (auto why = schemaFault(document, kPolicySchema)) throw std::runtime_error(*why);
+  if (auto why = schemaViolation(document, kPolicySchema)) throw std::runtime_error(*why);
   auto out = std::make_shared<Policy>();
   if (document.contains("calendar")) {
     const Json& c = document["calendar"];
--- a/src/store/client.hpp
+++ b/src/store/client.hpp
@@ -98,7 +98,7 @@
   Runtime& runtime_;
   HttpClient& http_;
   std::string address_;
-  RateBudget budget_;
+  TokenBucket budget_;
 };
 
 }  // namespace kestrelhoist
--- a/tests/client_loopback_test.cpp
+++ b/tests/client_loopback_test.cpp
@@ -37,7 +37,7 @@
   // of the same task at the same time leaves a line in "twice".
   void describe(const std::string& files, const std::string& key) const {
     Owner owner{TeamId{"herbarium"}, "ana"};
-    std::string job = memberJob(owner, refFor(owner, key)).value;
+    std::string job = memberJob(owner, refForIdempotencyKey(owner, key)).value;
     fs::create_directories(files + "/.jobs");
     std::ofstream(files + "/.jobs/" + job + ".json")
         << R"({"command": "flock -n ../../)" << key << R"(.lock sleep 0.1 || echo )" << key
--- a/tests/client_world_test.cpp
+++ b/tests/client_world_test.cpp
@@ -21,7 +21,7 @@
       : user(world, "script-" + std::to_string(life), key, seed) {
     std::vector<std::string> ids;
     for (int i = 0; i < kJobs; ++i) {
-      ids.push_back(refFor(kAna, batch(i)));
+      ids.push_back(refForIdempotencyKey(kAna, batch(i)));
       auto delay = Duration{static_cast<std::int64_t>(seed * 7919 * (i + 1) % 20000)};
       user.runtime().after(delay, [this, i] { submit(i); });
     }
@@ -38,7 +38,7 @@
   }
   void watch() {
     std::vector<std::string> ids;
-    for (int i = 0; i < kJobs; ++i) ids.push_back(refFor(kAna, batch(i)));
+    for (int i = 0; i < kJobs; ++i) ids.push_back(refForIdempotencyKey(kAna, batch(i)));
     watcher = std::make_shared<client::JobWatcher>(
         *user.jobs, ids, "",
         [this](const client::JobWatcher::Told& t) {
@@ -112,7 +112,7 @@
   World w(settings);
   for (int i = 0; i < kJobs; ++i) {
     JobPlan plan;
-    plan.id = memberJob(kAna, refFor(kAna, batch(i))).value;
+    plan.id = memberJob(kAna, refForIdempotencyKey(kAna, batch(i))).value;
     plan.tasks = 3;
     plan.runS = 5;
     plan.spot = true;
--- a/tests/member_key_faults_test.cpp
+++ b/tests/member_key_faults_test.cpp
@@ -42,7 +42,7 @@
   ASSERT_EQ(world.state.keysBelow(keys::kKey).size(), static_cast<std::size_t>(kKeys));
   MemberUser root(world, "operator", rootCredential().str(), 5);
   // The newest: copies of the request that made it are still under way.
-  std::string id = credentialFrom(keys.back())->id.value;
+  std::string id = parseCredential(keys.back())->id.value;
   auto ended = root.await<client::KeyInfo>(
       [&](auto done) { return root.jobs->revokeKey(id, Duration{0}, kPatience, done); });
   ASSERT_TRUE(ended) << ended.error().text();
--- a/tests/member_service_test.cpp
+++ b/tests/member_service_test.cpp
@@ -150,8 +150,8 @@
   MemberUser user(w, "u", ana, 3);
   std::string flipped = ana, cut = ana.substr(0, ana.size() - 1);
   flipped[30] = flipped[30] == 'A' ? 'B' : 'A';
-  Credential unknown = drawCredential();
-  std::string crossed = "kh_" + credentialFrom(ana)->id.value + "_" + rootCredential().secret;
+  Credential unknown = generateCredential();
+  std::string crossed = "kh_" + parseCredential(ana)->id.value + "_" + rootCredential().secret;
   std::string first;
   for (const auto& bad : {flipped, cut, ana + "x", unknown.str(), crossed, std::string("kh_"),
                           std::string("?"), std::string(4000, 'k')}) {
@@ -183,7 +183,7 @@
   ASSERT_FALSE(no);
   EXPECT_EQ(no.error().kind, client::ErrorKind::notPermitted);
   auto theirs = eve.await<client::KeyInfo>([&](auto done) {
-    return eve.jobs->revokeKey(credentialFrom(rob)->id.value, Duration{0}, Duration{60000}, done);
+    return eve.jobs->revokeKey(parseCredential(rob)->id.value, Duration{0}, Duration{60000}, done);
   });
   ASSERT_FALSE(theirs);
   EXPECT_EQ(theirs.error().kind, client::ErrorKind::unknown);
@@ -220,7 +220,7 @@
     // Cut off from the state service and the others: it goes on with what it knows.
     if (cut) w.network.cut("node2", {"state", "node0", "node1"}, CutMode::drop, 60000);
     auto ended = root.await<client::KeyInfo>([&](auto done) {
-      return root.jobs->revokeKey(credentialFrom(ana)->id.value, Duration{0}, Duration{60000},
+      return root.jobs->revokeKey(parseCredential(ana)->id.value, Duration{0}, Duration{60000},
                                   done);
     });
     ASSERT_TRUE(ended) << ended.error().text();
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -107,7 +107,7 @@
        [](const auto&, const Json& v) { return written(chargeRecordFrom(v)); }},
       {keys::kChargesOfDay,
        [](const auto&, const Json& v) { return written(chargeRecordFrom(v)); }},
-      {keys::kKey, [](const auto&, const Json& v) { return written(keyRecordFrom(v)); }},
+      {keys::kKey, [](const auto&, const Json& v) { return written(keyRecordFromJson(v)); }},
       {keys::kFlow, [](const auto&, const Json& v) { return written(flowHeadFrom(v)); }},
       {keys::kUpload, [](const auto&, const Json& v) { return written(flowUploadFrom(v)); }},
       {keys::kPage, [](const auto&, const Json& v) { return rewriteFlowPage(v); }},
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -25,7 +25,7 @@
         const std::string& name = "", EvHttpClient* keep = nullptr) {
   EvHttpClient own(loop, 4);
   EvHttpClient& client = keep ? *keep : own;
-  if (tls) client.secure(address, std::move(tls), name);
+  if (tls) client.useTls(address, std::move(tls), name);
   int status = 0;
   client.send(address, {"GET", "/x", "", "secret", "id-1"}, Duration{3000},
               [&](std::optional<Response> r) {
@@ -128,7 +128,7 @@
 TEST(HttpLimits, ARequestThatDripsIsCutOffAndOthersAreServed) {
   EventLoop loop;
   ServerLimits limits;
-  limits.slowest = Duration{150};
+  limits.requestTimeout = Duration{150};
   HttpServer server(
       loop, "127.0.0.1:0", [](const Request& q, const Respond& r) { r(echo(q)); }, nullptr, limits);
   int fd = connectTo(server.port());
@@ -159,8 +159,8 @@
 TEST(HttpLimits, SocketsBeyondTheBoundAreAnsweredOnceAndClosed) {
   EventLoop loop;
   ServerLimits limits;
-  limits.slowest = Duration{5000};
-  limits.highestSocket = 1;  // none is that low
+  limits.requestTimeout = Duration{5000};
+  limits.maxSocket = 1;  // none is that low
   HttpServer server(
       loop, "127.0.0.1:0", [](const Request& q, const Respond& r) { r(echo(q)); }, nullptr, limits);
   EvHttpClient client(loop, 4);
