--- a/src/members/job_index.cpp
+++ b/src/members/job_index.cpp
@@ -7,7 +7,7 @@
 
 namespace kestrelhoist {
 
-void JobIndex::note(const Owner& owner, const JobId& job, Revision at) {
+void JobIndex::recordChange(const Owner& owner, const JobId& job, Revision at) {
   auto [it, isNew] = entries_.try_emplace(job);
   Entry& entry = it->second;
   if (isNew) {
@@ -18,10 +18,10 @@
   }
   entry.at = at;
   entry.owner->second.emplace(at, job);
-  touched_.insert(owner);
+  changedOwners_.insert(owner);
 }
 
-void JobIndex::drop(const JobId& job) {
+void JobIndex::remove(const JobId& job) {
   auto it = entries_.find(job);
   if (it == entries_.end()) return;
   auto owner = it->second.owner;
--- a/src/members/job_index.hpp
+++ b/src/members/job_index.hpp
@@ -28,16 +28,16 @@
 
   /// Records that the job's record or one of its task chunks was written at this revision. An older
   /// revision than the recorded one, as may be read after a full load, is ignored.
-  void note(const Owner& owner, const JobId& job, Revision at);
+  void recordChange(const Owner& owner, const JobId& job, Revision at);
   /// Removes a job.
-  void drop(const JobId& job);
+  void remove(const JobId& job);
 
   /// Returns the jobs of a member, or null if the member has none.
   const Order* of(const Owner& owner) const;
   /// Returns the number of jobs of all members.
   std::size_t size() const { return entries_.size(); }
   /// Returns the members whose jobs have changed since the last call.
-  std::set<Owner> takeTouched() { return std::exchange(touched_, {}); }
+  std::set<Owner> takeChangedOwners() { return std::exchange(changedOwners_, {}); }
 
  private:
   struct Entry {
@@ -46,7 +46,7 @@
   };
   std::map<Owner, Order> orders_;
   std::unordered_map<JobId, Entry> entries_;
-  std::set<Owner> touched_;
+  std::set<Owner> changedOwners_;
 };
 
 /// Returns an iterator to the first entry after a position.
--- a/src/members/job_lists.cpp
+++ b/src/members/job_lists.cpp
@@ -139,7 +139,7 @@
 
 void MemberService::onRecordsChanged() {
   std::set<Owner> owners = watches_.takeDeferred();
-  owners.merge(replica_.memberJobs().takeTouched());
+  owners.merge(replica_.memberJobs().takeChangedOwners());
   for (const auto& owner : owners) answerWatches(owner);
 }
 
--- a/src/members/members_test.cpp
+++ b/src/members/members_test.cpp
@@ -91,7 +91,7 @@
     for (auto [job, at] : changes) {
       JobId id = memberJob(kAna, "j-" + std::to_string(job));
       Revision r{static_cast<std::uint64_t>(at)};
-      index.note(kAna, id, r);
+      index.recordChange(kAna, id, r);
       auto [it, isNew] = last.try_emplace(id, r);
       if (!isNew) it->second = std::max(it->second, r);
     }
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -129,7 +129,7 @@
     flows_.addJob(job.record.flow->flow, id);
     flows_.touch(job.record.flow->flow, id);
   }
-  if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
+  if (job.record.owner) memberJobs_.recordChange(job.record.owner->owner, id, modRevision);
   updateDependencies(job, id);
   settle(job, id);
 }
@@ -236,7 +236,7 @@
   TaskRange range{first, first + job.record.chunkSize};
   if (value) {
     applyTaskChunk(id, job, range, true, std::move(*record));
-    if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
+    if (job.record.owner) memberJobs_.recordChange(job.record.owner->owner, id, modRevision);
   } else {
     for (const auto& [index, placed] : job.tasksOf(range, true).placed) {
       if (!job.subChunkOf(index)) removePlacement(id, job, index, placed);
@@ -309,7 +309,7 @@
   if (!job.subChunks) job.subChunks = std::make_unique<std::map<std::uint32_t, std::uint32_t>>();
   (*job.subChunks)[range.first] = range.end;
   applyTaskChunk(id, job, range, false, std::move(*record));
-  if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
+  if (job.record.owner) memberJobs_.recordChange(job.record.owner->owner, id, modRevision);
   settle(job, id);
 }
 
--- a/tests/member_measure_test.cpp
+++ b/tests/member_measure_test.cpp
@@ -88,8 +88,8 @@
     std::size_t before = mallinfo2().uordblks;
     JobIndex index;
     for (int i = 0; i < jobs; ++i) {
-      index.note(ana, memberJob(ana, "j-" + std::to_string(i)),
-                 Revision{static_cast<std::uint64_t>(i)});
+      index.recordChange(ana, memberJob(ana, "j-" + std::to_string(i)),
+                         Revision{static_cast<std::uint64_t>(i)});
     }
     std::size_t bytes = (mallinfo2().uordblks - before) / static_cast<std::size_t>(jobs);
     double start = cpuMs();
