--- a/src/base/event_loop.hpp
+++ b/src/base/event_loop.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The event loop of the process's single I/O thread, over libevent. base/http.hpp has HTTP on it.
+/// Implements the event loop of the process's single I/O thread, over libevent. base/http.hpp has
+/// HTTP on it.
 #pragma once
 
 #include <event2/event.h>
@@ -14,7 +15,7 @@
 
 namespace kestrelhoist {
 
-/// A Runtime over a libevent loop.
+/// Implements Runtime over a libevent loop.
 class EventLoop : public Runtime {
  public:
   EventLoop();
--- a/src/base/guarded.hpp
+++ b/src/base/guarded.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A value shared between threads and protected by a mutex.
+/// Protects a value that several threads share with a mutex.
 #pragma once
 
 #include <mutex>
--- a/src/base/hedged_request.hpp
+++ b/src/base/hedged_request.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Hedged requests. A request that is not answered soon is sent a second time, and the first usable
-/// answer is taken. Only idempotent requests may be hedged.
+/// Implements hedged requests. A request that is not answered soon is sent a second time, and the
+/// first usable answer is taken. Only idempotent requests may be hedged.
 #pragma once
 
 #include <functional>
@@ -11,14 +11,14 @@
 
 namespace kestrelhoist {
 
-/// The delay until a request is sent a second time and its timeout, both counted from the first
-/// send.
+/// Holds the delay until a request is sent a second time, and its timeout. Both are counted from
+/// the first send.
 struct HedgeTimes {
   Duration repeatAfter;
   Duration timeout;
 };
 
-/// One hedged request. It keeps itself alive by shared_from_this until `done` is called.
+/// Runs one hedged request. It keeps itself alive by shared_from_this until `done` is called.
 template <class Result>
 class HedgedRequest : public std::enable_shared_from_this<HedgedRequest<Result>> {
  public:
@@ -71,7 +71,7 @@
   IsFailure isFailure_;
   Done done_;
   Instant firstSentAt_{};
-  int pendingSends_ = 0;  ///< The number of sends that have no result yet.
+  int pendingSends_ = 0;  ///< This counts the sends that have no result yet.
   bool settled_ = false;
 };
 
--- a/src/base/http.hpp
+++ b/src/base/http.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// An HTTP server and an HTTP client over libevent's evhttp, with optional TLS.
+/// Provides an HTTP server and an HTTP client over libevent's evhttp, with optional TLS.
 #pragma once
 
 #include <map>
@@ -22,8 +22,8 @@
 class TlsClient;
 class TlsServer;
 
-/// Limits on the connections of a server. The system assigns the lowest free socket number, so a
-/// high number means that many sockets are open.
+/// Sets limits on the connections of a server. The system assigns the lowest free socket number, so
+/// a high number means that many sockets are open.
 struct ServerLimits {
   /// A connection without a request for this long is closed.
   Duration idleTimeout{120000};
@@ -59,7 +59,7 @@
   static bufferevent* onConnection(event_base* base, void* self);
   static void onInput(evbuffer* buffer, const evbuffer_cb_info* info, void* arrival);
 
-  /// The arrival of a request on one connection. The entries are keyed by the address of the
+  /// Tracks the arrival of a request on one connection. The entries are keyed by the address of the
   /// connection's bufferevent and never removed. libevent reuses the addresses, so there are at
   /// most as many entries as connections were ever open at the same time.
   struct Arrival {
@@ -77,8 +77,8 @@
   int port_{};
 };
 
-/// An HTTP client that keeps a few idle connections for each address. A connection carries one
-/// request at a time, and each request has a timeout.
+/// Implements an HTTP client that keeps a few idle connections for each address. A connection
+/// carries one request at a time, and each request has a timeout.
 class EvHttpClient : public HttpClient {
  public:
   explicit EvHttpClient(EventLoop& loop, std::size_t maxConnections);
--- a/src/base/interned.hpp
+++ b/src/base/interned.hpp
@@ -8,7 +8,7 @@
 
 namespace kestrelhoist {
 
-/// The numbers given to ids so far.
+/// Holds the numbers given to ids so far.
 template <class Id>
 class Interned {
  public:
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -15,7 +15,8 @@
       .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Whether a value can be written without quotes, because nothing in it looks like the next field.
+// Returns whether a value can be written without quotes, because nothing in it looks like the next
+// field.
 bool needsNoQuotes(std::string_view text) {
   return text.find_first_of(" =\"\\\n\t") == std::string_view::npos;
 }
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Structured logging to standard error. Each line has an event and its fields as keys and values.
+/// Writes structured logs to standard error. Each line has an event and its fields as keys and
+/// values.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -11,7 +12,7 @@
 
 namespace kestrelhoist {
 
-/// The format of the log lines.
+/// Selects the format of the log lines.
 enum class LogFormat { text, json };
 
 /// Sets up the logger for a process with this name. The level comes from the environment variable
--- a/src/base/rate.hpp
+++ b/src/base/rate.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A token bucket. Clients use it to stay below a server's rate limit and avoid 429 answers, and
-/// the member service uses it to limit members' requests.
+/// Implements a token bucket. Clients use it to stay below a server's rate limit and avoid 429
+/// answers, and the member service uses it to limit members' requests.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace kestrelhoist {
 
-/// A token bucket whose level may become negative.
+/// Implements a token bucket whose level may become negative.
 class TokenBucket {
  public:
   TokenBucket(double perSecond, double burst) : rate_(perSecond), burst_(burst), level_(burst) {}
--- a/src/base/runtime.hpp
+++ b/src/base/runtime.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Interfaces for the clock, timers and HTTP, and helpers for message bodies. The program
+/// Declares interfaces for the clock, timers and HTTP, and helpers for message bodies. The program
 /// implements the interfaces over libevent, and the tests implement them in virtual time.
 #pragma once
 
@@ -14,7 +14,7 @@
 
 using Json = nlohmann::json;
 
-/// The clock and the timers of one process.
+/// Provides the clock and the timers of one process.
 class Runtime {
  public:
   virtual ~Runtime() = default;
@@ -27,18 +27,18 @@
   virtual void after(Duration delay, std::function<void()> f) = 0;
 };
 
-/// An HTTP request.
+/// Represents an HTTP request.
 struct Request {
   std::string method;
   std::string path;  ///< The path includes the query.
   std::string body;
-  /// The bearer token of the Authorization header, or empty if there is none.
+  /// This is the bearer token of the Authorization header, or empty if there is none.
   std::string credential{};
-  /// The X-Request-Id header, which the client chooses, or empty if there is none.
+  /// This is the X-Request-Id header, which the client chooses, or empty if there is none.
   std::string id{};
 };
 
-/// An HTTP response.
+/// Represents an HTTP response.
 struct Response {
   int status{};
   std::string body;
@@ -46,7 +46,8 @@
   std::string type = "application/cbor";  ///< This is the content type of the body.
 };
 
-/// Whether a client's request id is safe to write into logs and into the headers of other requests.
+/// Returns whether a client's request id is safe to write into logs and into the headers of other
+/// requests.
 bool validRequestId(const std::string& id);
 
 /// Sends the response to one request.
--- a/src/base/tls.hpp
+++ b/src/base/tls.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// TLS over OpenSSL for servers and clients. A server can reload its certificate while it runs.
+/// Provides TLS over OpenSSL for servers and clients. A server can reload its certificate while it
+/// runs.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 namespace kestrelhoist {
 
-/// The TLS settings of a server, which accepts TLS 1.2 or newer.
+/// Holds the TLS settings of a server, which accepts TLS 1.2 or newer.
 class TlsServer {
  public:
   /// Loads the PEM files. If `authority` is not empty, clients must present a certificate signed by
@@ -35,7 +36,7 @@
   std::shared_ptr<ssl_ctx_st> context_;
 };
 
-/// The TLS settings of a client.
+/// Holds the TLS settings of a client.
 class TlsClient {
  public:
   /// Loads the PEM files. `authority` has the trusted CA certificates; if it is empty, those of the
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Distinct types for ids, counters, times and resources.
+/// Defines distinct types for ids, counters, times and resources.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 namespace kestrelhoist {
 
-/// A text id. Ids with different tags are different types.
+/// Represents an id that is a text. Ids with different tags are different types.
 template <class Tag>
 struct Name {
   std::string value;
@@ -22,7 +22,7 @@
   const std::string& str() const { return value; }
 };
 
-/// A counter or numeric id. Numbers with different tags are different types.
+/// Represents a counter or numeric id. Numbers with different tags are different types.
 template <class Tag, class Rep = std::uint64_t>
 struct Number {
   Rep value{};
@@ -40,21 +40,21 @@
 using ImageId = Name<struct ImageIdTag>;
 using RentalId = Name<struct RentalIdTag>;
 
-/// A revision of the state service, which increases with each transaction.
+/// Represents a revision of the state service, which increases with each transaction.
 using Revision = Number<struct RevisionTag>;
-/// The revision of the leader's key. Workers ignore commands with a smaller token than the largest
-/// that they have received.
+/// Represents the revision of the leader's key, which serves as the fencing token. Workers ignore
+/// commands with a smaller token than the largest that they have received.
 using FencingToken = Number<struct FencingTokenTag>;
 using LeaseId = Number<struct LeaseIdTag>;
 using Attempt = Number<struct AttemptTag>;
 /// Identifies a session of a worker.
 using WorkerEpoch = Number<struct WorkerEpochTag>;
-/// The sequence number of a worker's report within a session.
+/// Represents the sequence number of a worker's report within a session.
 using ReportSequence = Number<struct ReportSequenceTag>;
 
 using Duration = std::chrono::milliseconds;
 
-/// A point on this process's steady clock.
+/// Represents a point on this process's steady clock.
 struct Instant {
   std::int64_t ms{};
   auto operator<=>(const Instant&) const = default;
@@ -86,7 +86,7 @@
   std::string str() const { return task.str() + "#" + std::to_string(attempt.value); }
 };
 
-/// The resources that a task needs or that a machine has.
+/// Describes the resources that a task needs or that a machine has.
 struct Resources {
   double cpus{}, gpus{}, ramGb{};
   Resources& operator+=(const Resources& o) {
@@ -106,7 +106,7 @@
   friend Resources operator*(Resources a, double k) {
     return {a.cpus * k, a.gpus * k, a.ramGb * k};
   }
-  /// Whether `o` has at least these resources, apart from rounding errors.
+  /// Returns whether `o` has at least these resources, apart from rounding errors.
   bool fitsIn(const Resources& o) const {
     constexpr double kSlack = 1e-6;
     return cpus <= o.cpus + kSlack && gpus <= o.gpus + kSlack && ramGb <= o.ramGb + kSlack;
--- a/src/config/platform.cpp
+++ b/src/config/platform.cpp
@@ -131,7 +131,8 @@
   for (auto& [path, t] : r.tables(settings, at, "objectives")) {
     p.objectives.push_back(
         {r.text(*t, path, "kind"), r.text(*t, path, "class"),
-         // Of kind `deadline` there is none: `times` the jobs' own.
+         // An objective of kind `deadline` has no `within_s`. Its settings have `times`, a factor
+         // on the jobs' own deadlines, which this program does not read.
          fromSeconds(t->contains("within_s") ? r.number(*t, path, "within_s", 0) : 0),
          r.number(*t, path, "share", 0)});
   }
--- a/src/config/platform.hpp
+++ b/src/config/platform.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The settings file of the platform, in TOML. Unknown fields are ignored and all others checked.
+/// Reads the settings file of the platform, in TOML. Unknown fields are ignored and all others
+/// checked.
 #pragma once
 
 #include <map>
@@ -10,21 +11,21 @@
 
 namespace kestrelhoist {
 
-/// Another controller.
+/// Describes another controller.
 struct Peer {
   MemberId member;
   ZoneId zone;
   std::string address;
 };
 
-/// The quota of a team. A guarantee of 0 means that the team has none.
+/// Holds the quota of a team. A guarantee of 0 means that the team has none.
 struct Team {
   Resources guaranteed;
   Resources limit;
 };
 
-/// A service level objective for a class of jobs: a share of them must start (kind "wait") or
-/// finish (kind "finished") within a time.
+/// Describes a service level objective for a class of jobs. A share of them must start (kind
+/// "wait") or finish (kind "finished") within a time.
 struct Objective {
   std::string kind;
   std::string jobClass;
@@ -32,7 +33,7 @@
   double share{};
 };
 
-/// All settings of the platform for this controller.
+/// Holds all settings of the platform for this controller.
 struct Platform {
   MemberId member;
   ZoneId zone;
@@ -50,14 +51,14 @@
   Duration cancelWithin{};
 
   double stateRequestsPerS{};
-  /// This and the next two limits belong to the state service. Each is the smaller of the present
+  /// This limit and the next two belong to the state service. Each is the smaller of the present
   /// limit and the announced later one (`state.next`), so that writes are accepted both before and
   /// after the change.
   double stateWritesPerS{};
   std::size_t valueBytes{};
   std::size_t transactionOps{};
-  /// The present limit alone. An older version of the program ignores `state.next`, so it may have
-  /// written values up to this size.
+  /// This is the present value limit alone. An older version of the program ignores `state.next`,
+  /// so it may have written values up to this size.
   std::size_t valueBytesNow{};
 
   double cloudRequestsPerS{};
--- a/src/config/worker_timing.hpp
+++ b/src/config/worker_timing.hpp
@@ -1,17 +1,17 @@
 /// \file
-/// Times of the workers' heartbeats that the protocol fixes (PROTOCOL, "Workers"). No setting
-/// changes them.
+/// Defines times of the workers' heartbeats, which the protocol fixes (PROTOCOL, "Workers"). No
+/// setting changes them.
 #pragma once
 
 #include "base/types.hpp"
 
 namespace kestrelhoist {
 
-/// The time that a worker waits for the answer to a heartbeat.
+/// A worker waits this long for the answer to a heartbeat.
 inline constexpr Duration kWorkerAnswerTimeout{4000};
-/// The delay after a failed heartbeat until the worker tries the next controller.
+/// A worker waits this long after a failed heartbeat before it tries the next controller.
 inline constexpr Duration kWorkerNextControllerDelay{1000};
-/// The time from a heartbeat whose answer is lost to the worker's next heartbeat.
+/// A worker whose heartbeat answer is lost sends its next heartbeat this long after the first one.
 inline constexpr Duration kWorkerRetryAfterLostAnswer =
     kWorkerAnswerTimeout + kWorkerNextControllerDelay;
 
--- a/src/members/admission.hpp
+++ b/src/members/admission.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// Admission control for members' requests: rate limits for each member, a fair queue for writes,
-/// and load shedding when the controller falls behind. The classes do no I/O and take the time as
-/// an argument. A request that is not admitted is refused at once instead of being delayed.
+/// Implements admission control for members' requests. It consists of rate limits for each member,
+/// a fair queue for writes, and load shedding when the controller falls behind. The classes do no
+/// I/O and take the time as an argument. A request that is not admitted is refused at once instead
+/// of being delayed.
 #pragma once
 
 #include <deque>
@@ -14,23 +15,23 @@
 
 namespace kestrelhoist {
 
-/// The kinds of members' requests, from the last one shed under overload to the first. Workers'
-/// heartbeats have precedence over all of them and are not subject to admission control.
+/// Lists the kinds of members' requests, from the last one shed under overload to the first.
+/// Workers' heartbeats have precedence over all of them and are not subject to admission control.
 enum class RequestKind { cancel, submit, poll, list };
 /// Returns the name of the kind, as used in metrics and logs.
 const char* toString(RequestKind kind);
 
-/// The limits of one member on one controller.
+/// Holds the limits of one member on one controller.
 struct MemberLimits {
-  /// These two limit submissions and cancellations.
+  /// This rate and burst limit submissions and cancellations.
   double submitsPerS = 10, submitBurst = 200;
-  /// These two limit polls, lists and watches.
+  /// This rate and burst limit polls, lists and watches.
   double readsPerS = 50, readBurst = 400;
-  /// These two limit the bytes of request and response bodies together.
+  /// This rate and burst limit the bytes of request and response bodies together.
   double bytesPerS = 256 * 1024, bytesBurst = 4 * 1024 * 1024;
-  /// Limits the watches that are held open at the same time.
+  /// This limits the number of watches that are held open at the same time.
   std::size_t watches = 64;
-  /// Limits the writes that wait in the fair queue.
+  /// This limits the number of writes that wait in the fair queue.
   std::size_t queued = 64;
 };
 
@@ -39,7 +40,7 @@
  public:
   /// Records that a timer set for `due` fired after `took`.
   void recordTimer(Duration due, Duration took);
-  /// Whether requests of this kind are admitted at the present lateness.
+  /// Returns whether requests of this kind are admitted at the present lateness.
   bool admits(RequestKind kind) const;
   /// Returns the present lateness of the timers.
   Duration lateness() const { return lateness_; }
@@ -78,7 +79,7 @@
   Instant lastCleanup_{};
 };
 
-/// A fair queue for members' writes. It limits the writes in progress; the others wait in a queue
+/// Queues members' writes fairly. It limits the writes in progress; the others wait in a queue
 /// for each member, and the queues are served round-robin. Cancellations go before submissions.
 class FairQueue {
  public:
@@ -103,10 +104,10 @@
   std::size_t inProgress() const { return inProgress_; }
 
  private:
-  /// The queues of all members for one kind of write.
+  /// Holds the queues of all members for one kind of write.
   struct MemberQueues {
     std::map<Owner, std::deque<std::function<void()>>> byMember;
-    Owner lastServed;  ///< The member whose write was dequeued last.
+    Owner lastServed;  ///< This member's write was dequeued last.
     /// Dequeues the next write round-robin; returns null if there is none.
     std::function<void()> dequeue();
   };
--- a/src/members/job_index.hpp
+++ b/src/members/job_index.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// An index of each member's jobs by their last change, which is part of the replica. Lists and
+/// Indexes each member's jobs by their last change. The index is part of the replica. Lists and
 /// watches read it, so the cost of a page depends on its length only. A position in the order (a
 /// revision and a job id) is the same on every controller, because it depends on the records alone.
 #pragma once
@@ -12,18 +12,18 @@
 
 namespace kestrelhoist {
 
-/// A position in the change order of a member's jobs. A reader at this position has received this
-/// change and all earlier ones.
+/// Marks a position in the change order of a member's jobs. A reader at this position has received
+/// this change and all earlier ones.
 struct ChangePosition {
   Revision revision;
   JobId job;  ///< If it is empty, the position is after all jobs that changed at the revision.
   auto operator<=>(const ChangePosition&) const = default;
 };
 
-/// The jobs of all members, ordered by their last change.
+/// Holds the jobs of all members, ordered by their last change.
 class JobIndex {
  public:
-  /// The jobs of one member with the revisions of their last changes, oldest first.
+  /// Holds the jobs of one member with the revisions of their last changes, oldest first.
   using Order = std::set<std::pair<Revision, JobId>>;
 
   /// Records that the job's record or one of its task chunks was written at this revision. An older
--- a/src/members/key_ring.hpp
+++ b/src/members/key_ring.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The keys of all members in a controller's replica of the state service.
+/// Holds the keys of all members in a controller's replica of the state service.
 #pragma once
 
 #include <unordered_map>
@@ -8,17 +8,17 @@
 
 namespace kestrelhoist {
 
-/// The paths of the keys' records in the state service.
+/// Defines the paths of the keys' records in the state service.
 namespace keys {
 inline const std::string kKey = "kh/key/";
 inline const std::string kCursorKey = "kh/cursorkey";
 inline std::string key(const KeyId& id) { return kKey + id.value; }
 }  // namespace keys
 
-/// The records of all keys, by key id.
+/// Holds the records of all keys, by key id.
 class KeyRing {
  public:
-  /// A key's record and the revision of its last change.
+  /// Holds a key's record and the revision of its last change.
   struct Entry {
     KeyRecord record;
     Revision modRevision;
--- a/src/members/records.hpp
+++ b/src/members/records.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Members, their keys and the rights of a key (docs/members.md). The text form of a key is
+/// Defines members, their keys and the rights of a key (docs/members.md). The text form of a key is
 /// "kh_<id>_<secret>". The state service stores only a hash of the secret.
 #pragma once
 
@@ -21,7 +21,7 @@
 
 using KeyId = Name<struct KeyIdTag>;  ///< The id consists of 16 hex digits.
 
-/// The rights of a key, which are combined as bits.
+/// Defines the rights of a key, which are combined as bits.
 namespace right {
 inline constexpr unsigned kSubmit = 1, kRead = 2, kCancel = 4, kAdmin = 8, kAll = 15;
 }
@@ -31,16 +31,16 @@
 /// Returns the rights as a comma-separated list.
 std::string rightsToString(unsigned rights);
 
-/// The record of a key in the state service.
+/// Represents the record of a key in the state service.
 struct KeyRecord {
   std::string hash;  ///< The result of hashOfSecret(), which has 64 hex digits.
   Owner owner;
   unsigned rights{};
-  std::int64_t createdAtMs{};  ///< The wall-clock time of creation.
-  /// The wall-clock time at which the key expires or was revoked.
+  std::int64_t createdAtMs{};  ///< The key was created at this wall-clock time.
+  /// The key expires or was revoked at this wall-clock time.
   std::optional<std::int64_t> expiresAtMs{};
-  std::string note;  ///< A free text for people, which the service does not interpret.
-  /// Whether the key has expired or is revoked at this wall-clock time.
+  std::string note;  ///< The note is for people; the service does not interpret it.
+  /// Returns whether the key has expired or is revoked at this wall-clock time.
   bool isExpiredAt(std::int64_t wallMs) const { return expiresAtMs && wallMs >= *expiresAtMs; }
 };
 
@@ -49,7 +49,7 @@
 /// Parses a key record; returns nullopt if it is malformed.
 std::optional<KeyRecord> keyRecordFromJson(const Json& v);
 
-/// A key with its secret, as the member holds it.
+/// Holds a key with its secret, as the member has it.
 struct Credential {
   KeyId id;
   std::string secret;  ///< The secret has 256 bits, encoded in 43 base64url characters.
@@ -65,17 +65,17 @@
 std::string hashOfSecret(const Credential& credential);
 /// Compares two hashes in constant time.
 bool sameHash(const std::string& a, const std::string& b);
-/// Whether the text has the form of a key id.
+/// Returns whether the text has the form of a key id.
 bool validKeyId(const std::string& id);
-/// Whether the text has the form of a key's hash.
+/// Returns whether the text has the form of a key's hash.
 bool validHash(const std::string& hash);
-/// Whether the text may be the name of a member.
+/// Returns whether the text may be the name of a member.
 bool validMember(const std::string& name);
 
 /// Returns the job id for the reference `ref` of a member. Each member has a separate namespace, so
 /// references of two members never give the same id. A user without a key can't choose such an id.
 JobId memberJob(const Owner& owner, const std::string& ref);
-/// Whether the id was made by memberJob().
+/// Returns whether the id was made by memberJob().
 bool isMemberJob(const JobId& id);
 /// Returns a hash, in 32 hex digits, of all fields of a job's specification except its id. Two
 /// submissions describe the same job if and only if their digests are equal.
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The HTTP interface for members. It authenticates each request by its key, checks the rights of
-/// the key, applies the member's rate limits and the fair queue, and resolves job names in the
-/// member's own namespace. docs/members.md lists the paths, fields and status codes.
+/// Implements the HTTP interface for members. It authenticates each request by its key, checks the
+/// rights of the key, applies the member's rate limits and the fair queue, and resolves job names
+/// in the member's own namespace. docs/members.md lists the paths, fields and status codes.
 #pragma once
 
 #include <functional>
@@ -36,7 +36,7 @@
   void fill(MetricGauges& gauges) const;
 
  private:
-  /// The holder of a valid key, and the rights of the key.
+  /// Describes the holder of a valid key and the rights of the key.
   struct Caller {
     KeyId key;
     Owner owner;
@@ -62,7 +62,7 @@
 
   // The following members are defined in members/job_lists.cpp.
 
-  /// One page of a member's job list.
+  /// Holds one page of a member's job list.
   struct Page {
     Json jobs = Json::array();
     ChangePosition next;
--- a/src/members/watches.hpp
+++ b/src/members/watches.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Watches: list requests that are held open until a job of the member changes or a timeout passes.
-/// The memory of each watch is bounded: it holds a position in the change order, a filter and the
-/// callback for the answer.
+/// Holds watches, which are list requests that stay open until a job of the member changes or a
+/// timeout passes. The memory of each watch is bounded: it holds a position in the change order, a
+/// filter and the callback for the answer.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
   std::size_t limit = 100;
 };
 
-/// One held request.
+/// Describes one held request.
 struct Watch {
   Owner owner;
   KeyId key;
@@ -30,7 +30,7 @@
   Respond respond;
 };
 
-/// The held requests of all members on this controller.
+/// Holds the open requests of all members on this controller.
 class Watches {
  public:
   using Number = std::uint64_t;
@@ -38,7 +38,7 @@
   Watches(std::size_t maxPerMember, std::size_t maxTotal)
       : maxPerMember_(maxPerMember), maxTotal_(maxTotal) {}
 
-  /// Whether a limit allows no further watch of this member.
+  /// Returns whether a limit allows no further watch of this member.
   bool isFull(const Owner& owner) const;
   /// Adds a watch and returns its new number.
   Number add(Watch watch);
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The metrics of a controller, in the Prometheus text format (docs/members.md lists the names).
-/// Label values come from small fixed sets. A member, a key or a job is never a label value.
+/// Collects the metrics of a controller, in the Prometheus text format (docs/members.md lists the
+/// names). Label values come from small fixed sets. A member, a key or a job is never a label
+/// value.
 #pragma once
 
 #include <functional>
@@ -11,7 +12,7 @@
 
 namespace kestrelhoist {
 
-/// The values of the gauges, which are read at each scrape.
+/// Holds the values of the gauges, which are read at each scrape.
 struct MetricGauges {
   double watches{}, waiting{}, working{}, lateS{}, liveJobs{}, memberJobs{}, keys{}, machines{};
   double leading{}, storeAgeS{};
