--- a/simulator/host/link_proxy.cpp
+++ b/simulator/host/link_proxy.cpp
@@ -95,7 +95,7 @@
 
 void LinkProxy::onWritten(bufferevent* to, void* arg) {
   auto& pair = *static_cast<Pair*>(arg);
-  // The other side has closed and all that it sent is out.
+  // The other side has closed the connection and all of its bytes are forwarded.
   if (pair.ended[to == pair.ends[0] ? 1 : 0]) pair.proxy->drop(&pair);
 }
 
--- a/simulator/host/link_proxy.hpp
+++ b/simulator/host/link_proxy.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// One link of a controller, on loopback: passes bytes on between whoever connects and one address,
-/// and can be cut. Held, what is under way waits and nothing fails; reset, connections break and
-/// new ones are closed at once.
+/// Forwards one network link of a controller over loopback and can cut it. The proxy passes bytes
+/// between its clients and one target address. In mode `hold` the bytes wait and no connection
+/// fails; in mode `reset` connections are closed, and new ones are closed immediately.
 #pragma once
 
 #include <list>
@@ -16,6 +16,7 @@
 
 namespace kestrelhoist::simulator {
 
+/// Forwards connections from a loopback port to one target address.
 class LinkProxy {
  public:
   enum class Mode { up, hold, reset };
--- a/simulator/host/loop_seams.cpp
+++ b/simulator/host/loop_seams.cpp
@@ -12,7 +12,7 @@
 }
 
 void LoopWire::silence(const std::string& host) {
-  // Not from inside one of its own calls.
+  // The server is destroyed from the event loop because one of its handlers may be running now.
   for (auto it = servers_.begin(); it != servers_.end();) {
     if (it->first.starts_with(host + ":")) {
       std::shared_ptr<HttpServer> old(std::move(it->second));
--- a/simulator/host/loop_seams.hpp
+++ b/simulator/host/loop_seams.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The region's seams over an event loop and sockets on 127.0.0.1.
+/// Implements the region model's clock and transport with an event loop and sockets on 127.0.0.1.
 #pragma once
 
 #include <map>
@@ -26,7 +26,7 @@
 class LoopWire : public Wire {
  public:
   LoopWire(EventLoop& loop, HttpClient& http) : loop_(loop), http_(http) {}
-  /// The real address that a name shall have; others get a free port.
+  /// Maps a simulated address to a real address. Addresses without a mapping get a free port.
   void fix(const std::string& name, const std::string& address) { fixed_[name] = address; }
   void listen(const std::string& address, Server server) override;
   void close(const std::string& address) override { servers_.erase(address); }
@@ -39,7 +39,8 @@
   EventLoop& loop_;
   HttpClient& http_;
   std::map<std::string, std::string> fixed_;
-  std::map<std::string, std::unique_ptr<HttpServer>> servers_;  ///< by name
+  /// The key is the simulated address.
+  std::map<std::string, std::unique_ptr<HttpServer>> servers_;
 };
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/host/process_tasks.cpp
+++ b/simulator/host/process_tasks.cpp
@@ -38,7 +38,8 @@
   ask(worker, task, 20, std::move(done));
 }
 
-// What hoist has put beside the members' files: a command for each task of the job.
+// Reads the job description that `hoist` stored beside the members' files. It holds one command for
+// all tasks of the job.
 std::optional<TaskNeeds> ProcessTasks::fromFiles(Worker& worker, const Worker::Task& task) {
   if (task.job.starts_with("f-")) return std::nullopt;
   std::ifstream in(settings_.files + "/.jobs/" + task.job + ".json");
@@ -98,7 +99,8 @@
         try {
           known.instance = rules::instanceFrom(*text, countField(*body, "at").value_or(0));
         } catch (const std::exception& e) {
-          logError("task can't be read", "job", task.job, "task", task.index, "why", e.what());
+          logError("task description is malformed", "job", task.job, "task", task.index, "why",
+                   e.what());
           return done(std::nullopt);
         }
         std::string team = textField(*body, "owner").value_or("");
@@ -135,7 +137,7 @@
   for (const auto& s : settings_.servers) servers += (servers.empty() ? "" : ",") + s;
   pid_t pid = fork();
   if (pid == 0) {
-    // A group of its own, which ends with whoever started it.
+    // The task gets its own process group and dies with its parent process.
     setpgid(0, 0);
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     int out = open(known.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
@@ -159,7 +161,8 @@
     loop_.after(Duration{0}, [&worker, life = task.life] { worker.exited(life, "error"); });
     return;
   }
-  setpgid(pid, pid);  // whichever of the two is first
+  // Parent and child both set the group, so it exists no matter which of them runs first.
+  setpgid(pid, pid);
   running_[pid] = {&worker, task.life, key, loop_.now().ms, false};
   if (onBegin) onBegin();
 }
@@ -172,7 +175,7 @@
   }
 }
 
-// Gone for certain when this returns: nobody else may write the same file before.
+// Waits for the process to exit, because no other task may write the same files before that.
 void ProcessTasks::end(Worker& worker, const Worker::Task& task) {
   known_.erase({worker.host, task.life});
   for (auto it = running_.begin(); it != running_.end(); ++it) {
@@ -186,7 +189,7 @@
 
 void ProcessTasks::onChild(int, short, void* selfPointer) {
   auto* self = static_cast<ProcessTasks*>(selfPointer);
-  // Only our own: others have children in this process, too.
+  // Only task processes are reaped here, because this process also has other children.
   std::vector<std::pair<pid_t, bool>> ended;
   for (const auto& [pid, r] : self->running_) {
     int status = 0;
@@ -200,7 +203,8 @@
 void ProcessTasks::exited(pid_t pid, bool succeeded) {
   Running r = running_.at(pid);
   running_.erase(pid);
-  kill(-pid, SIGKILL);  // what it may have left in its group
+  // The exited process may have left other processes in its process group.
+  kill(-pid, SIGKILL);
   auto known = known_.find(r.key);
   if (known == known_.end()) return;
   if (r.saving) return r.worker->exited(r.life, "halted");
--- a/simulator/host/process_tasks.hpp
+++ b/simulator/host/process_tasks.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Tasks as real processes: what to run is asked from the controllers (a flow's task) or read from
-/// the depot (a user's job), and runs in a directory of its team, member and flow.
+/// Runs tasks as real processes. The commands of flow tasks come from the controllers, those of
+/// users' jobs from files. A flow task runs in the directory of its team, member and flow, a user's
+/// job in the directory that its description names.
 #pragma once
 
 #include <sys/types.h>
@@ -16,12 +17,17 @@
 namespace kestrelhoist::simulator {
 
 struct ProcessSettings {
-  std::string files;                 ///< root of the files that all machines share
-  std::string depot;                 ///< descriptions of users' jobs: <ref>.json
-  std::vector<std::string> servers;  ///< controllers, as tasks are told of them
-  std::string hoist;                 ///< the users' command, for tasks that need it
+  /// All machines share the files below this directory.
+  std::string files;
+  /// This directory holds the descriptions of users' jobs, one file <ref>.json for each job.
+  std::string depot;
+  /// Tasks get these controller addresses in HOIST_SERVERS.
+  std::vector<std::string> servers;
+  /// Tasks get the path of the `hoist` program in HOIST.
+  std::string hoist;
 };
 
+/// Executes the tasks of simulated workers as child processes.
 class ProcessTasks : public TaskHost {
  public:
   ProcessTasks(EventLoop& loop, HttpClient& http, ProcessSettings settings);
@@ -33,11 +39,13 @@
   void save(Worker& worker, const Worker::Task& task) override;
   void end(Worker& worker, const Worker::Task& task) override;
 
-  std::function<void()> onBegin;  ///< after each start
+  /// ProcessTasks calls this function after each task start.
+  std::function<void()> onBegin;
   std::size_t begun() const { return begun_; }
 
  private:
-  using Key = std::pair<std::string, std::uint64_t>;  ///< machine and life
+  /// A key holds the machine's name and Worker::Task::life.
+  using Key = std::pair<std::string, std::uint64_t>;
   struct Known {
     rules::PlannedInstance instance;
     std::string directory, log;
@@ -64,7 +72,8 @@
   std::map<Key, Known> known_;
   std::map<pid_t, Running> running_;
   std::size_t begun_ = 0;
-  std::size_t next_ = 0;  ///< server to ask
+  /// The next request goes to this server, as an index modulo the number of servers.
+  std::size_t next_ = 0;
 };
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/main.cpp
+++ b/simulator/main.cpp
@@ -1,5 +1,5 @@
-// hoist-region: the model of the region on loopback, with real processes as tasks and, if asked,
-// the controllers. Ends everything it started when it ends.
+// hoist-region runs the region model on loopback with real processes as tasks and, unless
+// --controllers is 0, the controllers. When it exits, it ends every process that it has started.
 #include <arpa/inet.h>
 #include <event2/event.h>
 #include <signal.h>
@@ -35,14 +35,15 @@
   int killEveryMs = 0;
   int backMs = 1000;
   int cutLinks = 0, cutEveryMs = 500;
-  std::vector<int> free;  // ports, if they are to be free ones
+  // With --port 0 this holds the free ports that the system chose.
+  std::vector<int> free;
 };
 
 int portOf(const Options& o, int n) {
   return o.free.empty() ? o.port + n : o.free[static_cast<std::size_t>(n)];
 }
 
-// Ports that nobody listens on just now.
+// Returns ports that were unused at the time of the call.
 std::vector<int> freePorts(int count) {
   std::vector<int> fds, out;
   for (int i = 0; i < count; ++i) {
@@ -62,12 +63,12 @@
   return out;
 }
 
-// Each controller's links to the others and to the region, if they are to be cut: by "0 to state",
-// "1 to cloud", "2 to workers" (also users), "0 to 1".
+// Holds a proxy for each network link of a controller if links are to be cut. The names of the
+// links are "0 to state", "1 to cloud", "2 to workers" (which users share) and "0 to 1".
 class Links {
  public:
   Links(kh::EventLoop& loop, const Options& o) : loop_(loop), cuts_(o.cutLinks > 0) {}
-  // The address by which this link leads to the target.
+  // Returns the address of the link's proxy, or the target itself if no links are to be cut.
   std::string through(const std::string& name, const std::string& target) {
     if (!cuts_) return target;
     for (const auto& l : links_) {
@@ -82,7 +83,7 @@
     if (link.mode() != Mode::up) return;
     bool hold = random() % 3 != 0;
     kh::Duration time{500 + static_cast<std::int64_t>(random() % 4000)};
-    kh::logInfo("link is cut", "link", link.name(), "how", hold ? "hold" : "reset", "ms",
+    kh::logInfo("network link cut", "link", link.name(), "how", hold ? "hold" : "reset", "ms",
                 time.count());
     link.set(hold ? Mode::hold : Mode::reset);
     loop_.after(time, [&link] { link.set(Mode::up); });
@@ -94,7 +95,7 @@
   std::vector<std::unique_ptr<kh::simulator::LinkProxy>> links_;
 };
 
-// The controllers as processes: started, started again when they end, killed at the end.
+// Runs the controllers as processes, restarts those that exit, and kills them in its destructor.
 class Controllers {
  public:
   Controllers(kh::EventLoop& loop, const Options& o, Links& links)
@@ -147,7 +148,7 @@
   void killOne(std::uint64_t draw) {
     std::size_t i = draw % pids_.size();
     if (pids_[i] <= 0) return;
-    kh::logInfo("controller is killed", "node", i);
+    kh::logInfo("killing controller", "node", i);
     kill(pids_[i], SIGKILL);
   }
 
@@ -159,7 +160,7 @@
       if (pids_[i] <= 0 || waitpid(pids_[i], &status, WNOHANG) != pids_[i]) continue;
       pids_[i] = 0;
       if (WIFEXITED(status))
-        kh::logError("controller ended by itself", "node", i, "status", WEXITSTATUS(status));
+        kh::logError("controller exited on its own", "node", i, "status", WEXITSTATUS(status));
       loop_.after(kh::Duration{options_.backMs}, [this, i] {
         if (!ending_) start(static_cast<int>(i));
       });
@@ -210,27 +211,32 @@
 int main(int argc, char** argv) {
   Options o;
   CLI::App app{"hoist-region runs state service, cloud, workers and controllers on loopback"};
-  app.add_option("--directory", o.directory, "for files, logs and settings");
-  app.add_option("--program", o.program, "the controller's program");
-  app.add_option("--hoist", o.hoist, "the users' command, for tasks that need it");
-  app.add_option("--operator", o.operatorFile, "the operator's settings for the controllers");
-  app.add_option("--controllers", o.controllers, "how many to run")->check(CLI::Range(0, 9));
-  app.add_option("--port", o.port, "first of some twenty ports; 0: free ones")
+  app.add_option("--directory", o.directory, "directory for files, logs and settings");
+  app.add_option("--program", o.program, "path of the controller program");
+  app.add_option("--hoist", o.hoist, "path of the hoist program that tasks can call");
+  app.add_option("--operator", o.operatorFile,
+                 "file with the operator's settings for the controllers");
+  app.add_option("--controllers", o.controllers, "number of controllers to run")
+      ->check(CLI::Range(0, 9));
+  app.add_option("--port", o.port, "first of the consecutive ports to use; 0 chooses free ports")
       ->check(CLI::Range(0, 65000));
-  app.add_option("--machines", o.machines, "of each kind in each of three zones")
+  app.add_option("--machines", o.machines,
+                 "number of spot machines and of on-demand machines in each of three zones")
       ->check(CLI::Range(1, 100));
-  app.add_option("--teams", o.teams, "their names")->delimiter(',');
-  app.add_option("--seed", o.seed, "of everything drawn");
+  app.add_option("--teams", o.teams, "names of the teams")->delimiter(',');
+  app.add_option("--seed", o.seed, "seed of all random choices");
   app.add_option("--kill-controllers", o.killControllers,
-                 "so many in all, at drawn starts of tasks");
-  app.add_option("--kill-every-ms", o.killEveryMs,
-                 "controllers are killed at drawn times instead, this far apart on average");
-  app.add_option("--back-ms", o.backMs, "until a controller that ended is started again")
+                 "number of controllers to kill, each at a randomly chosen task start");
+  app.add_option(
+      "--kill-every-ms", o.killEveryMs,
+      "average interval in ms between controller kills, which then happen at random times");
+  app.add_option("--back-ms", o.backMs, "time in ms until a controller that exited is restarted")
       ->check(CLI::Range(0, 60000));
-  app.add_option("--kill-machines", o.killMachines, "so many in all, at drawn starts of tasks");
+  app.add_option("--kill-machines", o.killMachines,
+                 "number of machines to kill, each at a randomly chosen task start");
   app.add_option("--cut-links", o.cutLinks,
-                 "so many cuts in all of single links of controllers, at drawn times");
-  app.add_option("--cut-every-ms", o.cutEveryMs, "this far apart on average");
+                 "number of times to cut one network link of a controller, at random times");
+  app.add_option("--cut-every-ms", o.cutEveryMs, "average interval in ms between cuts");
   app.footer(
       "Example: hoist-region --directory /tmp/region --program target/kestrelhoist --operator "
       "deploy/flows.json");
@@ -278,7 +284,8 @@
     Controllers controllers(loop, o, links);
     for (int i = 0; i < o.controllers; ++i) controllers.start(i);
 
-    // Kills at drawn starts of tasks: bounded in count, whatever the machine's speed.
+    // Kills happen at randomly chosen task starts, so their number does not depend on the speed of
+    // the machine.
     std::vector<std::pair<std::size_t, bool>> kills;
     if (o.killEveryMs == 0) {
       for (int i = 0; i < o.killControllers; ++i) kills.emplace_back(2 + random() % 16, true);
@@ -296,14 +303,14 @@
         if (busy.empty()) continue;
         std::string victim = busy[random() % busy.size()];
         loop.after(kh::Duration{0}, [&region, victim] {
-          kh::logInfo("machine is killed", "machine", victim);
+          kh::logInfo("killing machine", "machine", victim);
           region.workers[victim]->die();
         });
       }
     };
 
-    // Kills and cuts at drawn times, once the first controller is ready; "killed N" or "cut N"
-    // tells when all are done.
+    // Kills and cuts happen at random times after the first controller is ready. The program prints
+    // "killed N" or "cut N" after the last one.
     std::mt19937_64 times(o.seed + 1);
     struct Series {
       const char* word;
--- a/simulator/model/seams.hpp
+++ b/simulator/model/seams.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The seams between the model of the region and where it runs: virtual time for scenarios, or an
-/// event loop and sockets on loopback.
+/// Declares the clock and the message transport that the region model depends on. The scenario
+/// tests implement them in virtual time, hoist-region with an event loop and loopback sockets.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace kestrelhoist::simulator {
 
-/// Milliseconds.
+/// Provides the time and timers; all times are in milliseconds.
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -18,16 +18,16 @@
   void in(std::int64_t ms, std::function<void()> f) { at(now() + ms, std::move(f)); }
 };
 
-/// Hosts by name; an address is "host:port".
+/// Carries requests and responses between named hosts. An address has the form "host:port".
 class Wire {
  public:
   using Server = std::function<void(const std::string& from, const Request&, Respond)>;
   virtual ~Wire() = default;
   virtual void listen(const std::string& address, Server server) = 0;
   virtual void close(const std::string& address) = 0;
-  /// A host without power: says nothing.
+  /// Makes the host stop answering and sending, as if it had lost power.
   virtual void silence(const std::string& host) = 0;
-  /// As others know it.
+  /// Returns the address under which other processes reach the given address.
   virtual std::string publicAddress(const std::string& address) const { return address; }
   virtual void send(const std::string& from, const std::string& address, Request request,
                     std::int64_t timeout, OnReply done) = 0;
--- a/simulator/model/simulated_region.cpp
+++ b/simulator/model/simulated_region.cpp
@@ -122,7 +122,7 @@
     return jsonResponse(200, Json::object());
   }
   if (path == "/hosts") {
-    // Lags by up to twice the bound, differently each time.
+    // Each listing lags by a random time of up to twice the configured lag.
     auto lag = millis(settings.listLagS * 2 * std::uniform_real_distribution<>(0, 1)(random));
     auto then = clock.now() - lag;
     Json list = Json::array();
--- a/simulator/model/simulated_region.hpp
+++ b/simulator/model/simulated_region.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// One model of the region: state service, cloud and workers, written from PROTOCOL. Used in
-/// virtual time by the scenarios and over sockets by hoist-region. What tasks are and how they run
-/// is the TaskHost's, so that the same workers run made-up tasks or real processes.
+/// Models the region: state service, cloud and workers, as PROTOCOL describes them. The scenario
+/// tests run the model in virtual time, hoist-region runs it over sockets. A TaskHost defines and
+/// executes the tasks, so the same workers can run simulated tasks or real processes.
 #pragma once
 
 #include <map>
@@ -14,30 +14,40 @@
 
 struct RegionSettings {
   std::vector<std::string> zones{"a", "b", "c"};
-  std::vector<std::string> nodes;       ///< addresses at which workers report
-  double cpus = 8, gpus = 8, ram = 64;  ///< of the one machine type
+  /// Workers send their reports to these controller addresses.
+  std::vector<std::string> nodes;
+  /// The region has one machine type, which has these resources.
+  double cpus = 8, gpus = 8, ram = 64;
   double bootS = 20;
   double fetchS = 2;
   int ordinaryPerZone = 4, spotPerZone = 4;
   double reportS = 1, leaseS = 11;
   double listLagS = 3;
   double bootFail = 0;
-  double failedAfterS = 0;    ///< a machine that has died is listed as failed then; 0: never
-  double soon = 0;            ///< share of machines that are up within 0.2 to 2 s
-  bool lateSessions = false;  ///< a new session is reported with the next regular report only
-  bool lateChanges = false;   ///< so is what changes while a report is under way
+  /// The cloud lists a dead machine as failed after this time; 0 means never.
+  double failedAfterS = 0;
+  /// This share of the machines boots within 0.2 to 2 s.
+  double soon = 0;
+  /// If set, a worker waits for its next regular report to report a new worker session.
+  bool lateSessions = false;
+  /// If set, a task change during an unanswered report waits for the next regular report.
+  bool lateChanges = false;
 };
 
-/// What one task takes; the rest is known to its TaskHost.
+/// Holds the resources that one task needs; the TaskHost keeps the rest of its description.
 struct TaskNeeds {
   double cpus{}, gpus{};
-  bool saves{};            ///< takes a checkpoint when it is stopped with time to do so
-  std::string image = {};  ///< kept on the machine once it was fetched; empty: fetched each time
-  double gb = 1;           ///< of it, fetchS each
+  /// The task writes a checkpoint if the stop command leaves it time to do so.
+  bool saves{};
+  /// The machine keeps a fetched image. An empty name means that each task fetches its image anew.
+  std::string image = {};
+  /// The image has this size; each gigabyte takes RegionSettings::fetchS to fetch.
+  double gb = 1;
 };
 
 class SimulatedRegion;
 
+/// Simulates the worker of one machine, which reports to the controllers and executes commands.
 class Worker {
  public:
   Worker(SimulatedRegion& region, std::string host, std::string zone, bool spot);
@@ -47,13 +57,15 @@
   void die();
   void hang(std::int64_t ms);
   void notice(std::int64_t ms);
-  /// Hangs beyond its lease: its tasks end before it does anything else.
+  /// Returns whether the worker has hung past its lease expiry. Its tasks then end before the
+  /// worker does anything else.
   bool leaseOver() const;
-  /// Milliseconds until its lease ends if no report is answered any more.
+  /// Returns the milliseconds until the worker's lease expires if no further report is
+  /// acknowledged.
   std::int64_t leaseLeft() const;
-  /// Counted from 1; each end of its lease begins another.
+  /// Returns the number of the worker session. It starts at 1 and each lease expiry increments it.
   std::uint64_t session() const { return tenure_; }
-  /// Neither hangs nor is about to be taken.
+  /// Returns whether the worker is alive, does not hang and has no termination notice.
   bool takesWork() const { return !gone && !frozen() && noticeEnds_ == 0; }
   bool gone = false;
   std::int64_t goneAt = -1;
@@ -67,18 +79,23 @@
     std::string state, cause;
     std::int64_t startedAt{};
     std::int64_t ranMs = -1;
-    std::uint64_t life{};  ///< guards its timers
+    /// Identifies this task attempt on its worker, so that timers of earlier attempts have no
+    /// effect.
+    std::uint64_t life{};
     TaskNeeds needs;
-    bool known{};  ///< its description has come
+    /// The TaskHost has returned the task's needs.
+    bool known{};
     bool kept{};
   };
-  /// On its machine: has its image and has not exited.
+  /// Returns whether the task has its image and has not exited.
   static bool on(const Task& t) { return t.state == "running" || t.state == "flushing"; }
   std::vector<Task> tasks;
 
-  /// From the TaskHost: a running task has ended by itself, or has saved.
+  /// The TaskHost calls this when a task process has exited by itself or has written its
+  /// checkpoint.
   void exited(std::uint64_t life, const std::string& cause);
   Task* byLife(std::uint64_t life);
+  /// Calls f now, or after the end of a hang.
   void whenAwake(std::function<void()> f);
 
  private:
@@ -102,26 +119,30 @@
   std::int64_t lastAnsweredSent_ = 0, lastSent_ = -1000000, hangUntil_ = 0, noticeEnds_ = 0;
   std::size_t node_ = 0;
   bool inFlight_ = false;
-  bool hasUnreportedChange_ = false;  ///< since the newest report was sent
+  /// A task has changed since the worker sent its newest report.
+  bool hasUnreportedChange_ = false;
   std::uint64_t timer_ = 0, lives_ = 0;
   std::set<std::string> cached_;
 };
 
-/// What tasks are.
+/// Defines and executes the tasks of simulated workers.
 class TaskHost {
  public:
   virtual ~TaskHost() = default;
-  /// Calls back once, at once or later; empty: there is no such task.
+  /// Calls `done` exactly once, immediately or later. The argument is nullopt if the task does not
+  /// exist.
   virtual void describe(Worker& worker, const Worker::Task& task,
                         std::function<void(std::optional<TaskNeeds>)> done) = 0;
-  /// It has its image: runs until Worker::exited is called or it is ended.
+  /// Starts a task whose image is fetched. The task runs until the host calls Worker::exited or the
+  /// worker calls end().
   virtual void begin(Worker& worker, const Worker::Task& task) = 0;
-  /// Is to save; calls Worker::exited with "halted" when it has.
+  /// Makes the task write a checkpoint; the host then calls Worker::exited with "halted".
   virtual void save(Worker& worker, const Worker::Task& task) = 0;
-  /// Ends it now, whatever it does.
+  /// Kills the task immediately.
   virtual void end(Worker& worker, const Worker::Task& task) = 0;
 };
 
+/// Connects the simulated state service, cloud and workers of one region.
 class SimulatedRegion {
  public:
   SimulatedRegion(RegionSettings settings, Clock& clock, Wire& wire, std::mt19937_64& random,
@@ -130,11 +151,12 @@
   std::vector<std::string> machinesWithTasks() const;
   std::size_t machineCount(bool spot) const;
   bool isRented(const std::string& host) const;
-  /// When the machine was given back or taken away, in milliseconds of the region's clock.
+  /// Returns when the rental of the machine ended, in milliseconds of the region's clock. The
+  /// result is nullopt if the machine is still rented or was never rented.
   std::optional<std::int64_t> releasedAt(const std::string& host) const;
   std::vector<std::string> rentedMachines() const;
   void setCapacity(bool spot, int perZone);
-  /// Rented so far, all machines together.
+  /// Returns the rented time of all machines so far, in seconds.
   double machineSeconds() const;
   Response cloud(const Request& q);
 
--- a/simulator/model/state_service.cpp
+++ b/simulator/model/state_service.cpp
@@ -29,7 +29,7 @@
 void StateService::outage(std::int64_t ms) {
   expire();
   outageUntil_ = std::max(outageUntil_, clock_.now() + ms);
-  // When it is over, every lease has its full time again.
+  // After the outage, every lease has its full duration again.
   for (auto& [id, lease] : leases_) lease.ends = outageUntil_ + lease.life;
 }
 
@@ -97,7 +97,8 @@
   return jsonResponse(400, Json::object());
 }
 
-// In any second at most so many, and a second's worth at once.
+// A token bucket limits the changes: it refills with writesPerS tokens per second and holds at most
+// the tokens of one second.
 bool StateService::overRate(std::size_t changes) {
   if (writesPerS <= 0) return false;
   double since = static_cast<double>(clock_.now() - roomAt_) / 1000.0;
@@ -181,7 +182,7 @@
   auto since = query.find("since");
   Json rows = Json::array();
   bool more = false;
-  // At most 1,000 rows (fewer where a scenario says so) and 512 KiB.
+  // A page has at most 1,000 rows (fewer if a scenario sets a smaller limit) and 512 KiB.
   constexpr std::size_t kMostBytes = 512 * 1024;
   page = std::min(page, mostRows);
   std::size_t bytes = 0;
@@ -204,7 +205,7 @@
   const auto& prefix = query.at("prefix");
   std::uint64_t since = std::stoull(query.at("since"));
   constexpr std::size_t kKept = 10000;
-  // Memory is bounded as well; what is older than the last changes is never told.
+  // The log is truncated to bound its memory; a request for older changes gets 410 below.
   if (log_.size() > 4 * kKept) log_.erase(log_.begin(), log_.end() - kKept);
   if (log_.size() > kKept && log_[log_.size() - kKept].stamp > since) {
     return jsonResponse(410, Json::object());
--- a/simulator/model/state_service.hpp
+++ b/simulator/model/state_service.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Stand-in of the state service, written from PROTOCOL.
+/// Simulates the state service as PROTOCOL describes it.
 #pragma once
 
 #include <functional>
@@ -9,30 +9,40 @@
 
 namespace kestrelhoist::simulator {
 
+/// Stores keys with revisions, leases and a change log, and serves them over HTTP.
 class StateService {
  public:
   StateService(Clock& clock, Wire& wire, const std::string& address);
+  /// Answers every request with 503 for this time; afterwards every lease has its
+  /// full duration again.
   void outage(std::int64_t ms);
+  /// Answers this host's requests with 503 for this time.
   void refuse(const std::string& host, std::int64_t ms) { refused_[host] = clock_.now() + ms; }
   std::size_t transactionOps = 8;
   std::size_t valueBytes = 8192;
-  std::size_t mostRows = 1000;            ///< of one page
-  double writesPerS = 0;                  ///< puts and deletes; 0: any number
-  std::size_t tooLarge = 0, tooMany = 0;  ///< transactions that got 400 for their size, or 429
-  /// Transactions that get 503, as a checker decides; may be null.
+  /// One page of a listing has at most this many rows.
+  std::size_t mostRows = 1000;
+  /// The service accepts this many puts and deletes per second; 0 means no limit.
+  double writesPerS = 0;
+  /// The service rejected this many transactions with 400 because of their size, and this many with
+  /// 429 because of the write rate limit.
+  std::size_t tooLarge = 0, tooMany = 0;
+  /// A checker can set this function; transactions for which it returns true get 503.
   std::function<bool(const Json& writes)> refuses;
-  std::size_t changes_made = 0;  ///< puts and deletes, failed transactions' included
+  /// This counts all puts and deletes received, including those of failed transactions.
+  std::size_t changes_made = 0;
   std::size_t reads_made = 0;
-  std::size_t bytes_written = 0;  ///< of values, in text form
-  /// After a transaction was carried out, before its answer is sent.
+  /// This sums the sizes of the written values as JSON text.
+  std::size_t bytes_written = 0;
+  /// The service calls this after it applied a transaction and before it sends the response.
   std::function<void(const Json& writes)> onCommit;
-  /// A host was given a lease.
+  /// The service calls this when it grants a lease to a host.
   std::function<void(const std::string& host)> onLease;
-  /// Keys with this prefix, for checkers.
+  /// Returns the keys with this prefix, for checkers.
   std::vector<std::string> keysBelow(const std::string& prefix) const;
-  /// Null: there is no such key.
+  /// Returns the value of the key, or null if the key does not exist.
   const Json* valueOf(const std::string& key) const;
-  /// What was there before the world began.
+  /// Stores a value that exists before the simulation starts.
   void put(const std::string& key, Json value);
 
  private:
@@ -40,7 +50,8 @@
     Json data;
     std::uint64_t stamp{};
     std::uint64_t lease{};
-    std::size_t bytes{};  ///< of its value, in text form
+    /// The value has this size as JSON text.
+    std::size_t bytes{};
   };
   struct Lease {
     std::int64_t life{};
@@ -65,7 +76,8 @@
   std::vector<Change> log_;
   std::uint64_t epoch_ = 0, nextLease_ = 1;
   std::int64_t outageUntil_ = 0;
-  double room_ = 0;  ///< changes that may come now
+  /// The write rate limit allows this many changes at the time roomAt_.
+  double room_ = 0;
   std::int64_t roomAt_ = 0;
   std::map<std::string, std::int64_t> refused_;
 };
--- a/simulator/model/worker.cpp
+++ b/simulator/model/worker.cpp
@@ -1,4 +1,4 @@
-// Stand-in of a worker, written from PROTOCOL.
+// This file implements the simulated worker as PROTOCOL describes it.
 #include <cmath>
 
 #include "base/log.hpp"
@@ -95,7 +95,7 @@
   if (!inFlight_) reportChange();
 }
 
-// Never more often than every half second.
+// The worker sends reports of task changes at least half a second apart.
 void Worker::reportChange() {
   schedule(std::max<std::int64_t>(1, lastSent_ + 500 - region_.clock.now()));
 }
@@ -125,7 +125,7 @@
           if (r->status == 421) {
             auto steward = body ? textField(*body, "steward") : std::nullopt;
             std::size_t to = node_;
-            // Members are named by their number here: "node0", "node1", ...
+            // In simulated regions the controllers are named "node0", "node1" and so on.
             if (steward && steward->size() > 4) {
               to = static_cast<std::size_t>(std::atoi(steward->c_str() + 4));
             }
@@ -165,7 +165,8 @@
   });
 }
 
-// Its first act when it goes on after a hang: nothing that waited meanwhile comes before it.
+// After a hang the worker calls this before it processes any message or timer that waited
+// meanwhile.
 void Worker::endLeaseIfOver() {
   if (gone || region_.clock.now() - lastAnsweredSent_ <= millis(region_.settings.leaseS)) return;
   logDebug("simulated worker lease ended", "machine", host, "at_ms", region_.clock.now(),
