--- a/tests/sim/balancer.hpp
+++ b/tests/sim/balancer.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Stand-in of the users' load balancer, written from PROTOCOL: probes `/ready`, takes nodes out
-/// and back in with pauses that double. Each request is a connection of its own, so shares and the
-/// reset of open connections have no counterpart here; a node that hangs costs the user its
-/// patience (harsher).
+/// Simulates the users' load balancer as PROTOCOL describes it. The balancer probes `/ready` on
+/// each controller, removes unhealthy controllers and adds them again after a pause, which doubles
+/// with repeated removals. Each request uses its own connection, so connection shares and the reset
+/// of open connections are not simulated. A request to a hanging controller lasts until the user's
+/// timeout, which is stricter than the real balancer.
 #pragma once
 
 #include <deque>
@@ -11,6 +12,7 @@
 
 namespace kestrelhoist::sim {
 
+/// Sends users' requests to healthy controllers.
 class Balancer {
  public:
   Balancer(Clockwork& clock, Network& network, std::mt19937_64& random,
@@ -29,7 +31,8 @@
   struct Node {
     std::string address;
     bool healthy = false, everHealthy = false;
-    int inARow = 0;  ///< successes, or failures if negative
+    /// A positive value counts consecutive successful probes, a negative one consecutive failures.
+    int inARow = 0;
     std::deque<bool> last;
     std::int64_t notBefore = 0, pause = kPause, removedAt = -kRemembered, skippedUntil = 0;
     int refused = 0;
--- a/tests/sim/flow_plans.hpp
+++ b/tests/sim/flow_plans.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Made-up flows for scenarios: layers of instances, each needing some of the layer before.
+/// Generates flows for scenarios. A flow consists of layers of instances, and each instance needs
+/// outputs of the layer before its own.
 #pragma once
 
 #include <set>
@@ -8,26 +9,36 @@
 
 namespace kestrelhoist::sim {
 
+/// Describes a generated flow.
 struct FlowPlanSpec {
   std::string id;
   std::string member = "ana", name = "flow", team = "team";
   int width = 4, length = 3;
-  int deps = 1;         ///< inputs of each instance from the layer before
-  int first = 0;        ///< width of the first layer, if another
-  bool join = false;    ///< the last layer is one instance that needs all
-  bool random = false;  ///< which inputs, by `seed`
+  /// Each instance has this many inputs from the layer before its own.
+  int deps = 1;
+  /// If positive, the first layer has this width instead of `width`.
+  int first = 0;
+  /// If set, the last layer is one instance that needs all outputs of the layer before.
+  bool join = false;
+  /// If set, the inputs are chosen at random with `seed`.
+  bool random = false;
   std::uint64_t seed = 1;
   double runS = 5;
   double gpus = 1;
   bool spot = true;
   bool keep = false;
   int retries = 0;
-  int failLayer = -1;    ///< the first instance of this layer fails...
-  int failTimes = 0;     ///< ...so often; -1: always
-  std::set<int> marked;  ///< layers whose command is another than before
-  std::string prefix;    ///< of file names
+  /// The first instance of this layer fails.
+  int failLayer = -1;
+  /// The failing instance fails in this many attempts; -1 means in every attempt.
+  int failTimes = 0;
+  /// The instances of these layers get a different command, as after an edit of the flow.
+  std::set<int> marked;
+  /// The names of all output files begin with this prefix.
+  std::string prefix;
 };
 
+/// Returns the flow plan of the description.
 rules::FlowPlan planFrom(const FlowPlanSpec& spec);
 
 }  // namespace kestrelhoist::sim
--- a/tests/sim/pipeline_checks.cpp
+++ b/tests/sim/pipeline_checks.cpp
@@ -38,8 +38,6 @@
   return {out.begin(), out.end()};
 }
 
-// ---- submissions ----
-
 void PipelineChecks::sent(const std::string& id, const Job& job) {
   auto [it, first] = jobs_.emplace(id, State{});
   if (!first) return;
@@ -90,8 +88,6 @@
   s.refused = !s.accepted;
 }
 
-// ---- ends ----
-
 void PipelineChecks::cancelAsked(const std::string& id) {
   if (auto it = jobs_.find(id); it != jobs_.end()) it->second.cancelAsked = true;
 }
@@ -140,7 +136,7 @@
     s.withdrawnToldAt = now;
     if (!mayBeWithdrawn(id)) fail_("went_back", id + " cancelled through none before it");
   }
-  // What this end means for those after it.
+  // The final phase of this job restricts the phases of all jobs that depend on it.
   for (const auto& dependant : after(id)) {
     const State& other = jobs_.at(dependant);
     if (phase == "done" && other.end == "withdrawn" && !mayBeWithdrawn(dependant)) {
@@ -152,8 +148,6 @@
   }
 }
 
-// ---- what is known ----
-
 bool PipelineChecks::withdrawnAbove(const std::string& id) const {
   auto all = before(id);
   return std::any_of(all.begin(), all.end(), [this](const auto& awaited) {
--- a/tests/sim/pipeline_checks.hpp
+++ b/tests/sim/pipeline_checks.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The checker of pipelines: what must hold between jobs of which one awaits another. Events in,
-/// broken rules out; it knows nothing of controllers.
+/// Checks the rules between jobs that depend on each other. The checker gets events from the
+/// simulated world and reports violated rules; it does not access the controllers.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +12,7 @@
 
 namespace kestrelhoist::sim {
 
+/// Checks the rules of job dependencies.
 class PipelineChecks {
  public:
   using Fail = std::function<void(const std::string& rule, const std::string& what)>;
@@ -21,56 +22,72 @@
     int tasks = 1;
     std::vector<std::string> awaits;
     bool service = false;
-    bool malformed = false;  ///< its `awaits` is no list of job ids
+    /// The field `awaits` of the submission is not a list of job ids.
+    bool malformed = false;
   };
 
-  /// What happens, in the order in which it does.
-  void sent(const std::string& id, const Job& job);  ///< its first submission leaves
+  // The world reports events with these functions, in the order in which they happen.
+  /// Records the first submission of a job.
+  void sent(const std::string& id, const Job& job);
   void accepted(const std::string& id);
-  /// `hadToBeAccepted`: as of when the request was sent.
+  /// Records a refused submission. `hadToBeAccepted` is the result of hasToBeAccepted() at the time
+  /// when the request was sent.
   void refused(const std::string& id, int status, bool hadToBeAccepted);
   void cancelAsked(const std::string& id);
-  void completed(const std::string& id, std::int64_t now);  ///< one task more, on its worker
+  /// Records that one more task of the job has completed on its worker.
+  void completed(const std::string& id, std::int64_t now);
   void started(const std::string& id, int index);
-  /// A user was told this phase of the job.
+  /// Records that a user received this phase of the job in a response.
   void told(const std::string& id, const std::string& phase, std::int64_t now);
 
-  /// What is known.
-  bool hasToBeAccepted(const std::string& id) const;  ///< each that it awaits was accepted
-  bool mayBeWithdrawn(
-      const std::string& id) const;  ///< somebody asked to cancel it or one before it
-  bool withdrawnAbove(const std::string& id) const;  ///< one before it is to be cancelled
-  /// When the last job that it needs was done; 0: it needs none; -1: not yet.
+  /// Returns whether all dependencies of the job are accepted, so that the job must be accepted.
+  bool hasToBeAccepted(const std::string& id) const;
+  /// Returns whether a user has asked to cancel the job or one of its dependencies.
+  bool mayBeWithdrawn(const std::string& id) const;
+  /// Returns whether a dependency of the job is to be cancelled.
+  bool withdrawnAbove(const std::string& id) const;
+  /// Returns when the last dependency of the job completed. The result is 0 if the job has no
+  /// dependencies and -1 if one has not completed.
   std::int64_t releasedAt(const std::string& id) const;
-  /// Since when its user knows that it, or one before it, is cancelled; -1: not.
+  /// Returns when a user first received the phase `withdrawn` for the job or one of its
+  /// dependencies, or -1.
   std::int64_t cancelledSince(const std::string& id) const;
   bool isAccepted(const std::string& id) const;
-  bool isOver(const std::string& id) const;  ///< its user was told so
+  /// Returns whether a user has received a final phase of the job.
+  bool isOver(const std::string& id) const;
   bool isKnown(const std::string& id) const { return jobs_.contains(id); }
-  std::vector<std::string> after(const std::string& id) const;  ///< all that need it
-  /// Jobs of pipelines that were accepted and whose users were not told of an end.
+  /// Returns all jobs that depend on the job, directly or through others.
+  std::vector<std::string> after(const std::string& id) const;
+  /// Returns the accepted jobs with dependencies or dependents whose users have not received a
+  /// final phase. Services are excluded.
   std::vector<std::string> unsettled() const;
 
  private:
   struct State {
     Job job;
     bool accepted = false, refused = false, cancelAsked = false, began = false;
-    std::string end;           ///< as told: done or withdrawn
-    int left = 0;              ///< tasks that did not complete
-    std::int64_t doneAt = -1;  ///< the last one completed
+    /// The user has received this final phase, `done` or `withdrawn`.
+    std::string end;
+    /// This many tasks have not completed.
+    int left = 0;
+    /// The last task completed at this time.
+    std::int64_t doneAt = -1;
+    /// The user first received the phase `withdrawn` at this time.
     std::int64_t withdrawnToldAt = -1;
   };
   const State* find(const std::string& id) const;
-  /// All jobs that it needs, directly and through others.
+  /// Returns all dependencies of the job, direct and transitive.
   std::set<std::string> before(const std::string& id) const;
-  /// It can't be accepted: its list is malformed, or names what never was accepted, or a service.
+  /// Returns the status with which the job must be refused: 400 if its dependency list is
+  /// malformed, 422 if it names a service or a job that was never accepted, and 0 otherwise.
   int mustBeRefusedWith(const std::string& id) const;
   static bool toBeCancelled(const State& s) { return s.cancelAsked && s.end != "done"; }
 
   std::int64_t cancelMs_;
   Fail fail_;
   std::map<std::string, State> jobs_;
-  std::map<std::string, std::vector<std::string>> dependants_;  ///< direct ones
+  /// The value lists the direct dependents of the job in the key.
+  std::map<std::string, std::vector<std::string>> dependants_;
 };
 
 }  // namespace kestrelhoist::sim
--- a/tests/sim/replica_gaps.hpp
+++ b/tests/sim/replica_gaps.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Spells in which a service had fewer replicas running than it should have.
+/// Records the periods in which a service had fewer running replicas than it should have.
 #pragma once
 
 #include <algorithm>
@@ -9,12 +9,12 @@
 
 namespace kestrelhoist::sim {
 
-/// The spells of one service, from samples of its running replicas.
+/// Derives the gaps of one service from samples of its running replicas.
 class ReplicaGaps {
  public:
   explicit ReplicaGaps(int replicas) : replicas_(replicas) {}
 
-  /// Adds a sample; they come in the order of their times.
+  /// Adds a sample. Samples must be added in the order of their times.
   void sample(std::int64_t nowMs, int running) {
     if (last_) missingMs_ += (replicas_ - lastRunning_) * (nowMs - *last_);
     last_ = nowMs;
@@ -26,14 +26,15 @@
     }
   }
 
-  /// How long each spell lasted, the shortest first; one that is under way counts so far.
+  /// Returns the lengths of all gaps, shortest first. A gap that has not ended counts up to the
+  /// last sample.
   std::vector<std::int64_t> sortedLengthsMs() const {
     auto lengths = lengthsMs_;
     if (since_) lengths.push_back(*last_ - *since_);
     std::sort(lengths.begin(), lengths.end());
     return lengths;
   }
-  /// Replicas that were missing, times how long.
+  /// Returns the sum over time of missing replicas, in replica milliseconds.
   std::int64_t missingMs() const { return missingMs_; }
 
  private:
--- a/tests/sim/traffic_digest.cpp
+++ b/tests/sim/traffic_digest.cpp
@@ -11,7 +11,7 @@
 
 std::uint64_t randomCalls = 0;
 
-// Random bytes that depend only on how many were asked for before in this world.
+// Fills the buffer with random bytes that depend only on the number of earlier calls in this world.
 void repeatableBytes(void* const buffer, const std::size_t size) {
   std::array<unsigned char, randombytes_SEEDBYTES> seed{};
   ++randomCalls;
@@ -84,7 +84,7 @@
   std::ofstream(file_, std::ios::app) << line;
 }
 
-// Each part goes with its length, so that no two sequences of parts hash alike.
+// The length is hashed before the bytes, so that no two sequences of parts have the same input.
 void TrafficDigest::add(std::string_view bytes) {
   add(static_cast<std::int64_t>(bytes.size()));
   crypto_generichash_update(&state_, reinterpret_cast<const unsigned char*>(bytes.data()),
--- a/tests/sim/traffic_digest.hpp
+++ b/tests/sim/traffic_digest.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A hash over all traffic of a simulated world, to show that two builds behave alike.
+/// Hashes all traffic of a simulated world, so that two builds can be compared for equal behavior.
 #pragma once
 
 #include <sodium.h>
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Virtual time and a network that delays, loses, holds and resets messages.
+/// Provides virtual time and a simulated network that delays, loses, holds and resets messages.
 #pragma once
 
 #include <map>
@@ -13,6 +13,7 @@
 
 namespace kestrelhoist::sim {
 
+/// Runs scheduled functions in the order of their virtual times.
 class Clockwork : public simulator::Clock {
  public:
   Clockwork() { newest_ = this; }
@@ -21,13 +22,13 @@
   }
   Clockwork(const Clockwork&) = delete;
   Clockwork& operator=(const Clockwork&) = delete;
-  /// Of the clock that was made last; 0: there is none.
+  /// Returns the time of the most recently created clock, or 0 if none exists.
   static std::int64_t newestNow() { return newest_ ? newest_->now_ : 0; }
   std::int64_t now() const override { return now_; }
   void at(std::int64_t ms, std::function<void()> f) override {
     queue_.push({std::max(ms, now_), next_++, std::move(f)});
   }
-  /// Runs everything up to `ms`.
+  /// Runs all functions scheduled up to the time `ms`.
   void runUntil(std::int64_t ms) {
     while (!queue_.empty() && queue_.top().at <= ms) {
       auto event = queue_.top();
@@ -51,12 +52,13 @@
   static inline Clockwork* newest_ = nullptr;
 };
 
-/// slow: messages take Network::slowMs longer.
+/// Says what happens to messages across a cut. In mode `slow` they take Network::slowMs longer.
 enum class CutMode { hold, drop, reset, slow };
-/// Which way a cut works, seen from its host.
+/// Names the direction that a cut affects, as seen from its host.
 enum class CutWay { both, in, out };
 
-/// Hosts by name; an address is "host:port". A cut separates two groups of hosts.
+/// Carries messages between named hosts; an address has the form "host:port". A cut disturbs the
+/// messages between two groups of hosts.
 class Network : public simulator::Wire {
  public:
   Network(Clockwork& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
@@ -68,61 +70,68 @@
     servers_[address] = std::move(server);
   }
   void close(const std::string& address) override { servers_.erase(address); }
-  /// A host without power: says nothing.
+  /// Makes the host stop answering and sending, as if it had lost power.
   void silence(const std::string& host) override { silent_.insert(host); }
 
-  /// Cuts host from every host in `others` (all if empty) for `ms`.
+  /// Cuts `host` off from every host in `others` for `ms`; an empty set stands for all hosts.
   void cut(const std::string& host, const std::set<std::string>& others, CutMode mode,
            std::int64_t ms, CutWay way = CutWay::both) {
     cuts_.push_back({host, others, {}, mode, clock_.now() + ms, way});
   }
-  /// This host opens no connections to controllers for `ms`: refused or without any answer. What
-  /// others send it arrives, and so do its answers.
+  /// Makes all requests from this host fail for `ms`. They are refused at once if `refused` is set,
+  /// otherwise they time out. Requests to the host and its responses still arrive.
   void mute(const std::string& host, bool refused, std::int64_t ms) {
     mutes_[host] = {clock_.now() + ms, refused};
   }
-  /// Between these hosts and all others.
+  /// Cuts the hosts in `inside` off from all other hosts for `ms`.
   void cutOff(const std::set<std::string>& inside, CutMode mode, std::int64_t ms) {
     cuts_.push_back({"", {}, inside, mode, clock_.now() + ms, CutWay::both});
   }
-  /// Requests between hosts so far, with the bytes of both bodies, by the first two parts of the
-  /// path.
+  /// Counts the requests so far and the bytes of their request and response bodies.
   struct Traffic {
     std::size_t requests{}, bytes{};
   };
+  /// The key consists of the first two segments of the request path.
   std::map<std::string, Traffic> traffic;
-  double lossOfAnswers = 0;  ///< share of requests whose answer is lost
-  /// Answers to this host's requests are lost until then (ms).
+  /// This share of all responses is lost.
+  double lossOfAnswers = 0;
+  /// Responses to requests from the host in the key are lost until this time (ms).
   std::map<std::string, std::int64_t> answersLostUntil;
-  /// Answers of this host are lost until then (ms).
+  /// Responses sent by the host in the key are lost until this time (ms).
   std::map<std::string, std::int64_t> ownAnswersLostUntil;
-  double lateRequests = 0;  ///< share that arrives up to two minutes late
-  /// Of this share of the workers' reports a copy comes so much later (ms), at whoever listens at
-  /// that address then; nobody hears its answer.
+  /// This share of the requests arrives up to two minutes late.
+  double lateRequests = 0;
+  /// Sets which share of the messages has an extra delay, and the range of that delay in ms.
   struct Copies {
     double share = 0;
     std::int64_t from = 0, to = 0;
   };
+  /// For this share of the workers' reports a copy also arrives after the extra delay, and its
+  /// response is discarded.
   Copies copies;
-  /// This share of transactions gets no answer and is carried out 2 to 12 s later, after newer
-  /// ones.
+  /// This share of the transactions gets no response. The state service applies them 2 to 12 s
+  /// later, possibly after newer transactions.
   double lateWrites = 0;
-  /// This share of direct commands, and of answers to them and to reports, is held up for so long
-  /// (ms).
+  /// This share of the direct commands to workers, of the responses to these commands and of the
+  /// responses to reports arrives after the extra delay.
   Copies held;
-  /// What becomes of a request besides: held up for so long (ms), and nobody hears its answer.
+  /// Describes an additional fault of one request: an extra delay in ms and the loss of its
+  /// response.
   struct Fate {
     std::int64_t laterMs = 0;
     bool unanswered = false;
   };
+  /// The network asks this function for the fault of each request, if it is set.
   std::function<Fate(const std::string& from, const Request& request)> fateOf;
-  /// Each request as it is sent, and with the answer that it was given.
+  /// The network calls onSent for each request as it is sent, and onAnswered for each response.
   std::function<void(const std::string& from, const Request& request)> onSent;
   std::function<void(const Request& request, const Response& answer)> onAnswered;
-  std::int64_t slowMs = 1500;  ///< on links in mode slow, each way
-  std::int64_t slowState = 0;  ///< longer until an answer of the state service comes (ms)
+  /// Cuts in mode `slow` delay each message by this time.
+  std::int64_t slowMs = 1500;
+  /// Responses of the state service take this much longer (ms).
+  std::int64_t slowState = 0;
 
-  /// A copy of a request comes there; nobody hears its answer.
+  /// Delivers a copy of a request after `laterMs` and discards its response.
   void deliver(const std::string& from, const std::string& address, const Request& request,
                std::int64_t laterMs) {
     std::string to = address.substr(0, address.find(':'));
@@ -206,7 +215,7 @@
     std::int64_t until;
     CutWay way;
   };
-  /// Copied, as a server may close its address while it serves.
+  /// Takes the server by value, because it may close its own address while it handles the request.
   void serve(Server server, const std::string& from, const std::string& address,
              const Request& request, const Respond& respond) {
     if (!digest_) return server(from, request, respond);
@@ -269,7 +278,8 @@
   std::unique_ptr<TrafficDigest> digest_ = TrafficDigest::fromEnvironment();
 };
 
-/// One life of one process: its timers and answers end with it. The clock may run fast.
+/// Simulates one process on a host. Its timers and pending responses are cancelled when it is
+/// destroyed. Its clock may run fast.
 class HostRuntime : public Runtime, public HttpClient {
  public:
   HostRuntime(Clockwork& clock, Network& network, std::string host, double clockRate)
@@ -279,11 +289,15 @@
     return {static_cast<std::int64_t>(static_cast<double>(clock_.now()) * rate_)};
   }
   std::int64_t wallMillis() override {
+    // The simulated time of day starts at 22:13:20 UTC.
     return 1700000000000 + clock_.now() + clockOff;
-  }                           // 22:13:20 UTC
-  std::int64_t clockOff = 0;  ///< its time of day is wrong by so much
-  /// Stands still: timers, answers and what `whenAwake` is given wait; its clock runs on.
+  }
+  /// The time of day of this process is wrong by this many milliseconds.
+  std::int64_t clockOff = 0;
+  /// Pauses the process for `ms`: timers, responses and functions given to whenAwake() wait, while
+  /// its clock runs on.
   void freeze(std::int64_t ms) { frozenUntil_ = clock_.now() + ms; }
+  /// Calls f now, or after the end of a pause.
   void whenAwake(std::function<void()> f) {
     if (clock_.now() >= frozenUntil_) return f();
     clock_.at(frozenUntil_, guard([this, f = std::move(f)] { whenAwake(f); }));
--- a/tests/sim/virtual_time_log.hpp
+++ b/tests/sim/virtual_time_log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Log lines of simulated worlds carry the world's time.
+/// Makes the log lines of simulated worlds show virtual time.
 #pragma once
 
 #include <spdlog/pattern_formatter.h>
@@ -11,7 +11,7 @@
 
 namespace kestrelhoist::sim {
 
-/// Writes the virtual time of the newest world in milliseconds.
+/// Formats the virtual time of the most recently created world in milliseconds.
 class VirtualTimeFlag : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg&, const std::tm&,
@@ -24,7 +24,7 @@
   }
 };
 
-/// From now on each log line begins with the virtual time instead of the time of day.
+/// Makes each later log line begin with the virtual time instead of the time of day.
 inline void logVirtualTime() {
   auto formatter = std::make_unique<spdlog::pattern_formatter>();
   formatter->add_flag<VirtualTimeFlag>('*').set_pattern("%* %l %v");
