--- a/tests/sim/pipeline_checks.hpp
+++ b/tests/sim/pipeline_checks.hpp
@@ -79,7 +79,7 @@
   /// Returns all dependencies of the job, direct and transitive.
   std::set<std::string> before(const std::string& id) const;
   /// Returns the status with which the job must be refused: 400 if its dependency list is
-  /// malformed, 422 if it names a service or a job that was never accepted, and 0 otherwise.
+  /// malformed, 422 if it names a service or an unknown or refused job, and 0 otherwise.
   int mustBeRefusedWith(const std::string& id) const;
   static bool toBeCancelled(const State& s) { return s.cancelAsked && s.end != "done"; }
 
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -9,7 +9,7 @@
 
 std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
 
-// Plans in place, on the event loop.
+// Computes plans synchronously on the event loop.
 class InlinePlanRunner : public PlanRunner {
  public:
   explicit InlinePlanRunner(Runtime& runtime) : runtime_(runtime) {}
@@ -39,7 +39,7 @@
   state.valueBytes = static_cast<std::size_t>(settings.valueKb) * 1024;
   state.transactionOps = static_cast<std::size_t>(settings.txnOps);
   state.refuses = [this](const Json& writes) {
-    // A version that tells no format.
+    // An old version publishes no record format. The rejection of its version keys simulates this.
     return std::any_of(writes.begin(), writes.end(), [this](const Json& write) {
       auto key = write.value("set", std::string());
       if (!key.starts_with(keys::kVersion)) return false;
@@ -116,7 +116,8 @@
     o.members.open = o.members.plainUsers = true;
     o.members.rootKey = rootCredential().id;
     o.members.rootHash = hashOfSecret(rootCredential());
-    // Not all at the same moment: reads and mesh talk of the nodes fall at different times.
+    // The controllers start at different times, so that their reads and messages to peers are not
+    // synchronized.
     clock.in(static_cast<std::int64_t>(random() % 900), [this, i] { boot(i); });
   }
   if (settings.balancer) {
@@ -149,7 +150,7 @@
 void World::boot(int i) {
   Node& n = nodes_[static_cast<std::size_t>(i)];
   ++n.lives;
-  // Clocks run up to 0.05% fast.
+  // The controllers' clocks run up to 0.05% fast.
   double rate = 1.0 + 0.0005 * i / std::max(1, settings.nodes - 1);
   std::string host = "node" + std::to_string(i);
   if (n.isNew) {
@@ -328,9 +329,8 @@
   return r;
 }
 
-// ---- tasks ----
-
-// Attempts that a transaction has on record: rows of machine, session, attempt and runs of tasks.
+// Records the task attempts that a transaction stores. Each row holds a machine, a worker session,
+// an attempt and ranges of task indexes.
 void World::notePlaced(const Json& writes) {
   const std::string prefix = "kh/tasks/";
   for (const auto& write : writes) {
@@ -357,8 +357,8 @@
 
 void World::describe(Worker& worker, const Worker::Task& task,
                      std::function<void(std::optional<simulator::TaskNeeds>)> done) {
-  // A later attempt is placed only when the earlier one is proven gone: whoever makes a worker take
-  // that up again relies on a stop that comes in time.
+  // The leader places a later attempt only after it has proof that the earlier attempt has ended. A
+  // worker that launches the older attempt afterwards breaks that rule.
   if (task.attempt < newestTry(task.job, task.index)) {
     fail("older_attempt", task.job + "/" + std::to_string(task.index) + " try " +
                               std::to_string(task.attempt) + " on " + worker.host);
@@ -411,8 +411,6 @@
   });
 }
 
-// ---- users ----
-
 Json World::spec(const JobPlan& p) const {
   Json v = {{"ref", p.id},
             {"lane", p.jobClass},
@@ -465,7 +463,7 @@
         j.acceptedAt = clock.now();
         if (onTold) onTold(id, "accepted");
         poll(id);
-        // A retry may come at any later time.
+        // A client may repeat an accepted submission at any later time.
         clock.in(20000 + static_cast<std::int64_t>(random() % 60000),
                  [this, id] { trySubmit(id); });
         onAccepted(id);
@@ -528,7 +526,7 @@
   auto phase = body ? textField(*body, "phase") : std::nullopt;
   if (!phase) return fail("malformed", id);
   UserJob& j = users_[id];
-  // An answer to a question asked before the user was told may arrive after it.
+  // A response to a request from before the job's final phase was known may arrive after it.
   j.answeredAt = clock.now();
   if (!j.told.empty() && askedAt <= j.toldAt) return;
   j.last = *phase;
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A small world in virtual time: controllers over the model of the region, users, and a checker of
-/// PROTOCOL's rules and of those of flows that looks at every step.
+/// Simulates controllers, a region and users in virtual time, and checks the rules of PROTOCOL and
+/// of flows during the run.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,85 +16,110 @@
 
 namespace kestrelhoist::sim {
 
+/// Configures a simulated world.
 struct WorldSettings {
   int nodes = 3;
   std::vector<std::string> zones{"a", "b", "c"};
-  double cpus = 8, gpus = 8, ram = 64;  ///< of the one machine type
+  /// The region has one machine type, which has these resources.
+  double cpus = 8, gpus = 8, ram = 64;
   double bootS = 20;
   double fetchS = 2;
   int ordinaryPerZone = 4, spotPerZone = 4;
   double reportS = 1, leaseS = 11, cancelS = 41;
   double listLagS = 3;
-  double gpusMax = 0;  ///< the team's limit
+  /// Each team may use this many GPUs; 0 means no limit.
+  double gpusMax = 0;
   double bootFail = 0;
-  double failedAfterS = 0;   ///< a machine that has died is listed as failed then; 0: never
-  double soon = 0;           ///< share of machines that are up within 0.2 to 2 s
-  std::size_t pageRows = 0;  ///< most rows of a page of the state service; 0: as PROTOCOL says
+  /// The cloud lists a dead machine as failed after this time; 0 means never.
+  double failedAfterS = 0;
+  /// This share of the machines boots within 0.2 to 2 s.
+  double soon = 0;
+  /// A page of the state service has at most this many rows; 0 stands for the limit of PROTOCOL.
+  std::size_t pageRows = 0;
   std::uint64_t seed = 1;
   double writesPerS = 25;
   int valueKb = 8, txnOps = 8;
-  /// `settings.state.next`; 0: not there.
+  /// These are the limits of `settings.state.next`; 0 means that the setting has no such limit.
   int nextValueKb = 0, nextOps = 0;
   double nextWrites = 0;
-  /// Controllers know nothing of `next` and tell no format until they are upgraded: what they write
-  /// is as the version in production writes it.
+  /// If set, the controllers run the version in production until they are upgraded. They ignore
+  /// `next` and publish no record format.
   bool old = false;
   bool flows = true;
   int maxConnections = 600;
-  bool cache = false;         ///< machines keep the images that they fetched
-  bool lateSessions = false;  ///< workers report a new session with their next regular report only
-  bool lateChanges = false;   ///< so do they what changes while a report is under way
-  bool balancer = false;      ///< users reach the nodes as PROTOCOL's load balancer lets them
-  bool members = false;       ///< with keys; users without one are served, too
-  bool dropAwaits = false;    ///< users leave `awaits` out: as for a program that does not heed it
+  /// If set, machines keep the images that they have fetched.
+  bool cache = false;
+  /// If set, a worker waits for its next regular report to report a new worker session.
+  bool lateSessions = false;
+  /// If set, a task change during an unanswered report waits for the next regular report.
+  bool lateChanges = false;
+  /// If set, users send their requests through the load balancer of PROTOCOL.
+  bool balancer = false;
+  /// If set, member keys are enabled. Requests without a key are still accepted.
+  bool members = false;
+  /// If set, users omit `awaits`, as if the controllers ignored the field.
+  bool dropAwaits = false;
 };
 
-/// The operator's own key in worlds with members.
+/// Returns the operator's root key in worlds with members.
 Credential rootCredential();
 
-/// What a user asked for.
+/// Describes a job that a user submits.
 struct JobPlan {
   std::string id;
   std::string shape = "batch";
   int tasks = 1;
   double cpus = 1, gpus = 1, ram = 4;
-  double runS = 10, staggerS = 0;  ///< task i runs for runS + i x staggerS
+  /// Task i runs for runS + i * staggerS.
+  double runS = 10, staggerS = 0;
   bool together = false, apart = false, spot = false;
   double checkpointS = 0;
-  double errsAfterS = -1;  ///< submitted with a mistake: each task ends in error after this
+  /// If not negative, each task fails after this time.
+  double errsAfterS = -1;
   std::string rank = "best_effort";
   std::string zone;
   std::string jobClass = "any", team = "team";
   std::string image = "img-1";
   double imageGb = 1;
-  std::vector<std::string> awaits;  ///< submitted once these are accepted
-  std::string awaitsText;           ///< JSON instead of the list: what no user should send
+  /// The job depends on these jobs. The user submits it once they are accepted.
+  std::vector<std::string> awaits;
+  /// If not empty, the submission contains this JSON text, which may be invalid, as `awaits`.
+  std::string awaitsText;
   double dueS = -1;
-  bool late = false;         ///< submitted when those that it awaits are over
-  double cancelAfterS = -1;  ///< cancelled so long after it was accepted, through a drawn node
-  int via = -1;              ///< the node that is asked first
+  /// If set, the user submits the job only after its dependencies have ended.
+  bool late = false;
+  /// If not negative, the user cancels the job this long after its acceptance, through a random
+  /// controller.
+  double cancelAfterS = -1;
+  /// If not negative, the first submission goes to this controller.
+  int via = -1;
 };
 
 using simulator::Worker;
 
+/// Runs one simulated world and collects violations of the rules.
 class World : public simulator::TaskHost {
  public:
   explicit World(WorldSettings settings);
   ~World() override;
 
+  /// Submits the job as soon as its dependencies allow it, with retries.
   void submit(const JobPlan& job);
-  /// A job that a member submits under this name of the service's: what its tasks are.
+  /// Registers the description of a job that a member submits. The service has chosen its id.
   void expectJob(const JobPlan& job) { users_[job.id].plan = job; }
-  /// A rule of a scenario's own is broken.
+  /// Records the violation of a rule that a scenario checks itself.
   void breaks(const std::string& rule, const std::string& what) { fail(rule, what); }
+  /// Cancels the job through a random controller, with retries.
   void abort(const std::string& id);
-  /// The same, asking this controller first.
+  /// Cancels the job; the first request goes to this controller.
   void abortThrough(const std::string& id, int node);
-  /// The longest that a task of a cancelled job was on a machine after its user had been told, s.
+  /// Returns the longest time in seconds for which a task of a cancelled job was still on a machine
+  /// after its user had received the cancellation.
   double goneBy() const { return static_cast<double>(goneByMs_) / 1000.0; }
-  /// What a user of a test's own hears counts like what the world's users hear; so does its wish to
-  /// cancel. `askedAt`: when it asked.
+  /// Checks and records a response about a job. Tests that send their own requests call this, too.
+  /// `askedAt` is the time of the request.
   void note(const std::string& id, const Response& r, std::int64_t askedAt);
+  /// Records that a test has sent its own request to cancel the job.
   void askedToCancel(const std::string& id) {
     users_[id].abortAsked = true;
     pipelines.cancelAsked(id);
@@ -103,117 +128,146 @@
     auto it = users_.find(id);
     return it != users_.end() && it->second.accepted;
   }
+  /// Records the violation of a rule.
   void fail(const std::string& rule, const std::string& what);
+  /// Returns the submission of the job as the API expects it.
   Json spec(const JobPlan& p) const;
-  /// A user was told for the first time that a job is accepted, done or withdrawn.
+  /// The world calls this when a user first receives that a job is accepted, done or withdrawn.
   std::function<void(const std::string& id, const std::string& what)> onTold;
-  /// A task has completed on its machine.
+  /// The world calls this when a task has completed on its machine.
   std::function<void(const std::string& id)> onResult;
-  /// Of the task's attempts, the newest that was ever placed; 0: none.
+  /// Returns the newest attempt of the task that was ever placed, or 0 if there is none.
   std::uint64_t newestTry(const std::string& job, int index) const;
-  /// From now on every task ends in error on this machine after `s`.
+  /// Makes every task that starts on this machine from now on fail after `s` seconds.
   void makeFaulty(const std::string& host, double s) { faulty_[host] = s; }
-  /// The mistake is gone.
+  /// Makes later attempts of the job's tasks succeed again.
   void mend(const std::string& id) { users_[id].plan.errsAfterS = -1; }
+  /// Ends the controller process and starts it again after `downMs`.
   void crash(int node, std::int64_t downMs = 4000);
-  /// An operator sets the policy, asking again until told.
+  /// Sets the policy as an operator, with retries until a controller confirms it.
   void setPolicy(const Json& document, const std::string& request);
-  /// As the newest controller's copy has it; any that lives.
+  /// Returns the most recent policy replica among the running controllers, or null if none runs.
   const PolicyReplica* policy() const;
-  /// Whether each controller that lives knows that all tell this format of records, or none does.
+  /// Returns whether every running controller has seen all controllers publish at least this record
+  /// format.
   bool allKnowFormat(unsigned format) const;
+  /// Returns whether no running controller has seen all controllers publish this record format.
   bool noneKnowsFormat(unsigned format) const;
-  /// A node's time of day is off by so much from now on, in each of its lives.
+  /// Shifts the time of day of a controller by `ms`. The shift persists across restarts.
   void stepClock(int node, std::int64_t ms);
-  /// The process ends and comes back as the new version, in each of its lives from then on.
+  /// Restarts the controller with the new version, which it keeps across later restarts.
   void upgrade(int node, std::int64_t downMs);
-  /// From now on the state service has these limits; 0: any number of changes.
+  /// Sets the limits of the state service; a writesPerS of 0 means no rate limit.
   void limitState(int valueKb, int ops, double writesPerS);
-  void freeze(int node, std::int64_t forMs);  ///< stands still, its clocks run on
-  int leaderNode() const;                     ///< -1: none
-  /// From now on the fewest replicas of this service that ran at a time are remembered.
+  /// Pauses the controller process while its clocks run on.
+  void freeze(int node, std::int64_t forMs);
+  /// Returns the number of the leading controller, or -1 if none leads.
+  int leaderNode() const;
+  /// Starts to record the running replicas of this service for fewest() and gapsOf().
   void watch(const std::string& id) {
     watched_[id] = runningReplicas(id);
     gaps_.insert_or_assign(id, ReplicaGaps(users_.at(id).plan.tasks));
   }
+  /// Returns the lowest number of running replicas since watch().
   int fewest(const std::string& id) const { return watched_.at(id); }
-  /// Spells since then in which some of its replicas did not run.
+  /// Returns the periods since watch() in which some replicas did not run.
   const ReplicaGaps& gapsOf(const std::string& id) const { return gaps_.at(id); }
-  /// Breaks `underserved` if a class, its largest jobs or a team got less than this share of what
-  /// it should have: replica time of its services, tasks of its arrays that had time to end. The
-  /// largest are the tenth of a class's jobs that asks for most room, at least one; they begin in
-  /// time, too.
+  /// Records a violation of `underserved` for each job class, each group of largest jobs of a class
+  /// and each team that got less than this share of its due service. Due are the replica time of
+  /// services and the tasks of job arrays that had enough time to end. The largest jobs of a class
+  /// are the tenth that requests the most resources, at least one; they must also start in time.
   void expectServed(double least);
-  /// Each accepted job that was not cancelled was answered with a 200 within this time.
+  /// Records a violation for each accepted and not cancelled job whose user has received no
+  /// response with status 200 for longer than this time.
   void expectAnswered(std::int64_t withinMs) {
     for (const auto& id : unanswered(withinMs)) fail("unanswered", id);
   }
+  /// Returns the accepted and not cancelled jobs whose users have received no response with status
+  /// 200 for longer than this time.
   std::set<std::string> unanswered(std::int64_t withinMs) const;
-  /// All troubles are over: from now on who waits while there is room is remembered
-  /// (`expectNoWaiting`).
+  /// Marks the end of all injected faults. From now on the world records jobs that wait although a
+  /// machine has free resources for them, see expectNoWaiting().
   void calm();
-  /// Breaks `waits` for each job that waited for so long while one machine that fits had room all
-  /// the time, as its worker has it, and its team was under its limit: since `calm`, or until now.
+  /// Records a violation of `waits` for each job that has waited too long since calm(). A job waits
+  /// too long if one suitable machine had free resources for it during the whole time limit, as
+  /// seen by the worker, and the job's team was below its quota.
   void expectNoWaiting();
-  /// The jobs that wait like this now, with the machine.
+  /// Returns the jobs that have waited too long in the sense of expectNoWaiting(), each with the
+  /// suitable machine.
   std::map<std::string, std::string> waitingBesideRoom() const;
-  /// Jobs that run and would go on for so much longer if nobody cancelled them.
+  /// Returns the running jobs that need at least `leastS` more seconds, and the running services.
   std::vector<std::string> runningFor(double leastS) const;
-  /// The machines on which tasks of this job are.
+  /// Returns the machines that hold unfinished tasks of this job.
   std::vector<std::string> machinesOf(const std::string& id) const;
-  /// Seconds from acceptance to the first start of a task; huge if there was none.
+  /// Returns the seconds from the job's acceptance, or from the end of its last dependency if that
+  /// is later, to the first start of a task. The result is 1e9 if no task has started.
   double began(const std::string& id) const;
-  /// By class: jobs, seconds until they began (mean, nine tenths, longest) and until they were
-  /// done.
+  /// Prints for each job class the number of jobs and their times until the first start and until
+  /// completion, each as mean, 90th percentile and maximum.
   void tellWaits(std::ostream& out) const;
-  /// Those who got less, with their share, of those that were judged for this long.
+  /// Returns the classes, largest jobs and teams that got less than the share `least` of their due
+  /// service and were observed for at least `judgedMs`, with their actual shares.
   std::map<std::string, double> underserved(double least, std::int64_t judgedMs) const;
-  /// The first reason for which this job's tasks wait, as the leader tells.
+  /// Returns the first pending reason of the job's tasks that the leader reports.
   std::string whyWaits(const std::string& id);
-  int leaderships = 0;  ///< how many leaderships there have been
-  /// "leader" or a number.
+  /// This counts the changes to a new leader so far.
+  int leaderships = 0;
+  /// Returns the controller's number for the word "leader" or a number in decimal.
   int nodeFrom(const std::string& word) const;
   std::vector<std::string> machinesWithTasks() const { return region.machinesWithTasks(); }
   void runFor(double seconds);
   double now() const { return static_cast<double>(clock.now()) / 1000.0; }
 
-  std::string phaseOf(const std::string& id) const;  ///< as last told to a user
+  /// Returns the job's phase in the newest response to a user.
+  std::string phaseOf(const std::string& id) const;
   int runningReplicas(const std::string& id) const;
-  std::size_t runningOf(const std::string& jobClass) const;  ///< tasks, of all jobs of a class
+  /// Returns the number of running tasks of all jobs of a class.
+  std::size_t runningOf(const std::string& jobClass) const;
   int runningBefore(const std::string& id) const;
 
-  /// Pipelines (world_pipelines.cpp). All controllers are asked for this job, again and again for a
-  /// few seconds; `unsettled`: jobs of pipelines whose users were not told of an end, or that were
-  /// not even submitted.
+  // world_pipelines.cpp implements the functions for jobs with dependencies.
+  /// Requests the state of the job from all controllers repeatedly for a few seconds.
   void askEverywhere(const std::string& id);
+  /// Requests the state of every unfinished job of a pipeline at this interval for this time.
   void askAllOfPipelines(std::int64_t everyMs, std::int64_t forMs);
+  /// Returns the jobs of pipelines that are not submitted or whose users have not received a final
+  /// phase.
   std::vector<std::string> unsettled() const;
 
-  /// Flows (world_flows.cpp). Once submitted, a user asks for its state until it is over.
+  // world_flows.cpp implements the functions for flows.
+  /// Submits a flow; its user then requests the flow's state until the flow ends.
   void submitFlow(const FlowPlanSpec& spec);
   void amendFlow(const FlowPlanSpec& spec);
   void cancelFlow(const std::string& id);
-  std::string flowPhase(const std::string& id) const;  ///< as last told
-  Json flowStatus(const std::string& id) const;        ///< the same, whole
-  Json flowReport(const std::string& id) const;        ///< read when it was over
+  /// Returns the flow's phase in the newest response to its user.
+  std::string flowPhase(const std::string& id) const;
+  /// Returns the newest response about the flow's state.
+  Json flowStatus(const std::string& id) const;
+  /// Returns the flow's report, which its user reads after the end of the flow.
+  Json flowReport(const std::string& id) const;
   std::size_t flowInstances() const;
-  Json teamAccount(const std::string& team);  ///< asked for now
+  /// Requests the team's account of flows and returns it.
+  Json teamAccount(const std::string& team);
   int flowRefusedWith(const std::string& id) const { return flows_.at(id).refusedWith; }
-  double flowTook(const std::string& id) const;  ///< seconds; huge if it is not over
+  /// Returns the seconds from submission to end of the flow, or 1e9 if the flow has not ended.
+  double flowTook(const std::string& id) const;
   const rules::FlowPlan& flowPlan(const std::string& id) const { return flows_.at(id).plan; }
   const std::map<std::string, std::string>& flowFiles(const std::string& id) const {
     return flows_.at(id).files;
   }
-  /// What makes two runs of an instance the same work.
+  /// Returns a key that is equal for two instances with the same command, inputs and outputs.
   static std::string workKey(const rules::PlannedInstance& i);
-  /// The leader ends right after the n-th transaction that concerns flows, before it hears of it.
+  /// The leader crashes right after the state service has applied the transaction on flows with
+  /// this number, before it receives the response.
   std::size_t crashAtFlowCommit = 0;
   std::size_t flowCommits = 0;
-  /// Between the newest leader's first moment and the first start of a flow's task under it.
+  /// Returns the seconds from the newest change of leader to the first start of a flow task after
+  /// it, or 1e9 if none has started.
   double resumedAfter() const;
-  std::map<std::string, std::size_t> changesByKind;  ///< committed, by the start of their keys
+  /// This counts the committed changes by the first segments of their keys.
+  std::map<std::string, std::size_t> changesByKind;
 
-  /// TaskHost
+  // These functions implement TaskHost.
   void describe(Worker& worker, const Worker::Task& task,
                 std::function<void(std::optional<simulator::TaskNeeds>)> done) override;
   void begin(Worker& worker, const Worker::Task& task) override;
@@ -228,18 +282,23 @@
   simulator::SimulatedRegion region;
   simulator::StateService& state = region.state;
   std::map<std::string, std::unique_ptr<Worker>>& workers = region.workers;
-  std::vector<std::string> broken;  ///< rules, with what happened
+  /// Each entry describes one violated rule.
+  std::vector<std::string> broken;
   std::size_t starts = 0;
-  double pollFactor = 1;                        ///< users ask so many times as often
-  std::map<std::string, std::size_t> startsOf;  ///< by job
+  /// Users poll this many times as often as by default.
+  double pollFactor = 1;
+  /// This counts the task starts of each job.
+  std::map<std::string, std::size_t> startsOf;
 
-  /// For workers and the checker.
+  // Workers and the checker use the following members.
   std::string nodeApi(int i) const { return "node" + std::to_string(i) + ":80"; }
   const JobPlan* plan(const std::string& id) const;
   void onStart(Worker& worker, const Worker::Task& task);
   void checkCancelled();
-  std::map<std::pair<std::string, int>, double> progress;  ///< saved, in seconds
-  std::set<std::pair<std::string, int>> results;           ///< tasks that completed
+  /// Tasks have saved this many seconds of work in checkpoints.
+  std::map<std::pair<std::string, int>, double> progress;
+  /// These tasks have completed.
+  std::set<std::pair<std::string, int>> results;
 
  private:
   struct Node {
@@ -255,17 +314,24 @@
   struct UserJob {
     JobPlan plan;
     bool accepted = false;
-    std::string told;  ///< done or withdrawn, once told
+    /// The user has received this final phase, `done` or `withdrawn`.
+    std::string told;
     std::string last;
     std::int64_t toldAt = 0, acceptedAt = 0;
     std::int64_t cancelledToldAt = -1;
     bool abortAsked = false;
-    std::int64_t answeredAt = -1;  ///< last with a 200
-    std::int64_t beganAt = -1;     ///< first start of a task
-    std::int64_t doneAt = -1;      ///< as first told
-    double got = 0, due = 0;       ///< served, as far as it was judged
+    /// The user received the last response with status 200 at this time.
+    std::int64_t answeredAt = -1;
+    /// The first task of the job started at this time.
+    std::int64_t beganAt = -1;
+    /// The user first received the phase `done` at this time.
+    std::int64_t doneAt = -1;
+    /// These are the sums of received and of due service over all samples since judgedFrom.
+    double got = 0, due = 0;
     std::int64_t judgedFrom = -1;
-    std::map<std::string, std::int64_t> besideRoom;  ///< machines with room for it, since when
+    /// The keys are machines with free resources for the waiting job, the values the times since
+    /// which they have them.
+    std::map<std::string, std::int64_t> besideRoom;
   };
   void boot(int node);
   simulator::RegionSettings regionSettings() const;
@@ -275,11 +341,14 @@
   void onOver(const std::string& id);
   void sendThoseReady();
   bool isReady(const JobPlan& job) const;
-  /// Since when this job is owed service, as its user sees it; -1: it is not, or not yet.
+  /// Returns the time from which this job is due to run, as its user knows it. The result is -1 if
+  /// the job is cancelled, not accepted or waits for a dependency.
   std::int64_t owedFrom(const std::string& id, const UserJob& j) const;
-  /// Since when its user knows that it, or one before it, is cancelled; -1: not.
+  /// Returns when a user first received the cancellation of the job or one of its dependencies, or
+  /// -1.
   std::int64_t cancelledSince(const std::string& id, const UserJob& j) const;
-  std::vector<JobPlan> unsent_;  ///< their users wait for those that they await
+  /// The users have not submitted these jobs yet because a dependency is not ready.
+  std::vector<JobPlan> unsent_;
   void tryAbort(const std::string& id, int node = -1);
   void poll(const std::string& id);
   void pollUnknown();
@@ -290,7 +359,8 @@
   void notePlaced(const Json& writes);
 
   void watchService();
-  /// Who waits beside room (sim/world_waits.cpp).
+  /// Holds the free resources of one machine. world_waits.cpp uses it to find jobs that wait
+  /// although a machine could hold them.
   struct Roomy {
     std::string zone;
     bool spot{};
@@ -303,34 +373,42 @@
                                 const std::map<std::string, Roomy>& room) const;
   double teamUses(const std::string& team) const;
   bool calm_ = false;
-  std::map<std::string, std::string> waited_;  ///< since `calm`, with the machine
+  /// The keys are jobs that have waited too long since calm(), the values the suitable machines.
+  std::map<std::string, std::string> waited_;
   std::set<std::string> largest(const std::string& jobClass) const;
   std::unique_ptr<Balancer> balancer_;
   std::int64_t goneByMs_ = 0;
   std::map<std::string, int> watched_;
   void watchGaps();
   std::map<std::string, ReplicaGaps> gaps_;
-  std::map<std::string, double> faulty_;  ///< by host
+  /// Tasks on these hosts fail after this many seconds.
+  std::map<std::string, double> faulty_;
   std::vector<Node> nodes_;
   std::map<std::string, UserJob> users_;
-  std::map<std::pair<std::string, int>, std::uint64_t> newestTry_;  ///< placed, by task
+  /// The value is the newest placed attempt of the task in the key.
+  std::map<std::pair<std::string, int>, std::uint64_t> newestTry_;
 
-  /// One user's flow: its versions as handed over, and what its files are by now.
+  /// Holds the submitted versions of one user's flow and the state of its files.
   struct UserFlow {
     FlowPlanSpec spec;
     FlowOrder order;
-    rules::FlowPlan plan;     ///< of the newest version that was accepted
-    std::uint64_t version{};  ///< accepted
+    /// This is the plan of the newest accepted version.
+    rules::FlowPlan plan;
+    /// This is the number of the newest accepted version, or 0 if none is accepted.
+    std::uint64_t version{};
     bool sending{};
-    int refusedWith = 0;  ///< status of the last refusal
+    /// The last refusal had this HTTP status.
+    int refusedWith = 0;
     bool cancelAsked{};
     std::int64_t sentAt{}, overAt = -1;
     std::string phase;
     Json status, report;
-    std::map<std::string, std::string> files;  ///< output -> command that made it
-    std::map<std::string, int> completions;    ///< by output and command
+    /// The keys are output files, the values the work keys of the instances that made them.
+    std::map<std::string, std::string> files;
+    /// This counts the completed attempts for each work key.
+    std::map<std::string, int> completions;
   };
-  /// What a worker knows of a flow's task.
+  /// Holds the description of a flow task that a worker has received from a controller.
   struct FlowTask {
     std::string flow;
     rules::PlannedInstance instance;
@@ -345,9 +423,12 @@
   int leader_ = -1;
   std::int64_t ledSince_ = 0, firstStart_ = -1;
   std::map<std::string, UserFlow> flows_;
-  std::map<std::pair<std::string, std::uint64_t>, FlowTask> flowTasks_;  ///< by host and life
-  std::map<std::string, int> flowAttempts_;                              ///< by flow and work
-  std::map<std::string, std::set<std::pair<std::string, std::uint64_t>>> writers_;  ///< by output
+  /// A key holds a host and Worker::Task::life.
+  std::map<std::pair<std::string, std::uint64_t>, FlowTask> flowTasks_;
+  /// This counts the attempts for each flow id followed by a work key.
+  std::map<std::string, int> flowAttempts_;
+  /// The value holds the task attempts, as in flowTasks_, that write the output in the key.
+  std::map<std::string, std::set<std::pair<std::string, std::uint64_t>>> writers_;
   std::map<std::string, std::vector<rules::PlannedInstance>> texts_;
   std::unique_ptr<HostRuntime> userRuntime_;
   std::unique_ptr<client::Caller> userCaller_;
--- a/tests/sim/world_checks.cpp
+++ b/tests/sim/world_checks.cpp
@@ -1,4 +1,5 @@
-// What the checker looks at: PROTOCOL's rules at each start, who is served, who waits.
+// This file checks the rules of PROTOCOL at each task start, and measures service and waiting
+// times.
 #include <algorithm>
 
 #include "sim/world.hpp"
@@ -14,7 +15,7 @@
   for (auto& [id, gaps] : gaps_) gaps.sample(clock.now(), runningReplicas(id));
 }
 
-// What is served, five times a second: by class and by team.
+// Samples the received and the due service of each job five times a second.
 void World::watchService() {
   clock.in(200, [this] { watchService(); });
   constexpr std::int64_t kGrace = 60000;
@@ -99,7 +100,8 @@
 std::map<std::string, double> World::underserved(double least, std::int64_t judgedMs) const {
   struct Sum {
     double got{}, due{};
-    std::int64_t from = -1;  // when first judged
+    // The first sample was taken at this time.
+    std::int64_t from = -1;
   };
   std::map<std::string, Sum> sums;
   std::map<std::string, double> out;
@@ -136,15 +138,13 @@
   }
 }
 
-// ---- rules ----
-
 void World::onStart(Worker& worker, const Worker::Task& task) {
   ++starts;
   const JobPlan* p = plan(task.job);
   std::string name = task.job + "/" + std::to_string(task.index) + " on " + worker.host;
   bool ofFlow = task.job.starts_with("f-");
   std::map<std::string, int> perZone;
-  // A team's tasks; those of flows count for every team.
+  // This sums the GPUs of the team's running tasks. Flow tasks count for every team.
   double gpus = 0;
   auto sameTeam = [&](const JobPlan* other) { return !p || !other || other->team == p->team; };
   for (const auto& [host, w] : workers) {
@@ -180,7 +180,8 @@
     std::int64_t since = clock.now() - cancelled;
     for (const auto& [host, w] : workers) {
       for (const auto& t : w->tasks) {
-        // A hanging machine does not run its tasks, and past its lease it can't go on with them.
+        // A hanging machine does not run its tasks, and after its lease expiry it can't resume
+        // them.
         if (t.job != id || !Worker::on(t) || w->leaseOver()) continue;
         goneByMs_ = std::max(goneByMs_, since);
         if (since > ms(settings.cancelS)) fail("ran_cancelled", id + " on " + host);
--- a/tests/sim/world_flows.cpp
+++ b/tests/sim/world_flows.cpp
@@ -1,6 +1,6 @@
-// Users of flows, tasks of flows, and the checker of the rules that flows add: no instance starts
-// before its inputs are done, no output has two writers at a time, and after the end each wanted
-// output was made by exactly one completed attempt of the final version.
+// This file simulates users and tasks of flows and checks the rules of flows. No instance starts
+// before its inputs are complete, no output has two writers at a time, and after the end of a flow
+// exactly one completed attempt of the final version has made each requested output.
 #include <sstream>
 
 #include "sim/world.hpp"
@@ -9,7 +9,7 @@
 namespace {
 std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
 
-// "run SECONDS [anew] [fail TIMES]"
+// Holds a parsed command of the form "run SECONDS [anew] [fail TIMES]".
 struct Command {
   double runS = 1;
   int failTimes = 0;
@@ -77,7 +77,7 @@
 
 void World::amendFlow(const FlowPlanSpec& spec) {
   UserFlow& f = flows_[spec.id];
-  // Nobody changes what he has not been told is accepted.
+  // A user amends a flow only after its first version was accepted.
   if (f.sending && f.version == 0) return clock.in(500, [this, spec] { amendFlow(spec); });
   f.spec = spec;
   f.order.keepGoing = spec.keep;
@@ -113,7 +113,7 @@
     if (phase == "cancelled") {
       UserFlow& f = flows_[id];
       f.phase = phase;
-      // As for a job: every task is gone within the bound.
+      // All tasks of a cancelled flow must end within the same time limit as those of a job.
       clock.in(ms(settings.cancelS), [this, id] {
         for (const auto& [host, worker] : workers) {
           for (const auto& t : worker->tasks) {
@@ -182,7 +182,7 @@
   }
 }
 
-// Asks some controller what the task is to do, as a real worker would.
+// Requests the description of the task from a random controller, as a real worker does.
 void World::fetchFlowTask(Worker& worker, const Worker::Task& task, int triesLeft,
                           std::function<void(std::optional<simulator::TaskNeeds>)> done) {
   auto node = random() % static_cast<std::uint64_t>(settings.nodes);
--- a/tests/sim/world_pipelines.cpp
+++ b/tests/sim/world_pipelines.cpp
@@ -1,5 +1,5 @@
-// Users of pipelines: they submit a job once those that it awaits are accepted, some only when
-// those are over, cancel some, and ask closely when one ends.
+// This file simulates users of jobs with dependencies. They submit a job after its dependencies are
+// accepted or, for some jobs, have ended, cancel some jobs, and poll often when a job is cancelled.
 #include <algorithm>
 
 #include "sim/world.hpp"
@@ -9,7 +9,7 @@
 
 std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
 
-// When users ask all controllers after a cancellation that concerns more than one job.
+// Users poll all controllers at these times after a cancellation that affects more than one job.
 constexpr std::int64_t kCloseQuestionsMs[] = {0, 5, 20, 50, 100, 250, 600, 1500, 4000};
 
 }  // namespace
@@ -25,7 +25,8 @@
   trySubmit(job.id);
 }
 
-// One that nobody is about to submit is not waited for: its number is a mistake.
+// Returns whether the user may submit the job now. A dependency that no user is going to submit has
+// a wrong id and does not delay the job.
 bool World::isReady(const JobPlan& job) const {
   auto stillToCome = [this](const std::string& id) {
     return std::any_of(unsent_.begin(), unsent_.end(), [&](const auto& p) { return p.id == id; });
--- a/tests/sim/world_waits.cpp
+++ b/tests/sim/world_waits.cpp
@@ -1,4 +1,5 @@
-// Who waits while there is room: no job may, for long, once all troubles are over.
+// This file finds jobs that wait although a machine has free resources for them. After the end of
+// all injected faults no job may wait like this for long.
 #include <algorithm>
 
 #include "sim/world.hpp"
@@ -10,7 +11,8 @@
 constexpr double kRounding = 1e-9;
 }  // namespace
 
-// Room as the workers have it: what is not ended takes room, whether it has its image or not.
+// Returns the free resources as the workers see them. A task uses its resources until it has ended,
+// whether or not its image is fetched.
 std::map<std::string, World::Roomy> World::machinesWithRoom() const {
   std::map<std::string, Roomy> out;
   for (const auto& [host, w] : workers) {
@@ -28,7 +30,7 @@
   return out;
 }
 
-// Not done, and on no machine.
+// Returns the tasks of the job that have not completed and are on no machine.
 std::set<int> World::missingTasks(const std::string& id, const UserJob& job) const {
   std::set<int> out;
   for (int i = 0; i < job.plan.tasks; ++i) {
@@ -53,8 +55,9 @@
   return gpus;
 }
 
-// The machines on which one more task of the job may be; of a gang, of which all must find room,
-// those of a zone or of all zones that hold all of it.
+// Returns the machines that can hold one more task of the job. A gang needs resources for all of
+// its missing tasks, so its result is empty unless the machines (of one zone if `together` is set)
+// can hold all of them.
 std::set<std::string> World::fitting(const std::string& id, const JobPlan& p, std::size_t missing,
                                      const std::map<std::string, Roomy>& room) const {
   bool gang = p.shape == "ensemble";
@@ -65,7 +68,8 @@
     for (const auto& t : w->tasks) perZone[w->zone] += t.job == id && t.state != "ended";
   }
   bool begun = std::any_of(perZone.begin(), perZone.end(), [](auto& z) { return z.second > 0; });
-  std::map<std::string, std::set<std::string>> machines;  // by zone
+  // The key is the zone if all tasks must run in one zone, otherwise it is empty.
+  std::map<std::string, std::set<std::string>> machines;
   std::map<std::string, std::size_t> places;
   for (const auto& [host, r] : room) {
     if (r.spot && !p.spot) continue;
