--- a/client/src/caller_test.cpp
+++ b/client/src/caller_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_TRUE(result) << "the call has not ended with its time";
     return *result;
   }
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   std::vector<std::pair<int, std::int64_t>> times;  // of requests
   std::set<std::string> ids;
   std::map<int, std::int64_t> delays;
--- a/client/src/job_watcher_test.cpp
+++ b/client/src/job_watcher_test.cpp
@@ -27,7 +27,7 @@
   std::optional<std::optional<Error>> over;
 
   void play(std::vector<std::string> ids, std::string since, bool hasKey = true) {
-    sim::Clockwork clock;
+    sim::VirtualClock clock;
     std::mt19937_64 random(7);
     sim::Network network(clock, random);
     sim::HostRuntime runtime(clock, network, "user", 1.0);
--- a/simulator/host/loop_seams.hpp
+++ b/simulator/host/loop_seams.hpp
@@ -23,14 +23,16 @@
   Instant start_;
 };
 
-class LoopWire : public Wire {
+class LoopTransport : public Transport {
  public:
-  LoopWire(EventLoop& loop, HttpClient& http) : loop_(loop), http_(http) {}
+  LoopTransport(EventLoop& loop, HttpClient& http) : loop_(loop), http_(http) {}
   /// Maps a simulated address to a real address. Addresses without a mapping get a free port.
-  void fix(const std::string& name, const std::string& address) { fixed_[name] = address; }
+  void mapAddress(const std::string& name, const std::string& address) {
+    mappedAddresses_[name] = address;
+  }
   void listen(const std::string& address, Server server) override;
   void close(const std::string& address) override { servers_.erase(address); }
-  void silence(const std::string& host) override;
+  void powerOff(const std::string& host) override;
   std::string publicAddress(const std::string& address) const override;
   void send(const std::string& from, const std::string& address, Request request,
             std::int64_t timeout, OnReply done) override;
@@ -38,7 +40,7 @@
  private:
   EventLoop& loop_;
   HttpClient& http_;
-  std::map<std::string, std::string> fixed_;
+  std::map<std::string, std::string> mappedAddresses_;
   /// The key is the simulated address.
   std::map<std::string, std::unique_ptr<HttpServer>> servers_;
 };
--- a/simulator/main.cpp
+++ b/simulator/main.cpp
@@ -254,9 +254,9 @@
     kh::EventLoop loop;
     kh::EvHttpClient http(loop, 400);
     kh::simulator::LoopClock clock(loop);
-    kh::simulator::LoopWire wire(loop, http);
-    wire.fix("state:1", "127.0.0.1:" + std::to_string(portOf(o, 0)));
-    wire.fix("cloud:1", "127.0.0.1:" + std::to_string(portOf(o, 1)));
+    kh::simulator::LoopTransport transport(loop, http);
+    transport.mapAddress("state:1", "127.0.0.1:" + std::to_string(portOf(o, 0)));
+    transport.mapAddress("cloud:1", "127.0.0.1:" + std::to_string(portOf(o, 1)));
     std::mt19937_64 random(o.seed);
 
     kh::simulator::RegionSettings settings;
@@ -278,7 +278,7 @@
       processes.servers.push_back(Controllers::address(o, i, false));
     }
     kh::simulator::ProcessTasks tasks(loop, http, processes);
-    SimulatedRegion region(settings, clock, wire, random, tasks);
+    SimulatedRegion region(settings, clock, transport, random, tasks);
     region.state.valueBytes = 16 * 1024;
     region.state.transactionOps = 24;
     Controllers controllers(loop, o, links);
--- a/simulator/model/seams.hpp
+++ b/simulator/model/seams.hpp
@@ -19,14 +19,14 @@
 };
 
 /// Carries requests and responses between named hosts. An address has the form "host:port".
-class Wire {
+class Transport {
  public:
   using Server = std::function<void(const std::string& from, const Request&, Respond)>;
-  virtual ~Wire() = default;
+  virtual ~Transport() = default;
   virtual void listen(const std::string& address, Server server) = 0;
   virtual void close(const std::string& address) = 0;
   /// Makes the host stop answering and sending, as if it had lost power.
-  virtual void silence(const std::string& host) = 0;
+  virtual void powerOff(const std::string& host) = 0;
   /// Returns the address under which other processes reach the given address.
   virtual std::string publicAddress(const std::string& address) const { return address; }
   virtual void send(const std::string& from, const std::string& address, Request request,
--- a/simulator/model/simulated_region.cpp
+++ b/simulator/model/simulated_region.cpp
@@ -2,19 +2,19 @@
 
 namespace kestrelhoist::simulator {
 
-SimulatedRegion::SimulatedRegion(RegionSettings s, Clock& c, Wire& w, std::mt19937_64& r,
+SimulatedRegion::SimulatedRegion(RegionSettings s, Clock& c, Transport& w, std::mt19937_64& r,
                                  TaskHost& t)
     : settings(std::move(s)),
       clock(c),
-      wire(w),
+      transport(w),
       random(r),
       taskHost(t),
-      state(clock, wire, "state:1") {
+      state(clock, transport, "state:1") {
   for (const auto& z : settings.zones) {
     capacity_[{z, false}] = settings.ordinaryPerZone;
     capacity_[{z, true}] = settings.spotPerZone;
   }
-  wire.listen("cloud:1", [this](const std::string&, const Request& q, const Respond& respond) {
+  transport.listen("cloud:1", [this](const std::string&, const Request& q, const Respond& respond) {
     clock.in(100, [this, q, respond] { respond(cloud(q)); });
   });
 }
@@ -129,7 +129,7 @@
     for (const auto& [name, h] : hosts_) {
       if (h.rentedAt > then || (h.goneAt >= 0 && h.goneAt <= then)) continue;
       list.push_back({{"ref", name},
-                      {"addr", wire.publicAddress(name + ":9")},
+                      {"addr", transport.publicAddress(name + ":9")},
                       {"rig", "box"},
                       {"site", h.zone},
                       {"loaners", h.spot},
--- a/simulator/model/simulated_region.hpp
+++ b/simulator/model/simulated_region.hpp
@@ -145,8 +145,8 @@
 /// Connects the simulated state service, cloud and workers of one region.
 class SimulatedRegion {
  public:
-  SimulatedRegion(RegionSettings settings, Clock& clock, Wire& wire, std::mt19937_64& random,
-                  TaskHost& tasks);
+  SimulatedRegion(RegionSettings settings, Clock& clock, Transport& transport,
+                  std::mt19937_64& random, TaskHost& tasks);
 
   std::vector<std::string> machinesWithTasks() const;
   std::size_t machineCount(bool spot) const;
@@ -162,7 +162,7 @@
 
   RegionSettings settings;
   Clock& clock;
-  Wire& wire;
+  Transport& transport;
   std::mt19937_64& random;
   TaskHost& taskHost;
   StateService state;
--- a/simulator/model/state_service.cpp
+++ b/simulator/model/state_service.cpp
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-StateService::StateService(Clock& clock, Wire& wire, const std::string& address) : clock_(clock) {
-  wire.listen(address, [this](const std::string& from, const Request& q, const Respond& respond) {
-    respond(handle(from, q));
-  });
+StateService::StateService(Clock& clock, Transport& transport, const std::string& address)
+    : clock_(clock) {
+  transport.listen(address, [this](const std::string& from, const Request& q,
+                                   const Respond& respond) { respond(handle(from, q)); });
 }
 
 void StateService::outage(std::int64_t ms) {
--- a/simulator/model/state_service.hpp
+++ b/simulator/model/state_service.hpp
@@ -12,7 +12,7 @@
 /// Stores keys with revisions, leases and a change log, and serves them over HTTP.
 class StateService {
  public:
-  StateService(Clock& clock, Wire& wire, const std::string& address);
+  StateService(Clock& clock, Transport& transport, const std::string& address);
   /// Answers every request with 503 for this time; afterwards every lease has its
   /// full duration again.
   void outage(std::int64_t ms);
--- a/simulator/model/worker.cpp
+++ b/simulator/model/worker.cpp
@@ -11,11 +11,12 @@
 void Worker::start() {
   lastAnsweredSent_ = region_.clock.now();
   node_ = region_.random() % region_.settings.nodes.size();
-  region_.wire.listen(host + ":9", [this](const std::string&, const Request& q, const Respond& r) {
-    whenAwake([this, q, r] {
-      if (!gone) r(onCommands(q));
-    });
-  });
+  region_.transport.listen(host + ":9",
+                           [this](const std::string&, const Request& q, const Respond& r) {
+                             whenAwake([this, q, r] {
+                               if (!gone) r(onCommands(q));
+                             });
+                           });
   schedule(1);
   checkLease();
 }
@@ -48,7 +49,7 @@
   goneAt = region_.clock.now();
   for (const auto& t : tasks) region_.taskHost.end(*this, t);
   tasks.clear();
-  region_.wire.silence(host);
+  region_.transport.powerOff(host);
 }
 
 void Worker::hang(std::int64_t forMs) { hangUntil_ = region_.clock.now() + forMs; }
@@ -68,7 +69,7 @@
     if (t.state == "ended" && t.ranMs >= 0) v["ran_s"] = static_cast<double>(t.ranMs) / 1000.0;
     list.push_back(v);
   }
-  Json r = {{"host", host},         {"addr", region_.wire.publicAddress(address())},
+  Json r = {{"host", host},         {"addr", region_.transport.publicAddress(address())},
             {"rig", "box"},         {"site", zone},
             {"loaners", spot},      {"tenure", tenure_},
             {"tick", ++tick_},      {"baton", token_},
@@ -107,7 +108,7 @@
   auto sentAt = lastSent_ = region_.clock.now();
   auto session = tenure_;
   auto next = [this](std::int64_t delay) { schedule(delay); };
-  region_.wire.send(
+  region_.transport.send(
       host, region_.settings.nodes[node_], {"POST", "/agent/beat", encodeBody(report())}, 4000,
       [this, sentAt, session, next](std::optional<Response> r) {
         if (gone) return;
--- a/src/base/hedged_request_test.cpp
+++ b/src/base/hedged_request_test.cpp
@@ -16,7 +16,7 @@
 struct Hedged : testing::Test {
   using Answer = std::optional<int>;
   std::mt19937_64 random{1};
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "me", 1.0};
   std::vector<std::function<void(Answer)>> sends;
--- a/src/cloud/client_test.cpp
+++ b/src/cloud/client_test.cpp
@@ -9,7 +9,7 @@
 
 struct CloudList : testing::Test {
   std::mt19937_64 random{1};
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "me", 1.0};
   int asked = 0;
@@ -38,7 +38,7 @@
 };
 
 TEST_F(CloudList, ALostAnswerIsMadeUpForWithinASecond) {
-  network.answersLostUntil["me"] = clock.now() + 300;
+  network.responsesToHostLostUntil["me"] = clock.now() + 300;
   const auto took = listTakes();
   ASSERT_TRUE(took);
   EXPECT_LT(*took, Duration{1000});
--- a/src/connectivity/connectivity_test.cpp
+++ b/src/connectivity/connectivity_test.cpp
@@ -137,7 +137,7 @@
 
 struct TwoControllers : testing::Test {
   std::mt19937_64 random{1};
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "me", 1.0};
   Platform platform;
@@ -204,7 +204,7 @@
   network.listen("live:9", [](const std::string&, const Request&, const Respond& respond) {
     respond(jsonResponse(200, Json::object()));
   });
-  network.silence("dead");
+  network.powerOff("dead");
   std::vector<int> got;
   auto ask = [&](const std::string& address) {
     line.send(address, {"POST", "/commands", ""}, Duration{1500},
--- a/src/connectivity/heartbeat_forwarder_test.cpp
+++ b/src/connectivity/heartbeat_forwarder_test.cpp
@@ -13,7 +13,7 @@
 
 struct LostAnswers : testing::Test {
   std::mt19937_64 random{1};
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "me", 1.0};
   Platform platform;
@@ -46,7 +46,7 @@
 };
 
 TEST_F(LostAnswers, OneIsMadeUpForWithinTheWorkersPatience) {
-  network.answersLostUntil["me"] = clock.now() + 300;
+  network.responsesToHostLostUntil["me"] = clock.now() + 300;
   const auto [took, byLeader] = forwardOne();
   EXPECT_TRUE(byLeader);
   EXPECT_LT(took, Duration{600});
@@ -61,7 +61,7 @@
 }
 
 TEST_F(LostAnswers, ALeaderThatStaysSilentIsGivenUpAsBefore) {
-  network.answersLostUntil["me"] = clock.now() + 10000;
+  network.responsesToHostLostUntil["me"] = clock.now() + 10000;
   const auto [took, byLeader] = forwardOne();
   EXPECT_FALSE(byLeader);
   EXPECT_LT(took, Duration{1600});
--- a/src/connectivity/worker_transport_test.cpp
+++ b/src/connectivity/worker_transport_test.cpp
@@ -17,7 +17,7 @@
 struct ProbeOfWorker : testing::Test {
   const ZoneId zoneA{"a"}, zoneB{"b"};
   std::mt19937_64 random{1};
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "leader", 1.0};
   Platform platform;
@@ -55,7 +55,7 @@
 }
 
 TEST_F(ProbeOfWorker, ThatIsDeadBesideALivingOneIsUnreachableAtItsDeadline) {
-  network.silence("probed");
+  network.powerOff("probed");
   probe();
   pass(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unreachable});
@@ -77,7 +77,7 @@
 
 TEST_F(ProbeOfWorker, ThatIsDeadOnASlowLinkIsUnreachableOnceAnotherHasAnswered) {
   slow({"probed", "other"}, 3000);
-  network.silence("probed");
+  network.powerOff("probed");
   probe();
   pass(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
@@ -98,7 +98,7 @@
   pass(1);
   transport->noteReport("third:9", zoneB, std::nullopt);
   slow({"probed", "other"}, 3000);
-  network.silence("probed");
+  network.powerOff("probed");
   probe();
   pass(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
@@ -107,7 +107,7 @@
 TEST_F(ProbeOfWorker, AloneInItsZoneIsMeasuredByAnyOther) {
   transport->probe("probed:9", zoneB, {"POST", "/commands", ""},
                    [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
-  network.silence("probed");
+  network.powerOff("probed");
   pass(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unreachable});
 }
@@ -126,7 +126,7 @@
 TEST_F(ProbeOfWorker, WithNobodyElseToAskProvesNothing) {
   WorkerTransport alone(runtime, runtime, *peers);
   alone.noteReport("probed:9", zoneA, std::nullopt);
-  network.silence("probed");
+  network.powerOff("probed");
   alone.probe("probed:9", zoneA, {"POST", "/commands", ""},
               [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
   pass(6000);
@@ -147,7 +147,7 @@
   status.supportsForwarding = true;
   withPeer.start([&status] { return status; }, Duration{1000000});
   WorkerTransport beside(runtime, runtime, withPeer);
-  network.silence("probed");
+  network.powerOff("probed");
   for (int i = 0; i < 2; ++i) {
     outcomes.clear();
     beside.noteReport("other:9", zoneA, std::nullopt);
@@ -168,7 +168,7 @@
     transport->noteReport("other:9", zoneA, std::nullopt);
     pass(2000);
   };
-  network.silence("probed");
+  network.powerOff("probed");
   serve();
   network.cut("leader", {"other"}, sim::CutMode::drop, 1000000);
   serve();
--- a/src/leadership/peer_membership_test.cpp
+++ b/src/leadership/peer_membership_test.cpp
@@ -9,7 +9,7 @@
 
 TEST(PeerMembership, APeerThatReachedTheStoreBeforeTheOutageIsNoSignOfBeingRefusedAlone) {
   std::mt19937_64 random(1);
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network(clock, random);
   sim::HostRuntime runtime(clock, network, "me", 1.0);
   Platform platform;
@@ -34,7 +34,7 @@
 // behind a packet filter was taken for dead, and the running work of its zone was released.
 TEST(PeerMembership, AFreshRefusalIsAnEndedPeerALongOneAFilter) {
   std::mt19937_64 random(1);
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network(clock, random);
   sim::HostRuntime runtime(clock, network, "me", 1.0);
   Platform platform;
--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 struct Load : testing::Test {
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   std::mt19937_64 random{1};
   sim::Network network{clock, random};
   simulator::StateService state{clock, network, "state:1"};
--- a/tests/client_world_test.cpp
+++ b/tests/client_world_test.cpp
@@ -99,8 +99,8 @@
     case 7:
       return w.state.refuse(name, ms);
     default:
-      w.network.lossOfAnswers = pick(2) * 0.1;
-      w.network.lateRequests = pick(2) * 0.05;
+      w.network.responseLossShare = pick(2) * 0.1;
+      w.network.lateRequestShare = pick(2) * 0.05;
   }
 }
 
@@ -135,7 +135,7 @@
       script = std::make_unique<Script>(w, key, life, seed + 100 * static_cast<unsigned>(life));
     }
   }
-  w.network.lossOfAnswers = w.network.lateRequests = 0;
+  w.network.responseLossShare = w.network.lateRequestShare = 0;
   w.runFor(300);
   check();
   EXPECT_TRUE(script->over);
--- a/tests/member_key_faults_test.cpp
+++ b/tests/member_key_faults_test.cpp
@@ -19,8 +19,9 @@
   World world(settings);
   world.runFor(15);
   std::size_t lost = 0;
-  world.network.fateOf = [&, late = late, downMs = downMs](const std::string& from,
-                                                           const Request& q) -> Network::Fate {
+  world.network.requestFault = [&, late = late, downMs = downMs](
+                                   const std::string& from,
+                                   const Request& q) -> Network::RequestFault {
     if (q.path != "/commit" || writerOf(*decodeBody(q.body)) != "member") return {};
     if (!std::bernoulli_distribution(0.6)(world.random)) return {};
     ++lost;
--- a/tests/scenario_concurrent_reads.cpp
+++ b/tests/scenario_concurrent_reads.cpp
@@ -126,7 +126,7 @@
   constexpr double kStep = 0.02;
   int node = nodeOf("other");
   auto seen = std::make_shared<OwnAbort>();
-  w.network.slowState = kSlow;
+  w.network.stateServiceDelayMs = kSlow;
   waitForEnd(id);
   seen->before = seen->placed = w.newestTry(id, 0);
   auto hook = w.state.onCommit;
@@ -151,7 +151,7 @@
   // What the controller read last was answered so long before it could commit.
   bool met = seen->placedAt >= 0 && seen->placedAt > seen->cancelledAt - kSlow &&
              seen->placedAt <= seen->cancelledAt && !knows(id, seen->before);
-  w.network.slowState = 0;
+  w.network.stateServiceDelayMs = 0;
   onlyReaches(node, kCut);
   w.runFor(60);
   w.state.onCommit = hook;
@@ -166,11 +166,11 @@
       w.clock.in(at, [this, down] { crash("leader", down); });
     }
   } else if (what == "answers") {
-    w.network.lossOfAnswers = 0.05;
-    w.clock.in(ms, [&w] { w.network.lossOfAnswers = 0; });
+    w.network.responseLossShare = 0.05;
+    w.clock.in(ms, [&w] { w.network.responseLossShare = 0; });
   } else if (what == "late") {
-    w.network.lateWrites = 0.15;
-    w.clock.in(ms, [&w] { w.network.lateWrites = 0; });
+    w.network.lateTransactionShare = 0.15;
+    w.clock.in(ms, [&w] { w.network.lateTransactionShare = 0; });
   } else if (what != "none") {
     FAIL() << "unknown trouble " << what;
   }
--- a/tests/scenario_fault_combinations.cpp
+++ b/tests/scenario_fault_combinations.cpp
@@ -38,8 +38,8 @@
     }
     for (int i = 0; i < 3; ++i) crashAt(pick(ms), "leader", pick(2) ? pick(900) : kRestartMs);
   } else if (what == "late_writes") {  // without an answer, and done after newer ones
-    w.network.lateWrites = 0.3;
-    w.clock.in(ms, [&w] { w.network.lateWrites = 0; });
+    w.network.lateTransactionShare = 0.3;
+    w.clock.in(ms, [&w] { w.network.lateTransactionShare = 0; });
     for (int i = 0; i < 4; ++i) submitAt(pick(ms));
     for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
     if (pick(2)) crashAt(pick(ms), "leader", pick(900));
@@ -62,20 +62,20 @@
     crashAt(pick(ms / 2), "leader", pick(2) ? pick(900) : kRestartMs);
     cancelThroughOthers(pick(ms));
   } else if (what == "held") {  // commands and answers are held up, and machines go on after that
-    w.network.held = {0.3, 200, 8000};
-    w.clock.in(ms, [&w] { w.network.held = {}; });
+    w.network.delayedCommands = {0.3, 200, 8000};
+    w.clock.in(ms, [&w] { w.network.delayedCommands = {}; });
     for (int i = 0; i < 3; ++i) w.clock.in(pick(ms), [this] { hangOne(1000 + pick(12000)); });
     for (int i = 0; i < 3; ++i) submitAt(pick(ms));
     for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
   } else if (what == "refused") {  // slowly, then the leader alone, then nobody, for over cancel_s
-    w.network.slowState = 300 + pick(1500);
-    w.clock.in(ms, [&w] { w.network.slowState = 0; });
+    w.network.stateServiceDelayMs = 300 + pick(1500);
+    w.clock.in(ms, [&w] { w.network.stateServiceDelayMs = 0; });
     std::int64_t refused = 200 + pick(13800);
     refuseThenAll(refused, static_cast<std::int64_t>(settings_.cancelS * 1000) + pick(10000));
     for (int i = 0; i < 3; ++i) cancelThroughOthers(pick(refused));
   } else if (what == "old") {  // old reports after newer ones, of earlier sessions and attempts
-    w.network.copies = {0.5, 1000, 60000};
-    w.clock.in(ms, [&w] { w.network.copies = {}; });
+    w.network.duplicateReports = {0.5, 1000, 60000};
+    w.clock.in(ms, [&w] { w.network.duplicateReports = {}; });
     deafZone(settings_.zones[static_cast<std::size_t>(pick(2))], CutMode::hold,
              static_cast<std::int64_t>(settings_.leaseS * 1000) + pick(8000));
     cancelThroughOthers(pick(ms));
--- a/tests/scenario_faults.hpp
+++ b/tests/scenario_faults.hpp
@@ -90,7 +90,7 @@
     for (const auto& [host, worker] : world_->workers) {
       if (worker->zone == zone) inside.insert(host);
     }
-    world_->network.cutOff(inside, how, ms);
+    world_->network.isolate(inside, how, ms);
   }
 
   std::string busyMachine(const std::string& word) {
--- a/tests/scenario_late_messages.cpp
+++ b/tests/scenario_late_messages.cpp
@@ -42,7 +42,8 @@
   return t;
 }
 
-Network::Fate ScenarioLateMessages::fateOf(const std::string& from, const Request& request) {
+Network::RequestFault ScenarioLateMessages::requestFault(const std::string& from,
+                                                         const Request& request) {
   constexpr std::int64_t kWriteFrom = 2000, kWriteTo = 12000, kCommandFrom = 2000,
                          kCommandTo = 16000;
   if (request.path.starts_with("/changes") && readsToLose_ > 0 &&
@@ -100,8 +101,8 @@
 void ScenarioLateMessages::lateReports(const std::vector<std::string>& words) {
   constexpr std::int64_t kFrom = 1000, kTo = 60000;
   if (words.size() < 4) {
-    world_->network.copies = {std::stod(words.at(1)), kFrom, kTo};
-    world_->clock.in(millis(words.at(2)), [this] { world_->network.copies = {}; });
+    world_->network.duplicateReports = {std::stod(words.at(1)), kFrom, kTo};
+    world_->clock.in(millis(words.at(2)), [this] { world_->network.duplicateReports = {}; });
     return;
   }
   reports_ = troubleFrom({words.begin(), words.begin() + 4});
@@ -178,7 +179,9 @@
 void ScenarioLateMessages::listen() {
   if (std::exchange(listening_, true)) return;
   World& w = *world_;
-  w.network.fateOf = [this](const std::string& from, const Request& q) { return fateOf(from, q); };
+  w.network.requestFault = [this](const std::string& from, const Request& q) {
+    return requestFault(from, q);
+  };
   w.network.onSent = [this](const std::string& from, const Request& q) {
     keep(from, q);
     watchRentals(q);
@@ -186,7 +189,7 @@
     if (q.path == "/hosts/release") reached("release");
     if (q.path == "/commands") watchOrders(*decodeBody(q.body));
   };
-  w.network.onAnswered = [this, before = w.network.onAnswered](const Request& q,
+  w.network.onResponse = [this, before = w.network.onResponse](const Request& q,
                                                                const Response& r) {
     if (before) before(q, r);
     if (!awaiting_ || q.path != "/agent/beat" || r.status != 200) return;
--- a/tests/scenario_late_messages.hpp
+++ b/tests/scenario_late_messages.hpp
@@ -97,7 +97,7 @@
     commands_ = troubleFrom(words);
     listen();
   }
-  Network::Fate fateOf(const std::string& from, const Request& request);
+  Network::RequestFault requestFault(const std::string& from, const Request& request);
   void noticeAtLaunch(const Request& request);
   // What becomes of the author, once the message is under way; seldom enough that somebody leads
   // in between.
--- a/tests/scenario_machine_faults.cpp
+++ b/tests/scenario_machine_faults.cpp
@@ -97,7 +97,7 @@
     if (worker->gone) continue;
     bool hit = share ? static_cast<double>(draw(1000)) < std::stod(which) * 1000
                      : which == "all" || worker->zone == which || host == one;
-    if (hit) w.network.mute(host, draw(2) == 0, ms);
+    if (hit) w.network.blockRequestsFrom(host, draw(2) == 0, ms);
   }
 }
 
--- a/tests/scenario_machine_faults.hpp
+++ b/tests/scenario_machine_faults.hpp
@@ -46,11 +46,11 @@
   // Commands and answers are held up, or requests come late, for a while.
   void disturb(const std::string& how, std::int64_t ms) {
     World& w = *world_;
-    if (how == "held") w.network.held = {0.2, 200, 8000};
-    if (how == "late") w.network.lateWrites = 0.1;
+    if (how == "held") w.network.delayedCommands = {0.2, 200, 8000};
+    if (how == "late") w.network.lateTransactionShare = 0.1;
     w.clock.in(ms, [&w] {
-      w.network.held = {};
-      w.network.lateWrites = 0;
+      w.network.delayedCommands = {};
+      w.network.lateTransactionShare = 0;
     });
   }
 
--- a/tests/scenario_steps_controllers.cpp
+++ b/tests/scenario_steps_controllers.cpp
@@ -73,9 +73,9 @@
 
 // slow state ANSWERS SECONDS: its answers take so much longer
 void Scenario::slowStateService(const Line& line) {
-  world_->network.slowState = toMilliseconds(line.words.at(2));
+  world_->network.stateServiceDelayMs = toMilliseconds(line.words.at(2));
   world_->clock.in(toMilliseconds(line.words.at(3)),
-                   [world = world_.get()] { world->network.slowState = 0; });
+                   [world = world_.get()] { world->network.stateServiceDelayMs = 0; });
 }
 
 // refuse NODE SECONDS: by the state service alone
--- a/tests/scenario_steps_machines.cpp
+++ b/tests/scenario_steps_machines.cpp
@@ -19,7 +19,7 @@
 
 // slowness SECONDS: what links in mode slow add, there and back
 void Scenario::setSlowness(const Line& line) {
-  world_->network.slowMs = toMilliseconds(line.words.at(1)) / 2;
+  world_->network.slowLinkDelayMs = toMilliseconds(line.words.at(1)) / 2;
 }
 
 // flap NODE to GROUP MODE EVERY DOWN TIMES: who it is then
@@ -56,7 +56,7 @@
 // lose answers|late SHARE
 void Scenario::loseMessages(const Line& line) {
   auto& network = world_->network;
-  (line.words.at(1) == "answers" ? network.lossOfAnswers : network.lateRequests) =
+  (line.words.at(1) == "answers" ? network.responseLossShare : network.lateRequestShare) =
       std::stod(line.words.at(2));
 }
 
@@ -68,29 +68,29 @@
   ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
   const std::int64_t until = world_->clock.now() + toMilliseconds(words.at(3));
   auto& network = world_->network;
-  if (words.at(2) != "of") network.answersLostUntil[host] = until;
-  if (words.at(2) != "to") network.ownAnswersLostUntil[host] = until;
+  if (words.at(2) != "of") network.responsesToHostLostUntil[host] = until;
+  if (words.at(2) != "to") network.responsesFromHostLostUntil[host] = until;
 }
 
 // late_writes SHARE SECONDS: carried out 2 to 12 s later
 void Scenario::delayWrites(const Line& line) {
-  world_->network.lateWrites = std::stod(line.words.at(1));
+  world_->network.lateTransactionShare = std::stod(line.words.at(1));
   world_->clock.in(toMilliseconds(line.words.at(2)),
-                   [world = world_.get()] { world->network.lateWrites = 0; });
+                   [world = world_.get()] { world->network.lateTransactionShare = 0; });
 }
 
 // held SHARE FROM TO: direct commands, and answers to workers
 void Scenario::delayCommands(const Line& line) {
   const auto& words = line.words;
-  world_->network.held = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
-                          toMilliseconds(words.at(3))};
+  world_->network.delayedCommands = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
+                                     toMilliseconds(words.at(3))};
 }
 
 // copies SHARE FROM TO: of reports, seconds later
 void Scenario::duplicateReports(const Line& line) {
   const auto& words = line.words;
-  world_->network.copies = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
-                            toMilliseconds(words.at(3))};
+  world_->network.duplicateReports = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
+                                      toMilliseconds(words.at(3))};
 }
 
 // capacity spot|ordinary PER_ZONE
--- a/tests/scenario_steps_moments.cpp
+++ b/tests/scenario_steps_moments.cpp
@@ -60,7 +60,7 @@
                                     const std::function<void()>& play) {
   auto& network = world_->network;
   const std::uint64_t session = world_->workers.at(host)->session();
-  network.onAnswered = [=, this, before = network.onAnswered, over = false](
+  network.onResponse = [=, this, before = network.onResponse, over = false](
                            const Request& q, const Response& r) mutable {
     if (before) before(q, r);
     const bool heartbeat = q.path == "/agent/beat" || q.path.starts_with("/mesh/reports");
--- a/tests/sim/balancer.hpp
+++ b/tests/sim/balancer.hpp
@@ -15,7 +15,7 @@
 /// Sends users' requests to healthy controllers.
 class Balancer {
  public:
-  Balancer(Clockwork& clock, Network& network, std::mt19937_64& random,
+  Balancer(VirtualClock& clock, Network& network, std::mt19937_64& random,
            const std::vector<std::string>& addresses)
       : clock_(clock), network_(network), random_(random) {
     for (const auto& a : addresses) nodes_.emplace_back().address = a;
@@ -92,7 +92,7 @@
                   });
   }
 
-  Clockwork& clock_;
+  VirtualClock& clock_;
   Network& network_;
   std::mt19937_64& random_;
   std::vector<Node> nodes_;
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -14,16 +14,16 @@
 namespace kestrelhoist::sim {
 
 /// Runs scheduled functions in the order of their virtual times.
-class Clockwork : public simulator::Clock {
+class VirtualClock : public simulator::Clock {
  public:
-  Clockwork() { newest_ = this; }
-  ~Clockwork() override {
+  VirtualClock() { newest_ = this; }
+  ~VirtualClock() override {
     if (newest_ == this) newest_ = nullptr;
   }
-  Clockwork(const Clockwork&) = delete;
-  Clockwork& operator=(const Clockwork&) = delete;
+  VirtualClock(const VirtualClock&) = delete;
+  VirtualClock& operator=(const VirtualClock&) = delete;
   /// Returns the time of the most recently created clock, or 0 if none exists.
-  static std::int64_t newestNow() { return newest_ ? newest_->now_ : 0; }
+  static std::int64_t newestClockNow() { return newest_ ? newest_->now_ : 0; }
   std::int64_t now() const override { return now_; }
   void at(std::int64_t ms, std::function<void()> f) override {
     queue_.push({std::max(ms, now_), next_++, std::move(f)});
@@ -49,19 +49,20 @@
   std::priority_queue<Event> queue_;
   std::int64_t now_ = 1000;
   std::uint64_t next_ = 0;
-  static inline Clockwork* newest_ = nullptr;
+  static inline VirtualClock* newest_ = nullptr;
 };
 
-/// Says what happens to messages across a cut. In mode `slow` they take Network::slowMs longer.
+/// Says what happens to messages across a cut. In mode `slow` they take Network::slowLinkDelayMs
+/// longer.
 enum class CutMode { hold, drop, reset, slow };
 /// Names the direction that a cut affects, as seen from its host.
 enum class CutWay { both, in, out };
 
 /// Carries messages between named hosts; an address has the form "host:port". A cut disturbs the
 /// messages between two groups of hosts.
-class Network : public simulator::Wire {
+class Network : public simulator::Transport {
  public:
-  Network(Clockwork& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
+  Network(VirtualClock& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
   ~Network() override {
     if (digest_) digest_->report();
   }
@@ -71,7 +72,7 @@
   }
   void close(const std::string& address) override { servers_.erase(address); }
   /// Makes the host stop answering and sending, as if it had lost power.
-  void silence(const std::string& host) override { silent_.insert(host); }
+  void powerOff(const std::string& host) override { poweredOff_.insert(host); }
 
   /// Cuts `host` off from every host in `others` for `ms`; an empty set stands for all hosts.
   void cut(const std::string& host, const std::set<std::string>& others, CutMode mode,
@@ -80,11 +81,11 @@
   }
   /// Makes all requests from this host fail for `ms`. They are refused at once if `refused` is set,
   /// otherwise they time out. Requests to the host and its responses still arrive.
-  void mute(const std::string& host, bool refused, std::int64_t ms) {
-    mutes_[host] = {clock_.now() + ms, refused};
+  void blockRequestsFrom(const std::string& host, bool refused, std::int64_t ms) {
+    blockedSenders_[host] = {clock_.now() + ms, refused};
   }
   /// Cuts the hosts in `inside` off from all other hosts for `ms`.
-  void cutOff(const std::set<std::string>& inside, CutMode mode, std::int64_t ms) {
+  void isolate(const std::set<std::string>& inside, CutMode mode, std::int64_t ms) {
     cuts_.push_back({"", {}, inside, mode, clock_.now() + ms, CutWay::both});
   }
   /// Counts the requests so far and the bytes of their request and response bodies.
@@ -94,48 +95,48 @@
   /// The key consists of the first two segments of the request path.
   std::map<std::string, Traffic> traffic;
   /// This share of all responses is lost.
-  double lossOfAnswers = 0;
+  double responseLossShare = 0;
   /// Responses to requests from the host in the key are lost until this time (ms).
-  std::map<std::string, std::int64_t> answersLostUntil;
+  std::map<std::string, std::int64_t> responsesToHostLostUntil;
   /// Responses sent by the host in the key are lost until this time (ms).
-  std::map<std::string, std::int64_t> ownAnswersLostUntil;
+  std::map<std::string, std::int64_t> responsesFromHostLostUntil;
   /// This share of the requests arrives up to two minutes late.
-  double lateRequests = 0;
+  double lateRequestShare = 0;
   /// Sets which share of the messages has an extra delay, and the range of that delay in ms.
-  struct Copies {
+  struct MessageDelay {
     double share = 0;
     std::int64_t from = 0, to = 0;
   };
   /// For this share of the workers' reports a copy also arrives after the extra delay, and its
   /// response is discarded.
-  Copies copies;
+  MessageDelay duplicateReports;
   /// This share of the transactions gets no response. The state service applies them 2 to 12 s
   /// later, possibly after newer transactions.
-  double lateWrites = 0;
+  double lateTransactionShare = 0;
   /// This share of the direct commands to workers, of the responses to these commands and of the
   /// responses to reports arrives after the extra delay.
-  Copies held;
+  MessageDelay delayedCommands;
   /// Describes an additional fault of one request: an extra delay in ms and the loss of its
   /// response.
-  struct Fate {
-    std::int64_t laterMs = 0;
+  struct RequestFault {
+    std::int64_t extraDelayMs = 0;
     bool unanswered = false;
   };
   /// The network asks this function for the fault of each request, if it is set.
-  std::function<Fate(const std::string& from, const Request& request)> fateOf;
-  /// The network calls onSent for each request as it is sent, and onAnswered for each response.
+  std::function<RequestFault(const std::string& from, const Request& request)> requestFault;
+  /// The network calls onSent for each request as it is sent, and onResponse for each response.
   std::function<void(const std::string& from, const Request& request)> onSent;
-  std::function<void(const Request& request, const Response& answer)> onAnswered;
+  std::function<void(const Request& request, const Response& answer)> onResponse;
   /// Cuts in mode `slow` delay each message by this time.
-  std::int64_t slowMs = 1500;
+  std::int64_t slowLinkDelayMs = 1500;
   /// Responses of the state service take this much longer (ms).
-  std::int64_t slowState = 0;
+  std::int64_t stateServiceDelayMs = 0;
 
-  /// Delivers a copy of a request after `laterMs` and discards its response.
+  /// Delivers a copy of a request after `extraDelayMs` and discards its response.
   void deliver(const std::string& from, const std::string& address, const Request& request,
-               std::int64_t laterMs) {
+               std::int64_t extraDelayMs) {
     std::string to = address.substr(0, address.find(':'));
-    travel(from, to, laterMs + latency(), [this, from, address, request](bool reset) {
+    travel(from, to, extraDelayMs + latency(), [this, from, address, request](bool reset) {
       auto server = servers_.find(address);
       if (reset || server == servers_.end()) return;
       serve(server->second, from, address, request, [](const Response&) {});
@@ -151,8 +152,9 @@
       done(std::move(r));
     };
     clock_.in(timeout, [finish] { finish(std::nullopt); });
-    if (auto mute = mutes_.find(from); mute != mutes_.end() && clock_.now() < mute->second.until) {
-      if (mute->second.refused) clock_.in(latency(), [finish] { finish(std::nullopt); });
+    if (auto blocked = blockedSenders_.find(from);
+        blocked != blockedSenders_.end() && clock_.now() < blocked->second.until) {
+      if (blocked->second.refused) clock_.in(latency(), [finish] { finish(std::nullopt); });
       return;
     }
     if (digest_) digest_->onRequest("sent", clock_.now(), from, address, request);
@@ -162,10 +164,11 @@
     ++sum.requests;
     sum.bytes += request.body.size();
     std::int64_t delay = latency();
-    if (chance(lateRequests))
+    if (chance(lateRequestShare))
       delay += std::uniform_int_distribution<std::int64_t>(0, 120000)(random_);
-    if (request.path == "/agent/beat" && chance(copies.share)) {
-      auto later = std::uniform_int_distribution<std::int64_t>(copies.from, copies.to)(random_);
+    if (request.path == "/agent/beat" && chance(duplicateReports.share)) {
+      auto later = std::uniform_int_distribution<std::int64_t>(duplicateReports.from,
+                                                               duplicateReports.to)(random_);
       travel(from, to, delay + later, [this, from, address, request](bool) {
         if (auto server = servers_.find(address); server != servers_.end()) {
           serve(server->second, from, address, request, [](const Response&) {});
@@ -173,25 +176,26 @@
       });
     }
     bool command = request.path == "/commands";
-    bool late = request.path == "/commit" && chance(lateWrites);
+    bool late = request.path == "/commit" && chance(lateTransactionShare);
     if (late) delay += std::uniform_int_distribution<std::int64_t>(2000, 12000)(random_);
     if (onSent) onSent(from, request);
-    Fate fate = fateOf ? fateOf(from, request) : Fate{};
-    delay += fate.laterMs;
-    late = late || fate.unanswered;
-    if (command && chance(held.share)) delay += heldFor();
+    RequestFault fault = requestFault ? requestFault(from, request) : RequestFault{};
+    delay += fault.extraDelayMs;
+    late = late || fault.unanswered;
+    if (command && chance(delayedCommands.share)) delay += commandDelay();
     std::int64_t back = 0;
-    if ((command || request.path == "/agent/beat") && chance(held.share)) back = heldFor();
-    if (to == "state") back += slowState;
+    if ((command || request.path == "/agent/beat") && chance(delayedCommands.share))
+      back = commandDelay();
+    if (to == "state") back += stateServiceDelayMs;
     travel(from, to, delay,
            [this, from, to, address, request, finish, late, back, &sum](bool reset) {
              if (reset) return finish(std::nullopt);
              auto server = servers_.find(address);
              if (server == servers_.end()) return finish(std::nullopt);
-             bool lost = chance(lossOfAnswers) || late || losesAnswer(from, to);
+             bool lost = chance(responseLossShare) || late || isResponseLost(from, to);
              serve(server->second, from, address, request,
                    [this, from, to, request, finish, lost, back, &sum](const Response& r) {
-                     if (onAnswered) onAnswered(request, r);
+                     if (onResponse) onResponse(request, r);
                      if (lost) {
                        return logDebug("simulated network loses answer", "from", from, "to", to,
                                        "path", request.path, "status", r.status, "at_ms",
@@ -226,15 +230,16 @@
     });
   }
   std::int64_t latency() { return std::uniform_int_distribution<std::int64_t>(1, 4)(random_); }
-  std::int64_t heldFor() {
-    return std::uniform_int_distribution<std::int64_t>(held.from, held.to)(random_);
+  std::int64_t commandDelay() {
+    return std::uniform_int_distribution<std::int64_t>(delayedCommands.from,
+                                                       delayedCommands.to)(random_);
   }
-  bool losesAnswer(const std::string& from, const std::string& to) const {
+  bool isResponseLost(const std::string& from, const std::string& to) const {
     auto lasts = [this](const auto& until, const std::string& host) {
       auto found = until.find(host);
       return found != until.end() && clock_.now() < found->second;
     };
-    return lasts(answersLostUntil, from) || lasts(ownAnswersLostUntil, to);
+    return lasts(responsesToHostLostUntil, from) || lasts(responsesFromHostLostUntil, to);
   }
   bool chance(double p) { return p > 0 && std::bernoulli_distribution(p)(random_); }
 
@@ -253,11 +258,12 @@
   void travel(const std::string& from, const std::string& to, std::int64_t delay,
               std::function<void(bool reset)> arrive) {
     clock_.in(delay, [this, from, to, arrive] {
-      if (silent_.contains(to) || silent_.contains(from)) return;
+      if (poweredOff_.contains(to) || poweredOff_.contains(from)) return;
       if (const Cut* c = cutBetween(from, to)) {
         if (c->mode == CutMode::reset) return arrive(true);
         if (c->mode == CutMode::drop) return;
-        if (c->mode == CutMode::slow) return clock_.in(slowMs, [arrive] { arrive(false); });
+        if (c->mode == CutMode::slow)
+          return clock_.in(slowLinkDelayMs, [arrive] { arrive(false); });
         clock_.at(c->until + latency(), [this, from, to, arrive] { travel(from, to, 0, arrive); });
         return;
       }
@@ -265,16 +271,16 @@
     });
   }
 
-  Clockwork& clock_;
+  VirtualClock& clock_;
   std::mt19937_64& random_;
   std::map<std::string, Server> servers_;
-  std::set<std::string> silent_;
+  std::set<std::string> poweredOff_;
   std::vector<Cut> cuts_;
-  struct Mute {
+  struct BlockedSender {
     std::int64_t until{};
     bool refused{};
   };
-  std::map<std::string, Mute> mutes_;
+  std::map<std::string, BlockedSender> blockedSenders_;
   std::unique_ptr<TrafficDigest> digest_ = TrafficDigest::fromEnvironment();
 };
 
@@ -282,7 +288,7 @@
 /// destroyed. Its clock may run fast.
 class HostRuntime : public Runtime, public HttpClient {
  public:
-  HostRuntime(Clockwork& clock, Network& network, std::string host, double clockRate)
+  HostRuntime(VirtualClock& clock, Network& network, std::string host, double clockRate)
       : clock_(clock), network_(network), host_(std::move(host)), rate_(clockRate) {}
 
   Instant now() override {
@@ -290,10 +296,10 @@
   }
   std::int64_t wallMillis() override {
     // The simulated time of day starts at 22:13:20 UTC.
-    return 1700000000000 + clock_.now() + clockOff;
+    return 1700000000000 + clock_.now() + wallClockOffsetMs;
   }
   /// The time of day of this process is wrong by this many milliseconds.
-  std::int64_t clockOff = 0;
+  std::int64_t wallClockOffsetMs = 0;
   /// Pauses the process for `ms`: timers, responses and functions given to whenAwake() wait, while
   /// its clock runs on.
   void freeze(std::int64_t ms) { frozenUntil_ = clock_.now() + ms; }
@@ -322,7 +328,7 @@
       if (!alive.expired()) f();
     };
   }
-  Clockwork& clock_;
+  VirtualClock& clock_;
   Network& network_;
   std::string host_;
   double rate_;
--- a/tests/sim/virtual_time_log.hpp
+++ b/tests/sim/virtual_time_log.hpp
@@ -16,7 +16,7 @@
  public:
   void format(const spdlog::details::log_msg&, const std::tm&,
               spdlog::memory_buf_t& destination) override {
-    const std::string text = std::to_string(Clockwork::newestNow());
+    const std::string text = std::to_string(VirtualClock::newestClockNow());
     destination.append(text.data(), text.data() + text.size());
   }
   std::unique_ptr<custom_flag_formatter> clone() const override {
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -163,7 +163,7 @@
       p.stateWritesPerS = std::min(p.stateWritesPerS, settings.nextWrites);
   }
   n.runtime = std::make_unique<HostRuntime>(clock, network, host, rate);
-  n.runtime->clockOff = n.clockOff;
+  n.runtime->wallClockOffsetMs = n.wallClockOffsetMs;
   n.planner = std::make_unique<InlinePlanRunner>(*n.runtime);
   n.controller =
       std::make_unique<Controller>(*n.runtime, *n.runtime, *n.planner, n.platform,
@@ -228,8 +228,8 @@
 
 void World::stepClock(int i, std::int64_t ms) {
   Node& n = nodes_[static_cast<std::size_t>(i)];
-  n.clockOff += ms;
-  if (n.runtime) n.runtime->clockOff = n.clockOff;
+  n.wallClockOffsetMs += ms;
+  if (n.runtime) n.runtime->wallClockOffsetMs = n.wallClockOffsetMs;
 }
 
 void World::freeze(int i, std::int64_t forMs) {
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -277,7 +277,7 @@
   WorldSettings settings;
   PipelineChecks pipelines;
   std::mt19937_64 random;
-  Clockwork clock;
+  VirtualClock clock;
   Network network;
   simulator::SimulatedRegion region;
   simulator::StateService& state = region.state;
@@ -308,7 +308,7 @@
     std::unique_ptr<PlanRunner> planner;
     std::unique_ptr<Controller> controller;
     int lives = 0;
-    std::int64_t clockOff = 0;
+    std::int64_t wallClockOffsetMs = 0;
     bool isNew = true;
   };
   struct UserJob {
