--- a/simulator/host/process_tasks.cpp
+++ b/simulator/host/process_tasks.cpp
@@ -57,7 +57,7 @@
   known.directory = settings_.files + "/" + *directory;
   known.log = settings_.files + "/" + *logs + "/" + std::to_string(task.index) + ".log";
   known.environment = {{"HOIST_JOB", task.job}, {"HOIST_TASK", std::to_string(task.index)}};
-  known_[{worker.host, task.life}] = std::move(known);
+  known_[{worker.host, task.executionId}] = std::move(known);
   return TaskNeeds{numberField(v, "cpus").value_or(0), numberField(v, "gpus").value_or(0), false};
 }
 
@@ -71,7 +71,7 @@
   known.instance = rules::instanceFrom(*text, countField(v, "at").value_or(0));
   known.directory = settings_.files + "/" + *directory;
   known.log = known.directory + "/.hoist/logs/" + task.job + ".log";
-  known_[{worker.host, task.life}] = std::move(known);
+  known_[{worker.host, task.executionId}] = std::move(known);
   return TaskNeeds{numberField(v, "cpus").value_or(0), numberField(v, "gpus").value_or(0), false};
 }
 
@@ -82,7 +82,7 @@
   http_.send(
       server, {"GET", path, ""}, Duration{2000},
       [this, &worker, task, triesLeft, done](std::optional<Response> r) {
-        if (worker.gone) return;
+        if (worker.isDead) return;
         if (r && r->status == 404) return done(std::nullopt);
         auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
         auto flow = body ? textField(*body, "flow") : std::nullopt;
@@ -91,7 +91,7 @@
           ++next_;
           if (triesLeft == 0) return done(std::nullopt);
           loop_.after(Duration{300}, [this, &worker, task, triesLeft, done] {
-            if (!worker.gone) ask(worker, task, triesLeft - 1, done);
+            if (!worker.isDead) ask(worker, task, triesLeft - 1, done);
           });
           return;
         }
@@ -109,7 +109,7 @@
         known.log = known.directory + "/.hoist/logs/" + known.instance.why + "-" +
                     std::to_string(countField(*body, "instance").value_or(0)) + ".log";
         known.environment = {{"HOIST_FLOW", *flow}, {"HOIST_TEAM", team}, {"HOIST_MEMBER", member}};
-        known_[{worker.host, task.life}] = std::move(known);
+        known_[{worker.host, task.executionId}] = std::move(known);
         done(TaskNeeds{numberField(*body, "cpus").value_or(0),
                        numberField(*body, "gpus").value_or(0),
                        numberField(*body, "snapshot_s").value_or(0) > 0});
@@ -117,7 +117,7 @@
 }
 
 void ProcessTasks::begin(Worker& worker, const Worker::Task& task) {
-  const Key key{worker.host, task.life};
+  const Key key{worker.host, task.executionId};
   const Known& known = known_.at(key);
   ++begun_;
   std::error_code error;
@@ -127,8 +127,8 @@
   if (!fault.empty() || known.instance.command.empty()) {
     if (fault.empty()) fault = rules::conclude(known.directory, known.instance, true, 0);
     if (!fault.empty()) logInfo("task failed", "job", task.job, "task", task.index, "why", fault);
-    loop_.after(Duration{0}, [&worker, life = task.life, ok = fault.empty()] {
-      worker.exited(life, ok ? "done" : "error");
+    loop_.after(Duration{0}, [&worker, executionId = task.executionId, ok = fault.empty()] {
+      worker.exited(executionId, ok ? "done" : "error");
     });
     if (onBegin) onBegin();
     return;
@@ -158,18 +158,19 @@
     _exit(127);
   }
   if (pid < 0) {
-    loop_.after(Duration{0}, [&worker, life = task.life] { worker.exited(life, "error"); });
+    loop_.after(Duration{0},
+                [&worker, executionId = task.executionId] { worker.exited(executionId, "error"); });
     return;
   }
   // Parent and child both set the group, so it exists no matter which of them runs first.
   setpgid(pid, pid);
-  running_[pid] = {&worker, task.life, key, loop_.now().ms, false};
+  running_[pid] = {&worker, task.executionId, key, loop_.now().ms, false};
   if (onBegin) onBegin();
 }
 
 void ProcessTasks::save(Worker& worker, const Worker::Task& task) {
   for (auto& [pid, r] : running_) {
-    if (r.worker != &worker || r.life != task.life) continue;
+    if (r.worker != &worker || r.executionId != task.executionId) continue;
     r.saving = true;
     kill(-pid, SIGTERM);
   }
@@ -177,9 +178,9 @@
 
 // Waits for the process to exit, because no other task may write the same files before that.
 void ProcessTasks::end(Worker& worker, const Worker::Task& task) {
-  known_.erase({worker.host, task.life});
+  known_.erase({worker.host, task.executionId});
   for (auto it = running_.begin(); it != running_.end(); ++it) {
-    if (it->second.worker != &worker || it->second.life != task.life) continue;
+    if (it->second.worker != &worker || it->second.executionId != task.executionId) continue;
     kill(-it->first, SIGKILL);
     waitpid(it->first, nullptr, 0);
     running_.erase(it);
@@ -207,7 +208,7 @@
   kill(-pid, SIGKILL);
   auto known = known_.find(r.key);
   if (known == known_.end()) return;
-  if (r.saving) return r.worker->exited(r.life, "halted");
+  if (r.saving) return r.worker->exited(r.executionId, "halted");
   double seconds = static_cast<double>(loop_.now().ms - r.since) / 1000.0;
   std::string fault =
       rules::conclude(known->second.directory, known->second.instance, succeeded, seconds);
@@ -216,7 +217,7 @@
             known->second.instance.outputs.empty() ? "" : known->second.instance.outputs[0], "why",
             fault, "log", known->second.log);
   }
-  r.worker->exited(r.life, fault.empty() ? "done" : "error");
+  r.worker->exited(r.executionId, fault.empty() ? "done" : "error");
 }
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/host/process_tasks.hpp
+++ b/simulator/host/process_tasks.hpp
@@ -44,7 +44,7 @@
   std::size_t begun() const { return begun_; }
 
  private:
-  /// A key holds the machine's name and Worker::Task::life.
+  /// A key holds the machine's name and Worker::Task::executionId.
   using Key = std::pair<std::string, std::uint64_t>;
   struct Known {
     rules::PlannedInstance instance;
@@ -53,7 +53,7 @@
   };
   struct Running {
     Worker* worker{};
-    std::uint64_t life{};
+    std::uint64_t executionId{};
     Key key;
     std::int64_t since{};
     bool saving{};
--- a/simulator/main.cpp
+++ b/simulator/main.cpp
@@ -265,7 +265,7 @@
     settings.ram = o.ram;
     settings.bootS = o.bootS;
     settings.fetchS = o.fetchS;
-    settings.ordinaryPerZone = settings.spotPerZone = o.machines;
+    settings.onDemandPerZone = settings.spotPerZone = o.machines;
     settings.reportS = 0.5;
     settings.leaseS = 8;
     settings.listLagS = 0.2;
--- a/simulator/model/simulated_region.hpp
+++ b/simulator/model/simulated_region.hpp
@@ -20,14 +20,14 @@
   double cpus = 8, gpus = 8, ram = 64;
   double bootS = 20;
   double fetchS = 2;
-  int ordinaryPerZone = 4, spotPerZone = 4;
+  int onDemandPerZone = 4, spotPerZone = 4;
   double reportS = 1, leaseS = 11;
   double listLagS = 3;
-  double bootFail = 0;
+  double bootFailureShare = 0;
   /// The cloud lists a dead machine as failed after this time; 0 means never.
   double failedAfterS = 0;
   /// This share of the machines boots within 0.2 to 2 s.
-  double soon = 0;
+  double fastBootShare = 0;
   /// If set, a worker waits for its next regular report to report a new worker session.
   bool lateSessions = false;
   /// If set, a task change during an unanswered report waits for the next regular report.
@@ -38,11 +38,11 @@
 struct TaskNeeds {
   double cpus{}, gpus{};
   /// The task writes a checkpoint if the stop command leaves it time to do so.
-  bool saves{};
+  bool savesCheckpoint{};
   /// The machine keeps a fetched image. An empty name means that each task fetches its image anew.
   std::string image = {};
   /// The image has this size; each gigabyte takes RegionSettings::fetchS to fetch.
-  double gb = 1;
+  double imageGb = 1;
 };
 
 class SimulatedRegion;
@@ -59,16 +59,16 @@
   void notice(std::int64_t ms);
   /// Returns whether the worker has hung past its lease expiry. Its tasks then end before the
   /// worker does anything else.
-  bool leaseOver() const;
+  bool hasLeaseExpired() const;
   /// Returns the milliseconds until the worker's lease expires if no further report is
   /// acknowledged.
-  std::int64_t leaseLeft() const;
+  std::int64_t leaseRemainingMs() const;
   /// Returns the number of the worker session. It starts at 1 and each lease expiry increments it.
-  std::uint64_t session() const { return tenure_; }
+  std::uint64_t session() const { return session_; }
   /// Returns whether the worker is alive, does not hang and has no termination notice.
-  bool takesWork() const { return !gone && !frozen() && noticeEnds_ == 0; }
-  bool gone = false;
-  std::int64_t goneAt = -1;
+  bool takesWork() const { return !isDead && !isHanging() && terminationNoticeEndsAt_ == 0; }
+  bool isDead = false;
+  std::int64_t diedAtMs = -1;
   std::string host, zone;
   bool spot;
 
@@ -81,48 +81,49 @@
     std::int64_t ranMs = -1;
     /// Identifies this task attempt on its worker, so that timers of earlier attempts have no
     /// effect.
-    std::uint64_t life{};
+    std::uint64_t executionId{};
     TaskNeeds needs;
     /// The TaskHost has returned the task's needs.
-    bool known{};
+    bool hasNeeds{};
     bool kept{};
   };
   /// Returns whether the task has its image and has not exited.
-  static bool on(const Task& t) { return t.state == "running" || t.state == "flushing"; }
+  static bool isExecuting(const Task& t) { return t.state == "running" || t.state == "flushing"; }
   std::vector<Task> tasks;
 
   /// The TaskHost calls this when a task process has exited by itself or has written its
   /// checkpoint.
-  void exited(std::uint64_t life, const std::string& cause);
-  Task* byLife(std::uint64_t life);
+  void exited(std::uint64_t executionId, const std::string& cause);
+  Task* findExecution(std::uint64_t executionId);
   /// Calls f now, or after the end of a hang.
   void whenAwake(std::function<void()> f);
 
  private:
-  void beat();
-  void schedule(std::int64_t ms);
-  void changed();
-  void reportChange();
+  void sendHeartbeat();
+  void scheduleHeartbeat(std::int64_t ms);
+  void onTaskChange();
+  void scheduleChangeReport();
   void execute(const Json& orders);
   void launch(const std::string& name, std::uint64_t attempt);
-  void described(std::uint64_t life, std::optional<TaskNeeds> needs);
-  void begin(std::uint64_t life);
+  void onDescribed(std::uint64_t executionId, std::optional<TaskNeeds> needs);
+  void begin(std::uint64_t executionId);
   void finish(Task& t, const std::string& cause);
   void checkLease();
-  void endLeaseIfOver();
+  void endSessionIfLeaseExpired();
   Task* find(const std::string& name, std::uint64_t attempt);
-  bool frozen() const;
+  bool isHanging() const;
   std::string address() const;
 
   SimulatedRegion& region_;
-  std::uint64_t tenure_ = 1, tick_ = 0, token_ = 0;
-  std::int64_t lastAnsweredSent_ = 0, lastSent_ = -1000000, hangUntil_ = 0, noticeEnds_ = 0;
-  std::size_t node_ = 0;
-  bool inFlight_ = false;
+  std::uint64_t session_ = 1, reportSequence_ = 0, fencingToken_ = 0;
+  std::int64_t lastAcknowledgedSentAt_ = 0, lastSentAt_ = -1000000, hangsUntil_ = 0,
+               terminationNoticeEndsAt_ = 0;
+  std::size_t controllerIndex_ = 0;
+  bool hasReportInFlight_ = false;
   /// A task has changed since the worker sent its newest report.
   bool hasUnreportedChange_ = false;
-  std::uint64_t timer_ = 0, lives_ = 0;
-  std::set<std::string> cached_;
+  std::uint64_t heartbeatTimer_ = 0, lastExecutionId_ = 0;
+  std::set<std::string> cachedImages_;
 };
 
 /// Defines and executes the tasks of simulated workers.
@@ -168,20 +169,20 @@
   StateService state;
   std::map<std::string, std::unique_ptr<Worker>> workers;
   std::int64_t cloudOutageUntil = 0;
-  std::size_t hired = 0;
-  std::size_t hireCalls = 0;
+  std::size_t rentedMachineCount = 0;
+  std::size_t rentalRequests = 0;
 
  private:
   struct Host {
     std::string zone;
     bool spot{};
-    std::int64_t rentedAt{};
+    std::int64_t rentedAtMs{};
     std::string phase = "booting";
-    std::int64_t goneAt = -1;
+    std::int64_t rentalEndedAtMs = -1;
   };
   bool listedAsFailed(const std::string& host, std::int64_t at) const;
   std::map<std::string, Host> hosts_;
-  std::map<std::string, Json> hires_;
+  std::map<std::string, Json> rentals_;
   std::map<std::pair<std::string, bool>, int> capacity_;
 };
 
--- a/simulator/model/state_service.cpp
+++ b/simulator/model/state_service.cpp
@@ -30,26 +30,26 @@
   expire();
   outageUntil_ = std::max(outageUntil_, clock_.now() + ms);
   // After the outage, every lease has its full duration again.
-  for (auto& [id, lease] : leases_) lease.ends = outageUntil_ + lease.life;
+  for (auto& [id, lease] : leases_) lease.expiresAtMs = outageUntil_ + lease.durationMs;
 }
 
 void StateService::drop(const std::string& key) {
-  data_.erase(key);
-  log_.push_back({key, std::nullopt, epoch_});
+  entries_.erase(key);
+  changeLog_.push_back({key, std::nullopt, revision_});
 }
 
 void StateService::expire() {
   if (clock_.now() < outageUntil_) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
-    if (it->second.ends > clock_.now()) {
+    if (it->second.expiresAtMs > clock_.now()) {
       ++it;
       continue;
     }
     std::vector<std::string> keys;
-    for (const auto& [key, entry] : data_) {
+    for (const auto& [key, entry] : entries_) {
       if (entry.lease == it->first) keys.push_back(key);
     }
-    if (!keys.empty()) ++epoch_;
+    if (!keys.empty()) ++revision_;
     for (const auto& key : keys) drop(key);
     it = leases_.erase(it);
   }
@@ -57,28 +57,28 @@
 
 Response StateService::handle(const std::string& from, const Request& q) {
   expire();
-  auto refused = refused_.find(from);
+  auto rejected = rejectedUntil_.find(from);
   if (clock_.now() < outageUntil_ ||
-      (refused != refused_.end() && clock_.now() < refused->second)) {
+      (rejected != rejectedUntil_.end() && clock_.now() < rejected->second)) {
     return jsonResponse(503, {{"error", "trouble"}});
   }
   std::string path = q.path.substr(0, q.path.find('?'));
   auto body = decodeBody(q.body);
   if (path == "/commit") return body ? commit(*body) : jsonResponse(400, {});
-  if (q.method == "GET") ++reads_made;
+  if (q.method == "GET") ++readCount;
   if (path == "/store") return list(queryOf(q.path));
   if (path.starts_with("/store/")) {
-    auto it = data_.find(path.substr(7));
-    if (it == data_.end()) return jsonResponse(404, {{"epoch", epoch_}});
-    Json v = {{"path", it->first}, {"data", it->second.data}, {"stamp", it->second.stamp}};
+    auto it = entries_.find(path.substr(7));
+    if (it == entries_.end()) return jsonResponse(404, {{"epoch", revision_}});
+    Json v = {{"path", it->first}, {"data", it->second.data}, {"stamp", it->second.revision}};
     if (it->second.lease != 0) v["ticket"] = it->second.lease;
     return jsonResponse(200, v);
   }
   if (path == "/changes") return changes(queryOf(q.path));
   if (path == "/leases") {
     auto id = nextLease_++;
-    auto life = static_cast<std::int64_t>(*countField(*body, "life_ms"));
-    leases_[id] = {life, clock_.now() + life};
+    auto durationMs = static_cast<std::int64_t>(*countField(*body, "life_ms"));
+    leases_[id] = {durationMs, clock_.now() + durationMs};
     if (onLease) onLease(from);
     return jsonResponse(200, {{"ticket", id}});
   }
@@ -87,10 +87,10 @@
     auto it = leases_.find(id);
     if (it == leases_.end()) return jsonResponse(404, Json::object());
     if (q.method == "DELETE") {
-      it->second.ends = 0;
+      it->second.expiresAtMs = 0;
       expire();
     } else {
-      it->second.ends = clock_.now() + it->second.life;
+      it->second.expiresAtMs = clock_.now() + it->second.durationMs;
     }
     return jsonResponse(200, {{"ticket", id}});
   }
@@ -99,34 +99,35 @@
 
 // A token bucket limits the changes: it refills with writesPerS tokens per second and holds at most
 // the tokens of one second.
-bool StateService::overRate(std::size_t changes) {
+bool StateService::exceedsWriteRate(std::size_t changes) {
   if (writesPerS <= 0) return false;
-  double since = static_cast<double>(clock_.now() - roomAt_) / 1000.0;
-  room_ = std::min(writesPerS, room_ + since * writesPerS);
-  roomAt_ = clock_.now();
+  double since = static_cast<double>(clock_.now() - availableChangesAt_) / 1000.0;
+  availableChanges_ = std::min(writesPerS, availableChanges_ + since * writesPerS);
+  availableChangesAt_ = clock_.now();
   auto n = static_cast<double>(changes);
-  if (room_ < n) return true;
-  room_ -= n;
+  if (availableChanges_ < n) return true;
+  availableChanges_ -= n;
   return false;
 }
 
 Response StateService::commit(const Json& body) {
   const Json& when = body.at("when");
   const Json& writes = body.at("writes");
-  if (refuses && refuses(writes)) return jsonResponse(503, {{"error", "trouble"}});
-  changes_made += writes.size();
-  if (overRate(writes.size())) {
-    ++tooMany;
+  if (rejectsTransaction && rejectsTransaction(writes))
+    return jsonResponse(503, {{"error", "trouble"}});
+  changeCount += writes.size();
+  if (exceedsWriteRate(writes.size())) {
+    ++rejectedForRate;
     return jsonResponse(429, {{"error", "too many changes"}});
   }
   if (writes.size() > transactionOps || when.size() > 4 * transactionOps ||
       body.dump().size() > 64 * 1024) {
-    ++tooLarge;
+    ++rejectedForSize;
     return jsonResponse(400, {{"error", "too large"}});
   }
   for (const auto& w : writes) {
     if (w.contains("data") && w["data"].dump().size() > valueBytes) {
-      ++tooLarge;
+      ++rejectedForSize;
       return jsonResponse(400, {{"error", "value too large"}});
     }
     if (w.contains("ticket") && !leases_.contains(w["ticket"].get<std::uint64_t>())) {
@@ -135,45 +136,46 @@
   }
   Json failed = Json::array();
   for (const auto& c : when) {
-    auto it = data_.find(c["path"].get<std::string>());
-    std::uint64_t stamp = it == data_.end() ? 0 : it->second.stamp;
-    if (stamp != c["stamp"].get<std::uint64_t>()) failed.push_back(c["path"]);
+    auto it = entries_.find(c["path"].get<std::string>());
+    std::uint64_t revision = it == entries_.end() ? 0 : it->second.revision;
+    if (revision != c["stamp"].get<std::uint64_t>()) failed.push_back(c["path"]);
   }
-  if (!failed.empty()) return jsonResponse(409, {{"failed", failed}, {"epoch", epoch_}});
-  if (!writes.empty()) ++epoch_;
+  if (!failed.empty()) return jsonResponse(409, {{"failed", failed}, {"epoch", revision_}});
+  if (!writes.empty()) ++revision_;
   for (const auto& w : writes) {
     if (w.contains("drop")) {
       drop(w["drop"].get<std::string>());
       continue;
     }
     auto key = w["set"].get<std::string>();
-    data_[key] = {w["data"], epoch_, w.value("ticket", std::uint64_t{0}), w["data"].dump().size()};
-    log_.push_back({key, w["data"], epoch_});
-    bytes_written += data_[key].bytes;
+    entries_[key] = {w["data"], revision_, w.value("ticket", std::uint64_t{0}),
+                     w["data"].dump().size()};
+    changeLog_.push_back({key, w["data"], revision_});
+    writtenBytes += entries_[key].bytes;
   }
   if (onCommit) onCommit(writes);
-  return jsonResponse(200, {{"epoch", epoch_}});
+  return jsonResponse(200, {{"epoch", revision_}});
 }
 
 std::vector<std::string> StateService::keysBelow(const std::string& prefix) const {
   std::vector<std::string> out;
-  for (auto it = data_.lower_bound(prefix); it != data_.end() && it->first.starts_with(prefix);
-       ++it) {
+  for (auto it = entries_.lower_bound(prefix);
+       it != entries_.end() && it->first.starts_with(prefix); ++it) {
     out.push_back(it->first);
   }
   return out;
 }
 
 const Json* StateService::valueOf(const std::string& key) const {
-  auto it = data_.find(key);
-  return it == data_.end() ? nullptr : &it->second.data;
+  auto it = entries_.find(key);
+  return it == entries_.end() ? nullptr : &it->second.data;
 }
 
 void StateService::put(const std::string& key, Json value) {
-  ++epoch_;
-  log_.push_back({key, value, epoch_});
+  ++revision_;
+  changeLog_.push_back({key, value, revision_});
   std::size_t bytes = value.dump().size();
-  data_[key] = {std::move(value), epoch_, 0, bytes};
+  entries_[key] = {std::move(value), revision_, 0, bytes};
 }
 
 Response StateService::list(const std::map<std::string, std::string>& query) {
@@ -183,46 +185,49 @@
   Json rows = Json::array();
   bool more = false;
   // A page has at most 1,000 rows (fewer if a scenario sets a smaller limit) and 512 KiB.
-  constexpr std::size_t kMostBytes = 512 * 1024;
-  page = std::min(page, mostRows);
+  constexpr std::size_t kMaxPageBytes = 512 * 1024;
+  page = std::min(page, maxPageRows);
   std::size_t bytes = 0;
-  auto from = since == query.end() ? data_.lower_bound(prefix) : data_.upper_bound(since->second);
-  for (; from != data_.end(); ++from) {
+  auto from =
+      since == query.end() ? entries_.lower_bound(prefix) : entries_.upper_bound(since->second);
+  for (; from != entries_.end(); ++from) {
     const auto& [key, entry] = *from;
     if (key < prefix) continue;
     if (!key.starts_with(prefix)) break;
     bytes += entry.bytes + key.size() + 40;
-    if (rows.size() == page || (bytes > kMostBytes && !rows.empty())) {
+    if (rows.size() == page || (bytes > kMaxPageBytes && !rows.empty())) {
       more = true;
       break;
     }
-    rows.push_back({{"path", key}, {"data", entry.data}, {"stamp", entry.stamp}});
+    rows.push_back({{"path", key}, {"data", entry.data}, {"stamp", entry.revision}});
   }
-  return jsonResponse(200, {{"rows", rows}, {"truncated", more}, {"epoch", epoch_}});
+  return jsonResponse(200, {{"rows", rows}, {"truncated", more}, {"epoch", revision_}});
 }
 
 Response StateService::changes(const std::map<std::string, std::string>& query) {
   const auto& prefix = query.at("prefix");
   std::uint64_t since = std::stoull(query.at("since"));
-  constexpr std::size_t kKept = 10000;
+  constexpr std::size_t kKeptChanges = 10000;
   // The log is truncated to bound its memory; a request for older changes gets 410 below.
-  if (log_.size() > 4 * kKept) log_.erase(log_.begin(), log_.end() - kKept);
-  if (log_.size() > kKept && log_[log_.size() - kKept].stamp > since) {
+  if (changeLog_.size() > 4 * kKeptChanges)
+    changeLog_.erase(changeLog_.begin(), changeLog_.end() - kKeptChanges);
+  if (changeLog_.size() > kKeptChanges &&
+      changeLog_[changeLog_.size() - kKeptChanges].revision > since) {
     return jsonResponse(410, Json::object());
   }
   Json events = Json::array();
-  auto first = std::upper_bound(log_.begin(), log_.end(), since,
-                                [](std::uint64_t s, const Change& c) { return s < c.stamp; });
-  for (; first != log_.end(); ++first) {
+  auto first = std::upper_bound(changeLog_.begin(), changeLog_.end(), since,
+                                [](std::uint64_t s, const Change& c) { return s < c.revision; });
+  for (; first != changeLog_.end(); ++first) {
     const Change& c = *first;
     if (!c.key.starts_with(prefix)) continue;
     if (c.data) {
-      events.push_back({{"set", c.key}, {"data", *c.data}, {"stamp", c.stamp}});
+      events.push_back({{"set", c.key}, {"data", *c.data}, {"stamp", c.revision}});
     } else {
-      events.push_back({{"drop", c.key}, {"stamp", c.stamp}});
+      events.push_back({{"drop", c.key}, {"stamp", c.revision}});
     }
   }
-  return jsonResponse(200, {{"epoch", epoch_}, {"events", events}});
+  return jsonResponse(200, {{"epoch", revision_}, {"events", events}});
 }
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/model/state_service.hpp
+++ b/simulator/model/state_service.hpp
@@ -17,23 +17,25 @@
   /// full duration again.
   void outage(std::int64_t ms);
   /// Answers this host's requests with 503 for this time.
-  void refuse(const std::string& host, std::int64_t ms) { refused_[host] = clock_.now() + ms; }
+  void rejectRequestsFrom(const std::string& host, std::int64_t ms) {
+    rejectedUntil_[host] = clock_.now() + ms;
+  }
   std::size_t transactionOps = 8;
   std::size_t valueBytes = 8192;
   /// One page of a listing has at most this many rows.
-  std::size_t mostRows = 1000;
+  std::size_t maxPageRows = 1000;
   /// The service accepts this many puts and deletes per second; 0 means no limit.
   double writesPerS = 0;
   /// The service rejected this many transactions with 400 because of their size, and this many with
   /// 429 because of the write rate limit.
-  std::size_t tooLarge = 0, tooMany = 0;
+  std::size_t rejectedForSize = 0, rejectedForRate = 0;
   /// A checker can set this function; transactions for which it returns true get 503.
-  std::function<bool(const Json& writes)> refuses;
+  std::function<bool(const Json& writes)> rejectsTransaction;
   /// This counts all puts and deletes received, including those of failed transactions.
-  std::size_t changes_made = 0;
-  std::size_t reads_made = 0;
+  std::size_t changeCount = 0;
+  std::size_t readCount = 0;
   /// This sums the sizes of the written values as JSON text.
-  std::size_t bytes_written = 0;
+  std::size_t writtenBytes = 0;
   /// The service calls this after it applied a transaction and before it sends the response.
   std::function<void(const Json& writes)> onCommit;
   /// The service calls this when it grants a lease to a host.
@@ -48,19 +50,19 @@
  private:
   struct Entry {
     Json data;
-    std::uint64_t stamp{};
+    std::uint64_t revision{};
     std::uint64_t lease{};
     /// The value has this size as JSON text.
     std::size_t bytes{};
   };
   struct Lease {
-    std::int64_t life{};
-    std::int64_t ends{};
+    std::int64_t durationMs{};
+    std::int64_t expiresAtMs{};
   };
   struct Change {
     std::string key;
     std::optional<Json> data;
-    std::uint64_t stamp{};
+    std::uint64_t revision{};
   };
   Response handle(const std::string& from, const Request& request);
   Response commit(const Json& body);
@@ -68,18 +70,18 @@
   Response changes(const std::map<std::string, std::string>& query);
   void expire();
   void drop(const std::string& key);
-  bool overRate(std::size_t changes);
+  bool exceedsWriteRate(std::size_t changes);
 
   Clock& clock_;
-  std::map<std::string, Entry> data_;
+  std::map<std::string, Entry> entries_;
   std::map<std::uint64_t, Lease> leases_;
-  std::vector<Change> log_;
-  std::uint64_t epoch_ = 0, nextLease_ = 1;
+  std::vector<Change> changeLog_;
+  std::uint64_t revision_ = 0, nextLease_ = 1;
   std::int64_t outageUntil_ = 0;
-  /// The write rate limit allows this many changes at the time roomAt_.
-  double room_ = 0;
-  std::int64_t roomAt_ = 0;
-  std::map<std::string, std::int64_t> refused_;
+  /// The write rate limit allows this many changes at the time availableChangesAt_.
+  double availableChanges_ = 0;
+  std::int64_t availableChangesAt_ = 0;
+  std::map<std::string, std::int64_t> rejectedUntil_;
 };
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/model/worker.cpp
+++ b/simulator/model/worker.cpp
@@ -9,32 +9,32 @@
     : host(std::move(h)), zone(std::move(z)), spot(isSpot), region_(region) {}
 
 void Worker::start() {
-  lastAnsweredSent_ = region_.clock.now();
-  node_ = region_.random() % region_.settings.nodes.size();
+  lastAcknowledgedSentAt_ = region_.clock.now();
+  controllerIndex_ = region_.random() % region_.settings.nodes.size();
   region_.transport.listen(host + ":9",
                            [this](const std::string&, const Request& q, const Respond& r) {
                              whenAwake([this, q, r] {
-                               if (!gone) r(onCommands(q));
+                               if (!isDead) r(onCommands(q));
                              });
                            });
-  schedule(1);
+  scheduleHeartbeat(1);
   checkLease();
 }
 
-bool Worker::leaseOver() const {
-  return region_.clock.now() - lastAnsweredSent_ > millis(region_.settings.leaseS) + 200;
+bool Worker::hasLeaseExpired() const {
+  return region_.clock.now() - lastAcknowledgedSentAt_ > millis(region_.settings.leaseS) + 200;
 }
 
-std::int64_t Worker::leaseLeft() const {
-  return lastAnsweredSent_ + millis(region_.settings.leaseS) - region_.clock.now();
+std::int64_t Worker::leaseRemainingMs() const {
+  return lastAcknowledgedSentAt_ + millis(region_.settings.leaseS) - region_.clock.now();
 }
 
-bool Worker::frozen() const { return region_.clock.now() < hangUntil_; }
+bool Worker::isHanging() const { return region_.clock.now() < hangsUntil_; }
 
 void Worker::whenAwake(std::function<void()> f) {
-  if (frozen()) {
-    region_.clock.at(hangUntil_ + 1, [this, f] {
-      if (!frozen()) endLeaseIfOver();
+  if (isHanging()) {
+    region_.clock.at(hangsUntil_ + 1, [this, f] {
+      if (!isHanging()) endSessionIfLeaseExpired();
       whenAwake(f);
     });
   } else {
@@ -45,19 +45,19 @@
 std::string Worker::address() const { return host + ":9"; }
 
 void Worker::die() {
-  gone = true;
-  goneAt = region_.clock.now();
+  isDead = true;
+  diedAtMs = region_.clock.now();
   for (const auto& t : tasks) region_.taskHost.end(*this, t);
   tasks.clear();
   region_.transport.powerOff(host);
 }
 
-void Worker::hang(std::int64_t forMs) { hangUntil_ = region_.clock.now() + forMs; }
+void Worker::hang(std::int64_t forMs) { hangsUntil_ = region_.clock.now() + forMs; }
 
 void Worker::notice(std::int64_t forMs) {
-  noticeEnds_ = region_.clock.now() + forMs;
-  region_.clock.at(noticeEnds_, [this] { die(); });
-  changed();
+  terminationNoticeEndsAt_ = region_.clock.now() + forMs;
+  region_.clock.at(terminationNoticeEndsAt_, [this] { die(); });
+  onTaskChange();
 }
 
 Json Worker::report() {
@@ -69,85 +69,90 @@
     if (t.state == "ended" && t.ranMs >= 0) v["ran_s"] = static_cast<double>(t.ranMs) / 1000.0;
     list.push_back(v);
   }
-  Json r = {{"host", host},         {"addr", region_.transport.publicAddress(address())},
-            {"rig", "box"},         {"site", zone},
-            {"loaners", spot},      {"tenure", tenure_},
-            {"tick", ++tick_},      {"baton", token_},
-            {"warning_s", nullptr}, {"shards", list}};
-  if (noticeEnds_ > 0) {
-    r["warning_s"] = static_cast<double>(noticeEnds_ - region_.clock.now()) / 1000.0;
+  Json r = {{"host", host},
+            {"addr", region_.transport.publicAddress(address())},
+            {"rig", "box"},
+            {"site", zone},
+            {"loaners", spot},
+            {"tenure", session_},
+            {"tick", ++reportSequence_},
+            {"baton", fencingToken_},
+            {"warning_s", nullptr},
+            {"shards", list}};
+  if (terminationNoticeEndsAt_ > 0) {
+    r["warning_s"] = static_cast<double>(terminationNoticeEndsAt_ - region_.clock.now()) / 1000.0;
   }
   return r;
 }
 
-void Worker::schedule(std::int64_t delay) {
-  auto mine = ++timer_;
-  region_.clock.in(delay, [this, mine] {
-    if (mine == timer_ && !gone)
-      whenAwake([this, mine] {
-        if (mine == timer_) beat();
+void Worker::scheduleHeartbeat(std::int64_t delay) {
+  auto timer = ++heartbeatTimer_;
+  region_.clock.in(delay, [this, timer] {
+    if (timer == heartbeatTimer_ && !isDead)
+      whenAwake([this, timer] {
+        if (timer == heartbeatTimer_) sendHeartbeat();
       });
   });
 }
 
-void Worker::changed() {
-  if (gone) return;
+void Worker::onTaskChange() {
+  if (isDead) return;
   hasUnreportedChange_ = true;
-  if (!inFlight_) reportChange();
+  if (!hasReportInFlight_) scheduleChangeReport();
 }
 
 // The worker sends reports of task changes at least half a second apart.
-void Worker::reportChange() {
-  schedule(std::max<std::int64_t>(1, lastSent_ + 500 - region_.clock.now()));
+void Worker::scheduleChangeReport() {
+  scheduleHeartbeat(std::max<std::int64_t>(1, lastSentAt_ + 500 - region_.clock.now()));
 }
 
-void Worker::beat() {
-  if (gone || inFlight_) return;
-  inFlight_ = true;
+void Worker::sendHeartbeat() {
+  if (isDead || hasReportInFlight_) return;
+  hasReportInFlight_ = true;
   hasUnreportedChange_ = false;
-  auto sentAt = lastSent_ = region_.clock.now();
-  auto session = tenure_;
-  auto next = [this](std::int64_t delay) { schedule(delay); };
+  auto sentAt = lastSentAt_ = region_.clock.now();
+  auto session = session_;
+  auto next = [this](std::int64_t delay) { scheduleHeartbeat(delay); };
   region_.transport.send(
-      host, region_.settings.nodes[node_], {"POST", "/agent/beat", encodeBody(report())}, 4000,
-      [this, sentAt, session, next](std::optional<Response> r) {
-        if (gone) return;
-        logDebug("simulated worker heartbeat", "machine", host, "node", node_, "sent_ms", sentAt,
-                 "waited_ms", region_.clock.now() - sentAt, "status", r ? r->status : 0);
+      host, region_.settings.nodes[controllerIndex_], {"POST", "/agent/beat", encodeBody(report())},
+      4000, [this, sentAt, session, next](std::optional<Response> r) {
+        if (isDead) return;
+        logDebug("simulated worker heartbeat", "machine", host, "node", controllerIndex_, "sent_ms",
+                 sentAt, "waited_ms", region_.clock.now() - sentAt, "status", r ? r->status : 0);
         whenAwake([this, sentAt, session, next, r] {
-          if (gone) return;
-          inFlight_ = false;
+          if (isDead) return;
+          hasReportInFlight_ = false;
           auto body = r ? decodeBody(r->body) : std::nullopt;
           std::size_t nodes = region_.settings.nodes.size();
           if (!r || (r->status != 200 && r->status != 421)) {
-            node_ = (node_ + 1) % nodes;
+            controllerIndex_ = (controllerIndex_ + 1) % nodes;
             return next(1000);
           }
           if (r->status == 421) {
             auto steward = body ? textField(*body, "steward") : std::nullopt;
-            std::size_t to = node_;
+            std::size_t to = controllerIndex_;
             // In simulated regions the controllers are named "node0", "node1" and so on.
             if (steward && steward->size() > 4) {
               to = static_cast<std::size_t>(std::atoi(steward->c_str() + 4));
             }
-            if (to == node_ || to >= nodes) {
-              node_ = (node_ + 1) % nodes;
+            if (to == controllerIndex_ || to >= nodes) {
+              controllerIndex_ = (controllerIndex_ + 1) % nodes;
               return next(1000);
             }
-            node_ = to;
+            controllerIndex_ = to;
             return next(200);
           }
           bool higher = false;
-          if (region_.clock.now() - sentAt <= 4000 && session == tenure_ && body) {
+          if (region_.clock.now() - sentAt <= 4000 && session == session_ && body) {
             auto token = countField(*body, "baton");
-            if (token && *token >= token_) {
-              higher = *token > token_;
-              token_ = *token;
-              lastAnsweredSent_ = sentAt;
+            if (token && *token >= fencingToken_) {
+              higher = *token > fencingToken_;
+              fencingToken_ = *token;
+              lastAcknowledgedSentAt_ = sentAt;
               execute(body->at("orders"));
             }
           }
-          if (hasUnreportedChange_ && !region_.settings.lateChanges) return reportChange();
+          if (hasUnreportedChange_ && !region_.settings.lateChanges) return scheduleChangeReport();
           if (higher) return next(500);
           double jitter = 0.75 + 0.5 * std::uniform_real_distribution<>(0, 1)(region_.random);
           next(millis(region_.settings.reportS * jitter));
@@ -156,11 +161,11 @@
 }
 
 void Worker::checkLease() {
-  if (gone) return;
+  if (isDead) return;
   region_.clock.in(200, [this] {
     whenAwake([this] {
-      if (gone) return;
-      endLeaseIfOver();
+      if (isDead) return;
+      endSessionIfLeaseExpired();
       checkLease();
     });
   });
@@ -168,16 +173,17 @@
 
 // After a hang the worker calls this before it processes any message or timer that waited
 // meanwhile.
-void Worker::endLeaseIfOver() {
-  if (gone || region_.clock.now() - lastAnsweredSent_ <= millis(region_.settings.leaseS)) return;
+void Worker::endSessionIfLeaseExpired() {
+  if (isDead || region_.clock.now() - lastAcknowledgedSentAt_ <= millis(region_.settings.leaseS))
+    return;
   logDebug("simulated worker lease ended", "machine", host, "at_ms", region_.clock.now(),
-           "last_answered_ms", lastAnsweredSent_, "tasks", tasks.size());
+           "last_answered_ms", lastAcknowledgedSentAt_, "tasks", tasks.size());
   for (const auto& t : tasks) region_.taskHost.end(*this, t);
   tasks.clear();
-  ++tenure_;
-  tick_ = 0;
-  lastAnsweredSent_ = region_.clock.now();
-  if (!region_.settings.lateSessions) changed();
+  ++session_;
+  reportSequence_ = 0;
+  lastAcknowledgedSentAt_ = region_.clock.now();
+  if (!region_.settings.lateSessions) onTaskChange();
 }
 
 Response Worker::onCommands(const Request& q) {
@@ -185,15 +191,15 @@
   auto token = body ? countField(*body, "baton") : std::nullopt;
   auto session = body ? countField(*body, "tenure") : std::nullopt;
   if (!token || !session) return jsonResponse(400, Json::object());
-  if (*token < token_ || *session != tenure_) return jsonResponse(409, report());
-  token_ = *token;
+  if (*token < fencingToken_ || *session != session_) return jsonResponse(409, report());
+  fencingToken_ = *token;
   execute(body->at("orders"));
   return jsonResponse(200, report());
 }
 
-Worker::Task* Worker::byLife(std::uint64_t life) {
+Worker::Task* Worker::findExecution(std::uint64_t executionId) {
   for (auto& t : tasks) {
-    if (t.life == life) return &t;
+    if (t.executionId == executionId) return &t;
   }
   return nullptr;
 }
@@ -215,7 +221,7 @@
       if (!t) launch(name, attempt);
     } else if (verb == "stop" && t && t->state != "ended") {
       double grace = o.value("wind_down_s", 0.0);
-      if (t->state == "running" && t->needs.saves && grace >= 1.0) {
+      if (t->state == "running" && t->needs.savesCheckpoint && grace >= 1.0) {
         t->state = "flushing";
         region_.taskHost.save(*this, *t);
       } else if (t->state != "flushing" || grace == 0.0) {
@@ -235,29 +241,29 @@
   t.index = std::atoi(name.c_str() + slash + 1);
   t.attempt = attempt;
   t.state = "fetching";
-  t.life = ++lives_;
+  t.executionId = ++lastExecutionId_;
   bool inUse = false;
   for (const auto& other : tasks) {
     inUse = inUse || (other.state != "ended" && other.job == t.job && other.index == t.index);
   }
   tasks.push_back(t);
   logDebug("simulated worker launches task", "machine", host, "task", name, "attempt", attempt,
-           "worker_epoch", tenure_);
+           "worker_epoch", session_);
   if (inUse) return finish(tasks.back(), "in_use");
-  changed();
-  auto life = t.life;
-  region_.taskHost.describe(*this, t, [this, life](std::optional<TaskNeeds> needs) {
-    if (!gone) described(life, needs);
+  onTaskChange();
+  auto executionId = t.executionId;
+  region_.taskHost.describe(*this, t, [this, executionId](std::optional<TaskNeeds> needs) {
+    if (!isDead) onDescribed(executionId, needs);
   });
 }
 
-void Worker::described(std::uint64_t life, std::optional<TaskNeeds> needs) {
-  Task* t = byLife(life);
+void Worker::onDescribed(std::uint64_t executionId, std::optional<TaskNeeds> needs) {
+  Task* t = findExecution(executionId);
   if (!t || t->state != "fetching") return;
   if (!needs) return finish(*t, "unknown");
   double gpus = needs->gpus, cpus = needs->cpus;
   for (const auto& other : tasks) {
-    if (other.state == "ended" || !other.known) continue;
+    if (other.state == "ended" || !other.hasNeeds) continue;
     gpus += other.needs.gpus;
     cpus += other.needs.cpus;
   }
@@ -265,41 +271,41 @@
     return finish(*t, "no_room");
   }
   t->needs = *needs;
-  t->known = true;
-  bool held = !needs->image.empty() && cached_.contains(needs->image);
-  std::int64_t fetch = held ? 1 : millis(region_.settings.fetchS * needs->gb);
-  region_.clock.in(fetch, [this, life, image = needs->image] {
-    whenAwake([this, life, image] {
-      if (gone) return;
-      if (!image.empty()) cached_.insert(image);
-      begin(life);
+  t->hasNeeds = true;
+  bool isImageCached = !needs->image.empty() && cachedImages_.contains(needs->image);
+  std::int64_t fetch = isImageCached ? 1 : millis(region_.settings.fetchS * needs->imageGb);
+  region_.clock.in(fetch, [this, executionId, image = needs->image] {
+    whenAwake([this, executionId, image] {
+      if (isDead) return;
+      if (!image.empty()) cachedImages_.insert(image);
+      begin(executionId);
     });
   });
 }
 
-void Worker::begin(std::uint64_t life) {
-  Task* t = byLife(life);
+void Worker::begin(std::uint64_t executionId) {
+  Task* t = findExecution(executionId);
   if (!t || t->state != "fetching") return;
   t->state = "running";
   t->startedAt = region_.clock.now();
   logDebug("simulated worker runs task", "machine", host, "job", t->job, "index", t->index,
            "attempt", t->attempt);
-  changed();
+  onTaskChange();
   region_.taskHost.begin(*this, *t);
 }
 
-void Worker::exited(std::uint64_t life, const std::string& cause) {
-  Task* t = byLife(life);
-  if (gone || !t || !on(*t)) return;
+void Worker::exited(std::uint64_t executionId, const std::string& cause) {
+  Task* t = findExecution(executionId);
+  if (isDead || !t || !isExecuting(*t)) return;
   if (t->state == "flushing") t->kept = cause == "halted";
   finish(*t, cause);
 }
 
 void Worker::finish(Task& t, const std::string& cause) {
-  if (on(t)) t.ranMs = region_.clock.now() - t.startedAt;
+  if (isExecuting(t)) t.ranMs = region_.clock.now() - t.startedAt;
   t.state = "ended";
   t.cause = cause;
-  changed();
+  onTaskChange();
 }
 
 }  // namespace kestrelhoist::simulator
--- a/tests/client_world_test.cpp
+++ b/tests/client_world_test.cpp
@@ -97,7 +97,7 @@
     case 6:
       return w.state.outage(ms / 2);
     case 7:
-      return w.state.refuse(name, ms);
+      return w.state.rejectRequestsFrom(name, ms);
     default:
       w.network.responseLossShare = pick(2) * 0.1;
       w.network.lateRequestShare = pick(2) * 0.05;
@@ -220,7 +220,7 @@
   spdlog::set_level(spdlog::level::off);
   WorldSettings settings;
   settings.members = true;
-  settings.ordinaryPerZone = settings.spotPerZone = 0;  // nothing runs: each job is told once
+  settings.onDemandPerZone = settings.spotPerZone = 0;  // nothing runs: each job is told once
   World w(settings);
   w.runFor(10);
   std::string key = makeKey(w, "team", "ana");
--- a/tests/member_measure_test.cpp
+++ b/tests/member_measure_test.cpp
@@ -25,7 +25,7 @@
   WorldSettings s;
   s.nodes = 1;
   s.members = members;
-  s.ordinaryPerZone = s.spotPerZone = 0;
+  s.onDemandPerZone = s.spotPerZone = 0;
   s.writesPerS = 20000;
   return s;
 }
--- a/tests/member_service_test.cpp
+++ b/tests/member_service_test.cpp
@@ -14,7 +14,7 @@
   WorldSettings s;
   s.seed = seed;
   s.members = true;
-  s.ordinaryPerZone = s.spotPerZone = 0;  // nothing ever runs
+  s.onDemandPerZone = s.spotPerZone = 0;  // nothing ever runs
   return s;
 }
 
--- a/tests/pipeline_checks_test.cpp
+++ b/tests/pipeline_checks_test.cpp
@@ -259,7 +259,7 @@
 TEST(PipelineServed, HeldJobsAndThoseAfterACancelledOneAreOwedNothing) {
   spdlog::set_level(spdlog::level::off);
   WorldSettings settings;
-  settings.ordinaryPerZone = settings.spotPerZone = 0;
+  settings.onDemandPerZone = settings.spotPerZone = 0;
   World world(settings);
   auto submit = [&world](const std::string& id, double runS, std::vector<std::string> awaits) {
     JobPlan job;
--- a/tests/scenario_concurrent_reads.cpp
+++ b/tests/scenario_concurrent_reads.cpp
@@ -141,7 +141,7 @@
       // Committed, and neither heard of nor read back by it.
       if (write["data"].value("phase", "") != "cancelled") continue;
       seen->cancelledAt = w.clock.now();
-      w.state.refuse("node" + std::to_string(node), kCut + 5000);
+      w.state.rejectRequestsFrom("node" + std::to_string(node), kCut + 5000);
     }
   };
   w.clock.in(300 + drawn(1000), [&w, id, node] { w.abortThrough(id, node); });
--- a/tests/scenario_expect_cluster.cpp
+++ b/tests/scenario_expect_cluster.cpp
@@ -77,20 +77,21 @@
 // expect hires most N: rental calls so far
 void ScenarioExpect::expectRentalCalls(const Line& line) {
   const auto& words = line.words;
-  EXPECT_LE(world_->region.hireCalls, std::stoul(words.at(3)));
+  EXPECT_LE(world_->region.rentalRequests, std::stoul(words.at(3)));
 }
 
 // expect hired most N: machines rented so far
 void ScenarioExpect::expectRentedMachines(const Line& line) {
   const auto& words = line.words;
-  EXPECT_LE(world_->region.hired, std::stoul(words.at(3)));
+  EXPECT_LE(world_->region.rentedMachineCount, std::stoul(words.at(3)));
 }
 
 // expect toolarge most N: transactions that got 400 for size
 void ScenarioExpect::expectTooLargeTransactions(const Line& line) {
   const auto& words = line.words;
-  EXPECT_LE(world_->state.tooLarge, std::stoul(words.at(3)));
-  std::cout << "429: " << world_->state.tooMany << ", 400: " << world_->state.tooLarge << "\n";
+  EXPECT_LE(world_->state.rejectedForSize, std::stoul(words.at(3)));
+  std::cout << "429: " << world_->state.rejectedForRate
+            << ", 400: " << world_->state.rejectedForSize << "\n";
 }
 
 // expect changesof KIND most N: committed, of such keys
@@ -102,13 +103,13 @@
 // expect writes most N: changes to the state service so far
 void ScenarioExpect::expectWrites(const Line& line) {
   const auto& words = line.words;
-  EXPECT_LE(world_->state.changes_made, std::stoul(words.at(3)));
+  EXPECT_LE(world_->state.changeCount, std::stoul(words.at(3)));
 }
 
 // expect reads most N: of the state service so far
 void ScenarioExpect::expectReads(const Line& line) {
   const auto& words = line.words;
-  EXPECT_LE(world_->state.reads_made, std::stoul(words.at(3)));
+  EXPECT_LE(world_->state.readCount, std::stoul(words.at(3)));
 }
 
 // expect keys PREFIX most N
--- a/tests/scenario_expect_flows.cpp
+++ b/tests/scenario_expect_flows.cpp
@@ -21,8 +21,8 @@
 void ScenarioExpect::expectCostPerInstance(const Line& line) {
   const auto& words = line.words;
   auto n = static_cast<double>(std::max<std::size_t>(1, world_->flowInstances()));
-  EXPECT_LE(static_cast<double>(world_->state.reads_made) / n, std::stod(words.at(2)));
-  EXPECT_LE(static_cast<double>(world_->state.bytes_written) / n, std::stod(words.at(3)));
+  EXPECT_LE(static_cast<double>(world_->state.readCount) / n, std::stod(words.at(2)));
+  EXPECT_LE(static_cast<double>(world_->state.writtenBytes) / n, std::stod(words.at(3)));
 }
 
 // expect took ID most SECONDS: from its submission to its end
@@ -65,9 +65,9 @@
   }
   double per = static_cast<double>(ofFlows) /
                static_cast<double>(std::max<std::size_t>(1, world_->flowInstances()));
-  std::cout << "changes of flows an instance: " << per << " (" << world_->state.changes_made
-            << " changes in all, " << world_->state.reads_made << " reads, "
-            << world_->state.bytes_written << " bytes written)\n";
+  std::cout << "changes of flows an instance: " << per << " (" << world_->state.changeCount
+            << " changes in all, " << world_->state.readCount << " reads, "
+            << world_->state.writtenBytes << " bytes written)\n";
   EXPECT_LE(per, std::stod(words.at(3)));
 }
 
--- a/tests/scenario_fault_combinations.hpp
+++ b/tests/scenario_fault_combinations.hpp
@@ -50,7 +50,7 @@
   void refuseThenAll(std::int64_t refused, std::int64_t outage) {
     int leader = world_->nodeFrom("leader");
     std::int64_t alone = pick(2) ? refused + 12000 : refused + outage + pick(20000);
-    world_->state.refuse("node" + std::to_string(leader), alone);
+    world_->state.rejectRequestsFrom("node" + std::to_string(leader), alone);
     if (pick(3) == 0) link(leader, "peers", pick(2) ? "hold" : "reset", alone);
     world_->clock.in(refused, [this, outage] { world_->state.outage(outage); });
   }
--- a/tests/scenario_faults.cpp
+++ b/tests/scenario_faults.cpp
@@ -113,15 +113,15 @@
     } else if (key == "nodes")
       settings_.nodes = static_cast<int>(v);
     else if (key == "ordinary")
-      settings_.ordinaryPerZone = static_cast<int>(v);
+      settings_.onDemandPerZone = static_cast<int>(v);
     else if (key == "spot")
       settings_.spotPerZone = static_cast<int>(v);
     else if (key == "boot")
       settings_.bootS = v;
     else if (key == "bootfail")
-      settings_.bootFail = v;
+      settings_.bootFailureShare = v;
     else if (key == "soon")  // share of machines that are up within 0.2 to 2 s
-      settings_.soon = v;
+      settings_.fastBootShare = v;
     else if (key == "failed")  // seconds until a machine that has died is listed so
       settings_.failedAfterS = v;
     else if (key == "pagerows")  // of the state service
@@ -382,7 +382,7 @@
       w.state.outage(static_cast<std::int64_t>(1000 + drawBelow(20000)));
       break;
     case 5:
-      w.state.refuse("node" + std::to_string(w.nodeFrom("leader")), fault.durationMs);
+      w.state.rejectRequestsFrom("node" + std::to_string(w.nodeFrom("leader")), fault.durationMs);
       break;
     case 9:
       w.region.cloudOutageUntil = w.clock.now() + fault.durationMs;
--- a/tests/scenario_faults.hpp
+++ b/tests/scenario_faults.hpp
@@ -98,7 +98,7 @@
     if (word == "busy") return busy.empty() ? "" : busy.front();
     if (word == "second") return busy.size() < 2 ? "" : busy[1];  // of those with tasks
     for (const auto& [host, w] : world_->workers) {
-      if (word == "spot" && w->spot && !w->gone) return host;
+      if (word == "spot" && w->spot && !w->isDead) return host;
     }
     return word;
   }
--- a/tests/scenario_late_messages.cpp
+++ b/tests/scenario_late_messages.cpp
@@ -77,10 +77,10 @@
       auto placed = record->placed.find(index);
       if (placed == record->placed.end()) continue;
       auto worker = w.workers.find(placed->second.machine.value);
-      if (worker == w.workers.end() || worker->second->gone || !worker->second->spot) continue;
+      if (worker == w.workers.end() || worker->second->isDead || !worker->second->spot) continue;
       ++notices_;
       w.clock.in(draw(1, 300), [this, target = worker->second.get()] {
-        if (!target->gone) target->notice(commands_.noticeMs);
+        if (!target->isDead) target->notice(commands_.noticeMs);
       });
     }
   }
@@ -93,7 +93,7 @@
   nextEnd_ = world_->clock.now() + kPause;
   int node = std::stoi(author.substr(4));
   world_->clock.in(kUnderWay, [this, node, author, ends = t.ends] {
-    if (ends == "deposed") return world_->state.refuse(author, kDeposed);
+    if (ends == "deposed") return world_->state.rejectRequestsFrom(author, kDeposed);
     world_->crash(node, millis(ends));
   });
 }
--- a/tests/scenario_machine_faults.cpp
+++ b/tests/scenario_machine_faults.cpp
@@ -67,7 +67,7 @@
   auto outage = static_cast<std::int64_t>(settings_.cancelS * 1000) + 1000 + draw(20000);
   int leader = w.nodeFrom("leader");
   w.clock.in(kEdge, [&w, leader, outage] {
-    w.state.refuse("node" + std::to_string(leader), kThenAll + outage);
+    w.state.rejectRequestsFrom("node" + std::to_string(leader), kThenAll + outage);
   });
   w.clock.in(kEdge + kThenAll, [&w, outage] { w.state.outage(outage); });
   for (const auto& id : someRunning(4)) {
@@ -94,7 +94,7 @@
   bool share = which.find('.') != std::string::npos;
   auto one = busyMachine(which);
   for (const auto& [host, worker] : w.workers) {
-    if (worker->gone) continue;
+    if (worker->isDead) continue;
     bool hit = share ? static_cast<double>(draw(1000)) < std::stod(which) * 1000
                      : which == "all" || worker->zone == which || host == one;
     if (hit) w.network.blockRequestsFrom(host, draw(2) == 0, ms);
--- a/tests/scenario_steps_controllers.cpp
+++ b/tests/scenario_steps_controllers.cpp
@@ -57,7 +57,7 @@
   if (kind == "crash") world_->crash(node, duration);
   if (kind == "freeze") world_->freeze(node, duration);
   if (kind == "slow") link(node, "peers", "slow", duration);
-  if (kind == "refuse") world_->state.refuse("node" + std::to_string(node), duration);
+  if (kind == "refuse") world_->state.rejectRequestsFrom("node" + std::to_string(node), duration);
   if (kind == "outage") world_->state.outage(duration);
   // Off from all, or one of its links, and others that go with them.
   for (const char* to : {"all", "state", "workers", "peers"}) {
@@ -80,8 +80,8 @@
 
 // refuse NODE SECONDS: by the state service alone
 void Scenario::refuseController(const Line& line) {
-  world_->state.refuse("node" + std::to_string(world_->nodeFrom(line.words.at(1))),
-                       toMilliseconds(line.words.at(2)));
+  world_->state.rejectRequestsFrom("node" + std::to_string(world_->nodeFrom(line.words.at(1))),
+                                   toMilliseconds(line.words.at(2)));
 }
 
 // outage state|cloud SECONDS
--- a/tests/scenario_steps_machines.cpp
+++ b/tests/scenario_steps_machines.cpp
@@ -102,7 +102,7 @@
 void Scenario::endShareOfMachines(const Line& line) {
   std::vector<simulator::Worker*> up;
   for (const auto& [host, worker] : world_->workers) {
-    if (!worker->gone) up.push_back(worker.get());
+    if (!worker->isDead) up.push_back(worker.get());
   }
   std::shuffle(up.begin(), up.end(), world_->random);
   double share = std::stod(line.words.at(1));
--- a/tests/scenario_steps_moments.cpp
+++ b/tests/scenario_steps_moments.cpp
@@ -45,7 +45,7 @@
 
 void Scenario::playBeforeLeaseEnds(const std::string& host, std::int64_t leftMs,
                                    const std::function<void()>& play) {
-  if (world_->workers.at(host)->leaseLeft() <= leftMs) return play();
+  if (world_->workers.at(host)->leaseRemainingMs() <= leftMs) return play();
   world_->clock.in(kMomentStep, [=, this] { playBeforeLeaseEnds(host, leftMs, play); });
 }
 
--- a/tests/scenario_steps_output.cpp
+++ b/tests/scenario_steps_output.cpp
@@ -20,7 +20,7 @@
 void Scenario::printSummary(const Line& line) {
   World& world = *world_;
   std::cout << line.words.at(1) << " at " << world.now() << " s, " << world.region.machineSeconds()
-            << " machine s, " << world.state.changes_made << " changes, " << world.state.reads_made
+            << " machine s, " << world.state.changeCount << " changes, " << world.state.readCount
             << " reads\n";
   world.tellWaits(std::cout);
   if (const auto* policy = world.policy(); policy && policy->active()) {
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -35,10 +35,10 @@
       random(s.seed),
       network(clock, random),
       region(regionSettings(), clock, network, random, *this) {
-  if (settings.pageRows > 0) state.mostRows = settings.pageRows;
+  if (settings.pageRows > 0) state.maxPageRows = settings.pageRows;
   state.valueBytes = static_cast<std::size_t>(settings.valueKb) * 1024;
   state.transactionOps = static_cast<std::size_t>(settings.txnOps);
-  state.refuses = [this](const Json& writes) {
+  state.rejectsTransaction = [this](const Json& writes) {
     // An old version publishes no record format. The rejection of its version keys simulates this.
     return std::any_of(writes.begin(), writes.end(), [this](const Json& write) {
       auto key = write.value("set", std::string());
@@ -290,7 +290,7 @@
 int World::runningReplicas(const std::string& id) const {
   int n = 0;
   for (const auto& [host, w] : workers) {
-    for (const auto& t : w->tasks) n += t.job == id && Worker::on(t);
+    for (const auto& t : w->tasks) n += t.job == id && Worker::isExecuting(t);
   }
   return n;
 }
@@ -301,7 +301,7 @@
     n += static_cast<std::size_t>(
         std::count_if(w->tasks.begin(), w->tasks.end(), [&](const auto& t) {
           const JobPlan* p = plan(t.job);
-          return Worker::on(t) && p && p->jobClass == jobClass;
+          return Worker::isExecuting(t) && p && p->jobClass == jobClass;
         }));
   }
   return n;
@@ -316,13 +316,13 @@
   r.ram = settings.ram;
   r.bootS = settings.bootS;
   r.fetchS = settings.fetchS;
-  r.ordinaryPerZone = settings.ordinaryPerZone;
+  r.onDemandPerZone = settings.onDemandPerZone;
   r.spotPerZone = settings.spotPerZone;
   r.reportS = settings.reportS;
   r.leaseS = settings.leaseS;
   r.listLagS = settings.listLagS;
-  r.bootFail = settings.bootFail;
-  r.soon = settings.soon;
+  r.bootFailureShare = settings.bootFailureShare;
+  r.fastBootShare = settings.fastBootShare;
   r.failedAfterS = settings.failedAfterS;
   r.lateSessions = settings.lateSessions;
   r.lateChanges = settings.lateChanges;
@@ -379,9 +379,9 @@
   double errsAfter = p->errsAfterS;
   if (auto f = faulty_.find(worker.host); f != faulty_.end()) errsAfter = f->second;
   if (errsAfter >= 0) {
-    clock.in(ms(errsAfter) + 1, [&worker, life = task.life] {
-      worker.whenAwake([&worker, life] {
-        if (!worker.gone) worker.exited(life, "error");
+    clock.in(ms(errsAfter) + 1, [&worker, executionId = task.executionId] {
+      worker.whenAwake([&worker, executionId] {
+        if (!worker.isDead) worker.exited(executionId, "error");
       });
     });
     if (p->errsAfterS >= 0) return;
@@ -389,24 +389,24 @@
   if (p->shape == "daemon") return;
   double left =
       results.contains(key) ? 0 : std::max(0.0, p->runS + task.index * p->staggerS - progress[key]);
-  clock.in(ms(left) + 1, [this, &worker, life = task.life, key] {
-    worker.whenAwake([this, &worker, life, key] {
-      Worker::Task* t = worker.byLife(life);
-      if (worker.gone || !t || t->state != "running") return;
+  clock.in(ms(left) + 1, [this, &worker, executionId = task.executionId, key] {
+    worker.whenAwake([this, &worker, executionId, key] {
+      Worker::Task* t = worker.findExecution(executionId);
+      if (worker.isDead || !t || t->state != "running") return;
       if (results.insert(key).second) pipelines.completed(key.first, clock.now());
       if (onResult) onResult(key.first);
-      worker.exited(life, "done");
+      worker.exited(executionId, "done");
     });
   });
 }
 
 void World::save(Worker& worker, const Worker::Task& task) {
-  clock.in(1000, [this, &worker, life = task.life] {
-    worker.whenAwake([this, &worker, life] {
-      Worker::Task* t = worker.byLife(life);
+  clock.in(1000, [this, &worker, executionId = task.executionId] {
+    worker.whenAwake([this, &worker, executionId] {
+      Worker::Task* t = worker.findExecution(executionId);
       if (!t || t->state != "flushing") return;
       progress[{t->job, t->index}] += static_cast<double>(clock.now() - t->startedAt) / 1000.0;
-      worker.exited(life, "halted");
+      worker.exited(executionId, "halted");
     });
   });
 }
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -24,16 +24,16 @@
   double cpus = 8, gpus = 8, ram = 64;
   double bootS = 20;
   double fetchS = 2;
-  int ordinaryPerZone = 4, spotPerZone = 4;
+  int onDemandPerZone = 4, spotPerZone = 4;
   double reportS = 1, leaseS = 11, cancelS = 41;
   double listLagS = 3;
   /// Each team may use this many GPUs; 0 means no limit.
   double gpusMax = 0;
-  double bootFail = 0;
+  double bootFailureShare = 0;
   /// The cloud lists a dead machine as failed after this time; 0 means never.
   double failedAfterS = 0;
   /// This share of the machines boots within 0.2 to 2 s.
-  double soon = 0;
+  double fastBootShare = 0;
   /// A page of the state service has at most this many rows; 0 stands for the limit of PROTOCOL.
   std::size_t pageRows = 0;
   std::uint64_t seed = 1;
@@ -423,7 +423,7 @@
   int leader_ = -1;
   std::int64_t ledSince_ = 0, firstStart_ = -1;
   std::map<std::string, UserFlow> flows_;
-  /// A key holds a host and Worker::Task::life.
+  /// A key holds a host and Worker::Task::executionId.
   std::map<std::pair<std::string, std::uint64_t>, FlowTask> flowTasks_;
   /// This counts the attempts for each flow id followed by a work key.
   std::map<std::string, int> flowAttempts_;
--- a/tests/sim/world_checks.cpp
+++ b/tests/sim/world_checks.cpp
@@ -149,7 +149,7 @@
   auto sameTeam = [&](const JobPlan* other) { return !p || !other || other->team == p->team; };
   for (const auto& [host, w] : workers) {
     for (const auto& t : w->tasks) {
-      if (!Worker::on(t)) continue;
+      if (!Worker::isExecuting(t)) continue;
       if (sameTeam(plan(t.job))) gpus += t.needs.gpus;
       if (t.job != task.job) continue;
       ++perZone[w->zone];
@@ -182,7 +182,7 @@
       for (const auto& t : w->tasks) {
         // A hanging machine does not run its tasks, and after its lease expiry it can't resume
         // them.
-        if (t.job != id || !Worker::on(t) || w->leaseOver()) continue;
+        if (t.job != id || !Worker::isExecuting(t) || w->hasLeaseExpired()) continue;
         goneByMs_ = std::max(goneByMs_, since);
         if (since > ms(settings.cancelS)) fail("ran_cancelled", id + " on " + host);
       }
--- a/tests/sim/world_flows.cpp
+++ b/tests/sim/world_flows.cpp
@@ -117,9 +117,9 @@
       clock.in(ms(settings.cancelS), [this, id] {
         for (const auto& [host, worker] : workers) {
           for (const auto& t : worker->tasks) {
-            auto at = flowTasks_.find({host, t.life});
-            if (at != flowTasks_.end() && at->second.flow == id && Worker::on(t) &&
-                !worker->leaseOver()) {
+            auto at = flowTasks_.find({host, t.executionId});
+            if (at != flowTasks_.end() && at->second.flow == id && Worker::isExecuting(t) &&
+                !worker->hasLeaseExpired()) {
               fail("ran_cancelled", id + ": " + t.job + " on " + host);
             }
           }
@@ -189,20 +189,20 @@
   network.send(worker.host, nodeApi(static_cast<int>(node)),
                {"GET", "/v2/flows/tasks/" + task.job + "/" + std::to_string(task.index), ""}, 2000,
                [this, &worker, task, triesLeft, done](std::optional<Response> r) {
-                 if (worker.gone) return;
+                 if (worker.isDead) return;
                  auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
                  if (r && r->status == 404) return done(std::nullopt);
                  if (!body) {
                    if (triesLeft == 0) return done(std::nullopt);
                    clock.in(1000, [this, &worker, task, triesLeft, done] {
-                     if (!worker.gone) fetchFlowTask(worker, task, triesLeft - 1, done);
+                     if (!worker.isDead) fetchFlowTask(worker, task, triesLeft - 1, done);
                    });
                    return;
                  }
                  auto& part = texts_[*textField(*body, "text")];
                  if (part.empty()) part = rules::instancesFrom(*textField(*body, "text"));
                  FlowTask known{*textField(*body, "flow"), part.at(*countField(*body, "at"))};
-                 flowTasks_[{worker.host, task.life}] = std::move(known);
+                 flowTasks_[{worker.host, task.executionId}] = std::move(known);
                  done(simulator::TaskNeeds{*numberField(*body, "cpus"), *numberField(*body, "gpus"),
                                            *numberField(*body, "snapshot_s") > 0});
                });
@@ -210,7 +210,7 @@
 
 void World::beginFlowTask(Worker& worker, const Worker::Task& task) {
   if (firstStart_ < 0 && leader_ >= 0) firstStart_ = clock.now();
-  const FlowTask known = flowTasks_.at({worker.host, task.life});
+  const FlowTask known = flowTasks_.at({worker.host, task.executionId});
   UserFlow& f = flows_[known.flow];
   const auto& i = known.instance;
   std::string key = workKey(i);
@@ -221,26 +221,26 @@
   auto& writers = writers_[known.flow + "/" + i.outputs[0]];
   std::erase_if(writers, [&](const auto& other) {
     auto at = workers.find(other.first);
-    const Worker::Task* t = at == workers.end() ? nullptr : at->second->byLife(other.second);
-    return !t || !Worker::on(*t);
+    const Worker::Task* t = at == workers.end() ? nullptr : at->second->findExecution(other.second);
+    return !t || !Worker::isExecuting(*t);
   });
   if (!writers.empty()) fail("two_writers", name + " while on " + writers.begin()->first);
-  writers.emplace(worker.host, task.life);
+  writers.emplace(worker.host, task.executionId);
   Command c = parse(i.command);
   bool known_done = f.completions.contains(key) && f.files[i.outputs[0]] == key;
   int attempt = known_done ? 0 : ++flowAttempts_[known.flow + key];
   bool fails = !known_done && (c.failTimes < 0 || attempt <= c.failTimes);
   clock.in(known_done ? 1 : ms(c.runS) + 1,
-           [this, &worker, life = task.life, known, key, fails, known_done] {
-             worker.whenAwake([this, &worker, life, known, key, fails, known_done] {
-               Worker::Task* t = worker.byLife(life);
-               if (worker.gone || !t || t->state != "running") return;
+           [this, &worker, executionId = task.executionId, known, key, fails, known_done] {
+             worker.whenAwake([this, &worker, executionId, known, key, fails, known_done] {
+               Worker::Task* t = worker.findExecution(executionId);
+               if (worker.isDead || !t || t->state != "running") return;
                UserFlow& flow = flows_[known.flow];
                if (!fails) {
                  for (const auto& out : known.instance.outputs) flow.files[out] = key;
                  if (!known_done) ++flow.completions[key];
                }
-               worker.exited(life, fails ? "error" : "done");
+               worker.exited(executionId, fails ? "error" : "done");
              });
            });
 }
--- a/tests/sim/world_waits.cpp
+++ b/tests/sim/world_waits.cpp
@@ -136,7 +136,7 @@
 std::vector<std::string> World::machinesOf(const std::string& id) const {
   std::vector<std::string> out;
   for (const auto& [host, w] : workers) {
-    if (!w->gone && std::any_of(w->tasks.begin(), w->tasks.end(), [&](const Worker::Task& t) {
+    if (!w->isDead && std::any_of(w->tasks.begin(), w->tasks.end(), [&](const Worker::Task& t) {
           return t.job == id && t.state != "ended";
         })) {
       out.push_back(host);
@@ -150,7 +150,7 @@
   for (const auto& [host, w] : workers) {
     for (const auto& t : w->tasks) {
       auto job = users_.find(t.job);
-      if (!Worker::on(t) || job == users_.end()) continue;
+      if (!Worker::isExecuting(t) || job == users_.end()) continue;
       const UserJob& j = job->second;
       if (!j.accepted || j.abortAsked || !j.told.empty()) continue;
       auto saved = progress.find({t.job, t.index});
