--- a/simulator/host/link_proxy.cpp
+++ b/simulator/host/link_proxy.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-LinkProxy::Pair::~Pair() {
+LinkProxy::ConnectionPair::~ConnectionPair() {
   for (auto* end : ends) {
     if (end) bufferevent_free(end);
   }
@@ -51,8 +51,8 @@
 
 void LinkProxy::set(Mode mode) {
   mode_ = mode;
-  if (mode == Mode::reset) return pairs_.clear();
-  for (auto& pair : pairs_) {
+  if (mode == Mode::reset) return connectionPairs_.clear();
+  for (auto& pair : connectionPairs_) {
     for (auto* end : pair->ends) {
       mode == Mode::up ? bufferevent_enable(end, EV_READ) : bufferevent_disable(end, EV_READ);
     }
@@ -65,7 +65,7 @@
     close(fd);
     return;
   }
-  auto pair = std::make_unique<Pair>();
+  auto pair = std::make_unique<ConnectionPair>();
   pair->proxy = &proxy;
   for (int i = 0; i < 2; ++i) {
     auto* end = pair->ends[i] =
@@ -79,7 +79,7 @@
     }
   }
   auto* raw = pair.get();
-  proxy.pairs_.push_back(std::move(pair));
+  proxy.connectionPairs_.push_back(std::move(pair));
   sockaddr_in target = nameOf(proxy.target_);
   if (bufferevent_socket_connect(raw->ends[1], reinterpret_cast<sockaddr*>(&target),
                                  sizeof target) != 0) {
@@ -88,29 +88,29 @@
 }
 
 void LinkProxy::onRead(bufferevent* from, void* arg) {
-  auto& pair = *static_cast<Pair*>(arg);
+  auto& pair = *static_cast<ConnectionPair*>(arg);
   auto* to = pair.ends[from == pair.ends[0] ? 1 : 0];
   evbuffer_add_buffer(bufferevent_get_output(to), bufferevent_get_input(from));
 }
 
 void LinkProxy::onWritten(bufferevent* to, void* arg) {
-  auto& pair = *static_cast<Pair*>(arg);
+  auto& pair = *static_cast<ConnectionPair*>(arg);
   // The other side has closed the connection and all of its bytes are forwarded.
-  if (pair.ended[to == pair.ends[0] ? 1 : 0]) pair.proxy->drop(&pair);
+  if (pair.hasClosed[to == pair.ends[0] ? 1 : 0]) pair.proxy->drop(&pair);
 }
 
 void LinkProxy::onEvent(bufferevent* at, short what, void* arg) {
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
-  auto& pair = *static_cast<Pair*>(arg);
+  auto& pair = *static_cast<ConnectionPair*>(arg);
   int side = at == pair.ends[0] ? 0 : 1;
-  pair.ended[side] = true;
+  pair.hasClosed[side] = true;
   if (evbuffer_get_length(bufferevent_get_output(pair.ends[1 - side])) == 0) {
     pair.proxy->drop(&pair);
   }
 }
 
-void LinkProxy::drop(Pair* pair) {
-  pairs_.remove_if([&](const auto& p) { return p.get() == pair; });
+void LinkProxy::drop(ConnectionPair* pair) {
+  connectionPairs_.remove_if([&](const auto& p) { return p.get() == pair; });
 }
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/host/link_proxy.hpp
+++ b/simulator/host/link_proxy.hpp
@@ -33,23 +33,23 @@
   void set(Mode mode);
 
  private:
-  struct Pair {
+  struct ConnectionPair {
     LinkProxy* proxy{};
     bufferevent* ends[2]{};
-    bool ended[2]{};
-    ~Pair();
+    bool hasClosed[2]{};
+    ~ConnectionPair();
   };
   static void onAccept(evconnlistener*, int fd, sockaddr*, int, void* self);
   static void onRead(bufferevent* from, void* pair);
   static void onWritten(bufferevent* to, void* pair);
   static void onEvent(bufferevent* at, short what, void* pair);
-  void drop(Pair* pair);
+  void drop(ConnectionPair* pair);
 
   EventLoop& loop_;
   std::string name_, target_, address_;
   evconnlistener* listener_ = nullptr;
   Mode mode_ = Mode::up;
-  std::list<std::unique_ptr<Pair>> pairs_;
+  std::list<std::unique_ptr<ConnectionPair>> connectionPairs_;
 };
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/host/process_tasks.hpp
+++ b/simulator/host/process_tasks.hpp
@@ -20,7 +20,7 @@
   /// All machines share the files below this directory.
   std::string files;
   /// This directory holds the descriptions of users' jobs, one file <ref>.json for each job.
-  std::string depot;
+  std::string jobDirectory;
   /// Tasks get these controller addresses in HOIST_SERVERS.
   std::vector<std::string> servers;
   /// Tasks get the path of the `hoist` program in HOIST.
@@ -40,13 +40,13 @@
   void end(Worker& worker, const Worker::Task& task) override;
 
   /// ProcessTasks calls this function after each task start.
-  std::function<void()> onBegin;
-  std::size_t begun() const { return begun_; }
+  std::function<void()> onTaskStart;
+  std::size_t startedTaskCount() const { return startedTaskCount_; }
 
  private:
   /// A key holds the machine's name and Worker::Task::executionId.
   using Key = std::pair<std::string, std::uint64_t>;
-  struct Known {
+  struct TaskDescription {
     rules::PlannedInstance instance;
     std::string directory, log;
     std::map<std::string, std::string> environment;
@@ -55,13 +55,13 @@
     Worker* worker{};
     std::uint64_t executionId{};
     Key key;
-    std::int64_t since{};
-    bool saving{};
+    std::int64_t startedAtMs{};
+    bool savesCheckpoint{};
   };
-  void ask(Worker& worker, const Worker::Task& task, int triesLeft,
-           std::function<void(std::optional<TaskNeeds>)> done);
-  std::optional<TaskNeeds> fromFiles(Worker& worker, const Worker::Task& task);
-  std::optional<TaskNeeds> fromDepot(Worker& worker, const Worker::Task& task);
+  void requestDescription(Worker& worker, const Worker::Task& task, int triesLeft,
+                          std::function<void(std::optional<TaskNeeds>)> done);
+  std::optional<TaskNeeds> describeFromSharedFiles(Worker& worker, const Worker::Task& task);
+  std::optional<TaskNeeds> describeFromJobDirectory(Worker& worker, const Worker::Task& task);
   void exited(pid_t pid, bool succeeded);
   static void onChild(int, short, void* self);
 
@@ -69,11 +69,11 @@
   HttpClient& http_;
   ProcessSettings settings_;
   event* child_;
-  std::map<Key, Known> known_;
+  std::map<Key, TaskDescription> descriptions_;
   std::map<pid_t, Running> running_;
-  std::size_t begun_ = 0;
+  std::size_t startedTaskCount_ = 0;
   /// The next request goes to this server, as an index modulo the number of servers.
-  std::size_t next_ = 0;
+  std::size_t nextServer_ = 0;
 };
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/main.cpp
+++ b/simulator/main.cpp
@@ -33,14 +33,14 @@
   std::uint64_t seed = 1;
   int killControllers = 0, killMachines = 0;
   int killEveryMs = 0;
-  int backMs = 1000;
+  int restartDelayMs = 1000;
   int cutLinks = 0, cutEveryMs = 500;
   // With --port 0 this holds the free ports that the system chose.
-  std::vector<int> free;
+  std::vector<int> freePortNumbers;
 };
 
 int portOf(const Options& o, int n) {
-  return o.free.empty() ? o.port + n : o.free[static_cast<std::size_t>(n)];
+  return o.freePortNumbers.empty() ? o.port + n : o.freePortNumbers[static_cast<std::size_t>(n)];
 }
 
 // Returns ports that were unused at the time of the call.
@@ -67,10 +67,10 @@
 // links are "0 to state", "1 to cloud", "2 to workers" (which users share) and "0 to 1".
 class Links {
  public:
-  Links(kh::EventLoop& loop, const Options& o) : loop_(loop), cuts_(o.cutLinks > 0) {}
+  Links(kh::EventLoop& loop, const Options& o) : loop_(loop), cutsLinks_(o.cutLinks > 0) {}
   // Returns the address of the link's proxy, or the target itself if no links are to be cut.
-  std::string through(const std::string& name, const std::string& target) {
-    if (!cuts_) return target;
+  std::string addressOf(const std::string& name, const std::string& target) {
+    if (!cutsLinks_) return target;
     for (const auto& l : links_) {
       if (l->name() == name) return l->address();
     }
@@ -91,7 +91,7 @@
 
  private:
   kh::EventLoop& loop_;
-  bool cuts_;
+  bool cutsLinks_;
   std::vector<std::unique_ptr<kh::simulator::LinkProxy>> links_;
 };
 
@@ -161,7 +161,7 @@
       pids_[i] = 0;
       if (WIFEXITED(status))
         kh::logError("controller exited on its own", "node", i, "status", WEXITSTATUS(status));
-      loop_.after(kh::Duration{options_.backMs}, [this, i] {
+      loop_.after(kh::Duration{options_.restartDelayMs}, [this, i] {
         if (!ending_) start(static_cast<int>(i));
       });
     }
@@ -176,12 +176,13 @@
     for (int k = 0; k < options_.controllers; ++k) {
       if (k == i) continue;
       out << "[[peers]]\nmember = \"node" << k << "\"\nsite = \"" << zones[k % 3] << "\"\naddr = \""
-          << links_.through(std::to_string(i) + " to " + std::to_string(k),
-                            address(options_, k, true))
+          << links_.addressOf(std::to_string(i) + " to " + std::to_string(k),
+                              address(options_, k, true))
           << "\"\n";
     }
     auto own = [&](const char* what, int port) {
-      return links_.through(std::to_string(i) + " to " + what, "127.0.0.1:" + std::to_string(port));
+      return links_.addressOf(std::to_string(i) + " to " + what,
+                              "127.0.0.1:" + std::to_string(port));
     };
     out << "[external]\ncloud = \"" << own("cloud", portOf(options_, 1)) << "\"\nstate = \""
         << own("state", portOf(options_, 0)) << "\"\n"
@@ -230,7 +231,8 @@
   app.add_option(
       "--kill-every-ms", o.killEveryMs,
       "average interval in ms between controller kills, which then happen at random times");
-  app.add_option("--back-ms", o.backMs, "time in ms until a controller that exited is restarted")
+  app.add_option("--back-ms", o.restartDelayMs,
+                 "time in ms until a controller that exited is restarted")
       ->check(CLI::Range(0, 60000));
   app.add_option("--kill-machines", o.killMachines,
                  "number of machines to kill, each at a randomly chosen task start");
@@ -248,7 +250,7 @@
   try {
     o.directory = fs::absolute(o.directory).string();
     if (o.hoist.find('/') != std::string::npos) o.hoist = fs::absolute(o.hoist).string();
-    if (o.port == 0) o.free = freePorts(2 + 2 * o.controllers);
+    if (o.port == 0) o.freePortNumbers = freePorts(2 + 2 * o.controllers);
     fs::create_directories(o.directory + "/files");
     fs::create_directories(o.directory + "/jobs");
     kh::EventLoop loop;
@@ -274,7 +276,7 @@
     Links links(loop, o);
     for (int i = 0; i < o.controllers; ++i) {
       settings.nodes.push_back(
-          links.through(std::to_string(i) + " to workers", Controllers::address(o, i, false)));
+          links.addressOf(std::to_string(i) + " to workers", Controllers::address(o, i, false)));
       processes.servers.push_back(Controllers::address(o, i, false));
     }
     kh::simulator::ProcessTasks tasks(loop, http, processes);
@@ -291,9 +293,9 @@
       for (int i = 0; i < o.killControllers; ++i) kills.emplace_back(2 + random() % 16, true);
     }
     for (int i = 0; i < o.killMachines; ++i) kills.emplace_back(2 + random() % 16, false);
-    tasks.onBegin = [&] {
+    tasks.onTaskStart = [&] {
       for (auto& [at, controller] : kills) {
-        if (at == 0 || at > tasks.begun()) continue;
+        if (at == 0 || at > tasks.startedTaskCount()) continue;
         at = 0;
         if (controller) {
           controllers.killOne(random());
@@ -320,7 +322,7 @@
     Series killing{"killed", o.killEveryMs == 0 ? 0 : o.killControllers, o.killEveryMs,
                    [&] { controllers.killOne(times()); }};
     Series cutting{"cut", o.cutLinks, o.cutEveryMs, [&] { links.cutOne(times); }};
-    std::function<void(const Series&, int)> later = [&](const Series& s, int left) {
+    std::function<void(const Series&, int)> scheduleSeries = [&](const Series& s, int left) {
       if (s.count == 0) return;
       if (left == 0) {
         std::printf("%s %d\n", s.word, s.count);
@@ -330,38 +332,39 @@
       auto pause = static_cast<std::int64_t>(times() % (2 * static_cast<unsigned>(s.everyMs)));
       loop.after(kh::Duration{pause + 1}, [&, left] {
         s.act();
-        later(s, left - 1);
+        scheduleSeries(s, left - 1);
       });
     };
 
     std::string servers;
     for (const auto& s : processes.servers) servers += (servers.empty() ? "" : ",") + s;
-    std::function<void(int)> ready = [&](int left) {
+    std::function<void(int)> waitUntilReady = [&](int left) {
       http.send(processes.servers.empty() ? "127.0.0.1:1" : processes.servers[0],
                 {"GET", "/ready", ""}, kh::Duration{1000},
                 [&, left](std::optional<kh::Response> r) {
                   if (r && r->status == 200) {
                     std::printf("ready %s %s\n", servers.c_str(), processes.files.c_str());
                     std::fflush(stdout);
-                    later(killing, killing.count);
-                    later(cutting, cutting.count);
+                    scheduleSeries(killing, killing.count);
+                    scheduleSeries(cutting, cutting.count);
                     return;
                   }
-                  if (left > 0) loop.after(kh::Duration{200}, [&, left] { ready(left - 1); });
+                  if (left > 0)
+                    loop.after(kh::Duration{200}, [&, left] { waitUntilReady(left - 1); });
                 });
     };
-    if (o.controllers > 0) ready(600);
+    if (o.controllers > 0) waitUntilReady(600);
 
-    event* ends[2];
+    event* signalEvents[2];
     int signals[2] = {SIGINT, SIGTERM};
     for (int i = 0; i < 2; ++i) {
-      ends[i] = evsignal_new(
+      signalEvents[i] = evsignal_new(
           loop.base(), signals[i],
           [](int, short, void* l) { static_cast<kh::EventLoop*>(l)->stop(); }, &loop);
-      evsignal_add(ends[i], nullptr);
+      evsignal_add(signalEvents[i], nullptr);
     }
     loop.run();
-    for (auto* e : ends) event_free(e);
+    for (auto* e : signalEvents) event_free(e);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "hoist-region: %s\n", e.what());
     return 1;
--- a/tests/client_world_test.cpp
+++ b/tests/client_world_test.cpp
@@ -86,7 +86,7 @@
     case 1:
       return w.crash(node);
     case 2:
-      return w.crash(w.nodeFrom("leader"));
+      return w.crash(w.parseController("leader"));
     case 3:
       for (int i = 0; i < 3; ++i) w.crash(i, 3000 + pick(4000));
       return;
@@ -245,7 +245,7 @@
         return submitter.jobs->submit(jobOf(), batch(submitted), "", Duration{60000}, done);
       });
       ASSERT_TRUE(r) << r.error().text();
-      if (i == 2) w.crash(w.nodeFrom("leader"));
+      if (i == 2) w.crash(w.parseController("leader"));
     }
     w.runFor(30);
     watcher->stop();
--- a/tests/concurrent_reads.cpp
+++ b/tests/concurrent_reads.cpp
@@ -9,7 +9,7 @@
   if (kind == Kind::submit) q = {"POST", "/v2/runs", encodeBody(world_.spec(*plan))};
   if (kind == Kind::abort) {
     q = {"POST", "/v2/runs/" + id + "/abort", ""};
-    world_.askedToCancel(id);
+    world_.recordCancelRequest(id);
   }
   auto sent = ++order_;
   world_.network.send("users", world_.nodeApi(node), q, kind == Kind::poll ? 2000 : 5000,
@@ -93,7 +93,7 @@
   if (!over && knewEnd) return world_.fail("went_back", where + " is " + *phase + " again");
   if (!over && kind == Kind::abort) return world_.fail("malformed", where + " not cancelled");
   if (!job.accepted) job.accepted = ++order_;
-  world_.note(id, r, at);
+  world_.recordResponse(id, r, at);
   if (over) noteEnd(id, *phase);
   if (follow == 0) return;
   soon(drawn(2) ? Kind::poll : Kind::submit, id, drawnNode(), follow - 1);
--- a/tests/concurrent_reads.hpp
+++ b/tests/concurrent_reads.hpp
@@ -16,7 +16,9 @@
   // From now on, after each first word of a job, with so large a share cancelled at once.
   void begin(double cancelledAtOnce) {
     cancelledAtOnce_ = cancelledAtOnce;
-    world_.onTold = [this](const std::string& id, const std::string& what) { told(id, what); };
+    world_.onPhaseReported = [this](const std::string& id, const std::string& what) {
+      told(id, what);
+    };
   }
 
   // Each controller is asked and handed the job again, 0 to 50 ms from now; what nobody submitted
--- a/tests/flow_property_test.cpp
+++ b/tests/flow_property_test.cpp
@@ -48,7 +48,7 @@
       auto busy = w.machinesWithTasks();
       switch (*rc::gen::inRange(0, 7)) {
         case 0:
-          w.crash(w.nodeFrom("leader"));
+          w.crash(w.parseController("leader"));
           break;
         case 1:
           for (int i = 0; i < settings.nodes; ++i) w.crash(i);
--- a/tests/pipeline_checks_test.cpp
+++ b/tests/pipeline_checks_test.cpp
@@ -34,7 +34,7 @@
   submit("a", {}, 2);
   submit("b", {"a"});
   checks.completed("a", 1000);
-  EXPECT_EQ(checks.releasedAt("b"), -1);
+  EXPECT_EQ(checks.dependenciesDoneAt("b"), -1);
   checks.started("b", 0);
   EXPECT_EQ(count("too_early"), 1u);
 }
@@ -46,9 +46,9 @@
   checks.completed("a", 1000);
   checks.completed("b", 7000);
   checks.completed("a", 3000);
-  EXPECT_EQ(checks.releasedAt("c"), 7000);
+  EXPECT_EQ(checks.dependenciesDoneAt("c"), 7000);
   checks.started("c", 0);
-  checks.told("c", "running", 7100);
+  checks.phaseReported("c", "running", 7100);
   EXPECT_TRUE(broken.empty());
 }
 
@@ -61,9 +61,9 @@
 
 TEST_F(PipelineChecksTest, AHeldJobThatIsCalledRunningIsTooEarly) {
   chain();
-  checks.told("b", "pending", 1000);
+  checks.phaseReported("b", "pending", 1000);
   EXPECT_TRUE(broken.empty());
-  checks.told("b", "running", 1000);
+  checks.phaseReported("b", "running", 1000);
   EXPECT_EQ(count("too_early"), 1u);
 }
 
@@ -71,46 +71,46 @@
   chain();
   checks.completed("a", 1000);
   checks.started("b", 0);
-  checks.cancelAsked("a");
-  checks.told("a", "withdrawn", 2000);
+  checks.cancelRequested("a");
+  checks.phaseReported("a", "withdrawn", 2000);
   EXPECT_EQ(count("too_early"), 1u);
 }
 
 TEST_F(PipelineChecksTest, AJobThatStartsAfterACancelledOneIsTooEarly) {
   chain();
   checks.completed("a", 1000);
-  checks.cancelAsked("a");
-  checks.told("a", "withdrawn", 2000);
+  checks.cancelRequested("a");
+  checks.phaseReported("a", "withdrawn", 2000);
   checks.started("b", 0);
   EXPECT_EQ(count("too_early"), 1u);
 }
 
 TEST_F(PipelineChecksTest, APendingJobIsOrphanedOnceTheTimeIsOver) {
   chain();
-  checks.cancelAsked("a");
-  checks.told("a", "withdrawn", 1000);
-  checks.told("c", "pending", 1000 + kCancelMs);
+  checks.cancelRequested("a");
+  checks.phaseReported("a", "withdrawn", 1000);
+  checks.phaseReported("c", "pending", 1000 + kCancelMs);
   EXPECT_TRUE(broken.empty());
-  checks.told("c", "pending", 1001 + kCancelMs);
+  checks.phaseReported("c", "pending", 1001 + kCancelMs);
   EXPECT_EQ(count("orphaned"), 1u);
 }
 
 TEST_F(PipelineChecksTest, AJobAcceptedLongAfterTheCancellationIsNotPending) {
   submit("a");
-  checks.cancelAsked("a");
-  checks.told("a", "withdrawn", 1000);
+  checks.cancelRequested("a");
+  checks.phaseReported("a", "withdrawn", 1000);
   submit("b", {"a"});
-  checks.told("b", "withdrawn", 90000);
+  checks.phaseReported("b", "withdrawn", 90000);
   EXPECT_TRUE(broken.empty());
   submit("c", {"a"});
-  checks.told("c", "pending", 90000);
+  checks.phaseReported("c", "pending", 90000);
   EXPECT_EQ(count("orphaned"), 1u);
 }
 
 TEST_F(PipelineChecksTest, CancelledThroughOneBeforeItIsNoStepBack) {
   chain();
-  checks.cancelAsked("a");
-  checks.told("c", "withdrawn", 500);
+  checks.cancelRequested("a");
+  checks.phaseReported("c", "withdrawn", 500);
   EXPECT_TRUE(broken.empty());
   EXPECT_EQ(checks.cancelledSince("c"), 500);
   EXPECT_EQ(checks.cancelledSince("b"), -1);
@@ -118,36 +118,36 @@
 
 TEST_F(PipelineChecksTest, CancelledThoughNobodyAskedIsAStepBack) {
   chain();
-  checks.cancelAsked("c");  // which is after it
-  checks.told("b", "withdrawn", 500);
+  checks.cancelRequested("c");  // which is after it
+  checks.phaseReported("b", "withdrawn", 500);
   EXPECT_EQ(count("went_back"), 1u);
 }
 
 TEST_F(PipelineChecksTest, CancelledAlthoughTheCancellationWasAnsweredWithDoneIsAStepBack) {
   chain();
-  checks.cancelAsked("a");
+  checks.cancelRequested("a");
   checks.completed("a", 400);
-  checks.told("a", "done", 500);
-  EXPECT_FALSE(checks.withdrawnAbove("b"));
-  checks.told("b", "withdrawn", 600);
+  checks.phaseReported("a", "done", 500);
+  EXPECT_FALSE(checks.hasCancelledDependency("b"));
+  checks.phaseReported("b", "withdrawn", 600);
   EXPECT_EQ(count("went_back"), 1u);
 }
 
 TEST_F(PipelineChecksTest, CancelledBeforeTheCancellationIsAnsweredWithDoneIsAStepBack) {
   chain();
-  checks.cancelAsked("a");
-  checks.told("b", "withdrawn", 400);
+  checks.cancelRequested("a");
+  checks.phaseReported("b", "withdrawn", 400);
   EXPECT_TRUE(broken.empty());
   checks.completed("a", 400);
-  checks.told("a", "done", 500);
+  checks.phaseReported("a", "done", 500);
   EXPECT_EQ(count("went_back"), 1u);
 }
 
 TEST_F(PipelineChecksTest, TheTimeOfACancellationIsThatOfTheFirstWhichWasTold) {
   chain();
-  checks.cancelAsked("a");
-  checks.told("a", "withdrawn", 1000);
-  checks.told("b", "withdrawn", 5000);
+  checks.cancelRequested("a");
+  checks.phaseReported("a", "withdrawn", 1000);
+  checks.phaseReported("b", "withdrawn", 5000);
   EXPECT_EQ(checks.cancelledSince("b"), 1000);
   EXPECT_EQ(checks.cancelledSince("c"), 1000);
 }
@@ -155,15 +155,15 @@
 TEST_F(PipelineChecksTest, ARefusalOfWhatHadToBeAcceptedIsFound) {
   submit("a");
   checks.sent("b", {1, {"a"}});
-  EXPECT_TRUE(checks.hasToBeAccepted("b"));
-  checks.refused("b", 422, checks.hasToBeAccepted("b"));
+  EXPECT_TRUE(checks.isAcceptable("b"));
+  checks.refused("b", 422, checks.isAcceptable("b"));
   EXPECT_EQ(count("misjudged"), 1u);
 }
 
 TEST_F(PipelineChecksTest, OneThatMayStillBeAcceptedMayBeAnsweredEitherWay) {
   checks.sent("a", {});
   checks.sent("b", {1, {"a"}});
-  bool hadTo = checks.hasToBeAccepted("b");
+  bool hadTo = checks.isAcceptable("b");
   EXPECT_FALSE(hadTo);
   checks.accepted("a");  // while the answer is under way
   checks.refused("b", 422, hadTo);
@@ -173,7 +173,7 @@
 
 TEST_F(PipelineChecksTest, OneNeverSubmittedIsRefusedWith422AndNotAccepted) {
   checks.sent("b", {1, {"a"}});
-  checks.refused("b", 422, checks.hasToBeAccepted("b"));
+  checks.refused("b", 422, checks.isAcceptable("b"));
   EXPECT_TRUE(broken.empty());
   checks.refused("b", 400, false);
   EXPECT_EQ(count("misjudged"), 1u);
@@ -185,7 +185,7 @@
   checks.sent("a", {3, {}, true});
   checks.accepted("a");
   checks.sent("b", {1, {"a"}});
-  checks.refused("b", 422, checks.hasToBeAccepted("b"));
+  checks.refused("b", 422, checks.isAcceptable("b"));
   EXPECT_TRUE(broken.empty());
   checks.accepted("b");
   EXPECT_EQ(count("misjudged"), 1u);
@@ -193,7 +193,7 @@
 
 TEST_F(PipelineChecksTest, AMalformedListIsRefusedWith400AndNotAccepted) {
   checks.sent("b", {1, {}, false, true});
-  checks.refused("b", 400, checks.hasToBeAccepted("b"));
+  checks.refused("b", 400, checks.isAcceptable("b"));
   EXPECT_TRUE(broken.empty());
   checks.refused("b", 422, false);
   checks.accepted("b");
@@ -203,8 +203,8 @@
 TEST_F(PipelineChecksTest, UnsettledAreThoseWhoseEndIsNotTold) {
   submit("alone");
   chain();
-  checks.told("a", "done", 100);
-  EXPECT_EQ(checks.unsettled(), (std::vector<std::string>{"b", "c"}));
+  checks.phaseReported("a", "done", 100);
+  EXPECT_EQ(checks.unfinishedJobs(), (std::vector<std::string>{"b", "c"}));
 }
 
 // Whole controllers that are not told of `awaits`, as if they did not heed it: the worlds find it.
@@ -213,7 +213,7 @@
   UnheededAwaits() {
     spdlog::set_level(spdlog::level::off);
     WorldSettings settings;
-    settings.dropAwaits = true;
+    settings.omitsAwaits = true;
     world = std::make_unique<World>(settings);
     submit("j-000001", {});
     submit("j-000002", {"j-000001"});
--- a/tests/scenario_concurrent_reads.cpp
+++ b/tests/scenario_concurrent_reads.cpp
@@ -110,7 +110,7 @@
   while (met < times && tries < kTriesEach * times && world_->broken.empty()) {
     JobPlan p;
     p.id = "j-87" + std::to_string(1000 + tries++);
-    p.errsAfterS = 6;
+    p.failsAfterS = 6;
     p.spot = true;
     p.jobClass = "own";
     world_->submit(p);
--- a/tests/scenario_expect_cluster.cpp
+++ b/tests/scenario_expect_cluster.cpp
@@ -29,8 +29,8 @@
 // expect resumed most SECONDS: after the newest leader began
 void ScenarioExpect::expectResumed(const Line& line) {
   const auto& words = line.words;
-  std::cout << "resumed after " << world_->resumedAfter() << " s\n";
-  EXPECT_LE(world_->resumedAfter(), std::stod(words.at(3)));
+  std::cout << "resumed after " << world_->flowResumeSeconds() << " s\n";
+  EXPECT_LE(world_->flowResumeSeconds(), std::stod(words.at(3)));
 }
 
 // expect gone MACHINE: it was given back
--- a/tests/scenario_expect_flows.cpp
+++ b/tests/scenario_expect_flows.cpp
@@ -28,7 +28,7 @@
 // expect took ID most SECONDS: from its submission to its end
 void ScenarioExpect::expectFlowDuration(const Line& line) {
   const auto& words = line.words;
-  double took = world_->flowTook(words.at(2));
+  double took = world_->flowDurationS(words.at(2));
   std::cout << words.at(2) << " took " << took << " s, machines " << world_->region.machineSeconds()
             << " s\n";
   EXPECT_LE(took, std::stod(words.at(4)));
--- a/tests/scenario_expect_jobs.cpp
+++ b/tests/scenario_expect_jobs.cpp
@@ -20,7 +20,7 @@
 // expect fewest ID N: replicas at any moment since `watch`
 void ScenarioExpect::expectFewestReplicas(const Line& line) {
   const auto& words = line.words;
-  EXPECT_GE(world_->fewest(words.at(2)), std::stoi(words.at(3)));
+  EXPECT_GE(world_->minRunningReplicas(words.at(2)), std::stoi(words.at(3)));
 }
 
 // expect gap ID most S: the longest spell with replicas missing since `watch`
@@ -58,8 +58,9 @@
 // expect goneby most S: tasks of cancelled jobs, after the answer
 void ScenarioExpect::expectCancelledTasksGone(const Line& line) {
   const auto& words = line.words;
-  std::cout << "gone by " << world_->goneBy() << " s of " << settings_.cancelS << " s\n";
-  EXPECT_LE(world_->goneBy(), std::stod(words.at(3)));
+  std::cout << "gone by " << world_->longestCancelledRunS() << " s of " << settings_.cancelS
+            << " s\n";
+  EXPECT_LE(world_->longestCancelledRunS(), std::stod(words.at(3)));
 }
 
 // expect nowaiting: 90 s after the last trouble, at the earliest
@@ -68,19 +69,19 @@
 // expect waiting ID: what the check above is for
 void ScenarioExpect::expectWaiting(const Line& line) {
   const auto& words = line.words;
-  EXPECT_TRUE(world_->waitingBesideRoom().contains(words.at(2))) << "does not wait beside room";
+  EXPECT_TRUE(world_->jobsWaitingTooLong().contains(words.at(2))) << "does not wait beside room";
 }
 
 // expect unbegun ID S: it had no task started so long after
 void ScenarioExpect::expectNotStarted(const Line& line) {
   const auto& words = line.words;
-  EXPECT_GT(world_->began(words.at(2)), std::stod(words.at(3)));
+  EXPECT_GT(world_->secondsUntilStart(words.at(2)), std::stod(words.at(3)));
 }
 
 // expect began ID most S
 void ScenarioExpect::expectStarted(const Line& line) {
   const auto& words = line.words;
-  EXPECT_LE(world_->began(words.at(2)), std::stod(words.at(4)));
+  EXPECT_LE(world_->secondsUntilStart(words.at(2)), std::stod(words.at(4)));
 }
 
 // expect startsof ID most|least N
@@ -96,7 +97,7 @@
 // expect waits ID WORD: the first reason begins so
 void ScenarioExpect::expectPendingReason(const Line& line) {
   const auto& words = line.words;
-  EXPECT_EQ(world_->whyWaits(words.at(2)).substr(0, words.at(3).size()), words.at(3));
+  EXPECT_EQ(world_->firstPendingReason(words.at(2)).substr(0, words.at(3).size()), words.at(3));
 }
 
 // expect starts most N
--- a/tests/scenario_fault_combinations.cpp
+++ b/tests/scenario_fault_combinations.cpp
@@ -89,7 +89,7 @@
         return write.value("set", std::string()).starts_with("kh/tasks/");
       });
       if (!places || std::exchange(begun, true)) return;
-      int leader = w.nodeFrom("leader");
+      int leader = w.parseController("leader");
       w.region.cloudOutageUntil = w.clock.now() + ms;
       for (const char* to : {"peers", "zone-a", "zone-b"}) link(leader, to, "hold", ms);
     };
--- a/tests/scenario_fault_combinations.hpp
+++ b/tests/scenario_fault_combinations.hpp
@@ -48,7 +48,7 @@
         ->hang(ms);
   }
   void refuseThenAll(std::int64_t refused, std::int64_t outage) {
-    int leader = world_->nodeFrom("leader");
+    int leader = world_->parseController("leader");
     std::int64_t alone = pick(2) ? refused + 12000 : refused + outage + pick(20000);
     world_->state.rejectRequestsFrom("node" + std::to_string(leader), alone);
     if (pick(3) == 0) link(leader, "peers", pick(2) ? "hold" : "reset", alone);
--- a/tests/scenario_faults.cpp
+++ b/tests/scenario_faults.cpp
@@ -220,7 +220,7 @@
     else if (key == "checkpoint")
       job.checkpointS = std::stod(value);
     else if (key == "wrong")  // submitted with a mistake: each task ends in error after this
-      job.errsAfterS = std::stod(value);
+      job.failsAfterS = std::stod(value);
     else if (key == "class")
       job.jobClass = value;
     else if (key == "team")
@@ -375,14 +375,15 @@
                     fault.durationMs);
       break;
     case 3:
-      w.network.cut("node" + std::to_string(w.nodeFrom("leader")), group(kGroups[drawBelow(5)]),
-                    fault.mode, fault.durationMs);
+      w.network.cut("node" + std::to_string(w.parseController("leader")),
+                    group(kGroups[drawBelow(5)]), fault.mode, fault.durationMs);
       break;
     case 4:
       w.state.outage(static_cast<std::int64_t>(1000 + drawBelow(20000)));
       break;
     case 5:
-      w.state.rejectRequestsFrom("node" + std::to_string(w.nodeFrom("leader")), fault.durationMs);
+      w.state.rejectRequestsFrom("node" + std::to_string(w.parseController("leader")),
+                                 fault.durationMs);
       break;
     case 9:
       w.region.cloudOutageUntil = w.clock.now() + fault.durationMs;
@@ -391,7 +392,7 @@
       cutZone(fault.node, fault.mode, 2 * fault.durationMs);
       break;
     case 12:
-      w.freeze(drawBelow(2) ? fault.node : w.nodeFrom("leader"), fault.durationMs / 2);
+      w.freeze(drawBelow(2) ? fault.node : w.parseController("leader"), fault.durationMs / 2);
       break;
     case 13:
     case 14: {
--- a/tests/scenario_faults.hpp
+++ b/tests/scenario_faults.hpp
@@ -57,10 +57,10 @@
 
   // "leader", "other" (the next after it), "third" or a number.
   int nodeOf(const std::string& word) {
-    int leader = world_->nodeFrom("leader");
+    int leader = world_->parseController("leader");
     if (word == "other") return (leader + 1) % settings_.nodes;
     if (word == "third") return (leader + 2) % settings_.nodes;
-    return world_->nodeFrom(word);
+    return world_->parseController(word);
   }
 
   // One, in "turn", "all", or the "rest": all but the one that `alone` names.
--- a/tests/scenario_late_messages.hpp
+++ b/tests/scenario_late_messages.hpp
@@ -152,7 +152,7 @@
     if (q.path != "/hosts" || q.method != "POST") return;
     Json wanted = *decodeBody(q.body);
     auto [it, isNew] = rentals_.emplace(wanted.at("hire").get<std::string>(), wanted);
-    if (!isNew && it->second != wanted) world_->breaks("rental_twice", wanted.dump());
+    if (!isNew && it->second != wanted) world_->recordViolation("rental_twice", wanted.dump());
   }
 
   Trouble writes_, commands_, reports_;
--- a/tests/scenario_machine_faults.cpp
+++ b/tests/scenario_machine_faults.cpp
@@ -21,7 +21,7 @@
   } else if (words[0] == "disturb") {  // disturb nothing|held|late SECONDS
     disturb(words.at(1), ms(2));
   } else if (words[0] == "calm") {  // all troubles are over
-    w.calm();
+    w.markFaultsOver();
   } else {
     return false;
   }
@@ -65,7 +65,7 @@
   World& w = *world_;
   constexpr std::int64_t kEdge = 100, kThenAll = 1000, kUntilOver = 20000;
   auto outage = static_cast<std::int64_t>(settings_.cancelS * 1000) + 1000 + draw(20000);
-  int leader = w.nodeFrom("leader");
+  int leader = w.parseController("leader");
   w.clock.in(kEdge, [&w, leader, outage] {
     w.state.rejectRequestsFrom("node" + std::to_string(leader), kThenAll + outage);
   });
--- a/tests/scenario_pipelines.cpp
+++ b/tests/scenario_pipelines.cpp
@@ -12,7 +12,7 @@
   } else if (key == "due") {
     job.dueS = std::stod(value);
   } else if (key == "late") {
-    job.late = value == "yes";
+    job.submitAfterDependencies = value == "yes";
   } else if (key == "cancelafter") {
     job.cancelAfterS = std::stod(value);
   } else if (key == "via") {
@@ -35,8 +35,8 @@
       w.clock.in(draw(within), [this, i] { submitDrawn(firstDrawn_ + 100 * i); });
     }
   } else if (words[0] == "ask") {  // ask EVERY SECONDS: all jobs of pipelines, at drawn nodes
-    w.askAllOfPipelines(static_cast<std::int64_t>(std::stod(words.at(1)) * 1000),
-                        static_cast<std::int64_t>(std::stod(words.at(2)) * 1000));
+    w.pollPipelineJobs(static_cast<std::int64_t>(std::stod(words.at(1)) * 1000),
+                       static_cast<std::int64_t>(std::stod(words.at(2)) * 1000));
   } else {
     return false;
   }
@@ -48,7 +48,7 @@
   const auto& words = line.words;
   if (words.at(1) == "settled") {  // expect settled: users know the end of each job of a pipeline
     std::string open;
-    for (const auto& id : w.unsettled()) open += " " + id + " (" + w.phaseOf(id) + ")";
+    for (const auto& id : w.unfinishedJobs()) open += " " + id + " (" + w.phaseOf(id) + ")";
     EXPECT_EQ(open, "");
   } else {
     return false;
@@ -96,7 +96,7 @@
     for (int awaited : stages[static_cast<std::size_t>(i)]) {
       job.awaits.push_back(jobId(first + awaited));
     }
-    job.late = late && i + 1 == count;
+    job.submitAfterDependencies = late && i + 1 == count;
     if (i + 1 == count) job.dueS = 300;
     if (i == cancelled) job.cancelAfterS = after.empty() ? drawnMoment() : std::stod(after);
     world_->submit(job);
--- a/tests/scenario_steps_controllers.cpp
+++ b/tests/scenario_steps_controllers.cpp
@@ -80,8 +80,9 @@
 
 // refuse NODE SECONDS: by the state service alone
 void Scenario::refuseController(const Line& line) {
-  world_->state.rejectRequestsFrom("node" + std::to_string(world_->nodeFrom(line.words.at(1))),
-                                   toMilliseconds(line.words.at(2)));
+  world_->state.rejectRequestsFrom(
+      "node" + std::to_string(world_->parseController(line.words.at(1))),
+      toMilliseconds(line.words.at(2)));
 }
 
 // outage state|cloud SECONDS
--- a/tests/scenario_steps_jobs.cpp
+++ b/tests/scenario_steps_jobs.cpp
@@ -29,11 +29,11 @@
 }
 
 // mend ID: the mistake that it was submitted with no longer shows
-void Scenario::repairJob(const Line& line) { world_->mend(line.words.at(1)); }
+void Scenario::repairJob(const Line& line) { world_->stopFailing(line.words.at(1)); }
 
 // faulty MACHINE SECONDS: every task ends in error after this
 void Scenario::makeMachineFaulty(const Line& line) {
-  world_->makeFaulty(busyMachine(line.words.at(1)), std::stod(line.words.at(2)));
+  world_->failTasksOn(busyMachine(line.words.at(1)), std::stod(line.words.at(2)));
 }
 
 // oncall mistaken|guest|singles|polls: what on-call met, beside the rest
@@ -56,7 +56,7 @@
     job.gpus = guest || singles ? 0 : 1;
     job.runS = 4;
     job.spot = true;
-    job.errsAfterS = guest || singles ? -1 : 2 + i;
+    job.failsAfterS = guest || singles ? -1 : 2 + i;
     world_->submit(job);
   }
 }
--- a/tests/scenario_steps_machines.cpp
+++ b/tests/scenario_steps_machines.cpp
@@ -6,8 +6,8 @@
 // cut NODE from GROUP MODE SECONDS
 void Scenario::cutController(const Line& line) {
   const auto& words = line.words;
-  world_->network.cut("node" + std::to_string(world_->nodeFrom(words.at(1))), group(words.at(3)),
-                      mode(words.at(4)), toMilliseconds(words.at(5)));
+  world_->network.cut("node" + std::to_string(world_->parseController(words.at(1))),
+                      group(words.at(3)), mode(words.at(4)), toMilliseconds(words.at(5)));
 }
 
 // link NODE to GROUP HOW SECONDS
@@ -34,7 +34,7 @@
 
 // cutzone leader|other MODE SECONDS: from everything outside
 void Scenario::cutZoneOff(const Line& line) {
-  int node = world_->nodeFrom("leader");
+  int node = world_->parseController("leader");
   if (line.words.at(1) == "other") node = (node + 1) % settings_.nodes;
   cutZone(node, mode(line.words.at(2)), toMilliseconds(line.words.at(3)));
 }
--- a/tests/scenario_steps_output.cpp
+++ b/tests/scenario_steps_output.cpp
@@ -22,7 +22,7 @@
   std::cout << line.words.at(1) << " at " << world.now() << " s, " << world.region.machineSeconds()
             << " machine s, " << world.state.changeCount << " changes, " << world.state.readCount
             << " reads\n";
-  world.tellWaits(std::cout);
+  world.printWaitingTimes(std::cout);
   if (const auto* policy = world.policy(); policy && policy->active()) {
     const auto& state = policy->state();
     std::cout << "  covered " << state.covered << ", uncovered " << state.uncovered << ", storm "
--- a/tests/sim/balancer.hpp
+++ b/tests/sim/balancer.hpp
@@ -23,7 +23,7 @@
   }
 
   void send(Request request, std::int64_t timeout, OnReply done) {
-    attempt(std::make_shared<Request>(std::move(request)), clock_.now() + timeout, kTries, {},
+    attempt(std::make_shared<Request>(std::move(request)), clock_.now() + timeout, kMaxAttempts, {},
             std::move(done));
   }
 
@@ -32,35 +32,38 @@
     std::string address;
     bool healthy = false, everHealthy = false;
     /// A positive value counts consecutive successful probes, a negative one consecutive failures.
-    int inARow = 0;
+    int consecutiveProbes = 0;
     std::deque<bool> last;
-    std::int64_t notBefore = 0, pause = kPause, removedAt = -kRemembered, skippedUntil = 0;
+    std::int64_t notBefore = 0, pause = kMinPauseMs, removedAt = -kRemovalMemoryMs,
+                 skippedUntil = 0;
     int refused = 0;
   };
-  static constexpr int kTries = 3;
-  static constexpr std::int64_t kPause = 3000, kMostPause = 60000, kRemembered = 120000;
+  static constexpr int kMaxAttempts = 3;
+  static constexpr std::int64_t kMinPauseMs = 3000, kMaxPauseMs = 60000, kRemovalMemoryMs = 120000;
 
   void probe() {
     clock_.in(1000, [this] { probe(); });
     for (auto& node : nodes_) {
-      network_.send(
-          "users", node.address, {"GET", "/ready", ""}, 1000,
-          [this, &node](const std::optional<Response>& r) { note(node, r && r->status == 200); });
+      network_.send("users", node.address, {"GET", "/ready", ""}, 1000,
+                    [this, &node](const std::optional<Response>& r) {
+                      recordProbe(node, r && r->status == 200);
+                    });
     }
   }
 
-  void note(Node& n, bool ok) {
-    n.inARow = ok ? std::max(n.inARow, 0) + 1 : std::min(n.inARow, 0) - 1;
+  void recordProbe(Node& n, bool ok) {
+    n.consecutiveProbes =
+        ok ? std::max(n.consecutiveProbes, 0) + 1 : std::min(n.consecutiveProbes, 0) - 1;
     n.last.push_back(ok);
     if (n.last.size() > 6) n.last.pop_front();
     auto failures = std::count(n.last.begin(), n.last.end(), false);
-    if (n.healthy && (n.inARow <= -2 || failures >= 3)) {
+    if (n.healthy && (n.consecutiveProbes <= -2 || failures >= 3)) {
       n.healthy = false;
-      n.pause =
-          clock_.now() - n.removedAt < kRemembered ? std::min(2 * n.pause, kMostPause) : kPause;
+      n.pause = clock_.now() - n.removedAt < kRemovalMemoryMs ? std::min(2 * n.pause, kMaxPauseMs)
+                                                              : kMinPauseMs;
       n.removedAt = clock_.now();
       n.notBefore = clock_.now() + n.pause;
-    } else if (!n.healthy && ok && (!n.everHealthy || n.inARow >= 2) &&
+    } else if (!n.healthy && ok && (!n.everHealthy || n.consecutiveProbes >= 2) &&
                clock_.now() >= n.notBefore) {
       n.healthy = n.everHealthy = true;
       n.last.clear();
@@ -69,13 +72,13 @@
 
   void attempt(const std::shared_ptr<Request>& request, std::int64_t deadline, int tries,
                std::set<std::string> tried, OnReply done) {
-    std::vector<Node*> fit;
+    std::vector<Node*> candidates;
     for (auto& n : nodes_) {
       if (n.healthy && clock_.now() >= n.skippedUntil && !tried.contains(n.address))
-        fit.push_back(&n);
+        candidates.push_back(&n);
     }
-    if (fit.empty() || tries == 0 || clock_.now() >= deadline) return done(std::nullopt);
-    Node& n = *fit[random_() % fit.size()];
+    if (candidates.empty() || tries == 0 || clock_.now() >= deadline) return done(std::nullopt);
+    Node& n = *candidates[random_() % candidates.size()];
     tried.insert(n.address);
     network_.send("users", n.address, *request, deadline - clock_.now(),
                   [this, &n, request, deadline, tries, tried,
--- a/tests/sim/pipeline_checks.cpp
+++ b/tests/sim/pipeline_checks.cpp
@@ -9,30 +9,30 @@
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-std::set<std::string> PipelineChecks::before(const std::string& id) const {
+std::set<std::string> PipelineChecks::dependenciesOf(const std::string& id) const {
   std::set<std::string> out;
   if (const State* own = find(id); !own || own->job.awaits.empty()) return out;
-  std::vector<std::string> open{id};
-  while (!open.empty()) {
-    const State* s = find(open.back());
-    open.pop_back();
+  std::vector<std::string> pending{id};
+  while (!pending.empty()) {
+    const State* s = find(pending.back());
+    pending.pop_back();
     if (!s) continue;
     for (const auto& awaited : s->job.awaits) {
-      if (out.insert(awaited).second) open.push_back(awaited);
+      if (out.insert(awaited).second) pending.push_back(awaited);
     }
   }
   return out;
 }
 
-std::vector<std::string> PipelineChecks::after(const std::string& id) const {
+std::vector<std::string> PipelineChecks::dependentsOf(const std::string& id) const {
   std::set<std::string> out;
-  std::vector<std::string> open{id};
-  while (!open.empty()) {
-    auto it = dependants_.find(open.back());
-    open.pop_back();
-    if (it == dependants_.end()) continue;
-    for (const auto& dependant : it->second) {
-      if (out.insert(dependant).second) open.push_back(dependant);
+  std::vector<std::string> pending{id};
+  while (!pending.empty()) {
+    auto it = dependents_.find(pending.back());
+    pending.pop_back();
+    if (it == dependents_.end()) continue;
+    for (const auto& dependent : it->second) {
+      if (out.insert(dependent).second) pending.push_back(dependent);
     }
   }
   return {out.begin(), out.end()};
@@ -42,11 +42,11 @@
   auto [it, first] = jobs_.emplace(id, State{});
   if (!first) return;
   it->second.job = job;
-  it->second.left = job.tasks;
-  for (const auto& awaited : job.awaits) dependants_[awaited].push_back(id);
+  it->second.remainingTasks = job.tasks;
+  for (const auto& awaited : job.awaits) dependents_[awaited].push_back(id);
 }
 
-int PipelineChecks::mustBeRefusedWith(const std::string& id) const {
+int PipelineChecks::requiredRefusalStatus(const std::string& id) const {
   const State* s = find(id);
   if (!s) return 0;
   if (s->job.malformed) return 400;
@@ -57,7 +57,7 @@
   return never ? 422 : 0;
 }
 
-bool PipelineChecks::hasToBeAccepted(const std::string& id) const {
+bool PipelineChecks::isAcceptable(const std::string& id) const {
   const State* s = find(id);
   if (!s || s->job.malformed) return false;
   return std::all_of(s->job.awaits.begin(), s->job.awaits.end(), [this](const auto& awaited) {
@@ -67,89 +67,90 @@
 }
 
 void PipelineChecks::accepted(const std::string& id) {
-  if (int status = mustBeRefusedWith(id); status != 0) {
+  if (int status = requiredRefusalStatus(id); status != 0) {
     fail_("misjudged", id + " accepted, not refused with " + std::to_string(status));
   }
   if (auto it = jobs_.find(id); it != jobs_.end()) it->second.accepted = true;
 }
 
-void PipelineChecks::refused(const std::string& id, int status, bool hadToBeAccepted) {
+void PipelineChecks::refused(const std::string& id, int status, bool wasAcceptable) {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   State& s = it->second;
-  int expected = mustBeRefusedWith(id);
+  int expected = requiredRefusalStatus(id);
   if (expected != 0 && status != expected) {
     fail_("misjudged", id + " got " + std::to_string(status) + ", not " + std::to_string(expected));
   }
-  if (!s.job.awaits.empty() && hadToBeAccepted) {
+  if (!s.job.awaits.empty() && wasAcceptable) {
     fail_("misjudged",
           id + " got " + std::to_string(status) + " although all it awaits were accepted");
   }
   s.refused = !s.accepted;
 }
 
-void PipelineChecks::cancelAsked(const std::string& id) {
-  if (auto it = jobs_.find(id); it != jobs_.end()) it->second.cancelAsked = true;
+void PipelineChecks::cancelRequested(const std::string& id) {
+  if (auto it = jobs_.find(id); it != jobs_.end()) it->second.cancelRequested = true;
 }
 
 void PipelineChecks::completed(const std::string& id, std::int64_t now) {
   auto it = jobs_.find(id);
-  if (it == jobs_.end() || it->second.left == 0) return;
-  if (--it->second.left == 0) it->second.doneAt = now;
+  if (it == jobs_.end() || it->second.remainingTasks == 0) return;
+  if (--it->second.remainingTasks == 0) it->second.doneAt = now;
 }
 
 void PipelineChecks::started(const std::string& id, int index) {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
-  it->second.began = true;
-  for (const auto& awaited : before(id)) {
+  it->second.hasStarted = true;
+  for (const auto& awaited : dependenciesOf(id)) {
     const State* other = find(awaited);
     std::string name = id + "/" + std::to_string(index) + " starts";
     if (!other || other->doneAt < 0) {
       fail_("too_early", name + " while " + awaited + " is not done");
-    } else if (other->end == "withdrawn") {
+    } else if (other->finalPhase == "withdrawn") {
       fail_("too_early", name + " although " + awaited + " is cancelled");
     }
   }
 }
 
-void PipelineChecks::told(const std::string& id, const std::string& phase, std::int64_t now) {
+void PipelineChecks::phaseReported(const std::string& id, const std::string& phase,
+                                   std::int64_t now) {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   State& s = it->second;
-  if (phase == "running" && releasedAt(id) < 0) {
+  if (phase == "running" && dependenciesDoneAt(id) < 0) {
     fail_("too_early", id + " called running while it waits");
   }
   if (phase == "pending" || phase == "running") {
-    for (const auto& awaited : before(id)) {
+    for (const auto& awaited : dependenciesOf(id)) {
       const State* other = find(awaited);
-      if (!other || other->withdrawnToldAt < 0) continue;
-      if (now - other->withdrawnToldAt <= cancelMs_) continue;
+      if (!other || other->withdrawalReportedAt < 0) continue;
+      if (now - other->withdrawalReportedAt <= cancelMs_) continue;
       fail_("orphaned", id + " called " + phase + " after " + awaited + " was cancelled");
     }
     return;
   }
-  bool first = s.end.empty();
-  s.end = phase;
+  bool first = s.finalPhase.empty();
+  s.finalPhase = phase;
   if (!first) return;
   if (phase == "withdrawn") {
-    s.withdrawnToldAt = now;
+    s.withdrawalReportedAt = now;
     if (!mayBeWithdrawn(id)) fail_("went_back", id + " cancelled through none before it");
   }
   // The final phase of this job restricts the phases of all jobs that depend on it.
-  for (const auto& dependant : after(id)) {
-    const State& other = jobs_.at(dependant);
-    if (phase == "done" && other.end == "withdrawn" && !mayBeWithdrawn(dependant)) {
-      fail_("went_back", dependant + " was cancelled although " + id + " is done");
+  for (const auto& dependent : dependentsOf(id)) {
+    const State& other = jobs_.at(dependent);
+    if (phase == "done" && other.finalPhase == "withdrawn" && !mayBeWithdrawn(dependent)) {
+      fail_("went_back", dependent + " was cancelled although " + id + " is done");
     }
-    if (phase == "withdrawn" && other.began) {
-      fail_("too_early", dependant + " began although " + id + " is cancelled");
+    if (phase == "withdrawn" && other.hasStarted) {
+      fail_("too_early", dependent + " began although " + id + " is cancelled");
     }
   }
 }
 
-bool PipelineChecks::withdrawnAbove(const std::string& id) const {
-  auto all = before(id);
+bool PipelineChecks::hasCancelledDependency(const std::string& id) const {
+  auto all = dependenciesOf(id);
   return std::any_of(all.begin(), all.end(), [this](const auto& awaited) {
     const State* other = find(awaited);
     return other && toBeCancelled(*other);
@@ -158,10 +159,10 @@
 
 bool PipelineChecks::mayBeWithdrawn(const std::string& id) const {
   const State* s = find(id);
-  return s && (s->cancelAsked || withdrawnAbove(id));
+  return s && (s->cancelRequested || hasCancelledDependency(id));
 }
 
-std::int64_t PipelineChecks::releasedAt(const std::string& id) const {
+std::int64_t PipelineChecks::dependenciesDoneAt(const std::string& id) const {
   const State* s = find(id);
   std::int64_t at = 0;
   if (!s) return at;
@@ -176,11 +177,11 @@
 std::int64_t PipelineChecks::cancelledSince(const std::string& id) const {
   const State* s = find(id);
   if (!s) return -1;
-  std::int64_t since = s->withdrawnToldAt;
-  for (const auto& awaited : before(id)) {
+  std::int64_t since = s->withdrawalReportedAt;
+  for (const auto& awaited : dependenciesOf(id)) {
     const State* other = find(awaited);
-    if (!other || other->withdrawnToldAt < 0) continue;
-    since = since < 0 ? other->withdrawnToldAt : std::min(since, other->withdrawnToldAt);
+    if (!other || other->withdrawalReportedAt < 0) continue;
+    since = since < 0 ? other->withdrawalReportedAt : std::min(since, other->withdrawalReportedAt);
   }
   return since;
 }
@@ -192,14 +193,14 @@
 
 bool PipelineChecks::isOver(const std::string& id) const {
   const State* s = find(id);
-  return s && !s->end.empty();
+  return s && !s->finalPhase.empty();
 }
 
-std::vector<std::string> PipelineChecks::unsettled() const {
+std::vector<std::string> PipelineChecks::unfinishedJobs() const {
   std::vector<std::string> out;
   for (const auto& [id, s] : jobs_) {
-    bool ofPipeline = !s.job.awaits.empty() || dependants_.contains(id);
-    if (ofPipeline && s.accepted && s.end.empty() && !s.job.service) out.push_back(id);
+    bool ofPipeline = !s.job.awaits.empty() || dependents_.contains(id);
+    if (ofPipeline && s.accepted && s.finalPhase.empty() && !s.job.service) out.push_back(id);
   }
   return out;
 }
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -235,11 +235,11 @@
                                                        delayedCommands.to)(random_);
   }
   bool isResponseLost(const std::string& from, const std::string& to) const {
-    auto lasts = [this](const auto& until, const std::string& host) {
+    auto isActive = [this](const auto& until, const std::string& host) {
       auto found = until.find(host);
       return found != until.end() && clock_.now() < found->second;
     };
-    return lasts(responsesToHostLostUntil, from) || lasts(responsesFromHostLostUntil, to);
+    return isActive(responsesToHostLostUntil, from) || isActive(responsesFromHostLostUntil, to);
   }
   bool chance(double p) { return p > 0 && std::bernoulli_distribution(p)(random_); }
 
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -50,7 +50,7 @@
     });
   };
   state.onCommit = [this](const Json& writes) {
-    notePlaced(writes);
+    recordPlacements(writes);
     for (const auto& write : writes) {
       auto key = write.contains("set") ? write["set"].get<std::string>()
                                        : write["drop"].get<std::string>();
@@ -129,9 +129,9 @@
   clock.in(500, watch);
   pollUnknown();
   watchLeader();
-  watchService();
-  watchGaps();
-  watchWaits();
+  sampleService();
+  sampleReplicaGaps();
+  sampleWaitingJobs();
 }
 
 World::~World() {
@@ -194,13 +194,13 @@
 }
 
 const PolicyReplica* World::policy() const {
-  const PolicyReplica* best = nullptr;
+  const PolicyReplica* newest = nullptr;
   for (const auto& n : nodes_) {
     if (!n.controller) continue;
     const auto* p = &n.controller->policy();
-    if (!best || p->state().actedMs > best->state().actedMs) best = p;
+    if (!newest || p->state().actedMs > newest->state().actedMs) newest = p;
   }
-  return best;
+  return newest;
 }
 
 bool World::allKnowFormat(unsigned format) const {
@@ -236,20 +236,20 @@
   if (auto& runtime = nodes_[static_cast<std::size_t>(i)].runtime) runtime->freeze(forMs);
 }
 
-std::string World::whyWaits(const std::string& id) {
-  std::string told = "nobody answered";
-  toSomeNode({"GET", "/v2/runs/" + id + "?why=1", ""}, 2000,
-             [&told](const std::optional<Response>& r) {
-               auto body = r ? decodeBody(r->body) : std::nullopt;
-               const Json* why = body ? field(*body, "why") : nullptr;
-               if (!why) return;
-               const Json& waits = why->at("waits");
-               told = !why->at("leader").is_string() ? "no leader"
-                      : waits.empty()                ? "nothing"
-                                                     : waits[0].at("why").get<std::string>();
-             });
+std::string World::firstPendingReason(const std::string& id) {
+  std::string reason = "nobody answered";
+  sendToAnyController({"GET", "/v2/runs/" + id + "?why=1", ""}, 2000,
+                      [&reason](const std::optional<Response>& r) {
+                        auto body = r ? decodeBody(r->body) : std::nullopt;
+                        const Json* why = body ? field(*body, "why") : nullptr;
+                        if (!why) return;
+                        const Json& waits = why->at("waits");
+                        reason = !why->at("leader").is_string() ? "no leader"
+                                 : waits.empty()                ? "nothing"
+                                                 : waits[0].at("why").get<std::string>();
+                      });
   runFor(3);
-  return told;
+  return reason;
 }
 
 void World::crash(int i, std::int64_t downMs) {
@@ -269,7 +269,7 @@
   return -1;
 }
 
-int World::nodeFrom(const std::string& word) const {
+int World::parseController(const std::string& word) const {
   if (word != "leader") return std::stoi(word);
   int l = leaderNode();
   return l < 0 ? 0 : l;
@@ -331,7 +331,7 @@
 
 // Records the task attempts that a transaction stores. Each row holds a machine, a worker session,
 // an attempt and ranges of task indexes.
-void World::notePlaced(const Json& writes) {
+void World::recordPlacements(const Json& writes) {
   const std::string prefix = "kh/tasks/";
   for (const auto& write : writes) {
     auto key = write.value("set", std::string());
@@ -376,15 +376,15 @@
   const JobPlan* p = plan(task.job);
   std::pair key{task.job, task.index};
   ++startsOf[task.job];
-  double errsAfter = p->errsAfterS;
-  if (auto f = faulty_.find(worker.host); f != faulty_.end()) errsAfter = f->second;
-  if (errsAfter >= 0) {
-    clock.in(ms(errsAfter) + 1, [&worker, executionId = task.executionId] {
+  double failsAfter = p->failsAfterS;
+  if (auto f = failingHosts_.find(worker.host); f != failingHosts_.end()) failsAfter = f->second;
+  if (failsAfter >= 0) {
+    clock.in(ms(failsAfter) + 1, [&worker, executionId = task.executionId] {
       worker.whenAwake([&worker, executionId] {
         if (!worker.isDead) worker.exited(executionId, "error");
       });
     });
-    if (p->errsAfterS >= 0) return;
+    if (p->failsAfterS >= 0) return;
   }
   if (p->shape == "daemon") return;
   double left =
@@ -434,12 +434,12 @@
             {"due_s", nullptr}};
   if (!p.zone.empty()) v["site"] = p.zone;
   if (p.dueS >= 0) v["due_s"] = p.dueS;
-  if (!p.awaits.empty() && !settings.dropAwaits) v["awaits"] = p.awaits;
+  if (!p.awaits.empty() && !settings.omitsAwaits) v["awaits"] = p.awaits;
   if (!p.awaitsText.empty()) v["awaits"] = Json::parse(p.awaitsText);
   return v;
 }
 
-void World::toSomeNode(Request q, std::int64_t timeout, OnReply done) {
+void World::sendToAnyController(Request q, std::int64_t timeout, OnReply done) {
   if (balancer_) {
     return balancer_->send(std::move(q), timeout, std::move(done));
   }
@@ -447,21 +447,21 @@
   for (std::uint64_t i = 0; i < nodes_.size() && !nodes_[n].controller; ++i) {
     n = (n + 1) % nodes_.size();
   }
-  toNode(static_cast<int>(n), std::move(q), timeout, std::move(done));
+  sendToController(static_cast<int>(n), std::move(q), timeout, std::move(done));
 }
 
 void World::trySubmit(const std::string& id) {
   Request q{"POST", "/v2/runs", encodeBody(spec(users_[id].plan))};
-  auto done = [this, id, askedAt = clock.now(),
-               hasToBe = pipelines.hasToBeAccepted(id)](std::optional<Response> r) {
+  auto done = [this, id, requestedAt = clock.now(),
+               isAcceptable = pipelines.isAcceptable(id)](std::optional<Response> r) {
     UserJob& j = users_[id];
     if (r && (r->status == 200 || r->status == 201)) {
       if (!j.accepted) pipelines.accepted(id);
-      note(id, *r, askedAt);
+      recordResponse(id, *r, requestedAt);
       if (!j.accepted) {
         j.accepted = true;
         j.acceptedAt = clock.now();
-        if (onTold) onTold(id, "accepted");
+        if (onPhaseReported) onPhaseReported(id, "accepted");
         poll(id);
         // A client may repeat an accepted submission at any later time.
         clock.in(20000 + static_cast<std::int64_t>(random() % 60000),
@@ -472,84 +472,85 @@
     }
     if (r && (r->status == 400 || r->status == 422)) {
       if (j.accepted) fail("forgotten", id + " got " + std::to_string(r->status));
-      pipelines.refused(id, r->status, hasToBe);
+      pipelines.refused(id, r->status, isAcceptable);
       j.last = "refused";
       return;
     }
     if (!j.accepted) clock.in(1000, [this, id] { trySubmit(id); });
   };
   int via = std::exchange(users_[id].plan.via, -1);
-  via < 0 ? toSomeNode(q, 5000, done) : toNode(via, q, 5000, done);
+  via < 0 ? sendToAnyController(q, 5000, done) : sendToController(via, q, 5000, done);
 }
 
 void World::abort(const std::string& id) { abortThrough(id, -1); }
 
 void World::abortThrough(const std::string& id, int node) {
-  users_[id].abortAsked = true;
-  pipelines.cancelAsked(id);
+  users_[id].cancelRequested = true;
+  pipelines.cancelRequested(id);
   tryAbort(id, node);
 }
 
 void World::tryAbort(const std::string& id, int node) {
   Request q{"POST", "/v2/runs/" + id + "/abort", ""};
-  auto done = [this, id, askedAt = clock.now()](std::optional<Response> r) {
-    if (r && r->status == 200) return note(id, *r, askedAt);
+  auto done = [this, id, requestedAt = clock.now()](std::optional<Response> r) {
+    if (r && r->status == 200) return recordResponse(id, *r, requestedAt);
     if (r && r->status == 404 && users_[id].accepted) fail("forgotten", id + " abort got 404");
     clock.in(1000, [this, id] { tryAbort(id); });
   };
-  node < 0 ? toSomeNode(q, 5000, done) : toNode(node, q, 5000, done);
+  node < 0 ? sendToAnyController(q, 5000, done) : sendToController(node, q, 5000, done);
 }
 
 void World::poll(const std::string& id) {
   auto pause = static_cast<double>(4000 + random() % 2000) / pollFactor;
   clock.in(static_cast<std::int64_t>(pause), [this, id] {
-    toSomeNode({"GET", "/v2/runs/" + id, ""}, 2000,
-               [this, id, askedAt = clock.now()](std::optional<Response> r) {
-                 if (r && r->status == 200) note(id, *r, askedAt);
-                 if (r && r->status == 404) fail("forgotten", id + " polled 404");
-                 poll(id);
-               });
+    sendToAnyController({"GET", "/v2/runs/" + id, ""}, 2000,
+                        [this, id, requestedAt = clock.now()](std::optional<Response> r) {
+                          if (r && r->status == 200) recordResponse(id, *r, requestedAt);
+                          if (r && r->status == 404) fail("forgotten", id + " polled 404");
+                          poll(id);
+                        });
   });
 }
 
 void World::pollUnknown() {
   clock.in(7000, [this] {
-    toSomeNode({"GET", "/v2/runs/j-99999999", ""}, 2000, [this](std::optional<Response> r) {
-      if (r && r->status == 200) fail("invented", "j-99999999");
-    });
+    sendToAnyController({"GET", "/v2/runs/j-99999999", ""}, 2000,
+                        [this](std::optional<Response> r) {
+                          if (r && r->status == 200) fail("invented", "j-99999999");
+                        });
     pollUnknown();
   });
 }
 
-void World::note(const std::string& id, const Response& r, std::int64_t askedAt) {
+void World::recordResponse(const std::string& id, const Response& r, std::int64_t requestedAt) {
   auto body = decodeBody(r.body);
   auto phase = body ? textField(*body, "phase") : std::nullopt;
   if (!phase) return fail("malformed", id);
   UserJob& j = users_[id];
   // A response to a request from before the job's final phase was known may arrive after it.
-  j.answeredAt = clock.now();
-  if (!j.told.empty() && askedAt <= j.toldAt) return;
+  j.lastResponseAt = clock.now();
+  if (!j.finalPhase.empty() && requestedAt <= j.finalPhaseAt) return;
   j.last = *phase;
-  bool wasOver = !j.told.empty();
-  pipelines.told(id, *phase, clock.now());
-  if (!j.told.empty() && j.told != *phase) {
-    fail("went_back", id + " was " + j.told + ", now " + *phase);
+  bool wasOver = !j.finalPhase.empty();
+  pipelines.phaseReported(id, *phase, clock.now());
+  if (!j.finalPhase.empty() && j.finalPhase != *phase) {
+    fail("went_back", id + " was " + j.finalPhase + ", now " + *phase);
   }
   if (*phase == "done") {
     for (int i = 0; i < j.plan.tasks; ++i) {
       if (!results.contains({id, i})) fail("not_done", id + "/" + std::to_string(i));
     }
-    if (j.told.empty()) j.toldAt = j.doneAt = clock.now();
-    if (std::exchange(j.told, *phase).empty() && onTold) onTold(id, *phase);
+    if (j.finalPhase.empty()) j.finalPhaseAt = j.doneAt = clock.now();
+    if (std::exchange(j.finalPhase, *phase).empty() && onPhaseReported) onPhaseReported(id, *phase);
   } else if (*phase == "withdrawn") {
-    if (!j.abortAsked && !pipelines.mayBeWithdrawn(id)) {
+    if (!j.cancelRequested && !pipelines.mayBeWithdrawn(id)) {
       fail("went_back", id + " cancelled although nobody asked");
     }
-    if (j.cancelledToldAt < 0) j.cancelledToldAt = clock.now();
-    if (j.told.empty()) j.toldAt = clock.now();
-    if (std::exchange(j.told, *phase).empty() && onTold) onTold(id, *phase);
+    if (j.cancellationReportedAt < 0) j.cancellationReportedAt = clock.now();
+    if (j.finalPhase.empty()) j.finalPhaseAt = clock.now();
+    if (std::exchange(j.finalPhase, *phase).empty() && onPhaseReported) onPhaseReported(id, *phase);
   }
-  if (!wasOver && !j.told.empty()) onOver(id);
+  if (!wasOver && !j.finalPhase.empty()) onOver(id);
 }
 
 }  // namespace kestrelhoist::sim
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -58,7 +58,7 @@
   /// If set, member keys are enabled. Requests without a key are still accepted.
   bool members = false;
   /// If set, users omit `awaits`, as if the controllers ignored the field.
-  bool dropAwaits = false;
+  bool omitsAwaits = false;
 };
 
 /// Returns the operator's root key in worlds with members.
@@ -75,7 +75,7 @@
   bool together = false, apart = false, spot = false;
   double checkpointS = 0;
   /// If not negative, each task fails after this time.
-  double errsAfterS = -1;
+  double failsAfterS = -1;
   std::string rank = "best_effort";
   std::string zone;
   std::string jobClass = "any", team = "team";
@@ -87,7 +87,7 @@
   std::string awaitsText;
   double dueS = -1;
   /// If set, the user submits the job only after its dependencies have ended.
-  bool late = false;
+  bool submitAfterDependencies = false;
   /// If not negative, the user cancels the job this long after its acceptance, through a random
   /// controller.
   double cancelAfterS = -1;
@@ -108,21 +108,23 @@
   /// Registers the description of a job that a member submits. The service has chosen its id.
   void expectJob(const JobPlan& job) { users_[job.id].plan = job; }
   /// Records the violation of a rule that a scenario checks itself.
-  void breaks(const std::string& rule, const std::string& what) { fail(rule, what); }
+  void recordViolation(const std::string& rule, const std::string& what) { fail(rule, what); }
   /// Cancels the job through a random controller, with retries.
   void abort(const std::string& id);
   /// Cancels the job; the first request goes to this controller.
   void abortThrough(const std::string& id, int node);
   /// Returns the longest time in seconds for which a task of a cancelled job was still on a machine
   /// after its user had received the cancellation.
-  double goneBy() const { return static_cast<double>(goneByMs_) / 1000.0; }
+  double longestCancelledRunS() const {
+    return static_cast<double>(longestCancelledRunMs_) / 1000.0;
+  }
   /// Checks and records a response about a job. Tests that send their own requests call this, too.
-  /// `askedAt` is the time of the request.
-  void note(const std::string& id, const Response& r, std::int64_t askedAt);
+  /// `requestedAt` is the time of the request.
+  void recordResponse(const std::string& id, const Response& r, std::int64_t requestedAt);
   /// Records that a test has sent its own request to cancel the job.
-  void askedToCancel(const std::string& id) {
-    users_[id].abortAsked = true;
-    pipelines.cancelAsked(id);
+  void recordCancelRequest(const std::string& id) {
+    users_[id].cancelRequested = true;
+    pipelines.cancelRequested(id);
   }
   bool isAccepted(const std::string& id) const {
     auto it = users_.find(id);
@@ -133,15 +135,15 @@
   /// Returns the submission of the job as the API expects it.
   Json spec(const JobPlan& p) const;
   /// The world calls this when a user first receives that a job is accepted, done or withdrawn.
-  std::function<void(const std::string& id, const std::string& what)> onTold;
+  std::function<void(const std::string& id, const std::string& what)> onPhaseReported;
   /// The world calls this when a task has completed on its machine.
   std::function<void(const std::string& id)> onResult;
   /// Returns the newest attempt of the task that was ever placed, or 0 if there is none.
   std::uint64_t newestTry(const std::string& job, int index) const;
   /// Makes every task that starts on this machine from now on fail after `s` seconds.
-  void makeFaulty(const std::string& host, double s) { faulty_[host] = s; }
+  void failTasksOn(const std::string& host, double s) { failingHosts_[host] = s; }
   /// Makes later attempts of the job's tasks succeed again.
-  void mend(const std::string& id) { users_[id].plan.errsAfterS = -1; }
+  void stopFailing(const std::string& id) { users_[id].plan.failsAfterS = -1; }
   /// Ends the controller process and starts it again after `downMs`.
   void crash(int node, std::int64_t downMs = 4000);
   /// Sets the policy as an operator, with retries until a controller confirms it.
@@ -169,7 +171,7 @@
     gaps_.insert_or_assign(id, ReplicaGaps(users_.at(id).plan.tasks));
   }
   /// Returns the lowest number of running replicas since watch().
-  int fewest(const std::string& id) const { return watched_.at(id); }
+  int minRunningReplicas(const std::string& id) const { return watched_.at(id); }
   /// Returns the periods since watch() in which some replicas did not run.
   const ReplicaGaps& gapsOf(const std::string& id) const { return gaps_.at(id); }
   /// Records a violation of `underserved` for each job class, each group of largest jobs of a class
@@ -187,33 +189,33 @@
   std::set<std::string> unanswered(std::int64_t withinMs) const;
   /// Marks the end of all injected faults. From now on the world records jobs that wait although a
   /// machine has free resources for them, see expectNoWaiting().
-  void calm();
+  void markFaultsOver();
   /// Records a violation of `waits` for each job that has waited too long since calm(). A job waits
   /// too long if one suitable machine had free resources for it during the whole time limit, as
   /// seen by the worker, and the job's team was below its quota.
   void expectNoWaiting();
   /// Returns the jobs that have waited too long in the sense of expectNoWaiting(), each with the
   /// suitable machine.
-  std::map<std::string, std::string> waitingBesideRoom() const;
+  std::map<std::string, std::string> jobsWaitingTooLong() const;
   /// Returns the running jobs that need at least `leastS` more seconds, and the running services.
   std::vector<std::string> runningFor(double leastS) const;
   /// Returns the machines that hold unfinished tasks of this job.
   std::vector<std::string> machinesOf(const std::string& id) const;
   /// Returns the seconds from the job's acceptance, or from the end of its last dependency if that
   /// is later, to the first start of a task. The result is 1e9 if no task has started.
-  double began(const std::string& id) const;
+  double secondsUntilStart(const std::string& id) const;
   /// Prints for each job class the number of jobs and their times until the first start and until
   /// completion, each as mean, 90th percentile and maximum.
-  void tellWaits(std::ostream& out) const;
+  void printWaitingTimes(std::ostream& out) const;
   /// Returns the classes, largest jobs and teams that got less than the share `least` of their due
-  /// service and were observed for at least `judgedMs`, with their actual shares.
-  std::map<std::string, double> underserved(double least, std::int64_t judgedMs) const;
+  /// service and were observed for at least `sampledMs`, with their actual shares.
+  std::map<std::string, double> underserved(double least, std::int64_t sampledMs) const;
   /// Returns the first pending reason of the job's tasks that the leader reports.
-  std::string whyWaits(const std::string& id);
+  std::string firstPendingReason(const std::string& id);
   /// This counts the changes to a new leader so far.
   int leaderships = 0;
   /// Returns the controller's number for the word "leader" or a number in decimal.
-  int nodeFrom(const std::string& word) const;
+  int parseController(const std::string& word) const;
   std::vector<std::string> machinesWithTasks() const { return region.machinesWithTasks(); }
   void runFor(double seconds);
   double now() const { return static_cast<double>(clock.now()) / 1000.0; }
@@ -227,12 +229,12 @@
 
   // world_pipelines.cpp implements the functions for jobs with dependencies.
   /// Requests the state of the job from all controllers repeatedly for a few seconds.
-  void askEverywhere(const std::string& id);
+  void pollAllControllers(const std::string& id);
   /// Requests the state of every unfinished job of a pipeline at this interval for this time.
-  void askAllOfPipelines(std::int64_t everyMs, std::int64_t forMs);
+  void pollPipelineJobs(std::int64_t everyMs, std::int64_t forMs);
   /// Returns the jobs of pipelines that are not submitted or whose users have not received a final
   /// phase.
-  std::vector<std::string> unsettled() const;
+  std::vector<std::string> unfinishedJobs() const;
 
   // world_flows.cpp implements the functions for flows.
   /// Submits a flow; its user then requests the flow's state until the flow ends.
@@ -250,7 +252,7 @@
   Json teamAccount(const std::string& team);
   int flowRefusedWith(const std::string& id) const { return flows_.at(id).refusedWith; }
   /// Returns the seconds from submission to end of the flow, or 1e9 if the flow has not ended.
-  double flowTook(const std::string& id) const;
+  double flowDurationS(const std::string& id) const;
   const rules::FlowPlan& flowPlan(const std::string& id) const { return flows_.at(id).plan; }
   const std::map<std::string, std::string>& flowFiles(const std::string& id) const {
     return flows_.at(id).files;
@@ -263,7 +265,7 @@
   std::size_t flowCommits = 0;
   /// Returns the seconds from the newest change of leader to the first start of a flow task after
   /// it, or 1e9 if none has started.
-  double resumedAfter() const;
+  double flowResumeSeconds() const;
   /// This counts the committed changes by the first segments of their keys.
   std::map<std::string, std::size_t> changesByKind;
 
@@ -315,23 +317,23 @@
     JobPlan plan;
     bool accepted = false;
     /// The user has received this final phase, `done` or `withdrawn`.
-    std::string told;
+    std::string finalPhase;
     std::string last;
-    std::int64_t toldAt = 0, acceptedAt = 0;
-    std::int64_t cancelledToldAt = -1;
-    bool abortAsked = false;
+    std::int64_t finalPhaseAt = 0, acceptedAt = 0;
+    std::int64_t cancellationReportedAt = -1;
+    bool cancelRequested = false;
     /// The user received the last response with status 200 at this time.
-    std::int64_t answeredAt = -1;
+    std::int64_t lastResponseAt = -1;
     /// The first task of the job started at this time.
-    std::int64_t beganAt = -1;
+    std::int64_t firstStartAt = -1;
     /// The user first received the phase `done` at this time.
     std::int64_t doneAt = -1;
-    /// These are the sums of received and of due service over all samples since judgedFrom.
-    double got = 0, due = 0;
-    std::int64_t judgedFrom = -1;
+    /// These are the sums of received and of due service over all samples since sampledFrom.
+    double received = 0, due = 0;
+    std::int64_t sampledFrom = -1;
     /// The keys are machines with free resources for the waiting job, the values the times since
     /// which they have them.
-    std::map<std::string, std::int64_t> besideRoom;
+    std::map<std::string, std::int64_t> suitableMachinesSince;
   };
   void boot(int node);
   simulator::RegionSettings regionSettings() const;
@@ -339,50 +341,50 @@
   void trySubmit(const std::string& id);
   void onAccepted(const std::string& id);
   void onOver(const std::string& id);
-  void sendThoseReady();
+  void sendReadyJobs();
   bool isReady(const JobPlan& job) const;
   /// Returns the time from which this job is due to run, as its user knows it. The result is -1 if
   /// the job is cancelled, not accepted or waits for a dependency.
-  std::int64_t owedFrom(const std::string& id, const UserJob& j) const;
+  std::int64_t dueFrom(const std::string& id, const UserJob& j) const;
   /// Returns when a user first received the cancellation of the job or one of its dependencies, or
   /// -1.
   std::int64_t cancelledSince(const std::string& id, const UserJob& j) const;
   /// The users have not submitted these jobs yet because a dependency is not ready.
-  std::vector<JobPlan> unsent_;
+  std::vector<JobPlan> unsentJobs_;
   void tryAbort(const std::string& id, int node = -1);
   void poll(const std::string& id);
   void pollUnknown();
-  void toSomeNode(Request q, std::int64_t timeout, OnReply done);
-  void toNode(int node, Request q, std::int64_t timeout, OnReply done) {
+  void sendToAnyController(Request q, std::int64_t timeout, OnReply done);
+  void sendToController(int node, Request q, std::int64_t timeout, OnReply done) {
     network.send("users", nodeApi(node), std::move(q), timeout, std::move(done));
   }
-  void notePlaced(const Json& writes);
+  void recordPlacements(const Json& writes);
 
-  void watchService();
+  void sampleService();
   /// Holds the free resources of one machine. world_waits.cpp uses it to find jobs that wait
   /// although a machine could hold them.
-  struct Roomy {
+  struct FreeResources {
     std::string zone;
     bool spot{};
     double cpus{}, gpus{}, ram{};
   };
-  void watchWaits();
-  std::map<std::string, Roomy> machinesWithRoom() const;
+  void sampleWaitingJobs();
+  std::map<std::string, FreeResources> freeResourcesByMachine() const;
   std::set<int> missingTasks(const std::string& id, const UserJob& job) const;
   std::set<std::string> fitting(const std::string& id, const JobPlan& plan, std::size_t missing,
-                                const std::map<std::string, Roomy>& room) const;
-  double teamUses(const std::string& team) const;
-  bool calm_ = false;
+                                const std::map<std::string, FreeResources>& freeResources) const;
+  double teamGpuUse(const std::string& team) const;
+  bool areFaultsOver_ = false;
   /// The keys are jobs that have waited too long since calm(), the values the suitable machines.
-  std::map<std::string, std::string> waited_;
-  std::set<std::string> largest(const std::string& jobClass) const;
+  std::map<std::string, std::string> waitedTooLong_;
+  std::set<std::string> largestJobs(const std::string& jobClass) const;
   std::unique_ptr<Balancer> balancer_;
-  std::int64_t goneByMs_ = 0;
+  std::int64_t longestCancelledRunMs_ = 0;
   std::map<std::string, int> watched_;
-  void watchGaps();
+  void sampleReplicaGaps();
   std::map<std::string, ReplicaGaps> gaps_;
   /// Tasks on these hosts fail after this many seconds.
-  std::map<std::string, double> faulty_;
+  std::map<std::string, double> failingHosts_;
   std::vector<Node> nodes_;
   std::map<std::string, UserJob> users_;
   /// The value is the newest placed attempt of the task in the key.
@@ -399,7 +401,7 @@
     bool sending{};
     /// The last refusal had this HTTP status.
     int refusedWith = 0;
-    bool cancelAsked{};
+    bool cancelRequested{};
     std::int64_t sentAt{}, overAt = -1;
     std::string phase;
     Json status, report;
--- a/tests/sim/world_checks.cpp
+++ b/tests/sim/world_checks.cpp
@@ -9,64 +9,64 @@
 std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
 }  // namespace
 
-void World::watchGaps() {
-  constexpr std::int64_t kSampleEvery = 20;
-  clock.in(kSampleEvery, [this] { watchGaps(); });
+void World::sampleReplicaGaps() {
+  constexpr std::int64_t kSampleIntervalMs = 20;
+  clock.in(kSampleIntervalMs, [this] { sampleReplicaGaps(); });
   for (auto& [id, gaps] : gaps_) gaps.sample(clock.now(), runningReplicas(id));
 }
 
 // Samples the received and the due service of each job five times a second.
-void World::watchService() {
-  clock.in(200, [this] { watchService(); });
-  constexpr std::int64_t kGrace = 60000;
+void World::sampleService() {
+  clock.in(200, [this] { sampleService(); });
+  constexpr std::int64_t kGraceMs = 60000;
   for (auto& [id, least] : watched_) least = std::min(least, runningReplicas(id));
   for (auto& [id, j] : users_) {
-    std::int64_t from = owedFrom(id, j);
-    if (from < 0 || j.plan.errsAfterS >= 0 || clock.now() - from < kGrace) continue;
-    double got = 0, due = static_cast<double>(j.plan.tasks);
+    std::int64_t from = dueFrom(id, j);
+    if (from < 0 || j.plan.failsAfterS >= 0 || clock.now() - from < kGraceMs) continue;
+    double received = 0, due = static_cast<double>(j.plan.tasks);
     if (j.plan.shape == "daemon") {
-      got = runningReplicas(id);
-    } else if (clock.now() - from < kGrace + ms(3 * j.plan.runS)) {
+      received = runningReplicas(id);
+    } else if (clock.now() - from < kGraceMs + ms(3 * j.plan.runS)) {
       continue;
     } else {
-      for (int i = 0; i < j.plan.tasks; ++i) got += results.contains({id, i}) ? 1 : 0;
+      for (int i = 0; i < j.plan.tasks; ++i) received += results.contains({id, i}) ? 1 : 0;
     }
-    j.got += got;
+    j.received += received;
     j.due += due;
-    if (j.judgedFrom < 0) j.judgedFrom = clock.now();
+    if (j.sampledFrom < 0) j.sampledFrom = clock.now();
   }
 }
 
-std::set<std::string> World::largest(const std::string& jobClass) const {
-  std::vector<std::pair<double, std::string>> room;
+std::set<std::string> World::largestJobs(const std::string& jobClass) const {
+  std::vector<std::pair<double, std::string>> jobsBySize;
   for (const auto& [id, j] : users_) {
-    bool owed = owedFrom(id, j) >= 0 && j.plan.errsAfterS < 0;
-    if (!owed || j.plan.jobClass != jobClass) continue;
+    bool isDue = dueFrom(id, j) >= 0 && j.plan.failsAfterS < 0;
+    if (!isDue || j.plan.jobClass != jobClass) continue;
     double share = std::max(
         {j.plan.gpus / settings.gpus, j.plan.cpus / settings.cpus, j.plan.ram / settings.ram});
-    room.emplace_back(-share * j.plan.tasks, id);
+    jobsBySize.emplace_back(-share * j.plan.tasks, id);
   }
-  std::sort(room.begin(), room.end());
+  std::sort(jobsBySize.begin(), jobsBySize.end());
   std::set<std::string> out;
-  for (std::size_t i = 0; i < (room.size() + 9) / 10; ++i) out.insert(room[i].second);
+  for (std::size_t i = 0; i < (jobsBySize.size() + 9) / 10; ++i) out.insert(jobsBySize[i].second);
   return out;
 }
 
-double World::began(const std::string& id) const {
+double World::secondsUntilStart(const std::string& id) const {
   const auto& j = users_.at(id);
-  std::int64_t from = std::max(j.acceptedAt, pipelines.releasedAt(id));
-  return j.beganAt < 0 ? 1e9 : static_cast<double>(j.beganAt - from) / 1000.0;
+  std::int64_t from = std::max(j.acceptedAt, pipelines.dependenciesDoneAt(id));
+  return j.firstStartAt < 0 ? 1e9 : static_cast<double>(j.firstStartAt - from) / 1000.0;
 }
 
-void World::tellWaits(std::ostream& out) const {
+void World::printWaitingTimes(std::ostream& out) const {
   std::map<std::string, std::pair<std::vector<double>, std::vector<double>>> classes;
   std::map<std::string, int> never;
   for (const auto& [id, j] : users_) {
-    std::int64_t from = owedFrom(id, j);
+    std::int64_t from = dueFrom(id, j);
     if (from < 0) continue;
     auto& [began, done] = classes[j.plan.jobClass];
-    if (j.beganAt >= 0) {
-      began.push_back(static_cast<double>(j.beganAt - from) / 1000);
+    if (j.firstStartAt >= 0) {
+      began.push_back(static_cast<double>(j.firstStartAt - from) / 1000);
     } else {
       ++never[j.plan.jobClass];
     }
@@ -92,27 +92,29 @@
 std::set<std::string> World::unanswered(std::int64_t withinMs) const {
   std::set<std::string> out;
   for (const auto& [id, j] : users_) {
-    if (j.accepted && !j.abortAsked && clock.now() - j.answeredAt > withinMs) out.insert(id);
+    if (j.accepted && !j.cancelRequested && clock.now() - j.lastResponseAt > withinMs)
+      out.insert(id);
   }
   return out;
 }
 
-std::map<std::string, double> World::underserved(double least, std::int64_t judgedMs) const {
+std::map<std::string, double> World::underserved(double least, std::int64_t sampledMs) const {
   struct Sum {
-    double got{}, due{};
+    double received{}, due{};
     // The first sample was taken at this time.
     std::int64_t from = -1;
   };
   std::map<std::string, Sum> sums;
   std::map<std::string, double> out;
   std::map<std::string, std::set<std::string>> largestOf;
-  constexpr std::int64_t kBegin = 240000;
+  constexpr std::int64_t kMaxStartDelayMs = 240000;
   for (const auto& [id, j] : users_) {
     const std::string& jobClass = j.plan.jobClass;
-    if (!largestOf.contains(jobClass)) largestOf[jobClass] = largest(jobClass);
+    if (!largestOf.contains(jobClass)) largestOf[jobClass] = largestJobs(jobClass);
     bool large = largestOf[jobClass].contains(id);
-    std::int64_t from = owedFrom(id, j);
-    if (large && clock.now() - from > kBegin && (j.beganAt < 0 || j.beganAt - from > kBegin)) {
+    std::int64_t from = dueFrom(id, j);
+    if (large && clock.now() - from > kMaxStartDelayMs &&
+        (j.firstStartAt < 0 || j.firstStartAt - from > kMaxStartDelayMs)) {
       out["largest " + jobClass] = 0;
     }
     if (j.due <= 0) continue;
@@ -120,14 +122,14 @@
                              large ? "largest " + jobClass : std::string()}) {
       if (what.empty()) continue;
       Sum& s = sums[what];
-      s.got += j.got;
+      s.received += j.received;
       s.due += j.due;
-      if (s.from < 0 || j.judgedFrom < s.from) s.from = j.judgedFrom;
+      if (s.from < 0 || j.sampledFrom < s.from) s.from = j.sampledFrom;
     }
   }
   for (const auto& [what, s] : sums) {
-    bool longEnough = clock.now() - s.from >= judgedMs;
-    if (longEnough && s.got < least * s.due) out.emplace(what, s.got / s.due);
+    bool longEnough = clock.now() - s.from >= sampledMs;
+    if (longEnough && s.received < least * s.due) out.emplace(what, s.received / s.due);
   }
   return out;
 }
@@ -162,7 +164,7 @@
   if (ofFlow) return;
   pipelines.started(task.job, task.index);
   auto& j = users_[task.job];
-  if (j.beganAt < 0) j.beganAt = clock.now();
+  if (j.firstStartAt < 0) j.firstStartAt = clock.now();
   std::int64_t cancelled = cancelledSince(task.job, j);
   if (cancelled >= 0 && clock.now() - cancelled > ms(settings.cancelS)) {
     fail("ran_cancelled", name + " starts");
@@ -183,7 +185,7 @@
         // A hanging machine does not run its tasks, and after its lease expiry it can't resume
         // them.
         if (t.job != id || !Worker::isExecuting(t) || w->hasLeaseExpired()) continue;
-        goneByMs_ = std::max(goneByMs_, since);
+        longestCancelledRunMs_ = std::max(longestCancelledRunMs_, since);
         if (since > ms(settings.cancelS)) fail("ran_cancelled", id + " on " + host);
       }
     }
--- a/tests/sim/world_flows.cpp
+++ b/tests/sim/world_flows.cpp
@@ -58,11 +58,11 @@
   clock.in(20, [this] { watchLeader(); });
 }
 
-double World::resumedAfter() const {
+double World::flowResumeSeconds() const {
   return firstStart_ < 0 ? 1e9 : static_cast<double>(firstStart_ - ledSince_) / 1000.0;
 }
 
-double World::flowTook(const std::string& id) const {
+double World::flowDurationS(const std::string& id) const {
   const UserFlow& f = flows_.at(id);
   return f.overAt < 0 ? 1e9 : static_cast<double>(f.overAt - f.sentAt) / 1000.0;
 }
@@ -106,7 +106,7 @@
 }
 
 void World::cancelFlow(const std::string& id) {
-  flows_[id].cancelAsked = true;
+  flows_[id].cancelRequested = true;
   userClient_->cancel(FlowId{id}, Duration{120000}, [this, id](FlowClient::Result r) {
     if (!r) return;
     auto phase = textField(r->body, "phase").value_or("");
@@ -153,7 +153,8 @@
       if (!f.phase.empty() && f.phase != "open" && phase != f.phase) {
         fail("went_back", id + " was " + f.phase + ", now " + phase);
       }
-      if (phase == "cancelled" && !f.cancelAsked) fail("went_back", id + " cancelled by nobody");
+      if (phase == "cancelled" && !f.cancelRequested)
+        fail("went_back", id + " cancelled by nobody");
       bool ends = phase != "open" && f.phase != phase;
       f.phase = phase;
       f.status = r->body;
@@ -201,8 +202,8 @@
                  }
                  auto& part = texts_[*textField(*body, "text")];
                  if (part.empty()) part = rules::instancesFrom(*textField(*body, "text"));
-                 FlowTask known{*textField(*body, "flow"), part.at(*countField(*body, "at"))};
-                 flowTasks_[{worker.host, task.executionId}] = std::move(known);
+                 FlowTask flowTask{*textField(*body, "flow"), part.at(*countField(*body, "at"))};
+                 flowTasks_[{worker.host, task.executionId}] = std::move(flowTask);
                  done(simulator::TaskNeeds{*numberField(*body, "cpus"), *numberField(*body, "gpus"),
                                            *numberField(*body, "snapshot_s") > 0});
                });
@@ -210,15 +211,15 @@
 
 void World::beginFlowTask(Worker& worker, const Worker::Task& task) {
   if (firstStart_ < 0 && leader_ >= 0) firstStart_ = clock.now();
-  const FlowTask known = flowTasks_.at({worker.host, task.executionId});
-  UserFlow& f = flows_[known.flow];
-  const auto& i = known.instance;
+  const FlowTask flowTask = flowTasks_.at({worker.host, task.executionId});
+  UserFlow& f = flows_[flowTask.flow];
+  const auto& i = flowTask.instance;
   std::string key = workKey(i);
-  std::string name = known.flow + " " + i.outputs[0] + " on " + worker.host;
+  std::string name = flowTask.flow + " " + i.outputs[0] + " on " + worker.host;
   for (const auto& input : i.inputs) {
     if (!f.files.contains(input)) fail("started_early", name + " without " + input);
   }
-  auto& writers = writers_[known.flow + "/" + i.outputs[0]];
+  auto& writers = writers_[flowTask.flow + "/" + i.outputs[0]];
   std::erase_if(writers, [&](const auto& other) {
     auto at = workers.find(other.first);
     const Worker::Task* t = at == workers.end() ? nullptr : at->second->findExecution(other.second);
@@ -227,18 +228,18 @@
   if (!writers.empty()) fail("two_writers", name + " while on " + writers.begin()->first);
   writers.emplace(worker.host, task.executionId);
   Command c = parse(i.command);
-  bool known_done = f.completions.contains(key) && f.files[i.outputs[0]] == key;
-  int attempt = known_done ? 0 : ++flowAttempts_[known.flow + key];
-  bool fails = !known_done && (c.failTimes < 0 || attempt <= c.failTimes);
-  clock.in(known_done ? 1 : ms(c.runS) + 1,
-           [this, &worker, executionId = task.executionId, known, key, fails, known_done] {
-             worker.whenAwake([this, &worker, executionId, known, key, fails, known_done] {
+  bool wasDone = f.completions.contains(key) && f.files[i.outputs[0]] == key;
+  int attempt = wasDone ? 0 : ++flowAttempts_[flowTask.flow + key];
+  bool fails = !wasDone && (c.failTimes < 0 || attempt <= c.failTimes);
+  clock.in(wasDone ? 1 : ms(c.runS) + 1,
+           [this, &worker, executionId = task.executionId, flowTask, key, fails, wasDone] {
+             worker.whenAwake([this, &worker, executionId, flowTask, key, fails, wasDone] {
                Worker::Task* t = worker.findExecution(executionId);
                if (worker.isDead || !t || t->state != "running") return;
-               UserFlow& flow = flows_[known.flow];
+               UserFlow& flow = flows_[flowTask.flow];
                if (!fails) {
-                 for (const auto& out : known.instance.outputs) flow.files[out] = key;
-                 if (!known_done) ++flow.completions[key];
+                 for (const auto& out : flowTask.instance.outputs) flow.files[out] = key;
+                 if (!wasDone) ++flow.completions[key];
                }
                worker.exited(executionId, fails ? "error" : "done");
              });
--- a/tests/sim/world_waits.cpp
+++ b/tests/sim/world_waits.cpp
@@ -6,18 +6,18 @@
 
 namespace kestrelhoist::sim {
 namespace {
-constexpr std::int64_t kEvery = 1000;
-constexpr std::int64_t kLongest = 90000;
-constexpr double kRounding = 1e-9;
+constexpr std::int64_t kSampleIntervalMs = 1000;
+constexpr std::int64_t kMaxWaitMs = 90000;
+constexpr double kRoundingTolerance = 1e-9;
 }  // namespace
 
 // Returns the free resources as the workers see them. A task uses its resources until it has ended,
 // whether or not its image is fetched.
-std::map<std::string, World::Roomy> World::machinesWithRoom() const {
-  std::map<std::string, Roomy> out;
+std::map<std::string, World::FreeResources> World::freeResourcesByMachine() const {
+  std::map<std::string, FreeResources> out;
   for (const auto& [host, w] : workers) {
-    if (!w->takesWork() || faulty_.contains(host)) continue;
-    Roomy r{w->zone, w->spot, settings.cpus, settings.gpus, settings.ram};
+    if (!w->takesWork() || failingHosts_.contains(host)) continue;
+    FreeResources r{w->zone, w->spot, settings.cpus, settings.gpus, settings.ram};
     for (const auto& t : w->tasks) {
       if (t.state == "ended") continue;
       const JobPlan* p = plan(t.job);
@@ -44,7 +44,7 @@
   return out;
 }
 
-double World::teamUses(const std::string& team) const {
+double World::teamGpuUse(const std::string& team) const {
   double gpus = 0;
   for (const auto& [host, w] : workers) {
     for (const auto& t : w->tasks) {
@@ -58,11 +58,13 @@
 // Returns the machines that can hold one more task of the job. A gang needs resources for all of
 // its missing tasks, so its result is empty unless the machines (of one zone if `together` is set)
 // can hold all of them.
-std::set<std::string> World::fitting(const std::string& id, const JobPlan& p, std::size_t missing,
-                                     const std::map<std::string, Roomy>& room) const {
+std::set<std::string> World::fitting(
+    const std::string& id, const JobPlan& p, std::size_t missing,
+    const std::map<std::string, FreeResources>& freeResources) const {
   bool gang = p.shape == "ensemble";
   double wanted = p.gpus * static_cast<double>(gang ? missing : 1);
-  if (settings.gpusMax > 0 && teamUses(p.team) + wanted > settings.gpusMax + kRounding) return {};
+  if (settings.gpusMax > 0 && teamGpuUse(p.team) + wanted > settings.gpusMax + kRoundingTolerance)
+    return {};
   std::map<std::string, int> perZone;
   for (const auto& [host, w] : workers) {
     for (const auto& t : w->tasks) perZone[w->zone] += t.job == id && t.state != "ended";
@@ -71,17 +73,17 @@
   // The key is the zone if all tasks must run in one zone, otherwise it is empty.
   std::map<std::string, std::set<std::string>> machines;
   std::map<std::string, std::size_t> places;
-  for (const auto& [host, r] : room) {
+  for (const auto& [host, r] : freeResources) {
     if (r.spot && !p.spot) continue;
     if (!p.zone.empty() && p.zone != r.zone) continue;
     if (p.together && begun && perZone[r.zone] == 0) continue;
     if (p.apart && perZone[r.zone] >= (p.tasks + 1) / 2) continue;
     double times = std::min(r.cpus / p.cpus, r.ram / p.ram);
     if (p.gpus > 0) times = std::min(times, r.gpus / p.gpus);
-    if (times + kRounding < 1) continue;
+    if (times + kRoundingTolerance < 1) continue;
     const std::string& key = p.together ? r.zone : std::string();
     machines[key].insert(host);
-    places[key] += static_cast<std::size_t>(times + kRounding);
+    places[key] += static_cast<std::size_t>(times + kRoundingTolerance);
   }
   std::set<std::string> out;
   for (auto& [zone, hosts] : machines) {
@@ -90,45 +92,46 @@
   return out;
 }
 
-void World::watchWaits() {
-  clock.in(kEvery, [this] { watchWaits(); });
-  std::map<std::string, Roomy> room;
-  bool known = false;
+void World::sampleWaitingJobs() {
+  clock.in(kSampleIntervalMs, [this] { sampleWaitingJobs(); });
+  std::map<std::string, FreeResources> freeResources;
+  bool hasFreeResources = false;
   for (auto& [id, j] : users_) {
-    bool judged = j.accepted && !j.abortAsked && j.told.empty() && j.plan.errsAfterS < 0;
+    bool judged =
+        j.accepted && !j.cancelRequested && j.finalPhase.empty() && j.plan.failsAfterS < 0;
     auto missing = judged ? missingTasks(id, j) : std::set<int>{};
     if (missing.empty()) {
-      j.besideRoom.clear();
+      j.suitableMachinesSince.clear();
       continue;
     }
-    if (!std::exchange(known, true)) room = machinesWithRoom();
-    auto fits = fitting(id, j.plan, missing.size(), room);
-    std::erase_if(j.besideRoom, [&](const auto& e) { return !fits.contains(e.first); });
+    if (!std::exchange(hasFreeResources, true)) freeResources = freeResourcesByMachine();
+    auto fits = fitting(id, j.plan, missing.size(), freeResources);
+    std::erase_if(j.suitableMachinesSince, [&](const auto& e) { return !fits.contains(e.first); });
     for (const auto& host : fits) {
-      auto since = j.besideRoom.try_emplace(host, clock.now()).first->second;
-      if (calm_ && clock.now() - since >= kLongest) waited_.try_emplace(id, host);
+      auto since = j.suitableMachinesSince.try_emplace(host, clock.now()).first->second;
+      if (areFaultsOver_ && clock.now() - since >= kMaxWaitMs) waitedTooLong_.try_emplace(id, host);
     }
   }
 }
 
-void World::calm() {
-  calm_ = true;
-  waited_.clear();
-  for (auto& [id, j] : users_) j.besideRoom.clear();
+void World::markFaultsOver() {
+  areFaultsOver_ = true;
+  waitedTooLong_.clear();
+  for (auto& [id, j] : users_) j.suitableMachinesSince.clear();
 }
 
-std::map<std::string, std::string> World::waitingBesideRoom() const {
-  auto out = waited_;
+std::map<std::string, std::string> World::jobsWaitingTooLong() const {
+  auto out = waitedTooLong_;
   for (const auto& [id, j] : users_) {
-    for (const auto& [host, since] : j.besideRoom) {
-      if (clock.now() - since >= kLongest) out.try_emplace(id, host);
+    for (const auto& [host, since] : j.suitableMachinesSince) {
+      if (clock.now() - since >= kMaxWaitMs) out.try_emplace(id, host);
     }
   }
   return out;
 }
 
 void World::expectNoWaiting() {
-  for (const auto& [id, host] : waitingBesideRoom()) {
+  for (const auto& [id, host] : jobsWaitingTooLong()) {
     fail("waits", id + " although " + host + " has room");
   }
 }
@@ -152,7 +155,7 @@
       auto job = users_.find(t.job);
       if (!Worker::isExecuting(t) || job == users_.end()) continue;
       const UserJob& j = job->second;
-      if (!j.accepted || j.abortAsked || !j.told.empty()) continue;
+      if (!j.accepted || j.cancelRequested || !j.finalPhase.empty()) continue;
       auto saved = progress.find({t.job, t.index});
       double left = j.plan.runS + t.index * j.plan.staggerS -
                     (saved == progress.end() ? 0 : saved->second) -
