--- a/simulator/host/process_tasks.hpp
+++ b/simulator/host/process_tasks.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Runs tasks as real processes. The commands of flow tasks come from the controllers, those of
-/// users' jobs from files. A flow task runs in the directory of its team, member and flow, a user's
-/// job in the directory that its description names.
+/// Runs tasks as real processes. The commands of flow tasks come from the controllers, and the
+/// commands of users' jobs come from files. A flow task runs in the directory of its team, member
+/// and flow. A user's job runs in the directory that its description names.
 #pragma once
 
 #include <sys/types.h>
@@ -19,7 +19,7 @@
 struct ProcessSettings {
   /// All machines share the files below this directory.
   std::string files;
-  /// This directory holds the descriptions of users' jobs, one file <ref>.json for each job.
+  /// This directory holds the description of each user's job as a file <ref>.json.
   std::string jobDirectory;
   /// Tasks get these controller addresses in HOIST_SERVERS.
   std::vector<std::string> servers;
--- a/simulator/model/seams.hpp
+++ b/simulator/model/seams.hpp
@@ -27,7 +27,7 @@
   virtual void close(const std::string& address) = 0;
   /// Makes the host stop answering and sending, as if it had lost power.
   virtual void powerOff(const std::string& host) = 0;
-  /// Returns the address under which other processes reach the given address.
+  /// Returns the real address at which other processes reach the simulated address.
   virtual std::string publicAddress(const std::string& address) const { return address; }
   virtual void send(const std::string& from, const std::string& address, Request request,
                     std::int64_t timeout, OnReply done) = 0;
--- a/simulator/model/simulated_region.hpp
+++ b/simulator/model/simulated_region.hpp
@@ -57,8 +57,8 @@
   void die();
   void hang(std::int64_t ms);
   void notice(std::int64_t ms);
-  /// Returns whether the worker has hung past its lease expiry. Its tasks then end before the
-  /// worker does anything else.
+  /// Returns whether the worker's lease has expired for more than 200 ms. A worker that has hung
+  /// past its lease expiry ends its tasks before it does anything else.
   bool hasLeaseExpired() const;
   /// Returns the milliseconds until the worker's lease expires if no further report is
   /// acknowledged.
@@ -134,10 +134,10 @@
   /// exist.
   virtual void describe(Worker& worker, const Worker::Task& task,
                         std::function<void(std::optional<TaskNeeds>)> done) = 0;
-  /// Starts a task whose image is fetched. The task runs until the host calls Worker::exited or the
-  /// worker calls end().
+  /// Starts a task whose image is fetched. The task runs until the TaskHost calls Worker::exited or
+  /// the worker calls end().
   virtual void begin(Worker& worker, const Worker::Task& task) = 0;
-  /// Makes the task write a checkpoint; the host then calls Worker::exited with "halted".
+  /// Makes the task write a checkpoint. The TaskHost then calls Worker::exited with "halted".
   virtual void save(Worker& worker, const Worker::Task& task) = 0;
   /// Kills the task immediately.
   virtual void end(Worker& worker, const Worker::Task& task) = 0;
--- a/simulator/model/state_service.hpp
+++ b/simulator/model/state_service.hpp
@@ -13,8 +13,8 @@
 class StateService {
  public:
   StateService(Clock& clock, Transport& transport, const std::string& address);
-  /// Answers every request with 503 for this time; afterwards every lease has its
-  /// full duration again.
+  /// Answers every request with 503 for this time; afterwards every lease has its full
+  /// duration again.
   void outage(std::int64_t ms);
   /// Answers this host's requests with 503 for this time.
   void rejectRequestsFrom(const std::string& host, std::int64_t ms) {
--- a/tests/sim/pipeline_checks.cpp
+++ b/tests/sim/pipeline_checks.cpp
@@ -83,7 +83,7 @@
   }
   if (!s.job.awaits.empty() && wasAcceptable) {
     fail_("misjudged",
-          id + " got " + std::to_string(status) + " although all it awaits were accepted");
+          id + " got " + std::to_string(status) + " although all its dependencies were accepted");
   }
   s.refused = !s.accepted;
 }
@@ -119,14 +119,14 @@
   if (it == jobs_.end()) return;
   State& s = it->second;
   if (phase == "running" && dependenciesDoneAt(id) < 0) {
-    fail_("too_early", id + " called running while it waits");
+    fail_("too_early", id + " reported as running before its dependencies are done");
   }
   if (phase == "pending" || phase == "running") {
     for (const auto& awaited : dependenciesOf(id)) {
       const State* other = find(awaited);
       if (!other || other->withdrawalReportedAt < 0) continue;
       if (now - other->withdrawalReportedAt <= cancelMs_) continue;
-      fail_("orphaned", id + " called " + phase + " after " + awaited + " was cancelled");
+      fail_("orphaned", id + " reported as " + phase + " after " + awaited + " was cancelled");
     }
     return;
   }
@@ -135,7 +135,7 @@
   if (!first) return;
   if (phase == "withdrawn") {
     s.withdrawalReportedAt = now;
-    if (!mayBeWithdrawn(id)) fail_("went_back", id + " cancelled through none before it");
+    if (!mayBeWithdrawn(id)) fail_("went_back", id + " withdrawn without a cancelled dependency");
   }
   // The final phase of this job restricts the phases of all jobs that depend on it.
   for (const auto& dependent : dependentsOf(id)) {
--- a/tests/sim/pipeline_checks.hpp
+++ b/tests/sim/pipeline_checks.hpp
@@ -50,7 +50,7 @@
   /// dependencies and -1 if one has not completed.
   std::int64_t dependenciesDoneAt(const std::string& id) const;
   /// Returns when a user first received the phase `withdrawn` for the job or one of its
-  /// dependencies, or -1.
+  /// dependencies. The result is -1 if no user has.
   std::int64_t cancelledSince(const std::string& id) const;
   bool isAccepted(const std::string& id) const;
   /// Returns whether a user has received a final phase of the job.
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -197,7 +197,7 @@
                    [this, from, to, request, finish, lost, back, &sum](const Response& r) {
                      if (onResponse) onResponse(request, r);
                      if (lost) {
-                       return logDebug("simulated network loses answer", "from", from, "to", to,
+                       return logDebug("simulated network drops response", "from", from, "to", to,
                                        "path", request.path, "status", r.status, "at_ms",
                                        clock_.now());
                      }
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -506,7 +506,8 @@
     sendToAnyController({"GET", "/v2/runs/" + id, ""}, 2000,
                         [this, id, requestedAt = clock.now()](std::optional<Response> r) {
                           if (r && r->status == 200) recordResponse(id, *r, requestedAt);
-                          if (r && r->status == 404) fail("forgotten", id + " polled 404");
+                          if (r && r->status == 404)
+                            fail("forgotten", id + " status request got 404");
                           poll(id);
                         });
   });
@@ -527,7 +528,8 @@
   auto phase = body ? textField(*body, "phase") : std::nullopt;
   if (!phase) return fail("malformed", id);
   UserJob& j = users_[id];
-  // A response to a request from before the job's final phase was known may arrive after it.
+  // A response to a request from before the final phase may arrive after the final phase. Its phase
+  // is then ignored.
   j.lastResponseAt = clock.now();
   if (!j.finalPhase.empty() && requestedAt <= j.finalPhaseAt) return;
   j.last = *phase;
@@ -544,7 +546,7 @@
     if (std::exchange(j.finalPhase, *phase).empty() && onPhaseReported) onPhaseReported(id, *phase);
   } else if (*phase == "withdrawn") {
     if (!j.cancelRequested && !pipelines.mayBeWithdrawn(id)) {
-      fail("went_back", id + " cancelled although nobody asked");
+      fail("went_back", id + " withdrawn without a cancel request");
     }
     if (j.cancellationReportedAt < 0) j.cancellationReportedAt = clock.now();
     if (j.finalPhase.empty()) j.finalPhaseAt = clock.now();
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -132,7 +132,7 @@
   }
   /// Records the violation of a rule.
   void fail(const std::string& rule, const std::string& what);
-  /// Returns the submission of the job as the API expects it.
+  /// Returns the body of the request that submits the job.
   Json spec(const JobPlan& p) const;
   /// The world calls this when a user first receives that a job is accepted, done or withdrawn.
   std::function<void(const std::string& id, const std::string& what)> onPhaseReported;
@@ -165,7 +165,8 @@
   void freeze(int node, std::int64_t forMs);
   /// Returns the number of the leading controller, or -1 if none leads.
   int leaderNode() const;
-  /// Starts to record the running replicas of this service for fewest() and gapsOf().
+  /// Starts to record the running replicas of this service for minRunningReplicas() and
+  /// gapsOf().
   void watch(const std::string& id) {
     watched_[id] = runningReplicas(id);
     gaps_.insert_or_assign(id, ReplicaGaps(users_.at(id).plan.tasks));
@@ -175,9 +176,10 @@
   /// Returns the periods since watch() in which some replicas did not run.
   const ReplicaGaps& gapsOf(const std::string& id) const { return gaps_.at(id); }
   /// Records a violation of `underserved` for each job class, each group of largest jobs of a class
-  /// and each team that got less than this share of its due service. Due are the replica time of
-  /// services and the tasks of job arrays that had enough time to end. The largest jobs of a class
-  /// are the tenth that requests the most resources, at least one; they must also start in time.
+  /// and each team that got less than this share of its due service. The due service consists of
+  /// the replica time of services and the tasks of job arrays that had enough time to end. The
+  /// largest jobs of a class are the tenth that requests the most resources, at least one; they
+  /// must also start in time.
   void expectServed(double least);
   /// Records a violation for each accepted and not cancelled job whose user has received no
   /// response with status 200 for longer than this time.
@@ -188,11 +190,11 @@
   /// 200 for longer than this time.
   std::set<std::string> unanswered(std::int64_t withinMs) const;
   /// Marks the end of all injected faults. From now on the world records jobs that wait although a
-  /// machine has free resources for them, see expectNoWaiting().
+  /// machine has free resources for them, and expectNoWaiting() checks these records.
   void markFaultsOver();
-  /// Records a violation of `waits` for each job that has waited too long since calm(). A job waits
-  /// too long if one suitable machine had free resources for it during the whole time limit, as
-  /// seen by the worker, and the job's team was below its quota.
+  /// Records a violation of `waits` for each job that has waited too long since markFaultsOver(). A
+  /// job waits too long if one suitable machine had free resources for it during the whole time
+  /// limit, as seen by the worker, and the job's team was below its quota.
   void expectNoWaiting();
   /// Returns the jobs that have waited too long in the sense of expectNoWaiting(), each with the
   /// suitable machine.
@@ -297,7 +299,7 @@
   const JobPlan* plan(const std::string& id) const;
   void onStart(Worker& worker, const Worker::Task& task);
   void checkCancelled();
-  /// Tasks have saved this many seconds of work in checkpoints.
+  /// The value is the work in seconds that the task in the key has saved in checkpoints.
   std::map<std::pair<std::string, int>, double> progress;
   /// These tasks have completed.
   std::set<std::pair<std::string, int>> results;
@@ -331,8 +333,8 @@
     /// These are the sums of received and of due service over all samples since sampledFrom.
     double received = 0, due = 0;
     std::int64_t sampledFrom = -1;
-    /// The keys are machines with free resources for the waiting job, the values the times since
-    /// which they have them.
+    /// The keys are machines that have free resources for the waiting job. The values are the times
+    /// since which the resources are free.
     std::map<std::string, std::int64_t> suitableMachinesSince;
   };
   void boot(int node);
@@ -346,8 +348,8 @@
   /// Returns the time from which this job is due to run, as its user knows it. The result is -1 if
   /// the job is cancelled, not accepted or waits for a dependency.
   std::int64_t dueFrom(const std::string& id, const UserJob& j) const;
-  /// Returns when a user first received the cancellation of the job or one of its dependencies, or
-  /// -1.
+  /// Returns when a user first received the cancellation of the job or one of its dependencies. The
+  /// result is -1 if no user has.
   std::int64_t cancelledSince(const std::string& id, const UserJob& j) const;
   /// The users have not submitted these jobs yet because a dependency is not ready.
   std::vector<JobPlan> unsentJobs_;
@@ -375,7 +377,8 @@
                                 const std::map<std::string, FreeResources>& freeResources) const;
   double teamGpuUse(const std::string& team) const;
   bool areFaultsOver_ = false;
-  /// The keys are jobs that have waited too long since calm(), the values the suitable machines.
+  /// The keys are jobs that have waited too long since markFaultsOver(), and the values are the
+  /// suitable machines.
   std::map<std::string, std::string> waitedTooLong_;
   std::set<std::string> largestJobs(const std::string& jobClass) const;
   std::unique_ptr<Balancer> balancer_;
@@ -405,7 +408,7 @@
     std::int64_t sentAt{}, overAt = -1;
     std::string phase;
     Json status, report;
-    /// The keys are output files, the values the work keys of the instances that made them.
+    /// The keys are output files, and the values are the work keys of the instances that made them.
     std::map<std::string, std::string> files;
     /// This counts the completed attempts for each work key.
     std::map<std::string, int> completions;
--- a/tests/sim/world_flows.cpp
+++ b/tests/sim/world_flows.cpp
@@ -147,14 +147,15 @@
 void World::watchFlow(const std::string& id) {
   userClient_->status(FlowId{id}, Duration{20000}, [this, id](FlowClient::Result r) {
     UserFlow& f = flows_[id];
-    if (!r && r.error().kind == client::ErrorKind::unknown) fail("forgotten", id + " status 404");
+    if (!r && r.error().kind == client::ErrorKind::unknown)
+      fail("forgotten", id + " status request got 404");
     if (r) {
       auto phase = textField(r->body, "phase").value_or("");
       if (!f.phase.empty() && f.phase != "open" && phase != f.phase) {
         fail("went_back", id + " was " + f.phase + ", now " + phase);
       }
       if (phase == "cancelled" && !f.cancelRequested)
-        fail("went_back", id + " cancelled by nobody");
+        fail("went_back", id + " cancelled without a cancel request");
       bool ends = phase != "open" && f.phase != phase;
       f.phase = phase;
       f.status = r->body;
--- a/tests/sim/world_pipelines.cpp
+++ b/tests/sim/world_pipelines.cpp
@@ -76,7 +76,8 @@
         sendToController(node, {"GET", "/v2/runs/" + id, ""}, 2000,
                          [this, id, requestedAt = clock.now()](const std::optional<Response>& r) {
                            if (r && r->status == 200) recordResponse(id, *r, requestedAt);
-                           if (r && r->status == 404) fail("forgotten", id + " asked closely: 404");
+                           if (r && r->status == 404)
+                             fail("forgotten", id + " status request got 404");
                          });
       }
     });
@@ -90,7 +91,7 @@
     sendToController(node, {"GET", "/v2/runs/" + id, ""}, 2000,
                      [this, id, requestedAt = clock.now()](const std::optional<Response>& r) {
                        if (r && r->status == 200) recordResponse(id, *r, requestedAt);
-                       if (r && r->status == 404) fail("forgotten", id + " asked closely: 404");
+                       if (r && r->status == 404) fail("forgotten", id + " status request got 404");
                      });
   }
   clock.in(everyMs, [this, everyMs, forMs] { pollPipelineJobs(everyMs, forMs - everyMs); });
