--- a/tests/scenario_concurrent_reads.cpp
+++ b/tests/scenario_concurrent_reads.cpp
@@ -128,11 +128,11 @@
   auto seen = std::make_shared<OwnAbort>();
   w.network.stateServiceDelayMs = kSlow;
   waitForEnd(id);
-  seen->before = seen->placed = w.newestTry(id, 0);
+  seen->before = seen->placed = w.newestAttempt(id, 0);
   auto hook = w.state.onCommit;
   w.state.onCommit = [&w, hook, id, node, seen](const Json& writes) {
     hook(writes);
-    if (auto newest = w.newestTry(id, 0); newest > seen->placed) {
+    if (auto newest = w.newestAttempt(id, 0); newest > seen->placed) {
       seen->placed = newest;
       seen->placedAt = w.clock.now();
     }
--- a/tests/scenario_concurrent_reads.hpp
+++ b/tests/scenario_concurrent_reads.hpp
@@ -84,7 +84,8 @@
     for (int i = 0; i < 6000; ++i) {
       for (const auto& [host, worker] : world_->workers) {
         for (const auto& t : worker->tasks) {
-          if (t.job == id && t.state == "ended" && t.attempt == world_->newestTry(id, 0)) return;
+          if (t.job == id && t.state == "ended" && t.attempt == world_->newestAttempt(id, 0))
+            return;
         }
       }
       world_->runFor(0.01);
--- a/tests/scenario_steps_output.cpp
+++ b/tests/scenario_steps_output.cpp
@@ -63,7 +63,7 @@
 
 // watch ID: for `expect fewest`
 void Scenario::watchJob(const Line& line) {
-  world_->watch(line.words.at(1));
+  world_->recordReplicas(line.words.at(1));
   leadershipsBefore_ = world_->leaderships;
 }
 
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -120,7 +120,7 @@
   /// response.
   struct RequestFault {
     std::int64_t extraDelayMs = 0;
-    bool unanswered = false;
+    bool discardsResponse = false;
   };
   /// The network asks this function for the fault of each request, if it is set.
   std::function<RequestFault(const std::string& from, const Request& request)> requestFault;
@@ -167,47 +167,50 @@
     if (chance(lateRequestShare))
       delay += std::uniform_int_distribution<std::int64_t>(0, 120000)(random_);
     if (request.path == "/agent/beat" && chance(duplicateReports.share)) {
-      auto later = std::uniform_int_distribution<std::int64_t>(duplicateReports.from,
-                                                               duplicateReports.to)(random_);
-      travel(from, to, delay + later, [this, from, address, request](bool) {
+      auto copyDelay = std::uniform_int_distribution<std::int64_t>(duplicateReports.from,
+                                                                   duplicateReports.to)(random_);
+      travel(from, to, delay + copyDelay, [this, from, address, request](bool) {
         if (auto server = servers_.find(address); server != servers_.end()) {
           serve(server->second, from, address, request, [](const Response&) {});
         }
       });
     }
     bool command = request.path == "/commands";
-    bool late = request.path == "/commit" && chance(lateTransactionShare);
-    if (late) delay += std::uniform_int_distribution<std::int64_t>(2000, 12000)(random_);
+    bool discardsResponse = request.path == "/commit" && chance(lateTransactionShare);
+    if (discardsResponse)
+      delay += std::uniform_int_distribution<std::int64_t>(2000, 12000)(random_);
     if (onSent) onSent(from, request);
     RequestFault fault = requestFault ? requestFault(from, request) : RequestFault{};
     delay += fault.extraDelayMs;
-    late = late || fault.unanswered;
+    discardsResponse = discardsResponse || fault.discardsResponse;
     if (command && chance(delayedCommands.share)) delay += commandDelay();
-    std::int64_t back = 0;
+    std::int64_t responseDelay = 0;
     if ((command || request.path == "/agent/beat") && chance(delayedCommands.share))
-      back = commandDelay();
-    if (to == "state") back += stateServiceDelayMs;
-    travel(from, to, delay,
-           [this, from, to, address, request, finish, late, back, &sum](bool reset) {
-             if (reset) return finish(std::nullopt);
-             auto server = servers_.find(address);
-             if (server == servers_.end()) return finish(std::nullopt);
-             bool lost = chance(responseLossShare) || late || isResponseLost(from, to);
-             serve(server->second, from, address, request,
-                   [this, from, to, request, finish, lost, back, &sum](const Response& r) {
-                     if (onResponse) onResponse(request, r);
-                     if (lost) {
-                       return logDebug("simulated network drops response", "from", from, "to", to,
-                                       "path", request.path, "status", r.status, "at_ms",
-                                       clock_.now());
-                     }
-                     sum.bytes += r.body.size();
-                     travel(to, from, back + latency(), [finish, r](bool reset) {
-                       if (reset) return finish(std::nullopt);
-                       finish(r);
-                     });
-                   });
-           });
+      responseDelay = commandDelay();
+    if (to == "state") responseDelay += stateServiceDelayMs;
+    travel(
+        from, to, delay,
+        [this, from, to, address, request, finish, discardsResponse, responseDelay,
+         &sum](bool reset) {
+          if (reset) return finish(std::nullopt);
+          auto server = servers_.find(address);
+          if (server == servers_.end()) return finish(std::nullopt);
+          bool isLost = chance(responseLossShare) || discardsResponse || isResponseLost(from, to);
+          serve(server->second, from, address, request,
+                [this, from, to, request, finish, isLost, responseDelay, &sum](const Response& r) {
+                  if (onResponse) onResponse(request, r);
+                  if (isLost) {
+                    return logDebug("simulated network drops response", "from", from, "to", to,
+                                    "path", request.path, "status", r.status, "at_ms",
+                                    clock_.now());
+                  }
+                  sum.bytes += r.body.size();
+                  travel(to, from, responseDelay + latency(), [finish, r](bool reset) {
+                    if (reset) return finish(std::nullopt);
+                    finish(r);
+                  });
+                });
+        });
   }
 
  private:
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -284,7 +284,7 @@
 
 std::string World::phaseOf(const std::string& id) const {
   auto it = users_.find(id);
-  return it == users_.end() ? "" : it->second.last;
+  return it == users_.end() ? "" : it->second.lastPhase;
 }
 
 int World::runningReplicas(const std::string& id) const {
@@ -342,7 +342,7 @@
       for (std::size_t i = 3; i + 1 < row.size(); i += 2) {
         int first = row.at(i).get<int>(), count = row.at(i + 1).get<int>();
         for (int index = first; index < first + count; ++index) {
-          auto& newest = newestTry_[{job, index}];
+          auto& newest = newestAttempts_[{job, index}];
           newest = std::max(newest, attempt);
         }
       }
@@ -350,16 +350,16 @@
   }
 }
 
-std::uint64_t World::newestTry(const std::string& job, int index) const {
-  auto it = newestTry_.find({job, index});
-  return it == newestTry_.end() ? 0 : it->second;
+std::uint64_t World::newestAttempt(const std::string& job, int index) const {
+  auto it = newestAttempts_.find({job, index});
+  return it == newestAttempts_.end() ? 0 : it->second;
 }
 
 void World::describe(Worker& worker, const Worker::Task& task,
                      std::function<void(std::optional<simulator::TaskNeeds>)> done) {
   // The leader places a later attempt only after it has proof that the earlier attempt has ended. A
   // worker that launches the older attempt afterwards breaks that rule.
-  if (task.attempt < newestTry(task.job, task.index)) {
+  if (task.attempt < newestAttempt(task.job, task.index)) {
     fail("older_attempt", task.job + "/" + std::to_string(task.index) + " try " +
                               std::to_string(task.attempt) + " on " + worker.host);
   }
@@ -473,7 +473,7 @@
     if (r && (r->status == 400 || r->status == 422)) {
       if (j.accepted) fail("forgotten", id + " got " + std::to_string(r->status));
       pipelines.refused(id, r->status, isAcceptable);
-      j.last = "refused";
+      j.lastPhase = "refused";
       return;
     }
     if (!j.accepted) clock.in(1000, [this, id] { trySubmit(id); });
@@ -528,11 +528,11 @@
   auto phase = body ? textField(*body, "phase") : std::nullopt;
   if (!phase) return fail("malformed", id);
   UserJob& j = users_[id];
+  j.lastResponseAt = clock.now();
   // A response to a request from before the final phase may arrive after the final phase. Its phase
   // is then ignored.
-  j.lastResponseAt = clock.now();
   if (!j.finalPhase.empty() && requestedAt <= j.finalPhaseAt) return;
-  j.last = *phase;
+  j.lastPhase = *phase;
   bool wasOver = !j.finalPhase.empty();
   pipelines.phaseReported(id, *phase, clock.now());
   if (!j.finalPhase.empty() && j.finalPhase != *phase) {
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -139,7 +139,7 @@
   /// The world calls this when a task has completed on its machine.
   std::function<void(const std::string& id)> onResult;
   /// Returns the newest attempt of the task that was ever placed, or 0 if there is none.
-  std::uint64_t newestTry(const std::string& job, int index) const;
+  std::uint64_t newestAttempt(const std::string& job, int index) const;
   /// Makes every task that starts on this machine from now on fail after `s` seconds.
   void failTasksOn(const std::string& host, double s) { failingHosts_[host] = s; }
   /// Makes later attempts of the job's tasks succeed again.
@@ -167,13 +167,13 @@
   int leaderNode() const;
   /// Starts to record the running replicas of this service for minRunningReplicas() and
   /// gapsOf().
-  void watch(const std::string& id) {
-    watched_[id] = runningReplicas(id);
+  void recordReplicas(const std::string& id) {
+    minRunningByService_[id] = runningReplicas(id);
     gaps_.insert_or_assign(id, ReplicaGaps(users_.at(id).plan.tasks));
   }
-  /// Returns the lowest number of running replicas since watch().
-  int minRunningReplicas(const std::string& id) const { return watched_.at(id); }
-  /// Returns the periods since watch() in which some replicas did not run.
+  /// Returns the lowest number of running replicas since recordReplicas().
+  int minRunningReplicas(const std::string& id) const { return minRunningByService_.at(id); }
+  /// Returns the periods since recordReplicas() in which some replicas did not run.
   const ReplicaGaps& gapsOf(const std::string& id) const { return gaps_.at(id); }
   /// Records a violation of `underserved` for each job class, each group of largest jobs of a class
   /// and each team that got less than this share of its due service. The due service consists of
@@ -320,7 +320,7 @@
     bool accepted = false;
     /// The user has received this final phase, `done` or `withdrawn`.
     std::string finalPhase;
-    std::string last;
+    std::string lastPhase;
     std::int64_t finalPhaseAt = 0, acceptedAt = 0;
     std::int64_t cancellationReportedAt = -1;
     bool cancelRequested = false;
@@ -373,8 +373,9 @@
   void sampleWaitingJobs();
   std::map<std::string, FreeResources> freeResourcesByMachine() const;
   std::set<int> missingTasks(const std::string& id, const UserJob& job) const;
-  std::set<std::string> fitting(const std::string& id, const JobPlan& plan, std::size_t missing,
-                                const std::map<std::string, FreeResources>& freeResources) const;
+  std::set<std::string> suitableMachines(
+      const std::string& id, const JobPlan& plan, std::size_t missing,
+      const std::map<std::string, FreeResources>& freeResources) const;
   double teamGpuUse(const std::string& team) const;
   bool areFaultsOver_ = false;
   /// The keys are jobs that have waited too long since markFaultsOver(), and the values are the
@@ -383,7 +384,7 @@
   std::set<std::string> largestJobs(const std::string& jobClass) const;
   std::unique_ptr<Balancer> balancer_;
   std::int64_t longestCancelledRunMs_ = 0;
-  std::map<std::string, int> watched_;
+  std::map<std::string, int> minRunningByService_;
   void sampleReplicaGaps();
   std::map<std::string, ReplicaGaps> gaps_;
   /// Tasks on these hosts fail after this many seconds.
@@ -391,7 +392,7 @@
   std::vector<Node> nodes_;
   std::map<std::string, UserJob> users_;
   /// The value is the newest placed attempt of the task in the key.
-  std::map<std::pair<std::string, int>, std::uint64_t> newestTry_;
+  std::map<std::pair<std::string, int>, std::uint64_t> newestAttempts_;
 
   /// Holds the submitted versions of one user's flow and the state of its files.
   struct UserFlow {
--- a/tests/sim/world_checks.cpp
+++ b/tests/sim/world_checks.cpp
@@ -19,7 +19,7 @@
 void World::sampleService() {
   clock.in(200, [this] { sampleService(); });
   constexpr std::int64_t kGraceMs = 60000;
-  for (auto& [id, least] : watched_) least = std::min(least, runningReplicas(id));
+  for (auto& [id, least] : minRunningByService_) least = std::min(least, runningReplicas(id));
   for (auto& [id, j] : users_) {
     std::int64_t from = dueFrom(id, j);
     if (from < 0 || j.plan.failsAfterS >= 0 || clock.now() - from < kGraceMs) continue;
--- a/tests/sim/world_flows.cpp
+++ b/tests/sim/world_flows.cpp
@@ -10,12 +10,12 @@
 std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
 
 // Holds a parsed command of the form "run SECONDS [anew] [fail TIMES]".
-struct Command {
+struct TaskCommand {
   double runS = 1;
   int failTimes = 0;
 };
-Command parse(const std::string& text) {
-  Command c;
+TaskCommand parse(const std::string& text) {
+  TaskCommand c;
   std::istringstream in(text);
   for (std::string word; in >> word;) {
     if (word == "run") in >> c.runS;
@@ -156,11 +156,11 @@
       }
       if (phase == "cancelled" && !f.cancelRequested)
         fail("went_back", id + " cancelled without a cancel request");
-      bool ends = phase != "open" && f.phase != phase;
+      bool hasEnded = phase != "open" && f.phase != phase;
       f.phase = phase;
       f.status = r->body;
-      if (ends) f.overAt = clock.now();
-      if (ends && phase != "cancelled") checkFlowOver(id);
+      if (hasEnded) f.overAt = clock.now();
+      if (hasEnded && phase != "cancelled") checkFlowOver(id);
       if (phase != "open") {
         userClient_->get("/v2/flows/" + id + "/report", Duration{60000},
                          [this, id](FlowClient::Result rep) {
@@ -178,9 +178,9 @@
   for (const auto& i : f.plan.instances) {
     const std::string& out = i.outputs[0];
     auto made = f.files.find(out);
-    bool here = made != f.files.end() && made->second == workKey(i);
-    if (f.phase == "done" && !here) fail("not_made", id + " " + out);
-    if (here && f.completions[workKey(i)] != 1) fail("made_twice", id + " " + out);
+    bool isCurrent = made != f.files.end() && made->second == workKey(i);
+    if (f.phase == "done" && !isCurrent) fail("not_made", id + " " + out);
+    if (isCurrent && f.completions[workKey(i)] != 1) fail("made_twice", id + " " + out);
   }
 }
 
@@ -228,7 +228,7 @@
   });
   if (!writers.empty()) fail("two_writers", name + " while on " + writers.begin()->first);
   writers.emplace(worker.host, task.executionId);
-  Command c = parse(i.command);
+  TaskCommand c = parse(i.command);
   bool wasDone = f.completions.contains(key) && f.files[i.outputs[0]] == key;
   int attempt = wasDone ? 0 : ++flowAttempts_[flowTask.flow + key];
   bool fails = !wasDone && (c.failTimes < 0 || attempt <= c.failTimes);
--- a/tests/sim/world_pipelines.cpp
+++ b/tests/sim/world_pipelines.cpp
@@ -40,11 +40,11 @@
 }
 
 void World::sendReadyJobs() {
-  for (bool some = true; some;) {
+  for (bool hasReadyJob = true; hasReadyJob;) {
     auto ready = std::find_if(unsentJobs_.begin(), unsentJobs_.end(),
                               [this](const JobPlan& p) { return isReady(p); });
-    some = ready != unsentJobs_.end();
-    if (!some) break;
+    hasReadyJob = ready != unsentJobs_.end();
+    if (!hasReadyJob) break;
     JobPlan job = *ready;
     unsentJobs_.erase(ready);
     send(job);
@@ -62,9 +62,9 @@
 void World::onOver(const std::string& id) {
   sendReadyJobs();
   if (users_[id].finalPhase != "withdrawn") return;
-  auto concerned = pipelines.dependentsOf(id);
-  if (!concerned.empty()) concerned.push_back(id);
-  for (const auto& other : concerned) {
+  auto affectedJobs = pipelines.dependentsOf(id);
+  if (!affectedJobs.empty()) affectedJobs.push_back(id);
+  for (const auto& other : affectedJobs) {
     if (pipelines.isAccepted(other)) pollAllControllers(other);
   }
 }
@@ -110,9 +110,10 @@
 }
 
 std::int64_t World::cancelledSince(const std::string& id, const UserJob& j) const {
-  std::int64_t above = pipelines.cancelledSince(id);
-  if (j.cancellationReportedAt < 0 || above < 0) return std::max(j.cancellationReportedAt, above);
-  return std::min(j.cancellationReportedAt, above);
+  std::int64_t dependencyCancelledAt = pipelines.cancelledSince(id);
+  if (j.cancellationReportedAt < 0 || dependencyCancelledAt < 0)
+    return std::max(j.cancellationReportedAt, dependencyCancelledAt);
+  return std::min(j.cancellationReportedAt, dependencyCancelledAt);
 }
 
 }  // namespace kestrelhoist::sim
--- a/tests/sim/world_waits.cpp
+++ b/tests/sim/world_waits.cpp
@@ -58,7 +58,7 @@
 // Returns the machines that can hold one more task of the job. A gang needs resources for all of
 // its missing tasks, so its result is empty unless the machines (of one zone if `together` is set)
 // can hold all of them.
-std::set<std::string> World::fitting(
+std::set<std::string> World::suitableMachines(
     const std::string& id, const JobPlan& p, std::size_t missing,
     const std::map<std::string, FreeResources>& freeResources) const {
   bool gang = p.shape == "ensemble";
@@ -69,25 +69,26 @@
   for (const auto& [host, w] : workers) {
     for (const auto& t : w->tasks) perZone[w->zone] += t.job == id && t.state != "ended";
   }
-  bool begun = std::any_of(perZone.begin(), perZone.end(), [](auto& z) { return z.second > 0; });
+  bool hasPlacedTasks =
+      std::any_of(perZone.begin(), perZone.end(), [](auto& z) { return z.second > 0; });
   // The key is the zone if all tasks must run in one zone, otherwise it is empty.
   std::map<std::string, std::set<std::string>> machines;
-  std::map<std::string, std::size_t> places;
+  std::map<std::string, std::size_t> capacityByZone;
   for (const auto& [host, r] : freeResources) {
     if (r.spot && !p.spot) continue;
     if (!p.zone.empty() && p.zone != r.zone) continue;
-    if (p.together && begun && perZone[r.zone] == 0) continue;
+    if (p.together && hasPlacedTasks && perZone[r.zone] == 0) continue;
     if (p.apart && perZone[r.zone] >= (p.tasks + 1) / 2) continue;
-    double times = std::min(r.cpus / p.cpus, r.ram / p.ram);
-    if (p.gpus > 0) times = std::min(times, r.gpus / p.gpus);
-    if (times + kRoundingTolerance < 1) continue;
+    double taskCapacity = std::min(r.cpus / p.cpus, r.ram / p.ram);
+    if (p.gpus > 0) taskCapacity = std::min(taskCapacity, r.gpus / p.gpus);
+    if (taskCapacity + kRoundingTolerance < 1) continue;
     const std::string& key = p.together ? r.zone : std::string();
     machines[key].insert(host);
-    places[key] += static_cast<std::size_t>(times + kRoundingTolerance);
+    capacityByZone[key] += static_cast<std::size_t>(taskCapacity + kRoundingTolerance);
   }
   std::set<std::string> out;
   for (auto& [zone, hosts] : machines) {
-    if (!gang || places[zone] >= missing) out.merge(hosts);
+    if (!gang || capacityByZone[zone] >= missing) out.merge(hosts);
   }
   return out;
 }
@@ -97,17 +98,18 @@
   std::map<std::string, FreeResources> freeResources;
   bool hasFreeResources = false;
   for (auto& [id, j] : users_) {
-    bool judged =
+    bool isObserved =
         j.accepted && !j.cancelRequested && j.finalPhase.empty() && j.plan.failsAfterS < 0;
-    auto missing = judged ? missingTasks(id, j) : std::set<int>{};
+    auto missing = isObserved ? missingTasks(id, j) : std::set<int>{};
     if (missing.empty()) {
       j.suitableMachinesSince.clear();
       continue;
     }
     if (!std::exchange(hasFreeResources, true)) freeResources = freeResourcesByMachine();
-    auto fits = fitting(id, j.plan, missing.size(), freeResources);
-    std::erase_if(j.suitableMachinesSince, [&](const auto& e) { return !fits.contains(e.first); });
-    for (const auto& host : fits) {
+    auto machines = suitableMachines(id, j.plan, missing.size(), freeResources);
+    std::erase_if(j.suitableMachinesSince,
+                  [&](const auto& e) { return !machines.contains(e.first); });
+    for (const auto& host : machines) {
       auto since = j.suitableMachinesSince.try_emplace(host, clock.now()).first->second;
       if (areFaultsOver_ && clock.now() - since >= kMaxWaitMs) waitedTooLong_.try_emplace(id, host);
     }
