--- a/src/connectivity/worker_transport_test.cpp
+++ b/src/connectivity/worker_transport_test.cpp
@@ -43,7 +43,7 @@
   }
   void pass(std::int64_t ms) { clock.runUntil(clock.now() + ms); }
   void slow(const std::set<std::string>& hosts, std::int64_t roundTripMs) {
-    network.slowMs = roundTripMs / 2;
+    network.slowLinkDelayMs = roundTripMs / 2;
     network.cut("leader", hosts, sim::CutMode::slow, 1000000);
   }
 };
