--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -36,14 +36,14 @@
   clock.runUntil(2000);
   watcher.start();
   Instant first = runtime.now();
-  clock.in(5, [this] { state.refuse("node0", 20000); });  // after the first page
+  clock.in(5, [this] { state.rejectRequestsFrom("node0", 20000); });  // after the first page
   clock.runUntil(2100);
   EXPECT_FALSE(watcher.loaded());
   write("kh/job/j-100000");
   // The rest comes in a moment between two refusals, and no read of changes after it.
   while (!watcher.loaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
   ASSERT_TRUE(watcher.loaded());
-  state.refuse("node0", 20000);
+  state.rejectRequestsFrom("node0", 20000);
   clock.runUntil(clock.now() + 1000);
   EXPECT_EQ(watcher.snapshotTime(), first);
   EXPECT_GE(watcher.contactAge(), Duration{20000});
@@ -69,7 +69,7 @@
   clock.in(5, [&] {
     write(keys::job(spec->id), toJson(job));
     write(keys::tasks(spec->id, 0), toJson(tasks));
-    state.refuse("node0", 100);
+    state.rejectRequestsFrom("node0", 100);
   });
   clock.runUntil(5000);
   ASSERT_TRUE(watcher.loaded());
