--- a/simulator/host/process_tasks.hpp
+++ b/simulator/host/process_tasks.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Tasks as real processes: what to run is asked from the controllers (a flow's task) or read from
-/// the depot (a user's job), and runs in a directory of its team, member and flow.
+/// Runs tasks as real processes. The commands of flow tasks come from the controllers, and the
+/// commands of users' jobs come from files. A flow task runs in the directory of its team, member
+/// and flow. A user's job runs in the directory that its description names.
 #pragma once
 
 #include <sys/types.h>
@@ -16,12 +17,17 @@
 namespace kestrelhoist::simulator {
 
 struct ProcessSettings {
-  std::string files;                 ///< root of the files that all machines share
-  std::string depot;                 ///< descriptions of users' jobs: <ref>.json
-  std::vector<std::string> servers;  ///< controllers, as tasks are told of them
-  std::string hoist;                 ///< the users' command, for tasks that need it
+  /// All machines share the files below this directory.
+  std::string files;
+  /// This directory holds the description of each user's job as a file <ref>.json.
+  std::string jobDirectory;
+  /// Tasks get these controller addresses in HOIST_SERVERS.
+  std::vector<std::string> servers;
+  /// Tasks get the path of the `hoist` program in HOIST.
+  std::string hoist;
 };
 
+/// Executes the tasks of simulated workers as child processes.
 class ProcessTasks : public TaskHost {
  public:
   ProcessTasks(EventLoop& loop, HttpClient& http, ProcessSettings settings);
@@ -33,27 +39,29 @@
   void save(Worker& worker, const Worker::Task& task) override;
   void end(Worker& worker, const Worker::Task& task) override;
 
-  std::function<void()> onBegin;  ///< after each start
-  std::size_t begun() const { return begun_; }
+  /// ProcessTasks calls this function after each task start.
+  std::function<void()> onTaskStart;
+  std::size_t startedTaskCount() const { return startedTaskCount_; }
 
  private:
-  using Key = std::pair<std::string, std::uint64_t>;  ///< machine and life
-  struct Known {
+  /// A key holds the machine's name and Worker::Task::executionId.
+  using Key = std::pair<std::string, std::uint64_t>;
+  struct TaskDescription {
     rules::PlannedInstance instance;
     std::string directory, log;
     std::map<std::string, std::string> environment;
   };
   struct Running {
     Worker* worker{};
-    std::uint64_t life{};
+    std::uint64_t executionId{};
     Key key;
-    std::int64_t since{};
-    bool saving{};
+    std::int64_t startedAtMs{};
+    bool savesCheckpoint{};
   };
-  void ask(Worker& worker, const Worker::Task& task, int triesLeft,
-           std::function<void(std::optional<TaskNeeds>)> done);
-  std::optional<TaskNeeds> fromFiles(Worker& worker, const Worker::Task& task);
-  std::optional<TaskNeeds> fromDepot(Worker& worker, const Worker::Task& task);
+  void requestDescription(Worker& worker, const Worker::Task& task, int triesLeft,
+                          std::function<void(std::optional<TaskNeeds>)> done);
+  std::optional<TaskNeeds> describeFromSharedFiles(Worker& worker, const Worker::Task& task);
+  std::optional<TaskNeeds> describeFromJobDirectory(Worker& worker, const Worker::Task& task);
   void exited(pid_t pid, bool succeeded);
   static void onChild(int, short, void* self);
 
@@ -61,10 +69,11 @@
   HttpClient& http_;
   ProcessSettings settings_;
   event* child_;
-  std::map<Key, Known> known_;
+  std::map<Key, TaskDescription> descriptions_;
   std::map<pid_t, Running> running_;
-  std::size_t begun_ = 0;
-  std::size_t next_ = 0;  ///< server to ask
+  std::size_t startedTaskCount_ = 0;
+  /// The next request goes to this server, as an index modulo the number of servers.
+  std::size_t nextServer_ = 0;
 };
 
 }  // namespace kestrelhoist::simulator
--- a/simulator/model/simulated_region.hpp
+++ b/simulator/model/simulated_region.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// One model of the region: state service, cloud and workers, written from PROTOCOL. Used in
-/// virtual time by the scenarios and over sockets by hoist-region. What tasks are and how they run
-/// is the TaskHost's, so that the same workers run made-up tasks or real processes.
+/// Models the region: state service, cloud and workers, as PROTOCOL describes them. The scenario
+/// tests run the model in virtual time, hoist-region runs it over sockets. A TaskHost defines and
+/// executes the tasks, so the same workers can run simulated tasks or real processes.
 #pragma once
 
 #include <map>
@@ -14,30 +14,40 @@
 
 struct RegionSettings {
   std::vector<std::string> zones{"a", "b", "c"};
-  std::vector<std::string> nodes;       ///< addresses at which workers report
-  double cpus = 8, gpus = 8, ram = 64;  ///< of the one machine type
+  /// Workers send their reports to these controller addresses.
+  std::vector<std::string> nodes;
+  /// The region has one machine type, which has these resources.
+  double cpus = 8, gpus = 8, ram = 64;
   double bootS = 20;
   double fetchS = 2;
-  int ordinaryPerZone = 4, spotPerZone = 4;
+  int onDemandPerZone = 4, spotPerZone = 4;
   double reportS = 1, leaseS = 11;
   double listLagS = 3;
-  double bootFail = 0;
-  double failedAfterS = 0;    ///< a machine that has died is listed as failed then; 0: never
-  double soon = 0;            ///< share of machines that are up within 0.2 to 2 s
-  bool lateSessions = false;  ///< a new session is reported with the next regular report only
-  bool lateChanges = false;   ///< so is what changes while a report is under way
+  double bootFailureShare = 0;
+  /// The cloud lists a dead machine as failed after this time; 0 means never.
+  double failedAfterS = 0;
+  /// This share of the machines boots within 0.2 to 2 s.
+  double fastBootShare = 0;
+  /// If set, a worker waits for its next regular report to report a new worker session.
+  bool lateSessions = false;
+  /// If set, a task change during an unanswered report waits for the next regular report.
+  bool lateChanges = false;
 };
 
-/// What one task takes; the rest is known to its TaskHost.
+/// Holds the resources that one task needs; the TaskHost keeps the rest of its description.
 struct TaskNeeds {
   double cpus{}, gpus{};
-  bool saves{};            ///< takes a checkpoint when it is stopped with time to do so
-  std::string image = {};  ///< kept on the machine once it was fetched; empty: fetched each time
-  double gb = 1;           ///< of it, fetchS each
+  /// The task writes a checkpoint if the stop command leaves it time to do so.
+  bool savesCheckpoint{};
+  /// The machine keeps a fetched image. An empty name means that each task fetches its image anew.
+  std::string image = {};
+  /// The image has this size; each gigabyte takes RegionSettings::fetchS to fetch.
+  double imageGb = 1;
 };
 
 class SimulatedRegion;
 
+/// Simulates the worker of one machine, which reports to the controllers and executes commands.
 class Worker {
  public:
   Worker(SimulatedRegion& region, std::string host, std::string zone, bool spot);
@@ -47,16 +57,18 @@
   void die();
   void hang(std::int64_t ms);
   void notice(std::int64_t ms);
-  /// Hangs beyond its lease: its tasks end before it does anything else.
-  bool leaseOver() const;
-  /// Milliseconds until its lease ends if no report is answered any more.
-  std::int64_t leaseLeft() const;
-  /// Counted from 1; each end of its lease begins another.
-  std::uint64_t session() const { return tenure_; }
-  /// Neither hangs nor is about to be taken.
-  bool takesWork() const { return !gone && !frozen() && noticeEnds_ == 0; }
-  bool gone = false;
-  std::int64_t goneAt = -1;
+  /// Returns whether the worker's lease has expired for more than 200 ms. A worker that has hung
+  /// past its lease expiry ends its tasks before it does anything else.
+  bool hasLeaseExpired() const;
+  /// Returns the milliseconds until the worker's lease expires if no further report is
+  /// acknowledged.
+  std::int64_t leaseRemainingMs() const;
+  /// Returns the number of the worker session. It starts at 1 and each lease expiry increments it.
+  std::uint64_t session() const { return session_; }
+  /// Returns whether the worker is alive, does not hang and has no termination notice.
+  bool takesWork() const { return !isDead && !isHanging() && terminationNoticeEndsAt_ == 0; }
+  bool isDead = false;
+  std::int64_t diedAtMs = -1;
   std::string host, zone;
   bool spot;
 
@@ -67,99 +79,110 @@
     std::string state, cause;
     std::int64_t startedAt{};
     std::int64_t ranMs = -1;
-    std::uint64_t life{};  ///< guards its timers
+    /// Identifies this task attempt on its worker, so that timers of earlier attempts have no
+    /// effect.
+    std::uint64_t executionId{};
     TaskNeeds needs;
-    bool known{};  ///< its description has come
+    /// The TaskHost has returned the task's needs.
+    bool hasNeeds{};
     bool kept{};
   };
-  /// On its machine: has its image and has not exited.
-  static bool on(const Task& t) { return t.state == "running" || t.state == "flushing"; }
+  /// Returns whether the task has its image and has not exited.
+  static bool isExecuting(const Task& t) { return t.state == "running" || t.state == "flushing"; }
   std::vector<Task> tasks;
 
-  /// From the TaskHost: a running task has ended by itself, or has saved.
-  void exited(std::uint64_t life, const std::string& cause);
-  Task* byLife(std::uint64_t life);
+  /// The TaskHost calls this when a task process has exited by itself or has written its
+  /// checkpoint.
+  void exited(std::uint64_t executionId, const std::string& cause);
+  Task* findExecution(std::uint64_t executionId);
+  /// Calls f now, or after the end of a hang.
   void whenAwake(std::function<void()> f);
 
  private:
-  void beat();
-  void schedule(std::int64_t ms);
-  void changed();
-  void reportChange();
+  void sendHeartbeat();
+  void scheduleHeartbeat(std::int64_t ms);
+  void onTaskChange();
+  void scheduleChangeReport();
   void execute(const Json& orders);
   void launch(const std::string& name, std::uint64_t attempt);
-  void described(std::uint64_t life, std::optional<TaskNeeds> needs);
-  void begin(std::uint64_t life);
+  void onDescribed(std::uint64_t executionId, std::optional<TaskNeeds> needs);
+  void begin(std::uint64_t executionId);
   void finish(Task& t, const std::string& cause);
   void checkLease();
-  void endLeaseIfOver();
+  void endSessionIfLeaseExpired();
   Task* find(const std::string& name, std::uint64_t attempt);
-  bool frozen() const;
+  bool isHanging() const;
   std::string address() const;
 
   SimulatedRegion& region_;
-  std::uint64_t tenure_ = 1, tick_ = 0, token_ = 0;
-  std::int64_t lastAnsweredSent_ = 0, lastSent_ = -1000000, hangUntil_ = 0, noticeEnds_ = 0;
-  std::size_t node_ = 0;
-  bool inFlight_ = false;
-  bool hasUnreportedChange_ = false;  ///< since the newest report was sent
-  std::uint64_t timer_ = 0, lives_ = 0;
-  std::set<std::string> cached_;
+  std::uint64_t session_ = 1, reportSequence_ = 0, fencingToken_ = 0;
+  std::int64_t lastAcknowledgedSentAt_ = 0, lastSentAt_ = -1000000, hangsUntil_ = 0,
+               terminationNoticeEndsAt_ = 0;
+  std::size_t controllerIndex_ = 0;
+  bool hasReportInFlight_ = false;
+  /// A task has changed since the worker sent its newest report.
+  bool hasUnreportedChange_ = false;
+  std::uint64_t heartbeatTimer_ = 0, lastExecutionId_ = 0;
+  std::set<std::string> cachedImages_;
 };
 
-/// What tasks are.
+/// Defines and executes the tasks of simulated workers.
 class TaskHost {
  public:
   virtual ~TaskHost() = default;
-  /// Calls back once, at once or later; empty: there is no such task.
+  /// Calls `done` exactly once, immediately or later. The argument is nullopt if the task does not
+  /// exist.
   virtual void describe(Worker& worker, const Worker::Task& task,
                         std::function<void(std::optional<TaskNeeds>)> done) = 0;
-  /// It has its image: runs until Worker::exited is called or it is ended.
+  /// Starts a task whose image is fetched. The task runs until the TaskHost calls Worker::exited or
+  /// the worker calls end().
   virtual void begin(Worker& worker, const Worker::Task& task) = 0;
-  /// Is to save; calls Worker::exited with "halted" when it has.
+  /// Makes the task write a checkpoint. The TaskHost then calls Worker::exited with "halted".
   virtual void save(Worker& worker, const Worker::Task& task) = 0;
-  /// Ends it now, whatever it does.
+  /// Kills the task immediately.
   virtual void end(Worker& worker, const Worker::Task& task) = 0;
 };
 
+/// Connects the simulated state service, cloud and workers of one region.
 class SimulatedRegion {
  public:
-  SimulatedRegion(RegionSettings settings, Clock& clock, Wire& wire, std::mt19937_64& random,
-                  TaskHost& tasks);
+  SimulatedRegion(RegionSettings settings, Clock& clock, Transport& transport,
+                  std::mt19937_64& random, TaskHost& tasks);
 
   std::vector<std::string> machinesWithTasks() const;
   std::size_t machineCount(bool spot) const;
   bool isRented(const std::string& host) const;
-  /// When the machine was given back or taken away, in milliseconds of the region's clock.
+  /// Returns when the rental of the machine ended, in milliseconds of the region's clock. The
+  /// result is nullopt if the machine is still rented or was never rented.
   std::optional<std::int64_t> releasedAt(const std::string& host) const;
   std::vector<std::string> rentedMachines() const;
   void setCapacity(bool spot, int perZone);
-  /// Rented so far, all machines together.
+  /// Returns the rented time of all machines so far, in seconds.
   double machineSeconds() const;
   Response cloud(const Request& q);
 
   RegionSettings settings;
   Clock& clock;
-  Wire& wire;
+  Transport& transport;
   std::mt19937_64& random;
   TaskHost& taskHost;
   StateService state;
   std::map<std::string, std::unique_ptr<Worker>> workers;
   std::int64_t cloudOutageUntil = 0;
-  std::size_t hired = 0;
-  std::size_t hireCalls = 0;
+  std::size_t rentedMachineCount = 0;
+  std::size_t rentalRequests = 0;
 
  private:
   struct Host {
     std::string zone;
     bool spot{};
-    std::int64_t rentedAt{};
+    std::int64_t rentedAtMs{};
     std::string phase = "booting";
-    std::int64_t goneAt = -1;
+    std::int64_t rentalEndedAtMs = -1;
   };
   bool listedAsFailed(const std::string& host, std::int64_t at) const;
   std::map<std::string, Host> hosts_;
-  std::map<std::string, Json> hires_;
+  std::map<std::string, Json> rentals_;
   std::map<std::pair<std::string, bool>, int> capacity_;
 };
 
--- a/src/app/controller_heartbeats.cpp
+++ b/src/app/controller_heartbeats.cpp
@@ -114,7 +114,7 @@
   const RedirectCandidate worker = redirectCandidate(report);
   bool fresh =
       worker.sinceAcknowledged &&
-      *worker.sinceAcknowledged < longestHeartbeatInterval(platform_.reportEvery) + Duration{1500};
+      *worker.sinceAcknowledged < maxHeartbeatInterval(platform_.reportEvery) + Duration{1500};
   view.mayRedirect = canary_.mayRedirect(*view.unreachableLeader, worker, view.now) &&
                      (fresh || worker.idle || !mayRenewLocally(view));
 }
--- a/src/app/leader.hpp
+++ b/src/app/leader.hpp
@@ -86,7 +86,7 @@
   FlowLoop flows_;
   PolicyLoop policy_;
   std::vector<ControlLoop*> loops_;  ///< Lists all loops in the order in which they run.
-  RateBudget writes_;
+  TokenBucket writes_;
   SentCommitPtr sent_;           ///< Points to the newest commit, or is null before the first.
   bool stepInProgress_ = false;  ///< Is true if a commit or an asynchronous step is in progress.
   bool cycleScheduled_ = false;
--- a/src/base/hedged_request_test.cpp
+++ b/src/base/hedged_request_test.cpp
@@ -1,4 +1,5 @@
-// Guards against: one lost answer stopped reads for a second, and leaders stepped down over two.
+// Guards against a fault in which one lost answer delayed reads by a second. Two lost answers in a
+// row made a leader step down.
 #include "base/hedged_request.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
 struct Hedged : testing::Test {
   using Answer = std::optional<int>;
   std::mt19937_64 random{1};
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "me", 1.0};
   std::vector<std::function<void(Answer)>> sends;
@@ -35,14 +36,14 @@
         [this](Instant sentAt, Answer answer) { results.emplace_back(sentAt, answer); });
     request->start(kTimes, [this] { ++repeats; });
   }
-  void passTo(std::int64_t ms) { clock.runUntil(begun.ms + ms); }
+  void advanceTo(std::int64_t ms) { clock.runUntil(begun.ms + ms); }
 };
 
 TEST_F(Hedged, IsSentOnceIfItIsAnsweredSoon) {
   start();
-  passTo(10);
+  advanceTo(10);
   sends[0](7);
-  passTo(2000);
+  advanceTo(2000);
   EXPECT_EQ(sends.size(), 1U);
   EXPECT_EQ(repeats, 0);
   ASSERT_EQ(results.size(), 1U);
@@ -51,20 +52,20 @@
 
 TEST_F(Hedged, IsSentOnceMoreWithinTheSameTimeout) {
   start();
-  passTo(450);
+  advanceTo(450);
   ASSERT_EQ(sends.size(), 2U);
   EXPECT_EQ(timeouts[1], Duration{600});
   EXPECT_EQ(repeats, 1);
   sends[1](8);
   ASSERT_EQ(results.size(), 1U);
   EXPECT_EQ(results[0].first, begun + Duration{400});
-  sends[0](7);  // late: not used
+  sends[0](7);  // This answer is late and is ignored.
   EXPECT_EQ(results.size(), 1U);
 }
 
 TEST_F(Hedged, TheFirstSendMayStillBeAnswered) {
   start();
-  passTo(500);
+  advanceTo(500);
   sends[0](7);
   ASSERT_EQ(results.size(), 1U);
   EXPECT_EQ(results[0].first, begun);
@@ -72,7 +73,7 @@
 
 TEST_F(Hedged, FailsOnceNoSendCanBeAnswered) {
   start();
-  passTo(1000);
+  advanceTo(1000);
   sends[0](std::nullopt);
   EXPECT_TRUE(results.empty());
   sends[1](std::nullopt);
@@ -83,10 +84,10 @@
 
 TEST_F(Hedged, ARefusalAtOnceIsNotRepeated) {
   start();
-  passTo(5);
+  advanceTo(5);
   sends[0](std::nullopt);
   EXPECT_EQ(results.size(), 1U);
-  passTo(2000);
+  advanceTo(2000);
   EXPECT_EQ(sends.size(), 1U);
 }
 
--- a/src/base/http_client.cpp
+++ b/src/base/http_client.cpp
@@ -17,8 +17,9 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxReply = 16UL * 1024 * 1024;  // change feeds have no limit of their own
-constexpr std::size_t kIdlePerAddress = 4;
+// The limit is large because the answers of the change feed are not limited by the protocol.
+constexpr std::size_t kMaxReplyBytes = 16UL * 1024 * 1024;
+constexpr std::size_t kMaxIdlePerAddress = 4;
 
 timeval toTimeval(Duration d) {
   auto ms = std::max<std::int64_t>(0, d.count());
@@ -79,14 +80,14 @@
 void EvHttpClient::send(const std::string& address, Request request, Duration timeout,
                         OnReply onReply) {
   auto fail = [&](const char* why) {
-    logDebug("no request sent", "to", address, "why", why);
+    logDebug("HTTP request could not be sent", "to", address, "why", why);
     loop_.after(Duration{0}, [onReply = std::move(onReply)] { onReply(std::nullopt); });
   };
   evhttp_connection* connection = takeIdle(idle_.find(address));
   if (!connection) {
     if (!splitAddress(address)) return fail("bad address");
     if (open_ >= maxConnections_) {
-      // Sockets used up: close an idle one of another address rather than fail.
+      // All sockets are in use, so an idle connection to another address is closed.
       if (auto* other = takeIdle(idle_.begin())) {
         evhttp_connection_free(other);
         --open_;
@@ -98,10 +99,10 @@
     ++open_;
     evhttp_connection_set_retries(connection, 0);
     evhttp_connection_set_family(connection, AF_INET);
-    evhttp_connection_set_max_body_size(connection, static_cast<ev_ssize_t>(kMaxReply));
+    evhttp_connection_set_max_body_size(connection, static_cast<ev_ssize_t>(kMaxReplyBytes));
   }
-  timeval patience = toTimeval(timeout + Duration{2000});
-  evhttp_connection_set_timeout_tv(connection, &patience);
+  timeval connectionTimeout = toTimeval(timeout + Duration{2000});
+  evhttp_connection_set_timeout_tv(connection, &connectionTimeout);
 
   auto* call = new Call{this, address, connection, nullptr, nullptr, std::move(onReply)};
   call->request = evhttp_request_new(onDone, call);
@@ -121,7 +122,7 @@
   }
   if (evhttp_make_request(connection, call->request, methodType(request.method),
                           request.path.c_str()) != 0) {
-    // evhttp has freed the request; its callback is not called.
+    // evhttp has already freed the request and will not call its callback.
     loop_.after(Duration{0}, [this, call] { finish(call, std::nullopt, false); });
     evtimer_del(call->deadline);
   }
@@ -129,12 +130,12 @@
 
 evhttp_connection* EvHttpClient::connect(const std::string& address) {
   auto parts = splitAddress(address);
-  auto secured = secured_.find(address);
-  if (secured == secured_.end()) secured = secured_.find("");
+  auto target = tlsByAddress_.find(address);
+  if (target == tlsByAddress_.end()) target = tlsByAddress_.find("");
   bufferevent* stream = nullptr;
-  if (secured != secured_.end()) {
-    const std::string& name = secured->second.name.empty() ? parts->first : secured->second.name;
-    stream = bufferevent_openssl_socket_new(loop_.base(), -1, secured->second.tls->session(name),
+  if (target != tlsByAddress_.end()) {
+    const std::string& name = target->second.name.empty() ? parts->first : target->second.name;
+    stream = bufferevent_openssl_socket_new(loop_.base(), -1, target->second.tls->session(name),
                                             BUFFEREVENT_SSL_CONNECTING, BEV_OPT_CLOSE_ON_FREE);
     if (!stream) return nullptr;
     bufferevent_openssl_set_allow_dirty_shutdown(stream, 1);
@@ -145,12 +146,13 @@
   return connection;
 }
 
-void EvHttpClient::secure(const std::string& address, std::shared_ptr<TlsClient> tls,
+void EvHttpClient::useTls(const std::string& address, std::shared_ptr<TlsClient> tls,
                           std::string name) {
-  secured_[address] = {std::move(tls), std::move(name)};
+  tlsByAddress_[address] = {std::move(tls), std::move(name)};
 }
 
-// A TLS session can't be used for a second connection: what the server has closed is let go of.
+// A TLS session can't be used for a second connection. So an idle connection that the server has
+// closed is removed here and not reopened by evhttp.
 void EvHttpClient::onIdleClosed(evhttp_connection* connection, void* selfPointer) {
   auto* self = static_cast<EvHttpClient*>(selfPointer);
   for (auto it = self->idle_.begin(); it != self->idle_.end(); ++it) {
@@ -164,7 +166,8 @@
   }
 }
 
-// Addresses without idle connections have no entry, so any entry will do to make room.
+// An address without idle connections has no entry in `idle_`, so every entry holds at least one
+// connection.
 evhttp_connection* EvHttpClient::takeIdle(Idle::iterator at) {
   if (at == idle_.end()) return nullptr;
   auto* connection = at->second.back();
@@ -185,11 +188,11 @@
   std::unique_ptr<Call> owned(call);
   event_free(call->deadline);
   auto idle = idle_.find(call->address);
-  if (reuse && (idle == idle_.end() || idle->second.size() < kIdlePerAddress)) {
+  if (reuse && (idle == idle_.end() || idle->second.size() < kMaxIdlePerAddress)) {
     idle_[call->address].push_back(call->connection);
-    if (!secured_.empty()) evhttp_connection_set_closecb(call->connection, onIdleClosed, this);
+    if (!tlsByAddress_.empty()) evhttp_connection_set_closecb(call->connection, onIdleClosed, this);
   } else {
-    // Not from inside evhttp's own callback.
+    // A connection must not be freed within evhttp's own callback.
     --open_;
     loop_.after(Duration{0}, [c = call->connection] { evhttp_connection_free(c); });
   }
@@ -215,7 +218,7 @@
 
 void EvHttpClient::onDeadline(int, short, void* arg) {
   auto* call = static_cast<Call*>(arg);
-  evhttp_cancel_request(call->request);  // its callback is not called any more
+  evhttp_cancel_request(call->request);  // The request's callback is not called after this.
   call->client->finish(call, std::nullopt, false);
 }
 
--- a/src/cloud/scaling_loop.cpp
+++ b/src/cloud/scaling_loop.cpp
@@ -69,8 +69,9 @@
   }
   addProjectedDemand(type, demand);
   if (context_.effectivePolicy) {
-    const double calendarDemand = context_.effectivePolicy->machinesAhead(type.boot * 3 / 2) /
-                                  static_cast<double>(context_.catalogue->types.size());
+    const double calendarDemand =
+        context_.effectivePolicy->machinesForNextPeriod(type.boot * 3 / 2) /
+        static_cast<double>(context_.catalogue->types.size());
     demand.firm.mean = std::max(demand.firm.mean, demand.firmBooked + calendarDemand);
   }
 }
@@ -133,7 +134,7 @@
   out.bootOverdue = !out.hasReported && machine.listed == ListedState::booting &&
                     toSeconds(out.age) > kLateBootFactor * toSeconds(type.boot);
   out.isIdle = !record || record->tasks.empty();
-  out.keepWarm = context_.effectivePolicy && context_.effectivePolicy->keepsWarm(machine.id);
+  out.keepWarm = context_.effectivePolicy && context_.effectivePolicy->isWarmMachine(machine.id);
   return out;
 }
 
--- a/src/config/operator.hpp
+++ b/src/config/operator.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The operator's own settings: an optional JSON file, checked by a schema. Defaults work.
+/// Reads the operator's settings from an optional JSON file, which is checked against a schema.
+/// Every setting has a usable default.
 #pragma once
 
 #include <optional>
@@ -11,45 +12,58 @@
 
 namespace kestrelhoist {
 
-/// Where a TLS server finds what it shows, and whom it lets in. "{member}" in a path stands for the
-/// controller's name, so that one file serves all.
+/// Names the files of a TLS endpoint. "{member}" in a path is replaced by the controller's name, so
+/// that all controllers can use the same settings file.
 struct TlsFiles {
-  std::string certificate, key;  ///< PEM
-  std::string authority;         ///< PEM; for the other controllers: who signs their certificates
+  std::string certificate, key;  ///< The certificate chain and its private key are PEM files.
+  std::string authority;  ///< This PEM file has the CA certificates of the other controllers.
+  /// Returns whether no certificate is configured.
   bool empty() const { return certificate.empty(); }
 };
 
-/// Members with keys (docs/members.md).
+/// Holds the settings for members and their keys (docs/members.md).
 struct MemberSettings {
   bool enabled = false;
-  bool open = false;  ///< users without a key are served too, apart from all members
-  KeyId rootKey;      ///< the operator's own key, which makes the first others
+  /// If true, users without a key are served too, in a namespace separate from all members'.
+  bool open = false;
+  KeyId rootKey;  ///< The root key belongs to the operator and creates the first other keys.
   std::string rootHash;
-  Duration keyTrust{10000};  ///< no answer under a key that was not checked for longer
-  Duration longestWatch{30000};
+  /// Keys are checked against the controller's replica only if it is not older than this.
+  Duration maxReplicaAge{10000};
+  Duration maxWatchDuration{30000};
   MemberLimits limits;
-  TlsFiles usersTls;        ///< empty: none
-  int usersTlsPort = 0;     ///< added to the port of api_addr
-  bool plainUsers = false;  ///< whether members may also come without TLS
-  TlsFiles meshTls;         ///< between controllers; empty: none
-  int metricsPort = 0;      ///< added to the port of api_addr; 0: none
+  TlsFiles usersTls;     ///< If it is empty, there is no TLS endpoint for members.
+  int usersTlsPort = 0;  ///< The offset is added to the port of api_addr.
+  /// If true, members may also connect without TLS.
+  bool plainUsers = false;
+  /// These files are for connections between controllers. If empty, the controllers don't use TLS.
+  TlsFiles meshTls;
+  /// The offset is added to the port of api_addr. If it is 0, no metrics are served.
+  int metricsPort = 0;
 };
 
+/// Holds all settings of the operator.
 struct OperatorSettings {
-  Duration window{10000};              ///< forecast window
-  double spreadMultiple = 1.0;         ///< k of mean + k * spread
-  bool useSpot = true;                 ///< rent spot machines for jobs that allow them
-  unsigned maxMachines = 0;            ///< never rent above this many; 0: no bound of ours
-  bool flows = false;                  ///< whether rule files may be submitted (docs/flows.md)
-  unsigned flowInstances = 100000;     ///< the most of one flow
-  unsigned flowInstancesAll = 200000;  ///< and of all graphs that a controller holds
+  Duration window{10000};  ///< This is the length of a forecast interval.
+  /// The scaling target is the mean demand plus this factor times its spread.
+  double spreadMultiple = 1.0;
+  bool useSpot = true;  ///< If true, spot machines are rented for jobs that allow them.
+  /// This limits the number of rented machines. If it is 0, only the cloud limits their number.
+  unsigned maxMachines = 0;
+  bool flows = false;                  ///< If true, rule files may be submitted (docs/flows.md).
+  unsigned maxFlowInstances = 100000;  ///< This limits the instances of one flow.
+  /// This limits the instances of all open flows together.
+  unsigned maxFlowInstancesTotal = 200000;
   MemberSettings members;
 };
 
+/// Holds the JSON schema of the settings file.
 extern const char* const kOperatorSchema;
 
-/// Throws std::runtime_error with one line that names the file and the field.
+/// Reads and checks the settings file. Throws std::runtime_error with one line that names the file
+/// and the field.
 OperatorSettings loadOperatorSettings(const std::string& file);
+/// Checks settings given as text; `file` is used in error messages and for relative paths.
 OperatorSettings parseOperatorSettings(const std::string& text, const std::string& file);
 
 }  // namespace kestrelhoist
--- a/src/config/platform.cpp
+++ b/src/config/platform.cpp
@@ -31,12 +31,13 @@
     if (!splitAddress(v)) fail(at + key, "must be an IPv4 address with a port, not '" + v + "'");
     return v;
   }
-  double number(const toml::table& t, const std::string& at, const char* key, double least) const {
+  double number(const toml::table& t, const std::string& at, const char* key,
+                double minimum) const {
     auto node = t[key];
     if (!node) fail(at + key, "is missing");
     if (!node.is_number()) fail(at + key, "must be a number");
     double v = *node.value<double>();
-    if (!(v >= least) || v > 1e12) fail(at + key, "is out of range");
+    if (!(v >= minimum) || v > 1e12) fail(at + key, "is out of range");
     return v;
   }
   const toml::table& table(const toml::table& t, const std::string& at, const char* key) const {
@@ -44,7 +45,7 @@
     if (!v) fail(at + key, t.contains(key) ? "must be a table" : "is missing");
     return *v;
   }
-  // The tables of a list that may be missing.
+  // Returns the tables of a list with their paths. The result is empty if the list is missing.
   std::vector<std::pair<std::string, const toml::table*>> tables(const toml::table& t,
                                                                  const std::string& at,
                                                                  const char* key) const {
@@ -66,7 +67,7 @@
   std::string file_;
 };
 
-// The limits that the state service will have from some moment on, without notice.
+// Lowers the limits to those that the state service will switch to at an unannounced time.
 void readNextLimits(const Reader& r, const toml::table& next, Platform& p) {
   const std::string at = "settings.state.next.";
   if (next.contains("write_rps")) {
@@ -130,7 +131,8 @@
   for (auto& [path, t] : r.tables(settings, at, "objectives")) {
     p.objectives.push_back(
         {r.text(*t, path, "kind"), r.text(*t, path, "class"),
-         // Of kind `deadline` there is none: `times` the jobs' own.
+         // An objective of kind `deadline` has no `within_s`. Its settings have `times`, a factor
+         // on the jobs' own deadlines, which this program does not read.
          fromSeconds(t->contains("within_s") ? r.number(*t, path, "within_s", 0) : 0),
          r.number(*t, path, "share", 0)});
   }
--- a/src/connectivity/redirect_canary.cpp
+++ b/src/connectivity/redirect_canary.cpp
@@ -19,7 +19,7 @@
     : failoverCycle_(failoverCycle),
       lease_(lease),
       reportEvery_(reportEvery),
-      leaseOutlastsCycle_(failoverCycle + longestHeartbeatInterval(reportEvery) + kScheduleSlack <
+      leaseOutlastsCycle_(failoverCycle + maxHeartbeatInterval(reportEvery) + kScheduleSlack <
                           lease) {}
 
 // Returns an upper bound for the response time of this controller as seen by the worker. A worker
--- a/src/connectivity/worker_transport.cpp
+++ b/src/connectivity/worker_transport.cpp
@@ -43,7 +43,7 @@
     : runtime_(runtime),
       http_(http),
       peerMembership_(peers),
-      reporters_(longestHeartbeatInterval(reportEvery) + kProbeTimeout) {}
+      reporters_(maxHeartbeatInterval(reportEvery) + kProbeTimeout) {}
 
 const char* toString(ProbeOutcome outcome) {
   switch (outcome) {
--- a/src/connectivity/worker_transport_test.cpp
+++ b/src/connectivity/worker_transport_test.cpp
@@ -18,7 +18,7 @@
 struct ProbeOfWorker : testing::Test {
   const ZoneId zoneA{"a"}, zoneB{"b"};
   std::mt19937_64 random{1};
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network{clock, random};
   sim::HostRuntime runtime{clock, network, "leader", 1.0};
   Platform platform;
@@ -44,7 +44,7 @@
   }
   void advance(std::int64_t ms) { clock.runUntil(clock.now() + ms); }
   void slow(const std::set<std::string>& hosts, std::int64_t roundTripMs) {
-    network.slowMs = roundTripMs / 2;
+    network.slowLinkDelayMs = roundTripMs / 2;
     network.cut("leader", hosts, sim::CutMode::slow, 1000000);
   }
 };
@@ -56,7 +56,7 @@
 }
 
 TEST_F(ProbeOfWorker, ThatIsDeadBesideALivingOneIsUnreachableAtItsDeadline) {
-  network.silence("probed");
+  network.powerOff("probed");
   probe();
   advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unreachable});
@@ -78,7 +78,7 @@
 
 TEST_F(ProbeOfWorker, ThatIsDeadOnASlowLinkIsUnreachableOnceAnotherHasAnswered) {
   slow({"probed", "other"}, 3000);
-  network.silence("probed");
+  network.powerOff("probed");
   probe();
   advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
@@ -99,7 +99,7 @@
   advance(1);
   transport->recordHeartbeat("third:9", zoneB, std::nullopt);
   slow({"probed", "other"}, 3000);
-  network.silence("probed");
+  network.powerOff("probed");
   probe();
   advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unknown});
@@ -108,7 +108,7 @@
 TEST_F(ProbeOfWorker, AloneInItsZoneIsMeasuredByAnyOther) {
   transport->probe("probed:9", zoneB, {"POST", "/commands", ""},
                    [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
-  network.silence("probed");
+  network.powerOff("probed");
   advance(1600);
   EXPECT_EQ(outcomes, Outcomes{ProbeOutcome::unreachable});
 }
@@ -127,7 +127,7 @@
 TEST_F(ProbeOfWorker, WithNobodyElseToAskProvesNothing) {
   WorkerTransport withoutReference(runtime, runtime, *peers);
   withoutReference.recordHeartbeat("probed:9", zoneA, std::nullopt);
-  network.silence("probed");
+  network.powerOff("probed");
   withoutReference.probe("probed:9", zoneA, {"POST", "/commands", ""},
                          [this](const ProbeResult& result) { outcomes.push_back(result.outcome); });
   advance(6000);
@@ -149,7 +149,7 @@
   status.supportsForwarding = true;
   withPeer.start([&status] { return status; }, Duration{1000000});
   WorkerTransport transportWithPeer(runtime, runtime, withPeer);
-  network.silence("probed");
+  network.powerOff("probed");
   for (int i = 0; i < 2; ++i) {
     outcomes.clear();
     transportWithPeer.recordHeartbeat("other:9", zoneA, std::nullopt);
@@ -172,7 +172,7 @@
     transport->recordHeartbeat("other:9", zoneA, std::nullopt);
     advance(2000);
   };
-  network.silence("probed");
+  network.powerOff("probed");
   serve();
   network.cut("leader", {"other"}, sim::CutMode::drop, 1000000);
   serve();
--- a/src/fleet/initial_round.cpp
+++ b/src/fleet/initial_round.cpp
@@ -21,7 +21,7 @@
 // (DESIGN). It probes the workers, so that the round ends sooner if all of them answer.
 bool InitialRound::isOver() const {
   const Duration round =
-      longestHeartbeatInterval(context_.platform.reportEvery) + kMaxReportTransitTime;
+      maxHeartbeatInterval(context_.platform.reportEvery) + kMaxReportTransitTime;
   if (context_.runtime.now() - context_.electedAt >= round) return true;
   return isProbing_ && queue_.empty() && !prober_.awaitsFirstReport();
 }
--- a/src/fleet/lease_estimate.cpp
+++ b/src/fleet/lease_estimate.cpp
@@ -67,7 +67,7 @@
     newest_ = other;
     directAnswers_ = 0;
   }
-  const Duration interval = longestHeartbeatInterval(terms.reportEvery) + kTransitSlack;
+  const Duration interval = maxHeartbeatInterval(terms.reportEvery) + kTransitSlack;
   const auto firstAt = renewedAt_ ? renewedAt_ : unansweredSince_;
   lostAnswer_ = lostAnswer_ || (firstAt && newest_->at - *firstAt > interval);
 }
@@ -97,7 +97,7 @@
 void LeaseEstimate::beginFromEarlierAcknowledgement(Instant arrivedAt, const LeaseTerms& terms) {
   lostAnswer_ = arrivedAt - *earlierAcknowledgement_ >= kWorkerRetryAfterLostAnswer - kTransitSlack;
   renewedAt_ = *earlierAcknowledgement_ -
-               (lostAnswer_ ? longestHeartbeatInterval(terms.reportEvery) : Duration{0});
+               (lostAnswer_ ? maxHeartbeatInterval(terms.reportEvery) : Duration{0});
 }
 
 // Derives from the next heartbeat whether the answer to the newest heartbeat reached the worker.
@@ -140,7 +140,7 @@
 void LeaseEstimate::noteOutlived(Instant now, const LeaseTerms& terms) {
   if (unansweredSince_) {
     noteRenewed(*unansweredSince_ - kWorkerNextControllerDelay -
-                longestHeartbeatInterval(terms.reportEvery));
+                maxHeartbeatInterval(terms.reportEvery));
     return;
   }
   const bool newestExplainsRenewal = newest_ && newest_->workerEpoch == workerEpoch_ &&
@@ -153,8 +153,8 @@
   if (!unansweredSince_) return std::nullopt;
   // A worker changes to another controller after a lost answer; the last answered heartbeat was one
   // interval before the heartbeat whose answer was lost.
-  return *unansweredSince_ - kWorkerRetryAfterLostAnswer -
-         longestHeartbeatInterval(terms.reportEvery) + terms.lease;
+  return *unansweredSince_ - kWorkerRetryAfterLostAnswer - maxHeartbeatInterval(terms.reportEvery) +
+         terms.lease;
 }
 
 bool LeaseEstimate::isAtRisk(const LeaseTerms& terms, Instant now) const {
--- a/src/jobs/service.cpp
+++ b/src/jobs/service.cpp
@@ -7,13 +7,15 @@
 namespace kestrelhoist {
 namespace {
 
-// Of the state service's write rate, what one node may use for users in a burst.
+// One controller may use this share of the state service's write rate for user requests, also in a
+// burst.
 constexpr double kUserWriteShare = 0.4;
 
-constexpr Duration kMaxSlotWait{200};  // until the write rate is looked at again
+// A request that waits for the write rate limit checks it again after at most this time.
+constexpr Duration kMaxSlotWait{200};
 constexpr int kCancelTries = 5;
 
-const char* phaseWord(const JobState& job) {
+const char* phaseName(const JobState& job) {
   switch (job.phase()) {
     case JobPhase::done:
       return "done";
@@ -43,8 +45,8 @@
       replica_(replica),
       platform_(platform),
       versions_(versions),
-      writes_(platform.stateWritesPerS * kUserWriteShare,
-              std::max(2.0, platform.stateWritesPerS * kUserWriteShare)) {}
+      userWriteRate_(platform.stateWritesPerS * kUserWriteShare,
+                     std::max(2.0, platform.stateWritesPerS * kUserWriteShare)) {}
 
 bool JobService::handle(const Request& request, const Respond& respond, const Owner* member) {
   std::string path = request.path.substr(0, request.path.find('?'));
@@ -74,7 +76,7 @@
   return true;
 }
 
-const JobState* JobService::known(const JobId& id) const {
+const JobState* JobService::findJob(const JobId& id) const {
   const auto* job = replica_.job(id);
   return job && job->record.spec ? job : nullptr;
 }
@@ -92,27 +94,28 @@
 Json JobService::view(const JobId& id, const JobState& job, bool withDigest) {
   const auto& owner = job.record.owner;
   Json v = {{"ref", owner ? owner->ref : id.value},
-            {"phase", phaseWord(job)},
+            {"phase", phaseName(job)},
             {"done", std::min(job.finishedCount, job.tasks)},
             {"running", job.active() ? job.placed.size() : 0}};
   if (owner) {
-    // Members can tell whether a job that they find is the one that they ask for.
+    // These fields allow a member to verify that an existing job with this id is the job that the
+    // member wants to submit.
     v["job"] = id.value;
     v["tasks"] = job.tasks;
     v["class"] = job.record.spec->jobClass;
     v["at_ms"] = job.record.acceptedAtMs;
-    if (withDigest) v["digest"] = digestOf(*job.record.spec);
+    if (withDigest) v["digest"] = specDigest(*job.record.spec);
   }
   return v;
 }
 
 void JobService::poll(const JobId& id, const Respond& respond) {
-  // Done and cancelled are final, whatever is newer.
-  if (const auto* job = known(id); job && !job->active())
+  // The phases done and cancelled are final, so that no linearizable read is necessary.
+  if (const auto* job = findJob(id); job && !job->active())
     return respond(stateResponse(id, *job, 200));
   watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
-    const auto* job = known(id);
+    const auto* job = findJob(id);
     respond(job ? stateResponse(id, *job, 200) : jsonResponse(404, {{"error", "no such job"}}));
   });
 }
@@ -121,35 +124,35 @@
                                  std::function<void()> otherwise) {
   watcher_.linearizableRead([this, id, respond, otherwise = std::move(otherwise)](bool ok) {
     if (!ok) return respond(retryLater(503));
-    if (const auto* job = known(id)) return respond(stateResponse(id, *job, 200));
+    if (const auto* job = findJob(id)) return respond(stateResponse(id, *job, 200));
     otherwise();
   });
 }
 
 void JobService::withWriteSlot(const Respond& respond, std::function<void()> next, int triesLeft) {
-  if (inProgress_ >= kMaxInProgress) return respond(retryLater(429));
-  Duration wait = writes_.waitFor(runtime_.now(), 1);
+  if (requestsInProgress_ >= kMaxRequestsInProgress) return respond(retryLater(429));
+  Duration wait = userWriteRate_.waitFor(runtime_.now(), 1);
   if (wait.count() == 0) {
-    writes_.take(runtime_.now(), 1);
+    userWriteRate_.take(runtime_.now(), 1);
     next();
     return;
   }
   if (triesLeft == 0) return respond(retryLater(429));
-  ++inProgress_;
+  ++requestsInProgress_;
   runtime_.after(std::min(wait, kMaxSlotWait), [this, respond, next = std::move(next), triesLeft] {
-    --inProgress_;
+    --requestsInProgress_;
     withWriteSlot(respond, next, triesLeft - 1);
   });
 }
 
 void JobService::cancel(const JobId& id, int triesLeft, const Request& request,
                         const Respond& respond) {
-  if (const auto* job = known(id); job && !job->active()) {
+  if (const auto* job = findJob(id); job && !job->active()) {
     return respond(stateResponse(id, *job, 200));
   }
   watcher_.linearizableRead([this, id, triesLeft, request, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
-    const auto* job = known(id);
+    const auto* job = findJob(id);
     if (!job) return respond(jsonResponse(404, {{"error", "no such job"}}));
     if (!job->active()) return respond(stateResponse(id, *job, 200));
     commitCancellation(id, *job, triesLeft, request, respond);
@@ -162,7 +165,8 @@
   record.phase = JobPhase::cancelled;
   Transaction transaction;
   transaction.requestId = request.id;
-  // On the revision that was read: a placement or an end committed meanwhile makes this fail.
+  // The transaction compares the revision that was read, so that it fails if a placement or the end
+  // of the job is committed in between.
   transaction.compares.push_back({keys::job(id), job.modRevision});
   transaction.writes.push_back({keys::job(id), toJson(record), std::nullopt});
   store_.commit(
@@ -190,7 +194,7 @@
   replica_.apply({write.key, write.value, revision});
   logInfo("job cancelled by its user", "job", id, "request", transaction.requestId);
   if (onCommitted) onCommitted();
-  const auto* job = write.value->contains("owner") ? known(id) : nullptr;
+  const auto* job = write.value->contains("owner") ? findJob(id) : nullptr;
   respond(job ? stateResponse(id, *job, 200)
               : jsonResponse(200, {{"ref", id.value}, {"phase", "withdrawn"}}));
 }
--- a/src/jobs/spec.cpp
+++ b/src/jobs/spec.cpp
@@ -6,18 +6,18 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxName = 200;
+constexpr std::size_t kMaxNameBytes = 200;
 constexpr std::size_t kMaxTypes = 64;
 constexpr double kMaxAmount = 1e9;
 
-// Collects the first fault of a submission.
+// Reads the fields of a submission and remembers the first field that is missing or invalid.
 class Fields {
  public:
   explicit Fields(const Json& body) : body_(body) {}
 
   std::string text(const char* name) {
     auto v = textField(body_, name);
-    if (!v || v->empty() || v->size() > kMaxName) return fault(name), std::string{};
+    if (!v || v->empty() || v->size() > kMaxNameBytes) return fault(name), std::string{};
     return *v;
   }
   double amount(const char* name) {
@@ -33,7 +33,8 @@
   void fault(const char* name) {
     if (why_.empty()) why_ = std::string("field ") + name + " is missing or invalid";
   }
-  // Names of jobs, each once and none of them this job's own; missing: none.
+  // Returns the distinct job ids in the list field `name`; an empty list if the field is missing.
+  // An invalid id or the id `own` makes the field invalid.
   std::vector<JobId> otherJobs(const char* name, const JobId& own) {
     std::vector<JobId> jobs;
     const Json* list = field(body_, name);
@@ -55,7 +56,7 @@
   std::string why_;
 };
 
-const char* kindWord(JobKind kind) {
+const char* toString(JobKind kind) {
   switch (kind) {
     case JobKind::service:
       return "service";
@@ -66,7 +67,7 @@
   }
 }
 
-std::optional<Priority> priorityFrom(const std::string& word) {
+std::optional<Priority> parsePriority(const std::string& word) {
   if (word == "production") return Priority::production;
   if (word == "high") return Priority::high;
   if (word == "standard") return Priority::normal;
@@ -103,7 +104,7 @@
   } else {
     f.fault("shape");
   }
-  if (auto p = priorityFrom(f.text("rank"))) {
+  if (auto p = parsePriority(f.text("rank"))) {
     s.priority = *p;
   } else {
     f.fault("rank");
@@ -124,7 +125,7 @@
       s.types.emplace();
       for (const auto& t : *types) {
         auto type = textOf(t);
-        if (!type || type->size() > kMaxName) {
+        if (!type || type->size() > kMaxNameBytes) {
           f.fault("rigs");
           break;
         }
@@ -151,7 +152,7 @@
   return list;
 }
 
-std::optional<std::vector<JobId>> jobIdsFrom(const Json& list) {
+std::optional<std::vector<JobId>> jobIdsFromJson(const Json& list) {
   if (!list.is_array()) return std::nullopt;
   std::vector<JobId> jobs;
   for (const auto& entry : list) {
@@ -164,7 +165,7 @@
 Json jobSpecToJson(const JobSpec& s) {
   Json v = {{"class", s.jobClass},
             {"team", s.team.value},
-            {"kind", kindWord(s.kind)},
+            {"kind", toString(s.kind)},
             {"priority", static_cast<int>(s.priority)},
             {"tasks", s.tasks},
             {"cpus", s.perTask.cpus},
@@ -228,8 +229,8 @@
   if (auto z = textField(v, "zone")) s.zone = ZoneId{*z};
   if (field(v, "deadline_ms")) s.deadline = ms("deadline_ms");
   if (const Json* dependsOn = field(v, "awaits")) {
-    auto jobs = jobIdsFrom(*dependsOn);
-    // A job that awaits something unknown must not start.
+    auto jobs = jobIdsFromJson(*dependsOn);
+    // A job whose dependencies can't be parsed must not start.
     if (!jobs) return std::nullopt;
     s.dependsOn = std::move(*jobs);
   }
--- a/src/leadership/peer_membership_test.cpp
+++ b/src/leadership/peer_membership_test.cpp
@@ -9,7 +9,7 @@
 
 TEST(PeerMembership, APeerThatReachedTheStoreBeforeTheOutageIsNoSignOfBeingRefusedAlone) {
   std::mt19937_64 random(1);
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network(clock, random);
   sim::HostRuntime runtime(clock, network, "me", 1.0);
   Platform platform;
@@ -36,7 +36,7 @@
 // tasks ran on them.
 TEST(PeerMembership, AFreshRefusalIsAnEndedPeerALongOneAFilter) {
   std::mt19937_64 random(1);
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   sim::Network network(clock, random);
   sim::HostRuntime runtime(clock, network, "me", 1.0);
   Platform platform;
--- a/src/members/job_lists.cpp
+++ b/src/members/job_lists.cpp
@@ -1,4 +1,5 @@
-// Lists and watches of a member's jobs: pages of the index, in the order of the last change.
+// Serves lists and watches of a member's jobs. They are pages of the JobIndex, in the order of the
+// jobs' last changes.
 #include <algorithm>
 #include <charconv>
 
@@ -6,12 +7,13 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr std::size_t kMostOnPage = 200;
-constexpr std::size_t kPageBytes = 48 * 1024;
-// Entries looked at for one page, so that a filter that fits nothing costs no more than a page.
-constexpr std::size_t kMostLookedAt = 2000;
+constexpr std::size_t kMaxJobsPerPage = 200;
+constexpr std::size_t kMaxPageBytes = 48 * 1024;
+// Limits the entries examined for one page, so that a filter without matches costs no more than a
+// full page.
+constexpr std::size_t kMaxEntriesExamined = 2000;
 
-std::optional<std::uint64_t> numberOr(const std::string& text, std::uint64_t otherwise) {
+std::optional<std::uint64_t> parseNumberOr(const std::string& text, std::uint64_t otherwise) {
   if (text.empty()) return otherwise;
   std::uint64_t n = 0;
   auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), n);
@@ -20,24 +22,25 @@
 }
 }  // namespace
 
-// Only changes up to the copy's own revision are shown: commits of this controller are in the copy
-// before older ones of others, and a place beyond those would skip them.
-MemberService::Page MemberService::page(const Owner& owner, const ChangePlace& since,
+// Lists only changes up to the replica's revision. A commit of this controller enters the replica
+// at once, maybe before older commits of other controllers. A cursor after it would skip these.
+MemberService::Page MemberService::page(const Owner& owner, const ChangePosition& since,
                                         const JobFilter& filter) const {
   Page page;
   Revision seen = replica_.revision();
   page.next = {std::max(seen, since.revision), JobId{}};
   const auto* order = replica_.memberJobs().of(owner);
   if (!order) return page;
-  std::size_t bytes = 0, looked = 0;
-  ChangePlace last = since;
+  std::size_t bytes = 0, examined = 0;
+  ChangePosition last = since;
   for (auto it = after(*order, since); it != order->end() && it->first <= seen; ++it) {
-    if (page.jobs.size() >= filter.limit || bytes >= kPageBytes || looked >= kMostLookedAt) {
+    if (page.jobs.size() >= filter.limit || bytes >= kMaxPageBytes ||
+        examined >= kMaxEntriesExamined) {
       page.more = true;
       page.next = last;
       break;
     }
-    ++looked;
+    ++examined;
     last = {it->first, it->second};
     const JobState* job = replica_.job(it->second);
     if (!job || !job->record.spec) continue;
@@ -52,39 +55,42 @@
 }
 
 Response MemberService::answer(const Owner& owner, const Page& page) const {
-  return jsonResponse(
-      200, {{"jobs", page.jobs}, {"cursor", seal_->seal(owner, page.next)}, {"more", page.more}});
+  return jsonResponse(200, {{"jobs", page.jobs},
+                            {"cursor", cursorCipher_->encrypt(owner, page.next)},
+                            {"more", page.more}});
 }
 
 void MemberService::list(const Caller& caller, const std::string& query, bool hold,
-                         const Respond& plain) {
-  Respond respond = counted(caller.owner, wordOf(Work::list), plain);
-  auto limit = numberOr(queryValue(query, "limit"), 100);
-  auto wait = numberOr(queryValue(query, "wait_ms"), 0);
+                         const Respond& uncounted) {
+  Respond respond = counted(caller.owner, toString(RequestKind::list), uncounted);
+  auto limit = parseNumberOr(queryValue(query, "limit"), 100);
+  auto wait = parseNumberOr(queryValue(query, "wait_ms"), 0);
   JobFilter filter{queryValue(query, "phase"), queryValue(query, "class"), 0};
   bool phase = filter.phase.empty() || filter.phase == "pending" || filter.phase == "running" ||
                filter.phase == "done" || filter.phase == "withdrawn";
   if (!limit || *limit < 1 || !wait || !phase) {
     return respond(jsonResponse(400, {{"error", "limit, wait_ms or phase is no good"}}));
   }
-  filter.limit = std::min<std::size_t>(*limit, kMostOnPage);
+  filter.limit = std::min<std::size_t>(*limit, kMaxJobsPerPage);
   std::string since = queryValue(query, "since");
   Duration held =
       hold ? std::min(Duration{static_cast<std::int64_t>(std::min<std::uint64_t>(*wait, 3600000))},
-                      settings_.longestWatch)
+                      settings_.maxWatchDuration)
            : Duration{0};
-  // Never older than the question: what this member was told by another controller is in it.
-  watcher_.linearizableRead([this, caller, filter, since, held, plain, respond](bool ok) {
+  // The linearizable read makes sure that the list contains every change that another controller
+  // has already confirmed to this member.
+  watcher_.linearizableRead([this, caller, filter, since, held, uncounted, respond](bool ok) {
     if (!ok || replica_.cursorKey().empty()) return respond(retryLater(503));
-    if (sealedWith_ != replica_.cursorKey()) {
-      sealedWith_ = replica_.cursorKey();
-      seal_.emplace(sealedWith_);
+    if (cursorSecret_ != replica_.cursorKey()) {
+      cursorSecret_ = replica_.cursorKey();
+      cursorCipher_.emplace(cursorSecret_);
     }
-    // "now": only the place.
+    // The value "now" asks only for a cursor at the present revision.
     if (since == "now") {
       return respond(answer(caller.owner, {Json::array(), {replica_.revision(), JobId{}}, false}));
     }
-    auto from = since.empty() ? std::optional(ChangePlace{}) : seal_->open(caller.owner, since);
+    auto from = since.empty() ? std::optional(ChangePosition{})
+                              : cursorCipher_->decrypt(caller.owner, since);
     if (!from || from->revision > replica_.revision()) {
       return respond(jsonResponse(410, {{"error", "no such place: start again without since"}}));
     }
@@ -92,15 +98,15 @@
     if (!first.jobs.empty() || first.more || held.count() == 0) {
       return respond(answer(caller.owner, first));
     }
-    if (watches_.full(caller.owner)) {
+    if (watches_.isFull(caller.owner)) {
       if (metrics_) metrics_->shed("list", "watches");
-      return respond(retryLater(429, rates_.spread(held)));
+      return respond(retryLater(429, rates_.jitteredDelayS(held)));
     }
-    park({caller.owner, caller.key, first.next, filter, plain}, held);
+    holdWatch({caller.owner, caller.key, first.next, filter, uncounted}, held);
   });
 }
 
-void MemberService::park(Watch watch, Duration wait) {
+void MemberService::holdWatch(Watch watch, Duration wait) {
   auto number = watches_.add(std::move(watch));
   runtime_.after(wait, [this, number] {
     auto w = watches_.take(number);
@@ -110,8 +116,8 @@
   });
 }
 
-void MemberService::serve(const Owner& owner) {
-  auto numbers = watches_.of(owner);
+void MemberService::answerWatches(const Owner& owner) {
+  auto numbers = watches_.numbersOf(owner);
   if (numbers.empty()) return;
   const auto* order = replica_.memberJobs().of(owner);
   if (order && !order->empty() && order->rbegin()->first > replica_.revision()) {
@@ -122,7 +128,7 @@
     if (!w) continue;
     Page found = page(owner, w->since, w->filter);
     if (found.jobs.empty() && !found.more) {
-      watches_.put(number, std::move(*w));
+      watches_.reinsert(number, std::move(*w));
     } else if (!callerOf(w->key)) {
       w->respond(jsonResponse(401, {{"error", "not a valid key"}}));
     } else {
@@ -133,8 +139,8 @@
 
 void MemberService::onRecordsChanged() {
   std::set<Owner> owners = watches_.takeDeferred();
-  owners.merge(replica_.memberJobs().takeTouched());
-  for (const auto& owner : owners) serve(owner);
+  owners.merge(replica_.memberJobs().takeChangedOwners());
+  for (const auto& owner : owners) answerWatches(owner);
 }
 
 }  // namespace kestrelhoist
--- a/src/members/key_service.cpp
+++ b/src/members/key_service.cpp
@@ -1,5 +1,5 @@
-// Keys: made, listed and ended by those who may. The secret is drawn by whoever asks for the key
-// and never comes here; every request may be repeated.
+// Creates, lists and revokes keys for callers with the admin right. The client generates the secret
+// and sends only its hash. All requests are idempotent.
 #include <algorithm>
 
 #include "base/log.hpp"
@@ -8,8 +8,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kCommitTimeout{1500};
-constexpr std::size_t kMostListed = 200;
-constexpr std::size_t kMostNote = 200;
+constexpr std::size_t kMaxListedKeys = 200;
+constexpr std::size_t kMaxNoteBytes = 200;
 }  // namespace
 
 bool MemberService::handleKeys(const Caller& caller, const Request& request,
@@ -18,8 +18,8 @@
   std::string rest = path.substr(root.size());
   if (rest.empty()) {
     if (request.method == "POST") {
-      write(caller, Work::submit, respond,
-            [this, caller, request](const Respond& answer) { makeKey(caller, request, answer); });
+      write(caller, RequestKind::submit, respond,
+            [this, caller, request](const Respond& answer) { createKey(caller, request, answer); });
     } else if (request.method == "GET") {
       auto mark = request.path.find('?');
       listKeys(caller, mark == std::string::npos ? "" : request.path.substr(mark + 1), respond);
@@ -36,8 +36,8 @@
   } else if (!validKeyId(id)) {
     respond(jsonResponse(404, {{"error", "no such key"}}));
   } else {
-    write(caller, Work::cancel, respond, [this, caller, id, request](const Respond& answer) {
-      endKey(caller, KeyId{id}, request, 5, answer);
+    write(caller, RequestKind::cancel, respond, [this, caller, id, request](const Respond& answer) {
+      revokeKey(caller, KeyId{id}, request, 5, answer);
     });
   }
   return true;
@@ -47,24 +47,25 @@
   Json v = {{"key", id.value},
             {"team", r.owner.team.value},
             {"member", r.owner.member},
-            {"rights", wordsOf(r.rights)},
-            {"at_ms", r.madeAtMs},
-            {"ended", r.endedAt(runtime_.wallMillis())},
+            {"rights", rightsToString(r.rights)},
+            {"at_ms", r.createdAtMs},
+            {"ended", r.isExpiredAt(runtime_.wallMillis())},
             {"note", r.note}};
-  if (r.endsAtMs) v["ends_ms"] = *r.endsAtMs;
+  if (r.expiresAtMs) v["ends_ms"] = *r.expiresAtMs;
   return v;
 }
 
-void MemberService::makeKey(const Caller& caller, const Request& request, const Respond& respond) {
+void MemberService::createKey(const Caller& caller, const Request& request,
+                              const Respond& respond) {
   auto body = decodeBody(request.body);
   auto id = body ? textField(*body, "key") : std::nullopt;
   auto hash = body ? textField(*body, "hash") : std::nullopt;
   auto team = body ? textField(*body, "team") : std::nullopt;
   auto member = body ? textField(*body, "member") : std::nullopt;
-  auto rights = body ? rightsFrom(textField(*body, "rights").value_or("")) : std::nullopt;
+  auto rights = body ? parseRights(textField(*body, "rights").value_or("")) : std::nullopt;
   std::string note = body ? textField(*body, "note").value_or("") : "";
   if (!id || !validKeyId(*id) || !hash || !validHash(*hash) || !team || !member ||
-      !validMember(*member) || !rights || note.size() > kMostNote) {
+      !validMember(*member) || !rights || note.size() > kMaxNoteBytes) {
     return respond(jsonResponse(400, {{"error", "not the description of a key"}}));
   }
   if (!caller.root && *team != caller.owner.team.value) {
@@ -82,11 +83,12 @@
   store_.commit(t, kCommitTimeout, [this, key, record, t, respond](const CommitResult& r) {
     if (r.outcome == CommitOutcome::applied) {
       replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
-      logInfo("key made", "key", key, "team", record.owner.team, "request", t.requestId);
+      logInfo("key created", "key", key, "team", record.owner.team, "request", t.requestId);
       return respond(jsonResponse(201, viewOf(key, record)));
     }
     if (r.outcome != CommitOutcome::conflict) return respond(retryLater(503));
-    // There already: by a repeated request, or another key with this id.
+    // A key with this id exists. Either an earlier send of this request made it, or it is another
+    // key.
     watcher_.linearizableRead([this, key, record, respond](bool ok) {
       const auto* entry = ok ? replica_.keyRing().find(key) : nullptr;
       if (!entry) return respond(retryLater(503));
@@ -120,17 +122,18 @@
       }
     }
     std::sort(ids.begin(), ids.end());
-    bool more = ids.size() > kMostListed;
-    if (more) ids.resize(kMostListed);
+    bool more = ids.size() > kMaxListedKeys;
+    if (more) ids.resize(kMaxListedKeys);
     Json list = Json::array();
     for (const auto& id : ids) list.push_back(viewOf(id, replica_.keyRing().find(id)->record));
     respond(jsonResponse(200, {{"keys", std::move(list)}, {"more", more}}));
   });
 }
 
-// An ended key stays on record: a late copy of the request that made it must not bring it back.
-void MemberService::endKey(const Caller& caller, const KeyId& id, const Request& request,
-                           int triesLeft, const Respond& respond) {
+// The record of a revoked key is kept, because otherwise a delayed duplicate of the request that
+// made the key would make it again.
+void MemberService::revokeKey(const Caller& caller, const KeyId& id, const Request& request,
+                              int triesLeft, const Respond& respond) {
   auto body = request.body.empty() ? std::optional(Json::object()) : decodeBody(request.body);
   double afterS = body ? numberField(*body, "after_s").value_or(0) : -1;
   if (afterS < 0 || afterS > 366 * 86400.0) {
@@ -139,16 +142,16 @@
   watcher_.linearizableRead([this, caller, id, request, afterS, triesLeft, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const auto* entry = replica_.keyRing().find(id);
-    // A key of another team is answered like none.
+    // A key of another team gets the same answer as a key that does not exist.
     if (!entry || (!caller.root && entry->record.owner.team != caller.owner.team)) {
       return respond(jsonResponse(404, {{"error", "no such key"}}));
     }
     KeyRecord record = entry->record;
     std::int64_t ends = runtime_.wallMillis() + static_cast<std::int64_t>(afterS * 1000);
-    if (record.endsAtMs && *record.endsAtMs <= ends) {
+    if (record.expiresAtMs && *record.expiresAtMs <= ends) {
       return respond(jsonResponse(200, viewOf(id, record)));
     }
-    record.endsAtMs = ends;
+    record.expiresAtMs = ends;
     Transaction t;
     t.requestId = request.id;
     t.compares.push_back({keys::key(id), entry->modRevision});
@@ -158,26 +161,28 @@
         [this, caller, id, request, record, t, triesLeft, respond](const CommitResult& r) {
           if (r.outcome == CommitOutcome::applied) {
             replica_.apply({t.writes[0].key, t.writes[0].value, r.revision});
-            logInfo("key ends", "key", id, "request", t.requestId);
+            logInfo("key expiry set", "key", id, "request", t.requestId);
             return respond(jsonResponse(200, viewOf(id, record)));
           }
           if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
-            return endKey(caller, id, request, triesLeft - 1, respond);
+            return revokeKey(caller, id, request, triesLeft - 1, respond);
           }
           respond(retryLater(503));
         });
   });
 }
 
-// One secret for all controllers; whoever is first makes it.
-void MemberService::makeCursorKey() {
-  if (makingCursorKey_) return;
-  makingCursorKey_ = true;
+// Writes the secret from which all controllers derive the encryption key of cursors. The first
+// controller to commit sets it; the transactions of the others fail with a conflict.
+void MemberService::createCursorSecret() {
+  if (creatingCursorSecret_) return;
+  creatingCursorSecret_ = true;
   Transaction t;
   t.compares.push_back({keys::kCursorKey, Revision{}});
-  t.writes.push_back({keys::kCursorKey, Json{{"secret", drawCredential().secret}}, std::nullopt});
+  t.writes.push_back(
+      {keys::kCursorKey, Json{{"secret", generateCredential().secret}}, std::nullopt});
   store_.commit(t, kCommitTimeout, [this](const CommitResult&) {
-    runtime_.after(Duration{1000}, [this] { makingCursorKey_ = false; });
+    runtime_.after(Duration{1000}, [this] { creatingCursorSecret_ = false; });
   });
 }
 
--- a/src/members/members_test.cpp
+++ b/src/members/members_test.cpp
@@ -1,4 +1,4 @@
-// The pure parts: credentials, names, cursors, the index, rates and turns.
+// Tests credentials, job names, cursors, the job index, rate limits and the fair queue without I/O.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -13,33 +13,33 @@
 
 TEST(Credentials, AreReadAsTheyWereWrittenAndNothingElseIs) {
   for (int i = 0; i < 50; ++i) {
-    Credential c = drawCredential();
-    auto back = credentialFrom(c.str());
+    Credential c = generateCredential();
+    auto back = parseCredential(c.str());
     ASSERT_TRUE(back) << c.str();
     EXPECT_EQ(back->id, c.id);
     EXPECT_TRUE(sameHash(hashOfSecret(*back), hashOfSecret(c)));
-    EXPECT_FALSE(credentialFrom(c.str().substr(1)));
-    EXPECT_FALSE(credentialFrom(c.str() + "a"));
-    // The hash is bound to the id: a secret is no good under another.
-    Credential moved{drawCredential().id, c.secret};
+    EXPECT_FALSE(parseCredential(c.str().substr(1)));
+    EXPECT_FALSE(parseCredential(c.str() + "a"));
+    // The hash covers the id, so a secret is invalid under the id of another key.
+    Credential moved{generateCredential().id, c.secret};
     EXPECT_FALSE(sameHash(hashOfSecret(moved), hashOfSecret(c)));
   }
-  EXPECT_FALSE(credentialFrom(""));
-  EXPECT_EQ(rightsFrom("read,cancel"), right::kRead | right::kCancel);
-  EXPECT_EQ(wordsOf(right::kAll), "submit,read,cancel,admin");
+  EXPECT_FALSE(parseCredential(""));
+  EXPECT_EQ(parseRights("read,cancel"), right::kRead | right::kCancel);
+  EXPECT_EQ(rightsToString(right::kAll), "submit,read,cancel,admin");
   for (const char* bad : {"", "reed", "read,,cancel", "read, cancel"})
-    EXPECT_FALSE(rightsFrom(bad));
+    EXPECT_FALSE(parseRights(bad));
 }
 
 TEST(Names, AreApartByMemberAndTheSameForEver) {
   EXPECT_NE(memberJob(kAna, "j-1"), memberJob(kBen, "j-1"));
-  // The fields have their lengths with them: no two lists of them are one text.
+  // The hash covers the length of each field, so these two lists of fields give different ids.
   EXPECT_NE(memberJob({TeamId{"a"}, "bj-1"}, "j-1"), memberJob({TeamId{"ab"}, "j-1"}, "j-1"));
   EXPECT_FALSE(validJobId(memberJob(kAna, "j-1").value));
-  EXPECT_TRUE(validJobId(refFor(kAna, "drawer-12")));
-  // As in version 0.4.0: scripts rely on it.
-  EXPECT_EQ(refFor(kAna, "drawer-12"), refFor(kAna, "drawer-12"));
-  EXPECT_NE(refFor(kAna, "drawer-12"), refFor(kBen, "drawer-12"));
+  EXPECT_TRUE(validJobId(refForIdempotencyKey(kAna, "drawer-12")));
+  // The reference is the same as in version 0.4.0, because scripts rely on it.
+  EXPECT_EQ(refForIdempotencyKey(kAna, "drawer-12"), refForIdempotencyKey(kAna, "drawer-12"));
+  EXPECT_NE(refForIdempotencyKey(kAna, "drawer-12"), refForIdempotencyKey(kBen, "drawer-12"));
 }
 
 TEST(Records, KeepWhoseAJobIs) {
@@ -54,34 +54,34 @@
   EXPECT_EQ(back->owner->owner, kAna);
   EXPECT_EQ(back->owner->ref, "j-1");
   KeyRecord k{std::string(64, 'a'), kAna, right::kRead, 7, 9, "a note"};
-  auto key = keyRecordFrom(toJson(k));
+  auto key = keyRecordFromJson(toJson(k));
   ASSERT_TRUE(key);
   EXPECT_EQ(key->owner, kAna);
-  EXPECT_FALSE(key->endedAt(8));
-  EXPECT_TRUE(key->endedAt(9));
+  EXPECT_FALSE(key->isExpiredAt(8));
+  EXPECT_TRUE(key->isExpiredAt(9));
 }
 
 TEST(Cursors, TellNothingAndBelongToTheirOwner) {
-  CursorSeal seal("secret"), same("secret"), other("another");
-  ChangePlace place{Revision{12345}, memberJob(kAna, "j-1")}, end{Revision{7}, JobId{}};
-  std::string text = seal.seal(kAna, place);
-  EXPECT_EQ(same.open(kAna, text), place);
-  EXPECT_EQ(same.open(kAna, seal.seal(kAna, end)), end);
-  EXPECT_EQ(text, same.seal(kAna, place));
-  EXPECT_FALSE(seal.open(kBen, text));
-  EXPECT_FALSE(other.open(kAna, text));
-  EXPECT_EQ(text.size(), seal.seal(kAna, {Revision{}, JobId{}}).size());
+  CursorCipher cipher("secret"), same("secret"), other("another");
+  ChangePosition position{Revision{12345}, memberJob(kAna, "j-1")}, end{Revision{7}, JobId{}};
+  std::string text = cipher.encrypt(kAna, position);
+  EXPECT_EQ(same.decrypt(kAna, text), position);
+  EXPECT_EQ(same.decrypt(kAna, cipher.encrypt(kAna, end)), end);
+  EXPECT_EQ(text, same.encrypt(kAna, position));
+  EXPECT_FALSE(cipher.decrypt(kBen, text));
+  EXPECT_FALSE(other.decrypt(kAna, text));
+  EXPECT_EQ(text.size(), cipher.encrypt(kAna, {Revision{}, JobId{}}).size());
   EXPECT_TRUE(rc::check([&] {
     std::string changed = text;
     auto at = *rc::gen::inRange<std::size_t>(0, changed.size());
     char letter = *rc::gen::elementOf(std::string("ABCXYZabcxyz0189-_"));
     RC_PRE(changed[at] != letter);
     changed[at] = letter;
-    RC_ASSERT(!seal.open(kAna, changed));
+    RC_ASSERT(!cipher.decrypt(kAna, changed));
   }));
 }
 
-// Against a plain list, whatever the order in which changes are read.
+// Compares the index with a plain sorted list, for changes read in any order.
 TEST(JobIndexProperty, PagesCoverEachJobInTheOrderOfItsLastChange) {
   EXPECT_TRUE(rc::check([] {
     JobIndex index;
@@ -91,7 +91,7 @@
     for (auto [job, at] : changes) {
       JobId id = memberJob(kAna, "j-" + std::to_string(job));
       Revision r{static_cast<std::uint64_t>(at)};
-      index.note(kAna, id, r);
+      index.recordChange(kAna, id, r);
       auto [it, isNew] = last.try_emplace(id, r);
       if (!isNew) it->second = std::max(it->second, r);
     }
@@ -100,60 +100,62 @@
     const auto* order = index.of(kAna);
     RC_ASSERT((order ? *order : JobIndex::Order{}) == expected);
     if (!order) return;
-    // Page by page, each from the last place of the one before.
+    // Each page starts after the last position of the page before.
     auto page = *rc::gen::inRange<std::size_t>(1, 4);
-    ChangePlace place;
+    ChangePosition position;
     std::vector<std::pair<Revision, JobId>> read;
     for (bool more = true; more;) {
       std::size_t n = 0;
-      auto it = after(*order, place);
+      auto it = after(*order, position);
       for (; it != order->end() && n < page; ++it, ++n) {
         read.push_back(*it);
-        place = {it->first, it->second};
+        position = {it->first, it->second};
       }
       more = it != order->end();
     }
     RC_ASSERT(read == std::vector(expected.begin(), expected.end()));
-    ChangePlace all{Revision{place.revision}, JobId{}};
+    ChangePosition all{Revision{position.revision}, JobId{}};
     RC_ASSERT(after(*order, all) == order->end());
   }));
 }
 
 TEST(FairTurns, GoRoundAmongMembersAndCancellationsGoFirst) {
-  FairTurns turns(2, 4, 100);
+  FairQueue turns(2, 4, 100);
   std::vector<std::string> order;
-  auto offer = [&](const Owner& who, Work work, const std::string& name) {
+  auto offer = [&](const Owner& who, RequestKind work, const std::string& name) {
     return turns.offer(who, work, [&order, name] { order.push_back(name); });
   };
-  for (int i = 0; i < 6; ++i) EXPECT_TRUE(offer(kAna, Work::submit, "a" + std::to_string(i)));
-  EXPECT_FALSE(offer(kAna, Work::submit, "a6")) << "four of one member wait";
-  EXPECT_TRUE(offer(kBen, Work::submit, "b0"));
-  EXPECT_TRUE(offer(kBen, Work::cancel, "bc"));
+  for (int i = 0; i < 6; ++i) {
+    EXPECT_TRUE(offer(kAna, RequestKind::submit, "a" + std::to_string(i)));
+  }
+  EXPECT_FALSE(offer(kAna, RequestKind::submit, "a6")) << "four of one member wait";
+  EXPECT_TRUE(offer(kBen, RequestKind::submit, "b0"));
+  EXPECT_TRUE(offer(kBen, RequestKind::cancel, "bc"));
   EXPECT_EQ(order, (std::vector<std::string>{"a0", "a1"}));
   for (int i = 0; i < 8; ++i) turns.finished();
   EXPECT_EQ(order, (std::vector<std::string>{"a0", "a1", "bc", "a2", "b0", "a3", "a4", "a5"}));
   EXPECT_EQ(turns.waiting(), 0U);
-  EXPECT_EQ(turns.working(), 0U);
+  EXPECT_EQ(turns.inProgress(), 0U);
 }
 
-// Starts that are answered at once end their turn from within it.
+// A write that is answered at once calls finished() from within its own start callback.
 TEST(FairTurns, MayBeAnsweredAtOnce) {
-  FairTurns turns(1, 100, 100);
+  FairQueue turns(1, 100, 100);
   int ended = 0;
   std::function<void()> first;
-  turns.offer(kAna, Work::submit, [] {});
+  turns.offer(kAna, RequestKind::submit, [] {});
   for (int i = 0; i < 50; ++i) {
-    turns.offer(kBen, Work::submit, [&] {
+    turns.offer(kBen, RequestKind::submit, [&] {
       ++ended;
       turns.finished();
     });
   }
   turns.finished();
   EXPECT_EQ(ended, 50);
-  EXPECT_EQ(turns.working(), 0U);
+  EXPECT_EQ(turns.inProgress(), 0U);
 }
 
-// Over any stretch of time no more than burst and rate; those refused come back spread.
+// The admitted requests never exceed burst plus rate, and the retry delays are spread.
 TEST(MemberRates, BoundWhatAMemberDoesAndSpreadItsReturn) {
   MemberLimits limits;
   limits.submitsPerS = 5;
@@ -162,42 +164,43 @@
   int taken = 0;
   std::set<int> seconds;
   for (std::int64_t ms = 0; ms < 10000; ms += 5) {
-    auto refused = rates.refuse(Instant{1000 + ms}, kAna, Work::submit, 100);
+    auto refused = rates.refuse(Instant{1000 + ms}, kAna, RequestKind::submit, 100);
     taken += refused ? 0 : 1;
     if (refused) seconds.insert(*refused);
     if (ms % 1000 == 0) {
-      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kBen, Work::submit, 100));
-      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kAna, Work::poll, 100));
+      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kBen, RequestKind::submit, 100));
+      EXPECT_FALSE(rates.refuse(Instant{1000 + ms}, kAna, RequestKind::poll, 100));
     }
   }
   EXPECT_GE(taken, 68);
   EXPECT_LE(taken, 71);
   EXPECT_GE(seconds.size(), 3U);
-  // Answers are charged after they were made: the next request waits.
+  // The bytes of an answer are charged afterwards, so the next request is refused.
   rates.charge(Instant{20000}, kBen, 10 * 1024 * 1024);
-  EXPECT_TRUE(rates.refuse(Instant{20000}, kBen, Work::poll, 1));
-  // What is known of members that are quiet goes.
-  rates.refuse(Instant{20000 + 3600000}, kAna, Work::poll, 1);
-  EXPECT_EQ(rates.known(), 1U);
+  EXPECT_TRUE(rates.refuse(Instant{20000}, kBen, RequestKind::poll, 1));
+  // The buckets of a member without recent requests are removed.
+  rates.refuse(Instant{20000 + 3600000}, kAna, RequestKind::poll, 1);
+  EXPECT_EQ(rates.memberCount(), 1U);
 }
 
 TEST(LoadGauge, GivesUpTheLeastImportantFirst) {
   LoadGauge gauge;
   auto takes = [&] {
     std::string out;
-    for (Work w : {Work::cancel, Work::submit, Work::poll, Work::list}) {
-      out += gauge.takes(w) ? wordOf(w)[0] : '-';
+    for (RequestKind w :
+         {RequestKind::cancel, RequestKind::submit, RequestKind::poll, RequestKind::list}) {
+      out += gauge.admits(w) ? toString(w)[0] : '-';
     }
     return out;
   };
   EXPECT_EQ(takes(), "cspl");
-  gauge.note(Duration{100}, Duration{500});
+  gauge.recordTimer(Duration{100}, Duration{500});
   EXPECT_EQ(takes(), "csp-");
-  gauge.note(Duration{100}, Duration{1400});
+  gauge.recordTimer(Duration{100}, Duration{1400});
   EXPECT_EQ(takes(), "cs--");
-  gauge.note(Duration{100}, Duration{4000});
+  gauge.recordTimer(Duration{100}, Duration{4000});
   EXPECT_EQ(takes(), "c---");
-  for (int i = 0; i < 5; ++i) gauge.note(Duration{100}, Duration{101});
+  for (int i = 0; i < 5; ++i) gauge.recordTimer(Duration{100}, Duration{101});
   EXPECT_EQ(takes(), "cspl");
 }
 
--- a/src/members/service.hpp
+++ b/src/members/service.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The users' interface with keys on: every request is asked for its key, checked against what the
-/// key may do, the member's rates and turns, and answered within the member's own space of names.
-/// Paths, fields and statuses are in docs/members.md.
+/// Implements the HTTP interface for members. It authenticates each request by its key, checks the
+/// rights of the key, applies the member's rate limits and the fair queue, and resolves job names
+/// in the member's own namespace. docs/members.md lists the paths, fields and status codes.
 #pragma once
 
 #include <functional>
@@ -15,62 +15,78 @@
 
 namespace kestrelhoist {
 
+/// Serves the requests of members and of users without a key.
 class MemberService {
  public:
-  /// `metrics` may be null.
+  /// Stores the references. `metrics` may be null.
   MemberService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
                 const Platform& platform, const MemberSettings& settings, JobService& jobs,
                 FlowService& flows, Metrics* metrics, std::uint64_t seed);
 
-  /// Answers all users' paths; false if the path is not one of these. `hold`: whether a watch may
-  /// be held open; not if another controller passed it on and waits.
+  /// Answers a request for one of the users' paths, and returns false for any other path. `hold`
+  /// says whether a watch may be held open. It is false for a request that another controller
+  /// forwarded, since that controller waits for the answer.
   bool handle(const Request& request, const Respond& respond, bool hold = true);
-  /// The records have changed: watches may have something to tell.
+  /// Answers the held watches for which the changed records contain a result.
   void onRecordsChanged();
-  /// Ten times a second; `took` since the last one.
+  /// Runs the periodic work. The caller schedules it every `due`, ten times a second; `took` is
+  /// the time since the last call.
   void onTimer(Duration due, Duration took);
+  /// Sets the gauges of the member service.
   void fill(MetricGauges& gauges) const;
 
  private:
+  /// Describes the holder of a valid key and the rights of the key.
   struct Caller {
     KeyId key;
     Owner owner;
     unsigned rights{};
     bool root{};
   };
-  using Checked = std::variant<Caller, Response>;
-  /// What the key in the request says now; `sure`: after a read that was sent after the request.
-  std::optional<Checked> check(const std::string& credential, bool sure) const;
+  using AuthResult = std::variant<Caller, Response>;
+  /// Returns the caller for a credential, or the response that refuses it. Returns nullopt if the
+  /// key is not in the replica and `afterRead` is false. In this case it is called again with
+  /// `afterRead` true after a linearizable read.
+  std::optional<AuthResult> authenticate(const std::string& credential, bool afterRead) const;
+  /// Returns the caller for a key, or nullopt if the key is unknown, expired or revoked.
   std::optional<Caller> callerOf(const KeyId& key) const;
-  void admitted(const Caller& caller, const Request& request, const Respond& respond, bool hold);
-  void write(const Caller& caller, Work work, const Respond& respond,
+  /// Applies load shedding, rate limits and rights to an authenticated request and runs it.
+  void handleAuthenticated(const Caller& caller, const Request& request, const Respond& respond,
+                           bool hold);
+  /// Runs `start` once the fair queue admits it, or answers 429 if the queue is full.
+  void write(const Caller& caller, RequestKind kind, const Respond& respond,
              std::function<void(const Respond&)> start);
-  /// Answers and counts.
-  Respond counted(const Owner& owner, const char* kind, const Respond& respond);
+  /// Wraps `respond` so that the answer is charged to the member's byte rate and counted in the
+  /// metrics.
+  Respond counted(const Owner& owner, const char* kindName, const Respond& respond);
 
-  /// members/job_lists.cpp
+  // The following members are defined in members/job_lists.cpp.
+
+  /// Holds one page of a member's job list.
   struct Page {
     Json jobs = Json::array();
-    ChangePlace next;
+    ChangePosition next;
     bool more{};
   };
-  Page page(const Owner& owner, const ChangePlace& since, const JobFilter& filter) const;
+  Page page(const Owner& owner, const ChangePosition& since, const JobFilter& filter) const;
   Response answer(const Owner& owner, const Page& page) const;
   void list(const Caller& caller, const std::string& query, bool hold, const Respond& respond);
-  void park(Watch watch, Duration wait);
-  void serve(const Owner& owner);
+  void holdWatch(Watch watch, Duration wait);
+  void answerWatches(const Owner& owner);
+
+  // The following members are defined in members/key_service.cpp.
 
-  /// members/key_service.cpp
   bool handleKeys(const Caller& caller, const Request& request, const std::string& path,
                   const Respond& respond);
-  void makeKey(const Caller& caller, const Request& request, const Respond& respond);
+  void createKey(const Caller& caller, const Request& request, const Respond& respond);
   void listKeys(const Caller& caller, const std::string& query, const Respond& respond);
-  void endKey(const Caller& caller, const KeyId& id, const Request& request, int triesLeft,
-              const Respond& respond);
+  void revokeKey(const Caller& caller, const KeyId& id, const Request& request, int triesLeft,
+                 const Respond& respond);
   Json viewOf(const KeyId& id, const KeyRecord& record) const;
-  void makeCursorKey();
+  void createCursorSecret();
 
-  /// A member's flows; a flow of another member is answered like none.
+  /// Serves requests for the caller's flows. A flow of another member is answered with 404, like
+  /// one that does not exist.
   void flows(const Caller& caller, const Request& request, const std::string& path,
              const Respond& respond);
 
@@ -85,12 +101,12 @@
   Metrics* metrics_;
   LoadGauge gauge_;
   MemberRates rates_;
-  RateBudget writes_;
-  FairTurns turns_;
+  TokenBucket writes_;
+  FairQueue fairQueue_;
   Watches watches_;
-  std::optional<CursorSeal> seal_;
-  std::string sealedWith_;
-  bool makingCursorKey_ = false;
+  std::optional<CursorCipher> cursorCipher_;
+  std::string cursorSecret_;
+  bool creatingCursorSecret_ = false;
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/charges.cpp
+++ b/src/policy/charges.cpp
@@ -6,7 +6,7 @@
 namespace kestrelhoist {
 namespace {
 
-// Splits a whole by shares; what rounding leaves goes to the last.
+// Splits a charge by shares; the last part gets the rounding difference.
 std::vector<Charge> split(const Charge& whole, const std::vector<double>& shares) {
   std::vector<Charge> out;
   Charge left = whole;
@@ -23,9 +23,9 @@
   return out;
 }
 
-Json paidJson(const Charge& p) { return {p.ms, p.money}; }
+Json chargeToJson(const Charge& p) { return {p.ms, p.money}; }
 
-std::optional<Charge> paidFrom(const Json& v) {
+std::optional<Charge> chargeFromJson(const Json& v) {
   if (!v.is_array() || v.size() != 2 || !v[0].is_number_integer() || !v[1].is_number_integer()) {
     return std::nullopt;
   }
@@ -55,10 +55,10 @@
   if (from >= toMs) return;
   Charge whole;
   whole.ms = static_cast<std::uint64_t>(toMs - from);
-  // The same whatever windows it is cut into, but for less than a millionth each.
+  // Dividing a period into several intervals changes the total by less than one millionth each.
   whole.money = static_cast<std::uint64_t>(
       std::llround(m.pricePerHour * 1e6 * static_cast<double>(whole.ms) / 3600000.0));
-  if (!m.up) {
+  if (!m.hasReported) {
     account.boot += whole;
     return;
   }
@@ -71,13 +71,14 @@
     to.push_back(&account.used[team]);
     shares.push_back(share * scale);
   }
-  // The rest: theirs who want the machine warm, in equal parts, else nobody's.
+  // The unused share is charged in equal parts to the teams whose warm pools keep the machine, or
+  // to no team if there is none.
   double rest = std::max(0.0, 1 - sum);
-  for (const auto& team : m.pools) {
+  for (const auto& team : m.poolTeams) {
     to.push_back(&account.warm[team]);
-    shares.push_back(rest / static_cast<double>(m.pools.size()));
+    shares.push_back(rest / static_cast<double>(m.poolTeams.size()));
   }
-  if (m.pools.empty()) {
+  if (m.poolTeams.empty()) {
     to.push_back(&account.idle);
     shares.push_back(rest);
   }
@@ -88,22 +89,22 @@
 Json toJson(const ChargeRecord& r) {
   auto teams = [](const std::map<TeamId, Charge>& of) {
     Json out = Json::object();
-    for (const auto& [team, paid] : of) out[team.value] = paidJson(paid);
+    for (const auto& [team, paid] : of) out[team.value] = chargeToJson(paid);
     return out;
   };
   return {{"through", r.throughMs},
           {"used", teams(r.account.used)},
           {"warm", teams(r.account.warm)},
-          {"idle", paidJson(r.account.idle)},
-          {"boot", paidJson(r.account.boot)}};
+          {"idle", chargeToJson(r.account.idle)},
+          {"boot", chargeToJson(r.account.boot)}};
 }
 
-std::optional<ChargeRecord> chargeRecordFrom(const Json& v) {
+std::optional<ChargeRecord> chargeRecordFromJson(const Json& v) {
   auto through = countField(v, "through");
   const Json* idle = field(v, "idle");
   const Json* boot = field(v, "boot");
-  auto idlePaid = idle ? paidFrom(*idle) : std::nullopt;
-  auto bootPaid = boot ? paidFrom(*boot) : std::nullopt;
+  auto idlePaid = idle ? chargeFromJson(*idle) : std::nullopt;
+  auto bootPaid = boot ? chargeFromJson(*boot) : std::nullopt;
   if (!through || !idlePaid || !bootPaid) return std::nullopt;
   ChargeRecord r;
   r.throughMs = static_cast<std::int64_t>(*through);
@@ -113,7 +114,7 @@
     const Json* teams = field(v, name);
     if (!teams || !teams->is_object()) return std::nullopt;
     for (const auto& [team, paid] : teams->items()) {
-      auto p = paidFrom(paid);
+      auto p = chargeFromJson(paid);
       if (!p) return std::nullopt;
       (*to)[TeamId{team}] = *p;
     }
--- a/src/policy/policy_loop.hpp
+++ b/src/policy/policy_loop.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The leader's part of the policy: at each window and boundary it decides what is in force, and
-/// commits it with what the machines cost since, before anything follows from it.
+/// Defines the leader's control loop for the policy. At the end of each forecast interval and when
+/// a period opens or closes, it computes the policy state and commits it, together with the charges
+/// since the previous commit, before any decision depends on it.
 #pragma once
 
 #include "fleet/fleet.hpp"
@@ -10,6 +11,7 @@
 
 namespace kestrelhoist {
 
+/// Computes and commits the policy state and the charges while this controller leads.
 class PolicyLoop : public ControlLoop {
  public:
   PolicyLoop(LeaderContext& context, Fleet& fleet, PolicyReplica& replica)
@@ -19,7 +21,7 @@
   void onTimer() override;
 
  private:
-  PolicyObservation seen(bool windowEnds);
+  PolicyObservation observe(bool windowEnds);
   double prioritizedMachines() const;
   void measureCoverage(PolicyState& s) const;
   void chooseWarmMachines(PolicyState& s) const;
@@ -31,9 +33,9 @@
   std::mt19937_64 random_;
   Instant windowEnds_{};
   bool due_ = false, windowDue_ = false;
-  std::uint32_t lostBefore_ = 0, lateBefore_ = 0;
-  std::set<MachineId> noticed_;
-  Instant startsSince_{};
+  std::uint32_t lostCountBefore_ = 0, neverBootedCountBefore_ = 0;
+  std::set<MachineId> machinesWithNotice_;
+  Instant startsCountedUntil_{};
 };
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_replica.cpp
+++ b/src/policy/policy_replica.cpp
@@ -10,7 +10,7 @@
   return {{"version", v.version}, {"at", v.atMs}, {"by", v.by}, {"document", v.document}};
 }
 
-std::optional<PolicyVersion> policyVersionFrom(const Json& v) {
+std::optional<PolicyVersion> policyVersionFromJson(const Json& v) {
   auto version = countField(v, "version");
   auto at = countField(v, "at");
   auto by = textField(v, "by");
@@ -28,7 +28,7 @@
   auto numbered = [&](const std::string& prefix, std::map<std::int64_t, ChargeRecord>& to) {
     std::int64_t n = 0;
     std::from_chars(key.data() + prefix.size(), key.data() + key.size(), n);
-    auto record = value ? chargeRecordFrom(*value) : std::nullopt;
+    auto record = value ? chargeRecordFromJson(*value) : std::nullopt;
     if (record) {
       to[n] = std::move(*record);
     } else {
@@ -36,27 +36,27 @@
     }
   };
   if (key == keys::kPolicy) {
-    current_ = value ? policyVersionFrom(*value) : std::nullopt;
+    current_ = value ? policyVersionFromJson(*value) : std::nullopt;
     policy_.reset();
-    nextOf_ = -1;
+    nextComputedForMs_ = -1;
     if (!current_ || current_->document.is_null()) return;
     try {
       policy_ = parsePolicy(current_->document);
     } catch (const std::exception& e) {
-      logError("policy can't be read", "why", e.what());
+      logError("policy document can't be parsed; no policy is applied", "why", e.what());
     }
   } else if (key.starts_with(keys::kPolicyPast)) {
-    auto past = value ? policyVersionFrom(*value) : std::nullopt;
+    auto past = value ? policyVersionFromJson(*value) : std::nullopt;
     if (!past) return;
     past_[past->version] = std::move(*past);
     while (past_.size() > kVersionsKept) past_.erase(past_.begin());
   } else if (key == keys::kPolicyState) {
-    state_ = value ? policyStateFrom(*value) : PolicyState{};
+    state_ = value ? policyStateFromJson(*value) : PolicyState{};
     warmMachines_.clear();
     for (const auto& [image, held] : state_.pools) {
       warmMachines_.insert(held.machines.begin(), held.machines.end());
     }
-    nextOf_ = -1;
+    nextComputedForMs_ = -1;
   } else if (key.starts_with(keys::kChargesOfHour)) {
     numbered(keys::kChargesOfHour, hours_);
   } else if (key.starts_with(keys::kChargesOfDay)) {
@@ -70,24 +70,24 @@
   timeOfDay = std::move(time);
 }
 
-const Period* PolicyReplica::open() const {
-  if (!policy_ || state_.open.empty()) return nullptr;
+const Period* PolicyReplica::openPeriod() const {
+  if (!policy_ || state_.openPeriodName.empty()) return nullptr;
   for (const auto& p : policy_->calendar.periods) {
-    if (p.name == state_.open) return &p;
+    if (p.name == state_.openPeriodName) return &p;
   }
   return nullptr;
 }
 
-const std::optional<Occurrence>& PolicyReplica::next() const {
-  if (nextOf_ != state_.actedMs) {
-    nextOf_ = state_.actedMs;
-    next_ = policy_ ? nextAfter(policy_->calendar, state_.actedMs) : std::nullopt;
+const std::optional<Occurrence>& PolicyReplica::nextOccurrence() const {
+  if (nextComputedForMs_ != state_.appliedUntilMs) {
+    nextComputedForMs_ = state_.appliedUntilMs;
+    next_ = policy_ ? nextOccurrenceAfter(policy_->calendar, state_.appliedUntilMs) : std::nullopt;
   }
   return next_;
 }
 
-bool PolicyReplica::opensBy(std::int64_t atMs) const {
-  const auto& o = next();
+bool PolicyReplica::nextPeriodOpensBy(std::int64_t atMs) const {
+  const auto& o = nextOccurrence();
   return o && o->opensMs <= atMs;
 }
 
@@ -96,41 +96,42 @@
 }
 
 int PolicyReplica::priorityAdjustment(const JobSpec& spec) const {
-  const Period* p = open();
+  const Period* p = openPeriod();
   if (!p) return 0;
   if (anyMatches(p->first, spec)) return 1;
   return spec.kind != JobKind::service && anyMatches(p->yields, spec) ? -1 : 0;
 }
 
-// Room for those who go first: mean + k * spread of what they take, at least what they took at most
-// in the period's last opening, never less than what they take now; in it work that yields would
-// have to be stopped again, or waited for.
-std::optional<double> PolicyReplica::machinesForYielding(double machines, double first) const {
-  const Period* p = open();
+// Leaves machines for the prioritized jobs, because yielding jobs on these machines would have to
+// be preempted again. The number of machines is the largest of three: the predicted mean plus its
+// spread, the peak of the period's most recent opening, and the current demand.
+std::optional<double> PolicyReplica::machinesForYielding(double machines,
+                                                         double prioritizedMachines) const {
+  const Period* p = openPeriod();
   if (!p) return std::nullopt;
-  double day = state_.expected.mean + state_.expected.spread;
-  if (auto last = state_.last.find(p->name); last != state_.last.end()) {
-    day = std::max(day, last->second);
+  double expectedDemand = state_.expectedDemand.mean + state_.expectedDemand.spread;
+  if (auto last = state_.lastPeaks.find(p->name); last != state_.lastPeaks.end()) {
+    expectedDemand = std::max(expectedDemand, last->second);
   }
-  return std::max(p->floor * machines, machines - std::max(day, first));
+  return std::max(p->floor * machines, machines - std::max(expectedDemand, prioritizedMachines));
 }
 
 std::optional<Duration> PolicyReplica::untilYielding(const JobSpec& spec) const {
-  const auto& o = next();
-  if (!o || open() || !timeOfDay || spec.kind == JobKind::service) return std::nullopt;
+  const auto& o = nextOccurrence();
+  if (!o || openPeriod() || !timeOfDay || spec.kind == JobKind::service) return std::nullopt;
   if (!anyMatches(policy_->calendar.periods[o->period].yields, spec)) return std::nullopt;
   return Duration{std::max<std::int64_t>(0, o->opensMs - timeOfDay())};
 }
 
-bool PolicyReplica::returnsWithin(Duration within) const {
-  return open() && timeOfDay && state_.closesMs - timeOfDay() <= within.count();
+bool PolicyReplica::periodClosesWithin(Duration within) const {
+  return openPeriod() && timeOfDay && state_.closesMs - timeOfDay() <= within.count();
 }
 
-double PolicyReplica::machinesAhead(Duration within) const {
-  const auto& o = next();
+double PolicyReplica::machinesForNextPeriod(Duration within) const {
+  const auto& o = nextOccurrence();
   if (!o || !timeOfDay || o->opensMs - timeOfDay() > within.count()) return 0;
-  auto last = state_.last.find(policy_->calendar.periods[o->period].name);
-  return last == state_.last.end() ? 0 : last->second;
+  auto last = state_.lastPeaks.find(policy_->calendar.periods[o->period].name);
+  return last == state_.lastPeaks.end() ? 0 : last->second;
 }
 
 }  // namespace kestrelhoist
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -6,84 +6,93 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::uint32_t kMassFailureAtLeast = 3;  // machines lost in a window
-constexpr double kMassFailureShare = 0.05;        // or of all
-constexpr std::uint32_t kCalm = 6;                // windows without a loss or a repair
+// A mass failure begins if one forecast interval loses at least this number and this share of the
+// machines.
+constexpr std::uint32_t kMassFailureMinMachines = 3;
+constexpr double kMassFailureMinShare = 0.05;
+// A mass failure ends after this number of forecast intervals without a loss or a repair.
+constexpr std::uint32_t kMaxIntervalsWithoutChange = 6;
 
 void openPeriod(PolicyState& s, const Calendar& c, const Occurrence& o, std::int64_t now) {
-  s.open = c.periods[o.period].name;
+  s.openPeriodName = c.periods[o.period].name;
   s.openedAtMs = now;
   s.closesMs = o.closesMs;
   s.peak = 0;
-  ++s.opened;
+  ++s.openedCount;
 }
 
 void closePeriod(PolicyState& s) {
-  if (s.open.empty()) return;
-  if (s.peak > 0) s.last[s.open] = s.peak;
-  s.open.clear();
+  if (s.openPeriodName.empty()) return;
+  if (s.peak > 0) s.lastPeaks[s.openPeriodName] = s.peak;
+  s.openPeriodName.clear();
   s.closesMs = 0;
-  ++s.closed;
+  ++s.closedCount;
 }
 
-// A period opens once and closes once: what was acted on lies behind `actedMs`, which never goes
-// back, however clocks step, leaders change or the state service is out.
-void turnCalendar(PolicyState& s, const Calendar& c, bool edited, std::int64_t now) {
-  auto current = openAt(c, now);
+// Opens and closes periods that are due. Each period opens once and closes once, because
+// `appliedUntilMs` never decreases, even if clocks step, the leader changes or the state service is
+// unavailable.
+void advanceCalendar(PolicyState& s, const Calendar& c, bool edited, std::int64_t now) {
+  auto current = occurrenceAt(c, now);
   if (edited) {
-    // An edit while a period is open is one step.
-    bool stays = current && c.periods[current->period].name == s.open;
+    // An edit of the policy document while a period is open takes effect in a single transaction.
+    bool stays = current && c.periods[current->period].name == s.openPeriodName;
     if (stays) {
       s.closesMs = current->closesMs;
     } else {
       closePeriod(s);
       if (current) openPeriod(s, c, *current, now);
     }
-  } else if (s.open.empty() ? current.has_value() : now >= s.closesMs) {
+  } else if (s.openPeriodName.empty() ? current.has_value() : now >= s.closesMs) {
     closePeriod(s);
     if (current) openPeriod(s, c, *current, now);
   }
 }
 
-void trackMassFailure(PolicyState& s, const PolicyObservation& seen) {
-  std::uint32_t losses = seen.lost + seen.notices + seen.lateBoots;
-  bool many = losses >= std::max<double>(kMassFailureAtLeast, kMassFailureShare * seen.machines);
-  bool hit = many || seen.unreachableZones > 0;
+void trackMassFailure(PolicyState& s, const PolicyObservation& observation) {
+  std::uint32_t losses = observation.lost + observation.notices + observation.neverBooted;
+  bool many = losses >= std::max<double>(kMassFailureMinMachines,
+                                         kMassFailureMinShare * observation.machines);
+  bool hit = many || observation.unreachableZones > 0;
   if (!s.massFailure) {
-    if (hit) s.massFailure = MassFailure{seen.nowMs, losses, 1, 0, seen.missing};
+    if (hit)
+      s.massFailure = MassFailure{observation.nowMs, losses, 1, 0, observation.missingReplicas};
     return;
   }
   MassFailure& massFailure = *s.massFailure;
   massFailure.lost += losses;
   if (hit) ++massFailure.waves;
-  bool repaired = seen.missing < massFailure.missing;
-  massFailure.calm = hit || repaired ? 0 : massFailure.calm + 1;
-  massFailure.missing = seen.missing;
-  // By evidence: all is up again, or nothing gets better any more, so there is no room for it.
-  if (!hit && (seen.missing == 0 || massFailure.calm >= kCalm)) s.massFailure.reset();
+  bool repaired = observation.missingReplicas < massFailure.missingReplicas;
+  massFailure.intervalsWithoutChange = hit || repaired ? 0 : massFailure.intervalsWithoutChange + 1;
+  massFailure.missingReplicas = observation.missingReplicas;
+  // The mass failure is over when all protected replicas are up again, or when the number
+  // of missing replicas no longer falls, which means that no machine can hold them.
+  if (!hit && (observation.missingReplicas == 0 ||
+               massFailure.intervalsWithoutChange >= kMaxIntervalsWithoutChange))
+    s.massFailure.reset();
 }
 
 }  // namespace
 
-PolicyState decidePolicyState(const Policy* policy, std::uint64_t version,
-                              const PolicyState& before, const PolicyObservation& seen,
-                              double spreadMultiple, std::mt19937_64& random) {
+PolicyState computePolicyState(const Policy* policy, std::uint64_t version,
+                               const PolicyState& before, const PolicyObservation& observation,
+                               double spreadMultiple, std::mt19937_64& random) {
   PolicyState s = before;
-  std::int64_t now = std::max(seen.nowMs, before.actedMs);
-  bool edited = version != before.policy;
-  s.policy = version;
-  if (seen.windowEnds) trackMassFailure(s, seen);
+  std::int64_t now = std::max(observation.nowMs, before.appliedUntilMs);
+  bool edited = version != before.policyVersion;
+  s.policyVersion = version;
+  if (observation.windowEnds) trackMassFailure(s, observation);
   static const Calendar kNone;
   const Calendar& calendar = policy ? policy->calendar : kNone;
-  // Within a storm the calendar moves nothing; what lies behind is done at its end.
+  // No period opens or closes during a mass failure; those that are due follow when it is over.
   if (!s.massFailure || edited) {
-    turnCalendar(s, calendar, edited, now);
-    s.actedMs = now;
+    advanceCalendar(s, calendar, edited, now);
+    s.appliedUntilMs = now;
   }
-  if (seen.windowEnds && !s.open.empty()) {
-    s.peak = std::max(s.peak, seen.prioritizedMachines);
-    s.day.observe(seen.prioritizedMachines);
-    s.expected = s.day.predict(random);
+  if (observation.windowEnds && !s.openPeriodName.empty()) {
+    s.peak = std::max(s.peak, observation.prioritizedMachines);
+    s.demandForecast.observe(observation.prioritizedMachines);
+    s.expectedDemand = s.demandForecast.predict(random);
   }
   if (!policy) {
     s.pools.clear();
@@ -94,32 +103,35 @@
     for (const auto& image : pool.images) {
       WarmImage& held = pools[image];
       if (auto old = s.pools.find(image); old != s.pools.end()) held = std::move(old->second);
-      if (seen.windowEnds) {
-        auto starts = seen.starts.find(image);
-        held.starts.observe(starts == seen.starts.end() ? 0 : starts->second);
+      if (observation.windowEnds) {
+        auto starts = observation.starts.find(image);
+        held.starts.observe(starts == observation.starts.end() ? 0 : starts->second);
       }
       auto p = held.starts.predict(random);
       double windows = std::max(1.0, toSeconds(pool.ahead) / 10.0);
-      // Aquatope's pre-warmed pool: mean + k * spread of the starts ahead of which it holds.
+      // The size of the warm pool follows Aquatope: the mean of the starts expected within `ahead`,
+      // plus their spread times a factor.
       double wanted = p.mean * windows + spreadMultiple * p.spread * std::sqrt(windows);
-      held.wanted =
-          std::clamp(static_cast<std::uint32_t>(std::ceil(wanted - 1e-6)), pool.least, pool.most);
+      held.wanted = std::clamp(static_cast<std::uint32_t>(std::ceil(wanted - 1e-6)),
+                               pool.minMachines, pool.maxMachines);
     }
   }
   s.pools = std::move(pools);
   return s;
 }
 
-std::vector<std::uint32_t> shareAmong(const std::vector<YieldingJob>& jobs, double machines) {
+std::vector<std::uint32_t> maxTasksOfYieldingJobs(const std::vector<YieldingJob>& jobs,
+                                                  double machines) {
   std::vector<std::uint32_t> most(jobs.size(), 0);
   std::vector<std::size_t> open(jobs.size());
   for (std::size_t j = 0; j < jobs.size(); ++j) open[j] = j;
-  // Each may begin: none stays longer than four minutes without.
+  // Each job may run one task, so that no job waits longer than four minutes for its first task.
   for (auto j : open) {
     if (jobs[j].waiting + jobs[j].held > 0) most[j] = 1;
     machines -= most[j] * jobs[j].share;
   }
-  // The rest evenly: who needs less than an even part leaves it to the others.
+  // The remaining machines are shared evenly. A job that needs less than an even share leaves the
+  // difference to the other jobs.
   while (!open.empty() && machines > 1e-6) {
     double even = machines / static_cast<double>(open.size());
     double given = 0;
@@ -140,27 +152,27 @@
 }
 
 Json toJson(const PolicyState& s) {
-  Json v = s.others;
-  v["policy"] = s.policy;
-  v["acted"] = s.actedMs;
-  v["open"] = s.open;
+  Json v = s.unknownFields;
+  v["policy"] = s.policyVersion;
+  v["acted"] = s.appliedUntilMs;
+  v["open"] = s.openPeriodName;
   v["since"] = s.openedAtMs;
   v["closes"] = s.closesMs;
-  v["opened"] = s.opened;
-  v["closed"] = s.closed;
+  v["opened"] = s.openedCount;
+  v["closed"] = s.closedCount;
   v["peak"] = s.peak;
-  v["last"] = s.last;
-  v["day"] = s.day.toJson();
-  v["expected"] = {s.expected.mean, s.expected.spread};
-  v["covered"] = s.covered;
-  v["uncovered"] = s.uncovered;
+  v["last"] = s.lastPeaks;
+  v["day"] = s.demandForecast.toJson();
+  v["expected"] = {s.expectedDemand.mean, s.expectedDemand.spread};
+  v["covered"] = s.coveredShare;
+  v["uncovered"] = s.uncoveredReplicas;
   v.erase("storm");
   if (s.massFailure) {
     v["storm"] = {{"since", s.massFailure->sinceMs},
                   {"lost", s.massFailure->lost},
                   {"waves", s.massFailure->waves},
-                  {"calm", s.massFailure->calm},
-                  {"missing", s.massFailure->missing}};
+                  {"calm", s.massFailure->intervalsWithoutChange},
+                  {"missing", s.massFailure->missingReplicas}};
   }
   Json pools = Json::object();
   for (const auto& [image, held] : s.pools) {
@@ -173,37 +185,37 @@
   return v;
 }
 
-PolicyState policyStateFrom(const Json& v) {
+PolicyState policyStateFromJson(const Json& v) {
   PolicyState s;
   if (!v.is_object()) return s;
-  s.others = v;
+  s.unknownFields = v;
   for (const char* known :
        {"policy", "acted", "open", "since", "closes", "opened", "closed", "peak", "last", "day",
         "expected", "covered", "uncovered", "storm", "pools"}) {
-    s.others.erase(known);
+    s.unknownFields.erase(known);
   }
   auto ms = [&](const char* name) {
     return static_cast<std::int64_t>(countField(v, name).value_or(0));
   };
-  s.policy = countField(v, "policy").value_or(0);
-  s.actedMs = ms("acted");
-  s.open = textField(v, "open").value_or("");
+  s.policyVersion = countField(v, "policy").value_or(0);
+  s.appliedUntilMs = ms("acted");
+  s.openPeriodName = textField(v, "open").value_or("");
   s.openedAtMs = ms("since");
   s.closesMs = ms("closes");
-  s.opened = countField(v, "opened").value_or(0);
-  s.closed = countField(v, "closed").value_or(0);
+  s.openedCount = countField(v, "opened").value_or(0);
+  s.closedCount = countField(v, "closed").value_or(0);
   s.peak = numberField(v, "peak").value_or(0);
-  s.covered = numberField(v, "covered").value_or(1);
-  s.uncovered = static_cast<std::uint32_t>(countField(v, "uncovered").value_or(0));
+  s.coveredShare = numberField(v, "covered").value_or(1);
+  s.uncoveredReplicas = static_cast<std::uint32_t>(countField(v, "uncovered").value_or(0));
   if (const Json* last = field(v, "last"); last && last->is_object()) {
     for (const auto& [name, n] : last->items()) {
-      if (n.is_number()) s.last[name] = n.get<double>();
+      if (n.is_number()) s.lastPeaks[name] = n.get<double>();
     }
   }
-  if (const Json* day = field(v, "day")) s.day.fromJson(*day);
+  if (const Json* day = field(v, "day")) s.demandForecast.fromJson(*day);
   if (const Json* e = field(v, "expected");
       e && e->is_array() && e->size() == 2 && (*e)[0].is_number() && (*e)[1].is_number()) {
-    s.expected = {(*e)[0].get<double>(), (*e)[1].get<double>()};
+    s.expectedDemand = {(*e)[0].get<double>(), (*e)[1].get<double>()};
   }
   if (const Json* massFailure = field(v, "storm")) {
     auto n = [&](const char* name) {
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -7,7 +7,7 @@
 namespace kestrelhoist {
 namespace {
 
-// One period, "day".
+// Returns a policy with a single period, "day".
 std::shared_ptr<const Policy> policyWith(const std::string& zone, const char* from, const char* to,
                                          std::vector<std::string> holidays = {},
                                          const char* days = nullptr) {
@@ -34,36 +34,38 @@
 
 TEST(Calendar, LocalTimesFollowDaylightSaving) {
   auto c = calendar("Europe/Bratislava", "08:00", "17:00");
-  EXPECT_EQ(openAt(c, utc("2026-01-15 12:00"))->opensMs, utc("2026-01-15 07:00"));
-  EXPECT_EQ(openAt(c, utc("2026-07-15 12:00"))->opensMs, utc("2026-07-15 06:00"));
-  EXPECT_FALSE(openAt(c, utc("2026-07-15 15:00")));
-  EXPECT_EQ(nextAfter(c, utc("2026-07-15 15:00"))->opensMs, utc("2026-07-16 06:00"));
+  EXPECT_EQ(occurrenceAt(c, utc("2026-01-15 12:00"))->opensMs, utc("2026-01-15 07:00"));
+  EXPECT_EQ(occurrenceAt(c, utc("2026-07-15 12:00"))->opensMs, utc("2026-07-15 06:00"));
+  EXPECT_FALSE(occurrenceAt(c, utc("2026-07-15 15:00")));
+  EXPECT_EQ(nextOccurrenceAfter(c, utc("2026-07-15 15:00"))->opensMs, utc("2026-07-16 06:00"));
 }
 
 TEST(Calendar, ADayThatLacksAnHourAndOneThatRepeatsIt) {
-  // 2026-03-29: 02:00 to 03:00 does not exist; 2026-10-25: it comes twice.
+  // The local hour from 02:00 to 03:00 does not exist on 2026-03-29 and occurs twice on 2026-10-25.
   auto c = calendar("Europe/Bratislava", "02:30", "02:45");
-  EXPECT_FALSE(openAt(c, utc("2026-03-29 01:00")));  // opens and closes in the gap: not at all
+  EXPECT_FALSE(
+      occurrenceAt(c, utc("2026-03-29 01:00")));  // the whole period is in the skipped hour
   c = calendar("Europe/Bratislava", "02:30", "04:00");
-  EXPECT_EQ(openAt(c, utc("2026-03-29 01:10"))->opensMs, utc("2026-03-29 01:00"));
-  auto twice = openAt(c, utc("2026-10-25 01:00"));
-  EXPECT_EQ(twice->opensMs, utc("2026-10-25 00:30"));  // the first 02:30
+  EXPECT_EQ(occurrenceAt(c, utc("2026-03-29 01:10"))->opensMs, utc("2026-03-29 01:00"));
+  auto twice = occurrenceAt(c, utc("2026-10-25 01:00"));
+  EXPECT_EQ(twice->opensMs, utc("2026-10-25 00:30"));  // the first of two 02:30
   EXPECT_EQ(twice->closesMs, utc("2026-10-25 03:00"));
-  // Once on each of these days.
-  EXPECT_EQ(nextAfter(c, twice->opensMs)->opensMs, utc("2026-10-26 01:30"));
+  // The period opens only once on the day with the repeated hour.
+  EXPECT_EQ(nextOccurrenceAfter(c, twice->opensMs)->opensMs, utc("2026-10-26 01:30"));
 }
 
 TEST(Calendar, MidnightHolidaysAndWeekdays) {
   auto c = calendar("Africa/Accra", "22:00", "06:00", {"2026-12-25"}, R"(["thu","fri"])");
-  EXPECT_TRUE(openAt(c, utc("2026-12-25 05:00")));   // Thursday's, into the holiday
-  EXPECT_FALSE(openAt(c, utc("2026-12-25 23:00")));  // the holiday's own
-  EXPECT_FALSE(openAt(c, utc("2026-12-30 23:00")));  // a Wednesday
+  EXPECT_TRUE(
+      occurrenceAt(c, utc("2026-12-25 05:00")));  // Thursday's period lasts into the holiday
+  EXPECT_FALSE(occurrenceAt(c, utc("2026-12-25 23:00")));  // no period opens on the holiday
+  EXPECT_FALSE(occurrenceAt(c, utc("2026-12-30 23:00")));  // no period opens on a Wednesday
 }
 
 TEST(PolicyDocument, FaultsNameTheirPlace) {
   auto why = [](const char* text) -> std::string {
     try {
-      parsePolicy(jsonFrom(text));
+      parsePolicy(parseJson(text));
     } catch (const std::exception& e) {
       return e.what();
     }
@@ -87,7 +89,8 @@
                 .find("/calendar/periods/0/from"),
             std::string::npos);
   EXPECT_EQ(why(doc(period("a", "08:00", "17:00"), period("b", "17:00", "18:00")).c_str()), "");
-  EXPECT_EQ(why(R"({"later":{"version":2}})"), "");  // of a newer version: kept, not refused
+  EXPECT_EQ(why(R"({"later":{"version":2}})"),
+            "");  // unknown fields of newer versions are accepted
 }
 
 PolicyObservation seenAt(std::int64_t ms, bool window = true) {
@@ -98,39 +101,39 @@
   return s;
 }
 
-// Whatever clocks say and whoever decides: each opening of a period is acted on once, and closed
-// once.
+// Guards against a period that opens or closes twice, which could happen when clocks step back or
+// when a new leader reads the policy state from its record.
 RC_GTEST_PROP(PolicyState, PeriodsOpenAndCloseOnce, ()) {
   auto policy = policyWith("Europe/Bratislava", "08:00", "17:00");
   std::mt19937_64 random(1);
   PolicyState s;
   std::int64_t now = utc("2026-10-20 00:00"), end = utc("2026-10-30 00:00");
-  s = decidePolicyState(policy.get(), 1, s, seenAt(now), 1, random);
+  s = computePolicyState(policy.get(), 1, s, seenAt(now), 1, random);
   while (now < end) {
     now += *rc::gen::inRange<std::int64_t>(1, 6 * 3600) * 1000;
     std::int64_t off = *rc::gen::inRange<std::int64_t>(-300, 300) * 1000;
     auto before = s;
-    s = decidePolicyState(policy.get(), 1, s, seenAt(now + off, false), 1, random);
-    // Through the record, as a new leader reads it.
-    s = policyStateFrom(toJson(s));
-    RC_ASSERT(s.actedMs >= before.actedMs);
-    RC_ASSERT(s.opened <= before.opened + 1);
-    RC_ASSERT(s.opened == s.closed + (s.open.empty() ? 0 : 1));
+    s = computePolicyState(policy.get(), 1, s, seenAt(now + off, false), 1, random);
+    // The state is converted to its record and back, as when a new leader reads it.
+    s = policyStateFromJson(toJson(s));
+    RC_ASSERT(s.appliedUntilMs >= before.appliedUntilMs);
+    RC_ASSERT(s.openedCount <= before.openedCount + 1);
+    RC_ASSERT(s.openedCount == s.closedCount + (s.openPeriodName.empty() ? 0 : 1));
   }
-  RC_ASSERT(s.opened <= 10U);
+  RC_ASSERT(s.openedCount <= 10U);
 }
 
 TEST(PolicyState, AnEditIsOneStepAndUnknownFieldsStay) {
   auto c = [](const char* to) { return policyWith("UTC", "08:00", to); };
   std::mt19937_64 random(1);
-  PolicyState s = policyStateFrom({{"of_a_newer_version", 7}});
-  s = decidePolicyState(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
-  EXPECT_EQ(s.open, "day");
-  s = decidePolicyState(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
-  EXPECT_EQ(s.opened, 1U);
+  PolicyState s = policyStateFromJson({{"of_a_newer_version", 7}});
+  s = computePolicyState(c("17:00").get(), 1, s, seenAt(utc("2026-10-20 09:00")), 1, random);
+  EXPECT_EQ(s.openPeriodName, "day");
+  s = computePolicyState(c("18:00").get(), 2, s, seenAt(utc("2026-10-20 09:01")), 1, random);
+  EXPECT_EQ(s.openedCount, 1U);
   EXPECT_EQ(s.closesMs, utc("2026-10-20 18:00"));
-  s = decidePolicyState(nullptr, 3, s, seenAt(utc("2026-10-20 09:02")), 1, random);
-  EXPECT_EQ(s.closed, 1U);
+  s = computePolicyState(nullptr, 3, s, seenAt(utc("2026-10-20 09:02")), 1, random);
+  EXPECT_EQ(s.closedCount, 1U);
   EXPECT_EQ(toJson(s).at("of_a_newer_version"), 7);
 }
 
@@ -138,26 +141,26 @@
   auto policy = policyWith("UTC", "08:00", "17:00");
   std::mt19937_64 random(1);
   auto at = utc("2026-10-20 07:59");
-  auto seen = seenAt(at);
-  PolicyState s = decidePolicyState(policy.get(), 1, {}, seen, 1, random);
-  seen.lost = 4;
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
-  EXPECT_FALSE(s.massFailure);  // 4 of 100
-  seen.lost = 5;
-  seen.missing = 40;
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  auto observation = seenAt(at);
+  PolicyState s = computePolicyState(policy.get(), 1, {}, observation, 1, random);
+  observation.lost = 4;
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
+  EXPECT_FALSE(s.massFailure);  // 4 of 100 machines are too few
+  observation.lost = 5;
+  observation.missingReplicas = 40;
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   ASSERT_TRUE(s.massFailure);
-  seen = seenAt(utc("2026-10-20 08:05"));
-  seen.missing = 20;  // being repaired
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
-  EXPECT_TRUE(s.open.empty());
-  seen.lost = 30;  // a second one within the first
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  observation = seenAt(utc("2026-10-20 08:05"));
+  observation.missingReplicas = 20;  // lost replicas are being replaced
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
+  EXPECT_TRUE(s.openPeriodName.empty());
+  observation.lost = 30;  // further losses during the mass failure
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_EQ(s.massFailure->waves, 2U);
-  seen.lost = seen.missing = 0;
-  s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  observation.lost = observation.missingReplicas = 0;
+  s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_FALSE(s.massFailure);
-  EXPECT_EQ(s.open, "day");
+  EXPECT_EQ(s.openPeriodName, "day");
 }
 
 TEST(PolicyState, PoolsHoldMeanAndSpreadOfTheStartsWithinTheirBounds) {
@@ -169,14 +172,14 @@
                                 {"most", 9},
                                 {"ahead_s", 20}}}}});
   std::mt19937_64 random(1);
-  PolicyState s = decidePolicyState(policy.get(), 1, {}, seenAt(1000), 1, random);
+  PolicyState s = computePolicyState(policy.get(), 1, {}, seenAt(1000), 1, random);
   EXPECT_EQ(s.pools.at(ImageId{"w"}).wanted, 2U);
-  auto seen = seenAt(2000);
-  seen.starts[ImageId{"w"}] = 3;
-  for (int i = 0; i < 30; ++i) s = decidePolicyState(policy.get(), 1, s, seen, 1, random);
+  auto observation = seenAt(2000);
+  observation.starts[ImageId{"w"}] = 3;
+  for (int i = 0; i < 30; ++i) s = computePolicyState(policy.get(), 1, s, observation, 1, random);
   EXPECT_GE(s.pools.at(ImageId{"w"}).wanted, 6U);
   EXPECT_LE(s.pools.at(ImageId{"w"}).wanted, 9U);
-  s = decidePolicyState(nullptr, 2, s, seen, 1, random);  // withdrawn
+  s = computePolicyState(nullptr, 2, s, observation, 1, random);  // the policy is cleared
   EXPECT_TRUE(s.pools.empty());
 }
 
@@ -191,7 +194,7 @@
     least += jobs.back().share;
   }
   double machines = *rc::gen::inRange(0, 30);
-  auto most = shareAmong(jobs, machines);
+  auto most = maxTasksOfYieldingJobs(jobs, machines);
   double given = 0;
   for (std::size_t i = 0; i < n; ++i) {
     RC_ASSERT(most[i] >= 1U);
@@ -201,7 +204,7 @@
   RC_ASSERT(given <= std::max(machines, least) + 1e-6);
 }
 
-// Against every way to place them.
+// Returns the maximum number of placed replicas by trying every assignment.
 std::uint32_t bestOf(const std::vector<CoverageMachine>& machines, std::vector<double> room,
                      const std::vector<CoverageReplicas>& one, std::size_t next,
                      const std::set<std::size_t>& lost) {
@@ -234,7 +237,7 @@
   for (const auto& m : machines) room.push_back(m.spare);
   std::set<std::size_t> lost{0, 3};
   auto cover = coverageFor(machines, replicas, lost);
-  RC_ASSERT(cover.moving == replicas.size());
+  RC_ASSERT(cover.displaced == replicas.size());
   RC_ASSERT(cover.placed == bestOf(machines, room, replicas, 0, lost));
 }
 
@@ -242,12 +245,13 @@
   std::vector<CoverageMachine> machines{{0, 0, {1}}, {1, 0.25, {1}}, {2, 0, {}}};
   std::vector<CoverageReplicas> replicas{{1, 0.25, 0, 1}, {1, 0.25, 2, 3}};
   auto worst = worstCoverage(machines, replicas, 0);
-  EXPECT_EQ(worst.moving, 3U);
+  EXPECT_EQ(worst.displaced, 3U);
   EXPECT_EQ(worst.placed, 1U);
-  EXPECT_EQ(worstCoverage(machines, replicas, 2).moving, 4U);
+  EXPECT_EQ(worstCoverage(machines, replicas, 2).displaced, 4U);
 }
 
-// The parts of what a machine costs are what it costs, whoever uses it and however time is cut up.
+// Guards against machine time or money that is lost or counted twice when a machine's time is split
+// among teams and intervals.
 RC_GTEST_PROP(Ledger, PartsAddUpToWhatWasRented, ()) {
   ChargeAccount account;
   std::uint64_t ms = 0, money = 0;
@@ -255,11 +259,11 @@
     MachineTime m;
     m.rentedAtMs = *rc::gen::inRange<std::int64_t>(0, 20000);
     m.pricePerHour = *rc::gen::inRange(1, 3000) / 100.0;
-    m.up = *rc::gen::arbitrary<bool>();
+    m.hasReported = *rc::gen::arbitrary<bool>();
     for (const char* team : {"a", "b", "c"}) {
       if (*rc::gen::arbitrary<bool>()) m.used[TeamId{team}] = *rc::gen::inRange(1, 70) / 100.0;
     }
-    if (*rc::gen::arbitrary<bool>()) m.pools = {TeamId{"a"}, TeamId{"d"}};
+    if (*rc::gen::arbitrary<bool>()) m.poolTeams = {TeamId{"a"}, TeamId{"d"}};
     std::int64_t from = 0;
     while (from < 30000) {
       std::int64_t to = from + *rc::gen::inRange<std::int64_t>(1, 12000);
@@ -277,7 +281,7 @@
   RC_ASSERT(account.total().ms == ms);
   RC_ASSERT(account.total().money == money);
   ChargeRecord record{5, account};
-  auto again = chargeRecordFrom(toJson(record));
+  auto again = chargeRecordFromJson(toJson(record));
   RC_ASSERT(again.has_value());
   RC_ASSERT(again->account.total() == account.total());
 }
--- a/src/policy/service.cpp
+++ b/src/policy/service.cpp
@@ -5,7 +5,8 @@
 namespace kestrelhoist {
 namespace {
 constexpr Duration kCommitTimeout{1500};
-constexpr std::size_t kAround = 256;  // of a value, around the document
+// These bytes of a stored value are reserved for the fields around the policy document.
+constexpr std::size_t kOverheadBytes = 256;
 }  // namespace
 
 bool PolicyService::handle(const Request& request, const Respond& respond) {
@@ -76,7 +77,7 @@
   for (const auto& [name, n] : periods) {
     v["periods"][name] = {{"first", n.first}, {"yield", n.second}};
   }
-  auto open = openAt(policy.calendar, runtime_.wallMillis());
+  auto open = occurrenceAt(policy.calendar, runtime_.wallMillis());
   if (open) v["open"] = policy.calendar.periods[open->period].name;
   return v;
 }
@@ -90,8 +91,9 @@
   return std::nullopt;
 }
 
-// On the condition of the version that was read, and on the record's stamp: of two operators one is
-// told. The request's name tells a repetition from another's change.
+// Sets the policy with a compare-and-swap on the version that the operator has read and on the
+// record's revision, so that one of two concurrent changes is rejected. The name of the request
+// distinguishes a retry of a request from a change by another operator.
 void PolicyService::set(const Json& body, const Respond& respond) {
   std::shared_ptr<const Policy> policy;
   if (!body["document"].is_null()) {
@@ -100,11 +102,11 @@
     } catch (const std::exception& e) {
       return respond(jsonResponse(400, {{"error", e.what()}}));
     }
-    if (body["document"].dump().size() + kAround > platform_.valueBytes) {
-      return respond(jsonResponse(
-          400,
-          {{"error", "/: takes more than the " + std::to_string(platform_.valueBytes - kAround) +
-                         " bytes of a value"}}));
+    if (body["document"].dump().size() + kOverheadBytes > platform_.valueBytes) {
+      return respond(
+          jsonResponse(400, {{"error", "/: takes more than the " +
+                                           std::to_string(platform_.valueBytes - kOverheadBytes) +
+                                           " bytes of a value"}}));
     }
   }
   watcher_.linearizableRead([this, body, policy, respond](bool ok) {
@@ -112,18 +114,19 @@
     auto request = *textField(body, "request");
     auto expected = countField(body, "if");
     const auto& now = policyReplica_.current();
-    Json done = {{"version", policyReplica_.version()}};
-    // Also where another change has come since: a repetition must not take that one back.
+    Json result = {{"version", policyReplica_.version()}};
+    // A retry returns the version that the first attempt has set, even if the policy has changed
+    // since then; it must not undo the later change.
     if (auto version = versionOf(request)) {
       return respond(jsonResponse(200, {{"version", *version}}));
     }
     if (expected && *expected != policyReplica_.version()) {
-      done["error"] = "version " + std::to_string(policyReplica_.version()) + " was first";
-      return respond(jsonResponse(409, done));
+      result["error"] = "version " + std::to_string(policyReplica_.version()) + " was first";
+      return respond(jsonResponse(409, result));
     }
     if (boolField(body, "check").value_or(false)) {
-      done["effect"] = effectOf(policy ? *policy : Policy{});
-      return respond(jsonResponse(200, done));
+      result["effect"] = effectOf(policy ? *policy : Policy{});
+      return respond(jsonResponse(200, result));
     }
     PolicyVersion next{policyReplica_.version() + 1, runtime_.wallMillis(), request,
                        body["document"]};
@@ -133,7 +136,8 @@
       t.writes.push_back({key, std::move(value), std::nullopt});
     };
     put(keys::kPolicy, toJson(next));
-    // One that was set under a larger limit can't be kept among the past ones.
+    // A policy that was set under a larger value limit may be too large to be kept as a past
+    // version.
     Json past = now ? toJson(*now) : Json();
     if (now && past.dump().size() <= platform_.valueBytes) {
       put(keys::kPolicyPast + std::to_string(now->version % PolicyReplica::kVersionsKept),
@@ -146,7 +150,8 @@
           logInfo("policy set", "version", next.version);
           return respond(jsonResponse(200, {{"version", next.version}}));
         case CommitOutcome::conflict:
-          // Possibly an earlier copy of this one, which nobody has heard of.
+          // The conflicting change may be an earlier attempt of this request whose response was
+          // lost.
           return watcher_.linearizableRead([this, request, respond](bool ok) {
             if (!ok) return respond(retryLater(503));
             auto version = versionOf(request);
@@ -154,7 +159,8 @@
                             : jsonResponse(409, {{"error", "another change was first"}}));
           });
         default:
-          return respond(retryLater(503));  // carried out or not: the same request again tells
+          // The change may have been committed; a retry of the same request returns the outcome.
+          return respond(retryLater(503));
       }
     });
   });
--- a/src/store/change_watcher_test.cpp
+++ b/src/store/change_watcher_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 struct Load : testing::Test {
-  sim::Clockwork clock;
+  sim::VirtualClock clock;
   std::mt19937_64 random{1};
   sim::Network network{clock, random};
   simulator::StateService state{clock, network, "state:1"};
@@ -38,7 +38,9 @@
   clock.runUntil(2000);
   watcher.start();
   Instant first = runtime.now();
-  clock.in(5, [this] { state.refuse("node0", 20000); });  // The first page has been read by then.
+  clock.in(5, [this] {
+    state.rejectRequestsFrom("node0", 20000);
+  });  // The first page has been read by then.
   clock.runUntil(2100);
   EXPECT_FALSE(watcher.isLoaded());
   write("kh/job/j-100000");
@@ -46,7 +48,7 @@
   // changes.
   while (!watcher.isLoaded() && clock.now() < 30000) clock.runUntil(clock.now() + 1);
   ASSERT_TRUE(watcher.isLoaded());
-  state.refuse("node0", 20000);
+  state.rejectRequestsFrom("node0", 20000);
   clock.runUntil(clock.now() + 1000);
   EXPECT_EQ(watcher.snapshotTime(), first);
   EXPECT_GE(watcher.snapshotAge(), Duration{20000});
@@ -74,7 +76,7 @@
   clock.in(5, [&] {
     write(keys::job(spec->id), toJson(job));
     write(keys::tasks(spec->id, 0), toJson(tasks));
-    state.refuse("node0", 100);
+    state.rejectRequestsFrom("node0", 100);
   });
   clock.runUntil(5000);
   ASSERT_TRUE(watcher.isLoaded());
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -131,7 +131,7 @@
     flows_.addJob(job.record.flow->flow, id);
     flows_.touch(job.record.flow->flow, id);
   }
-  if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
+  if (job.record.owner) memberJobs_.recordChange(job.record.owner->owner, id, modRevision);
   updateDependencies(job, id);
   updateLiveJobs(job, id);
 }
@@ -140,7 +140,7 @@
   auto parsed = keys::parseDependencyPart(key);
   if (!parsed || !value) return;
   const Json* list = field(*value, "jobs");
-  auto jobs = list ? jobIdsFrom(*list) : std::nullopt;
+  auto jobs = list ? jobIdsFromJson(*list) : std::nullopt;
   if (!jobs) {
     logError("dependency list record is malformed; ignoring it", "key", key);
     return;
@@ -240,7 +240,7 @@
   TaskRange range{first, first + job.record.chunkSize};
   if (value) {
     applyTaskChunk(id, job, range, true, std::move(*record));
-    if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
+    if (job.record.owner) memberJobs_.recordChange(job.record.owner->owner, id, modRevision);
   } else {
     for (const auto& [index, placed] : job.tasksOf(range, true).placed) {
       if (!job.subChunkOf(index)) removePlacement(id, job, index, placed);
@@ -314,7 +314,7 @@
   if (!job.subChunks) job.subChunks = std::make_unique<std::map<std::uint32_t, std::uint32_t>>();
   (*job.subChunks)[range.first] = range.end;
   applyTaskChunk(id, job, range, false, std::move(*record));
-  if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
+  if (job.record.owner) memberJobs_.recordChange(job.record.owner->owner, id, modRevision);
   updateLiveJobs(job, id);
 }
 
--- a/tests/client_world_test.cpp
+++ b/tests/client_world_test.cpp
@@ -21,7 +21,7 @@
       : user(world, "script-" + std::to_string(life), key, seed) {
     std::vector<std::string> ids;
     for (int i = 0; i < kJobs; ++i) {
-      ids.push_back(refFor(kAna, batch(i)));
+      ids.push_back(refForIdempotencyKey(kAna, batch(i)));
       auto delay = Duration{static_cast<std::int64_t>(seed * 7919 * (i + 1) % 20000)};
       user.runtime().after(delay, [this, i] { submit(i); });
     }
@@ -38,7 +38,7 @@
   }
   void watch() {
     std::vector<std::string> ids;
-    for (int i = 0; i < kJobs; ++i) ids.push_back(refFor(kAna, batch(i)));
+    for (int i = 0; i < kJobs; ++i) ids.push_back(refForIdempotencyKey(kAna, batch(i)));
     watcher = std::make_shared<client::JobWatcher>(
         *user.jobs, ids, "",
         [this](const client::JobWatcher::Told& t) {
@@ -86,7 +86,7 @@
     case 1:
       return w.crash(node);
     case 2:
-      return w.crash(w.nodeFrom("leader"));
+      return w.crash(w.parseController("leader"));
     case 3:
       for (int i = 0; i < 3; ++i) w.crash(i, 3000 + pick(4000));
       return;
@@ -97,10 +97,10 @@
     case 6:
       return w.state.outage(ms / 2);
     case 7:
-      return w.state.refuse(name, ms);
+      return w.state.rejectRequestsFrom(name, ms);
     default:
-      w.network.lossOfAnswers = pick(2) * 0.1;
-      w.network.lateRequests = pick(2) * 0.05;
+      w.network.responseLossShare = pick(2) * 0.1;
+      w.network.lateRequestShare = pick(2) * 0.05;
   }
 }
 
@@ -112,7 +112,7 @@
   World w(settings);
   for (int i = 0; i < kJobs; ++i) {
     JobPlan plan;
-    plan.id = memberJob(kAna, refFor(kAna, batch(i))).value;
+    plan.id = memberJob(kAna, refForIdempotencyKey(kAna, batch(i))).value;
     plan.tasks = 3;
     plan.runS = 5;
     plan.spot = true;
@@ -135,7 +135,7 @@
       script = std::make_unique<Script>(w, key, life, seed + 100 * static_cast<unsigned>(life));
     }
   }
-  w.network.lossOfAnswers = w.network.lateRequests = 0;
+  w.network.responseLossShare = w.network.lateRequestShare = 0;
   w.runFor(300);
   check();
   EXPECT_TRUE(script->over);
@@ -220,7 +220,7 @@
   spdlog::set_level(spdlog::level::off);
   WorldSettings settings;
   settings.members = true;
-  settings.ordinaryPerZone = settings.spotPerZone = 0;  // nothing runs: each job is told once
+  settings.onDemandPerZone = settings.spotPerZone = 0;  // nothing runs: each job is told once
   World w(settings);
   w.runFor(10);
   std::string key = makeKey(w, "team", "ana");
@@ -245,7 +245,7 @@
         return submitter.jobs->submit(jobOf(), batch(submitted), "", Duration{60000}, done);
       });
       ASSERT_TRUE(r) << r.error().text();
-      if (i == 2) w.crash(w.nodeFrom("leader"));
+      if (i == 2) w.crash(w.parseController("leader"));
     }
     w.runFor(30);
     watcher->stop();
--- a/tests/member_key_faults_test.cpp
+++ b/tests/member_key_faults_test.cpp
@@ -19,8 +19,9 @@
   World world(settings);
   world.runFor(15);
   std::size_t lost = 0;
-  world.network.fateOf = [&, late = late, downMs = downMs](const std::string& from,
-                                                           const Request& q) -> Network::Fate {
+  world.network.requestFault = [&, late = late, downMs = downMs](
+                                   const std::string& from,
+                                   const Request& q) -> Network::RequestFault {
     if (q.path != "/commit" || writerOf(*decodeBody(q.body)) != "member") return {};
     if (!std::bernoulli_distribution(0.6)(world.random)) return {};
     ++lost;
@@ -42,7 +43,7 @@
   ASSERT_EQ(world.state.keysBelow(keys::kKey).size(), static_cast<std::size_t>(kKeys));
   MemberUser root(world, "operator", rootCredential().str(), 5);
   // The newest: copies of the request that made it are still under way.
-  std::string id = credentialFrom(keys.back())->id.value;
+  std::string id = parseCredential(keys.back())->id.value;
   auto ended = root.await<client::KeyInfo>(
       [&](auto done) { return root.jobs->revokeKey(id, Duration{0}, kPatience, done); });
   ASSERT_TRUE(ended) << ended.error().text();
--- a/tests/scenario_concurrent_reads.cpp
+++ b/tests/scenario_concurrent_reads.cpp
@@ -110,7 +110,7 @@
   while (met < times && tries < kTriesEach * times && world_->broken.empty()) {
     JobPlan p;
     p.id = "j-87" + std::to_string(1000 + tries++);
-    p.errsAfterS = 6;
+    p.failsAfterS = 6;
     p.spot = true;
     p.jobClass = "own";
     world_->submit(p);
@@ -126,13 +126,13 @@
   constexpr double kStep = 0.02;
   int node = nodeOf("other");
   auto seen = std::make_shared<OwnAbort>();
-  w.network.slowState = kSlow;
+  w.network.stateServiceDelayMs = kSlow;
   waitForEnd(id);
-  seen->before = seen->placed = w.newestTry(id, 0);
+  seen->before = seen->placed = w.newestAttempt(id, 0);
   auto hook = w.state.onCommit;
   w.state.onCommit = [&w, hook, id, node, seen](const Json& writes) {
     hook(writes);
-    if (auto newest = w.newestTry(id, 0); newest > seen->placed) {
+    if (auto newest = w.newestAttempt(id, 0); newest > seen->placed) {
       seen->placed = newest;
       seen->placedAt = w.clock.now();
     }
@@ -141,7 +141,7 @@
       // Committed, and neither heard of nor read back by it.
       if (write["data"].value("phase", "") != "cancelled") continue;
       seen->cancelledAt = w.clock.now();
-      w.state.refuse("node" + std::to_string(node), kCut + 5000);
+      w.state.rejectRequestsFrom("node" + std::to_string(node), kCut + 5000);
     }
   };
   w.clock.in(300 + drawn(1000), [&w, id, node] { w.abortThrough(id, node); });
@@ -151,7 +151,7 @@
   // What the controller read last was answered so long before it could commit.
   bool met = seen->placedAt >= 0 && seen->placedAt > seen->cancelledAt - kSlow &&
              seen->placedAt <= seen->cancelledAt && !knows(id, seen->before);
-  w.network.slowState = 0;
+  w.network.stateServiceDelayMs = 0;
   onlyReaches(node, kCut);
   w.runFor(60);
   w.state.onCommit = hook;
@@ -166,11 +166,11 @@
       w.clock.in(at, [this, down] { crash("leader", down); });
     }
   } else if (what == "answers") {
-    w.network.lossOfAnswers = 0.05;
-    w.clock.in(ms, [&w] { w.network.lossOfAnswers = 0; });
+    w.network.responseLossShare = 0.05;
+    w.clock.in(ms, [&w] { w.network.responseLossShare = 0; });
   } else if (what == "late") {
-    w.network.lateWrites = 0.15;
-    w.clock.in(ms, [&w] { w.network.lateWrites = 0; });
+    w.network.lateTransactionShare = 0.15;
+    w.clock.in(ms, [&w] { w.network.lateTransactionShare = 0; });
   } else if (what != "none") {
     FAIL() << "unknown trouble " << what;
   }
--- a/tests/scenario_faults.hpp
+++ b/tests/scenario_faults.hpp
@@ -57,10 +57,10 @@
 
   // "leader", "other" (the next after it), "third" or a number.
   int nodeOf(const std::string& word) {
-    int leader = world_->nodeFrom("leader");
+    int leader = world_->parseController("leader");
     if (word == "other") return (leader + 1) % settings_.nodes;
     if (word == "third") return (leader + 2) % settings_.nodes;
-    return world_->nodeFrom(word);
+    return world_->parseController(word);
   }
 
   // One, in "turn", "all", or the "rest": all but the one that `alone` names.
@@ -90,7 +90,7 @@
     for (const auto& [host, worker] : world_->workers) {
       if (worker->zone == zone) inside.insert(host);
     }
-    world_->network.cutOff(inside, how, ms);
+    world_->network.isolate(inside, how, ms);
   }
 
   std::string busyMachine(const std::string& word) {
@@ -98,7 +98,7 @@
     if (word == "busy") return busy.empty() ? "" : busy.front();
     if (word == "second") return busy.size() < 2 ? "" : busy[1];  // of those with tasks
     for (const auto& [host, w] : world_->workers) {
-      if (word == "spot" && w->spot && !w->gone) return host;
+      if (word == "spot" && w->spot && !w->isDead) return host;
     }
     return word;
   }
--- a/tests/scenario_machine_faults.cpp
+++ b/tests/scenario_machine_faults.cpp
@@ -21,7 +21,7 @@
   } else if (words[0] == "disturb") {  // disturb nothing|held|late SECONDS
     disturb(words.at(1), ms(2));
   } else if (words[0] == "calm") {  // all troubles are over
-    w.calm();
+    w.markFaultsOver();
   } else {
     return false;
   }
@@ -65,9 +65,9 @@
   World& w = *world_;
   constexpr std::int64_t kEdge = 100, kThenAll = 1000, kUntilOver = 20000;
   auto outage = static_cast<std::int64_t>(settings_.cancelS * 1000) + 1000 + draw(20000);
-  int leader = w.nodeFrom("leader");
+  int leader = w.parseController("leader");
   w.clock.in(kEdge, [&w, leader, outage] {
-    w.state.refuse("node" + std::to_string(leader), kThenAll + outage);
+    w.state.rejectRequestsFrom("node" + std::to_string(leader), kThenAll + outage);
   });
   w.clock.in(kEdge + kThenAll, [&w, outage] { w.state.outage(outage); });
   for (const auto& id : someRunning(4)) {
@@ -94,10 +94,10 @@
   bool share = which.find('.') != std::string::npos;
   auto one = busyMachine(which);
   for (const auto& [host, worker] : w.workers) {
-    if (worker->gone) continue;
+    if (worker->isDead) continue;
     bool hit = share ? static_cast<double>(draw(1000)) < std::stod(which) * 1000
                      : which == "all" || worker->zone == which || host == one;
-    if (hit) w.network.mute(host, draw(2) == 0, ms);
+    if (hit) w.network.blockRequestsFrom(host, draw(2) == 0, ms);
   }
 }
 
--- a/tests/scenario_steps_output.cpp
+++ b/tests/scenario_steps_output.cpp
@@ -20,13 +20,13 @@
 void Scenario::printSummary(const Line& line) {
   World& world = *world_;
   std::cout << line.words.at(1) << " at " << world.now() << " s, " << world.region.machineSeconds()
-            << " machine s, " << world.state.changes_made << " changes, " << world.state.reads_made
+            << " machine s, " << world.state.changeCount << " changes, " << world.state.readCount
             << " reads\n";
-  world.tellWaits(std::cout);
+  world.printWaitingTimes(std::cout);
   if (const auto* policy = world.policy(); policy && policy->active()) {
     const auto& state = policy->state();
-    std::cout << "  covered " << state.covered << ", uncovered " << state.uncovered << ", storm "
-              << policy->massFailure() << "\n";
+    std::cout << "  covered " << state.coveredShare << ", uncovered " << state.uncoveredReplicas
+              << ", storm " << policy->massFailure() << "\n";
   }
 }
 
@@ -63,7 +63,7 @@
 
 // watch ID: for `expect fewest`
 void Scenario::watchJob(const Line& line) {
-  world_->watch(line.words.at(1));
+  world_->recordReplicas(line.words.at(1));
   leadershipsBefore_ = world_->leaderships;
 }
 
--- a/tests/sim/balancer.hpp
+++ b/tests/sim/balancer.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Stand-in of the users' load balancer, written from PROTOCOL: probes `/ready`, takes nodes out
-/// and back in with pauses that double. Each request is a connection of its own, so shares and the
-/// reset of open connections have no counterpart here; a node that hangs costs the user its
-/// patience (harsher).
+/// Simulates the users' load balancer as PROTOCOL describes it. The balancer probes `/ready` on
+/// each controller, removes unhealthy controllers and adds them again after a pause, which doubles
+/// with repeated removals. Each request uses its own connection, so connection shares and the reset
+/// of open connections are not simulated. A request to a hanging controller lasts until the user's
+/// timeout, which is stricter than the real balancer.
 #pragma once
 
 #include <deque>
@@ -11,9 +12,10 @@
 
 namespace kestrelhoist::sim {
 
+/// Sends users' requests to healthy controllers.
 class Balancer {
  public:
-  Balancer(Clockwork& clock, Network& network, std::mt19937_64& random,
+  Balancer(VirtualClock& clock, Network& network, std::mt19937_64& random,
            const std::vector<std::string>& addresses)
       : clock_(clock), network_(network), random_(random) {
     for (const auto& a : addresses) nodes_.emplace_back().address = a;
@@ -21,7 +23,7 @@
   }
 
   void send(Request request, std::int64_t timeout, OnReply done) {
-    attempt(std::make_shared<Request>(std::move(request)), clock_.now() + timeout, kTries, {},
+    attempt(std::make_shared<Request>(std::move(request)), clock_.now() + timeout, kMaxAttempts, {},
             std::move(done));
   }
 
@@ -29,35 +31,39 @@
   struct Node {
     std::string address;
     bool healthy = false, everHealthy = false;
-    int inARow = 0;  ///< successes, or failures if negative
+    /// A positive value counts consecutive successful probes, a negative one consecutive failures.
+    int consecutiveProbes = 0;
     std::deque<bool> last;
-    std::int64_t notBefore = 0, pause = kPause, removedAt = -kRemembered, skippedUntil = 0;
+    std::int64_t notBefore = 0, pause = kMinPauseMs, removedAt = -kRemovalMemoryMs,
+                 skippedUntil = 0;
     int refused = 0;
   };
-  static constexpr int kTries = 3;
-  static constexpr std::int64_t kPause = 3000, kMostPause = 60000, kRemembered = 120000;
+  static constexpr int kMaxAttempts = 3;
+  static constexpr std::int64_t kMinPauseMs = 3000, kMaxPauseMs = 60000, kRemovalMemoryMs = 120000;
 
   void probe() {
     clock_.in(1000, [this] { probe(); });
     for (auto& node : nodes_) {
-      network_.send(
-          "users", node.address, {"GET", "/ready", ""}, 1000,
-          [this, &node](const std::optional<Response>& r) { note(node, r && r->status == 200); });
+      network_.send("users", node.address, {"GET", "/ready", ""}, 1000,
+                    [this, &node](const std::optional<Response>& r) {
+                      recordProbe(node, r && r->status == 200);
+                    });
     }
   }
 
-  void note(Node& n, bool ok) {
-    n.inARow = ok ? std::max(n.inARow, 0) + 1 : std::min(n.inARow, 0) - 1;
+  void recordProbe(Node& n, bool ok) {
+    n.consecutiveProbes =
+        ok ? std::max(n.consecutiveProbes, 0) + 1 : std::min(n.consecutiveProbes, 0) - 1;
     n.last.push_back(ok);
     if (n.last.size() > 6) n.last.pop_front();
     auto failures = std::count(n.last.begin(), n.last.end(), false);
-    if (n.healthy && (n.inARow <= -2 || failures >= 3)) {
+    if (n.healthy && (n.consecutiveProbes <= -2 || failures >= 3)) {
       n.healthy = false;
-      n.pause =
-          clock_.now() - n.removedAt < kRemembered ? std::min(2 * n.pause, kMostPause) : kPause;
+      n.pause = clock_.now() - n.removedAt < kRemovalMemoryMs ? std::min(2 * n.pause, kMaxPauseMs)
+                                                              : kMinPauseMs;
       n.removedAt = clock_.now();
       n.notBefore = clock_.now() + n.pause;
-    } else if (!n.healthy && ok && (!n.everHealthy || n.inARow >= 2) &&
+    } else if (!n.healthy && ok && (!n.everHealthy || n.consecutiveProbes >= 2) &&
                clock_.now() >= n.notBefore) {
       n.healthy = n.everHealthy = true;
       n.last.clear();
@@ -66,13 +72,13 @@
 
   void attempt(const std::shared_ptr<Request>& request, std::int64_t deadline, int tries,
                std::set<std::string> tried, OnReply done) {
-    std::vector<Node*> fit;
+    std::vector<Node*> candidates;
     for (auto& n : nodes_) {
       if (n.healthy && clock_.now() >= n.skippedUntil && !tried.contains(n.address))
-        fit.push_back(&n);
+        candidates.push_back(&n);
     }
-    if (fit.empty() || tries == 0 || clock_.now() >= deadline) return done(std::nullopt);
-    Node& n = *fit[random_() % fit.size()];
+    if (candidates.empty() || tries == 0 || clock_.now() >= deadline) return done(std::nullopt);
+    Node& n = *candidates[random_() % candidates.size()];
     tried.insert(n.address);
     network_.send("users", n.address, *request, deadline - clock_.now(),
                   [this, &n, request, deadline, tries, tried,
@@ -89,7 +95,7 @@
                   });
   }
 
-  Clockwork& clock_;
+  VirtualClock& clock_;
   Network& network_;
   std::mt19937_64& random_;
   std::vector<Node> nodes_;
--- a/tests/sim/virtual_time.hpp
+++ b/tests/sim/virtual_time.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Virtual time and a network that delays, loses, holds and resets messages.
+/// Provides virtual time and a simulated network that delays, loses, holds and resets messages.
 #pragma once
 
 #include <map>
@@ -13,21 +13,22 @@
 
 namespace kestrelhoist::sim {
 
-class Clockwork : public simulator::Clock {
+/// Runs scheduled functions in the order of their virtual times.
+class VirtualClock : public simulator::Clock {
  public:
-  Clockwork() { newest_ = this; }
-  ~Clockwork() override {
+  VirtualClock() { newest_ = this; }
+  ~VirtualClock() override {
     if (newest_ == this) newest_ = nullptr;
   }
-  Clockwork(const Clockwork&) = delete;
-  Clockwork& operator=(const Clockwork&) = delete;
-  /// Of the clock that was made last; 0: there is none.
-  static std::int64_t newestNow() { return newest_ ? newest_->now_ : 0; }
+  VirtualClock(const VirtualClock&) = delete;
+  VirtualClock& operator=(const VirtualClock&) = delete;
+  /// Returns the time of the most recently created clock, or 0 if none exists.
+  static std::int64_t newestClockNow() { return newest_ ? newest_->now_ : 0; }
   std::int64_t now() const override { return now_; }
   void at(std::int64_t ms, std::function<void()> f) override {
     queue_.push({std::max(ms, now_), next_++, std::move(f)});
   }
-  /// Runs everything up to `ms`.
+  /// Runs all functions scheduled up to the time `ms`.
   void runUntil(std::int64_t ms) {
     while (!queue_.empty() && queue_.top().at <= ms) {
       auto event = queue_.top();
@@ -48,18 +49,20 @@
   std::priority_queue<Event> queue_;
   std::int64_t now_ = 1000;
   std::uint64_t next_ = 0;
-  static inline Clockwork* newest_ = nullptr;
+  static inline VirtualClock* newest_ = nullptr;
 };
 
-/// slow: messages take Network::slowMs longer.
+/// Says what happens to messages across a cut. In mode `slow` they take Network::slowLinkDelayMs
+/// longer.
 enum class CutMode { hold, drop, reset, slow };
-/// Which way a cut works, seen from its host.
+/// Names the direction that a cut affects, as seen from its host.
 enum class CutWay { both, in, out };
 
-/// Hosts by name; an address is "host:port". A cut separates two groups of hosts.
-class Network : public simulator::Wire {
+/// Carries messages between named hosts; an address has the form "host:port". A cut disturbs the
+/// messages between two groups of hosts.
+class Network : public simulator::Transport {
  public:
-  Network(Clockwork& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
+  Network(VirtualClock& clock, std::mt19937_64& random) : clock_(clock), random_(random) {}
   ~Network() override {
     if (digest_) digest_->report();
   }
@@ -68,65 +71,72 @@
     servers_[address] = std::move(server);
   }
   void close(const std::string& address) override { servers_.erase(address); }
-  /// A host without power: says nothing.
-  void silence(const std::string& host) override { silent_.insert(host); }
+  /// Makes the host stop answering and sending, as if it had lost power.
+  void powerOff(const std::string& host) override { poweredOff_.insert(host); }
 
-  /// Cuts host from every host in `others` (all if empty) for `ms`.
+  /// Cuts `host` off from every host in `others` for `ms`; an empty set stands for all hosts.
   void cut(const std::string& host, const std::set<std::string>& others, CutMode mode,
            std::int64_t ms, CutWay way = CutWay::both) {
     cuts_.push_back({host, others, {}, mode, clock_.now() + ms, way});
   }
-  /// This host opens no connections to controllers for `ms`: refused or without any answer. What
-  /// others send it arrives, and so do its answers.
-  void mute(const std::string& host, bool refused, std::int64_t ms) {
-    mutes_[host] = {clock_.now() + ms, refused};
+  /// Makes all requests from this host fail for `ms`. They are refused at once if `refused` is set,
+  /// otherwise they time out. Requests to the host and its responses still arrive.
+  void blockRequestsFrom(const std::string& host, bool refused, std::int64_t ms) {
+    blockedSenders_[host] = {clock_.now() + ms, refused};
   }
-  /// Between these hosts and all others.
-  void cutOff(const std::set<std::string>& inside, CutMode mode, std::int64_t ms) {
+  /// Cuts the hosts in `inside` off from all other hosts for `ms`.
+  void isolate(const std::set<std::string>& inside, CutMode mode, std::int64_t ms) {
     cuts_.push_back({"", {}, inside, mode, clock_.now() + ms, CutWay::both});
   }
-  /// Requests between hosts so far, with the bytes of both bodies, by the first two parts of the
-  /// path.
+  /// Counts the requests so far and the bytes of their request and response bodies.
   struct Traffic {
     std::size_t requests{}, bytes{};
   };
+  /// The key consists of the first two segments of the request path.
   std::map<std::string, Traffic> traffic;
-  double lossOfAnswers = 0;  ///< share of requests whose answer is lost
-  /// Answers to this host's requests are lost until then (ms).
-  std::map<std::string, std::int64_t> answersLostUntil;
-  /// Answers of this host are lost until then (ms).
-  std::map<std::string, std::int64_t> ownAnswersLostUntil;
-  double lateRequests = 0;  ///< share that arrives up to two minutes late
-  /// Of this share of the workers' reports a copy comes so much later (ms), at whoever listens at
-  /// that address then; nobody hears its answer.
-  struct Copies {
+  /// This share of all responses is lost.
+  double responseLossShare = 0;
+  /// Responses to requests from the host in the key are lost until this time (ms).
+  std::map<std::string, std::int64_t> responsesToHostLostUntil;
+  /// Responses sent by the host in the key are lost until this time (ms).
+  std::map<std::string, std::int64_t> responsesFromHostLostUntil;
+  /// This share of the requests arrives up to two minutes late.
+  double lateRequestShare = 0;
+  /// Sets which share of the messages has an extra delay, and the range of that delay in ms.
+  struct MessageDelay {
     double share = 0;
     std::int64_t from = 0, to = 0;
   };
-  Copies copies;
-  /// This share of transactions gets no answer and is carried out 2 to 12 s later, after newer
-  /// ones.
-  double lateWrites = 0;
-  /// This share of direct commands, and of answers to them and to reports, is held up for so long
-  /// (ms).
-  Copies held;
-  /// What becomes of a request besides: held up for so long (ms), and nobody hears its answer.
-  struct Fate {
-    std::int64_t laterMs = 0;
-    bool unanswered = false;
+  /// For this share of the workers' reports a copy also arrives after the extra delay, and its
+  /// response is discarded.
+  MessageDelay duplicateReports;
+  /// This share of the transactions gets no response. The state service applies them 2 to 12 s
+  /// later, possibly after newer transactions.
+  double lateTransactionShare = 0;
+  /// This share of the direct commands to workers, of the responses to these commands and of the
+  /// responses to reports arrives after the extra delay.
+  MessageDelay delayedCommands;
+  /// Describes an additional fault of one request: an extra delay in ms and the loss of its
+  /// response.
+  struct RequestFault {
+    std::int64_t extraDelayMs = 0;
+    bool discardsResponse = false;
   };
-  std::function<Fate(const std::string& from, const Request& request)> fateOf;
-  /// Each request as it is sent, and with the answer that it was given.
+  /// The network asks this function for the fault of each request, if it is set.
+  std::function<RequestFault(const std::string& from, const Request& request)> requestFault;
+  /// The network calls onSent for each request as it is sent, and onResponse for each response.
   std::function<void(const std::string& from, const Request& request)> onSent;
-  std::function<void(const Request& request, const Response& answer)> onAnswered;
-  std::int64_t slowMs = 1500;  ///< on links in mode slow, each way
-  std::int64_t slowState = 0;  ///< longer until an answer of the state service comes (ms)
+  std::function<void(const Request& request, const Response& answer)> onResponse;
+  /// Cuts in mode `slow` delay each message by this time.
+  std::int64_t slowLinkDelayMs = 1500;
+  /// Responses of the state service take this much longer (ms).
+  std::int64_t stateServiceDelayMs = 0;
 
-  /// A copy of a request comes there; nobody hears its answer.
+  /// Delivers a copy of a request after `extraDelayMs` and discards its response.
   void deliver(const std::string& from, const std::string& address, const Request& request,
-               std::int64_t laterMs) {
+               std::int64_t extraDelayMs) {
     std::string to = address.substr(0, address.find(':'));
-    travel(from, to, laterMs + latency(), [this, from, address, request](bool reset) {
+    travel(from, to, extraDelayMs + latency(), [this, from, address, request](bool reset) {
       auto server = servers_.find(address);
       if (reset || server == servers_.end()) return;
       serve(server->second, from, address, request, [](const Response&) {});
@@ -142,8 +152,9 @@
       done(std::move(r));
     };
     clock_.in(timeout, [finish] { finish(std::nullopt); });
-    if (auto mute = mutes_.find(from); mute != mutes_.end() && clock_.now() < mute->second.until) {
-      if (mute->second.refused) clock_.in(latency(), [finish] { finish(std::nullopt); });
+    if (auto blocked = blockedSenders_.find(from);
+        blocked != blockedSenders_.end() && clock_.now() < blocked->second.until) {
+      if (blocked->second.refused) clock_.in(latency(), [finish] { finish(std::nullopt); });
       return;
     }
     if (digest_) digest_->onRequest("sent", clock_.now(), from, address, request);
@@ -153,48 +164,53 @@
     ++sum.requests;
     sum.bytes += request.body.size();
     std::int64_t delay = latency();
-    if (chance(lateRequests))
+    if (chance(lateRequestShare))
       delay += std::uniform_int_distribution<std::int64_t>(0, 120000)(random_);
-    if (request.path == "/agent/beat" && chance(copies.share)) {
-      auto later = std::uniform_int_distribution<std::int64_t>(copies.from, copies.to)(random_);
-      travel(from, to, delay + later, [this, from, address, request](bool) {
+    if (request.path == "/agent/beat" && chance(duplicateReports.share)) {
+      auto copyDelay = std::uniform_int_distribution<std::int64_t>(duplicateReports.from,
+                                                                   duplicateReports.to)(random_);
+      travel(from, to, delay + copyDelay, [this, from, address, request](bool) {
         if (auto server = servers_.find(address); server != servers_.end()) {
           serve(server->second, from, address, request, [](const Response&) {});
         }
       });
     }
     bool command = request.path == "/commands";
-    bool late = request.path == "/commit" && chance(lateWrites);
-    if (late) delay += std::uniform_int_distribution<std::int64_t>(2000, 12000)(random_);
+    bool discardsResponse = request.path == "/commit" && chance(lateTransactionShare);
+    if (discardsResponse)
+      delay += std::uniform_int_distribution<std::int64_t>(2000, 12000)(random_);
     if (onSent) onSent(from, request);
-    Fate fate = fateOf ? fateOf(from, request) : Fate{};
-    delay += fate.laterMs;
-    late = late || fate.unanswered;
-    if (command && chance(held.share)) delay += heldFor();
-    std::int64_t back = 0;
-    if ((command || request.path == "/agent/beat") && chance(held.share)) back = heldFor();
-    if (to == "state") back += slowState;
-    travel(from, to, delay,
-           [this, from, to, address, request, finish, late, back, &sum](bool reset) {
-             if (reset) return finish(std::nullopt);
-             auto server = servers_.find(address);
-             if (server == servers_.end()) return finish(std::nullopt);
-             bool lost = chance(lossOfAnswers) || late || losesAnswer(from, to);
-             serve(server->second, from, address, request,
-                   [this, from, to, request, finish, lost, back, &sum](const Response& r) {
-                     if (onAnswered) onAnswered(request, r);
-                     if (lost) {
-                       return logDebug("simulated network loses answer", "from", from, "to", to,
-                                       "path", request.path, "status", r.status, "at_ms",
-                                       clock_.now());
-                     }
-                     sum.bytes += r.body.size();
-                     travel(to, from, back + latency(), [finish, r](bool reset) {
-                       if (reset) return finish(std::nullopt);
-                       finish(r);
-                     });
-                   });
-           });
+    RequestFault fault = requestFault ? requestFault(from, request) : RequestFault{};
+    delay += fault.extraDelayMs;
+    discardsResponse = discardsResponse || fault.discardsResponse;
+    if (command && chance(delayedCommands.share)) delay += commandDelay();
+    std::int64_t responseDelay = 0;
+    if ((command || request.path == "/agent/beat") && chance(delayedCommands.share))
+      responseDelay = commandDelay();
+    if (to == "state") responseDelay += stateServiceDelayMs;
+    travel(
+        from, to, delay,
+        [this, from, to, address, request, finish, discardsResponse, responseDelay,
+         &sum](bool reset) {
+          if (reset) return finish(std::nullopt);
+          auto server = servers_.find(address);
+          if (server == servers_.end()) return finish(std::nullopt);
+          bool isLost = chance(responseLossShare) || discardsResponse || isResponseLost(from, to);
+          serve(server->second, from, address, request,
+                [this, from, to, request, finish, isLost, responseDelay, &sum](const Response& r) {
+                  if (onResponse) onResponse(request, r);
+                  if (isLost) {
+                    return logDebug("simulated network drops response", "from", from, "to", to,
+                                    "path", request.path, "status", r.status, "at_ms",
+                                    clock_.now());
+                  }
+                  sum.bytes += r.body.size();
+                  travel(to, from, responseDelay + latency(), [finish, r](bool reset) {
+                    if (reset) return finish(std::nullopt);
+                    finish(r);
+                  });
+                });
+        });
   }
 
  private:
@@ -206,7 +222,7 @@
     std::int64_t until;
     CutWay way;
   };
-  /// Copied, as a server may close its address while it serves.
+  /// Takes the server by value, because it may close its own address while it handles the request.
   void serve(Server server, const std::string& from, const std::string& address,
              const Request& request, const Respond& respond) {
     if (!digest_) return server(from, request, respond);
@@ -217,15 +233,16 @@
     });
   }
   std::int64_t latency() { return std::uniform_int_distribution<std::int64_t>(1, 4)(random_); }
-  std::int64_t heldFor() {
-    return std::uniform_int_distribution<std::int64_t>(held.from, held.to)(random_);
+  std::int64_t commandDelay() {
+    return std::uniform_int_distribution<std::int64_t>(delayedCommands.from,
+                                                       delayedCommands.to)(random_);
   }
-  bool losesAnswer(const std::string& from, const std::string& to) const {
-    auto lasts = [this](const auto& until, const std::string& host) {
+  bool isResponseLost(const std::string& from, const std::string& to) const {
+    auto isActive = [this](const auto& until, const std::string& host) {
       auto found = until.find(host);
       return found != until.end() && clock_.now() < found->second;
     };
-    return lasts(answersLostUntil, from) || lasts(ownAnswersLostUntil, to);
+    return isActive(responsesToHostLostUntil, from) || isActive(responsesFromHostLostUntil, to);
   }
   bool chance(double p) { return p > 0 && std::bernoulli_distribution(p)(random_); }
 
@@ -244,11 +261,12 @@
   void travel(const std::string& from, const std::string& to, std::int64_t delay,
               std::function<void(bool reset)> arrive) {
     clock_.in(delay, [this, from, to, arrive] {
-      if (silent_.contains(to) || silent_.contains(from)) return;
+      if (poweredOff_.contains(to) || poweredOff_.contains(from)) return;
       if (const Cut* c = cutBetween(from, to)) {
         if (c->mode == CutMode::reset) return arrive(true);
         if (c->mode == CutMode::drop) return;
-        if (c->mode == CutMode::slow) return clock_.in(slowMs, [arrive] { arrive(false); });
+        if (c->mode == CutMode::slow)
+          return clock_.in(slowLinkDelayMs, [arrive] { arrive(false); });
         clock_.at(c->until + latency(), [this, from, to, arrive] { travel(from, to, 0, arrive); });
         return;
       }
@@ -256,34 +274,39 @@
     });
   }
 
-  Clockwork& clock_;
+  VirtualClock& clock_;
   std::mt19937_64& random_;
   std::map<std::string, Server> servers_;
-  std::set<std::string> silent_;
+  std::set<std::string> poweredOff_;
   std::vector<Cut> cuts_;
-  struct Mute {
+  struct BlockedSender {
     std::int64_t until{};
     bool refused{};
   };
-  std::map<std::string, Mute> mutes_;
+  std::map<std::string, BlockedSender> blockedSenders_;
   std::unique_ptr<TrafficDigest> digest_ = TrafficDigest::fromEnvironment();
 };
 
-/// One life of one process: its timers and answers end with it. The clock may run fast.
+/// Simulates one process on a host. Its timers and pending responses are cancelled when it is
+/// destroyed. Its clock may run fast.
 class HostRuntime : public Runtime, public HttpClient {
  public:
-  HostRuntime(Clockwork& clock, Network& network, std::string host, double clockRate)
+  HostRuntime(VirtualClock& clock, Network& network, std::string host, double clockRate)
       : clock_(clock), network_(network), host_(std::move(host)), rate_(clockRate) {}
 
   Instant now() override {
     return {static_cast<std::int64_t>(static_cast<double>(clock_.now()) * rate_)};
   }
   std::int64_t wallMillis() override {
-    return 1700000000000 + clock_.now() + clockOff;
-  }                           // 22:13:20 UTC
-  std::int64_t clockOff = 0;  ///< its time of day is wrong by so much
-  /// Stands still: timers, answers and what `whenAwake` is given wait; its clock runs on.
+    // The simulated time of day starts at 22:13:20 UTC.
+    return 1700000000000 + clock_.now() + wallClockOffsetMs;
+  }
+  /// The time of day of this process is wrong by this many milliseconds.
+  std::int64_t wallClockOffsetMs = 0;
+  /// Pauses the process for `ms`: timers, responses and functions given to whenAwake() wait, while
+  /// its clock runs on.
   void freeze(std::int64_t ms) { frozenUntil_ = clock_.now() + ms; }
+  /// Calls f now, or after the end of a pause.
   void whenAwake(std::function<void()> f) {
     if (clock_.now() >= frozenUntil_) return f();
     clock_.at(frozenUntil_, guard([this, f = std::move(f)] { whenAwake(f); }));
@@ -308,7 +331,7 @@
       if (!alive.expired()) f();
     };
   }
-  Clockwork& clock_;
+  VirtualClock& clock_;
   Network& network_;
   std::string host_;
   double rate_;
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -9,7 +9,7 @@
 
 std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
 
-// Plans in place, on the event loop.
+// Computes plans synchronously on the event loop.
 class InlinePlanRunner : public PlanRunner {
  public:
   explicit InlinePlanRunner(Runtime& runtime) : runtime_(runtime) {}
@@ -35,11 +35,11 @@
       random(s.seed),
       network(clock, random),
       region(regionSettings(), clock, network, random, *this) {
-  if (settings.pageRows > 0) state.mostRows = settings.pageRows;
+  if (settings.pageRows > 0) state.maxPageRows = settings.pageRows;
   state.valueBytes = static_cast<std::size_t>(settings.valueKb) * 1024;
   state.transactionOps = static_cast<std::size_t>(settings.txnOps);
-  state.refuses = [this](const Json& writes) {
-    // A version that tells no format.
+  state.rejectsTransaction = [this](const Json& writes) {
+    // An old version publishes no record format. The rejection of its version keys simulates this.
     return std::any_of(writes.begin(), writes.end(), [this](const Json& write) {
       auto key = write.value("set", std::string());
       if (!key.starts_with(keys::kVersion)) return false;
@@ -50,7 +50,7 @@
     });
   };
   state.onCommit = [this](const Json& writes) {
-    notePlaced(writes);
+    recordPlacements(writes);
     for (const auto& write : writes) {
       auto key = write.contains("set") ? write["set"].get<std::string>()
                                        : write["drop"].get<std::string>();
@@ -116,7 +116,8 @@
     o.members.open = o.members.plainUsers = true;
     o.members.rootKey = rootCredential().id;
     o.members.rootHash = hashOfSecret(rootCredential());
-    // Not all at the same moment: reads and mesh talk of the nodes fall at different times.
+    // The controllers start at different times, so that their reads and messages to peers are not
+    // synchronized.
     clock.in(static_cast<std::int64_t>(random() % 900), [this, i] { boot(i); });
   }
   if (settings.balancer) {
@@ -128,9 +129,9 @@
   clock.in(500, watch);
   pollUnknown();
   watchLeader();
-  watchService();
-  watchGaps();
-  watchWaits();
+  sampleService();
+  sampleReplicaGaps();
+  sampleWaitingJobs();
 }
 
 World::~World() {
@@ -149,7 +150,7 @@
 void World::boot(int i) {
   Node& n = nodes_[static_cast<std::size_t>(i)];
   ++n.lives;
-  // Clocks run up to 0.05% fast.
+  // The controllers' clocks run up to 0.05% fast.
   double rate = 1.0 + 0.0005 * i / std::max(1, settings.nodes - 1);
   std::string host = "node" + std::to_string(i);
   if (n.isNew) {
@@ -162,7 +163,7 @@
       p.stateWritesPerS = std::min(p.stateWritesPerS, settings.nextWrites);
   }
   n.runtime = std::make_unique<HostRuntime>(clock, network, host, rate);
-  n.runtime->clockOff = n.clockOff;
+  n.runtime->wallClockOffsetMs = n.wallClockOffsetMs;
   n.planner = std::make_unique<InlinePlanRunner>(*n.runtime);
   n.controller =
       std::make_unique<Controller>(*n.runtime, *n.runtime, *n.planner, n.platform,
@@ -193,13 +194,13 @@
 }
 
 const PolicyReplica* World::policy() const {
-  const PolicyReplica* best = nullptr;
+  const PolicyReplica* newest = nullptr;
   for (const auto& n : nodes_) {
     if (!n.controller) continue;
     const auto* p = &n.controller->policy();
-    if (!best || p->state().actedMs > best->state().actedMs) best = p;
+    if (!newest || p->state().appliedUntilMs > newest->state().appliedUntilMs) newest = p;
   }
-  return best;
+  return newest;
 }
 
 bool World::allKnowFormat(unsigned format) const {
@@ -227,28 +228,28 @@
 
 void World::stepClock(int i, std::int64_t ms) {
   Node& n = nodes_[static_cast<std::size_t>(i)];
-  n.clockOff += ms;
-  if (n.runtime) n.runtime->clockOff = n.clockOff;
+  n.wallClockOffsetMs += ms;
+  if (n.runtime) n.runtime->wallClockOffsetMs = n.wallClockOffsetMs;
 }
 
 void World::freeze(int i, std::int64_t forMs) {
   if (auto& runtime = nodes_[static_cast<std::size_t>(i)].runtime) runtime->freeze(forMs);
 }
 
-std::string World::whyWaits(const std::string& id) {
-  std::string told = "nobody answered";
-  toSomeNode({"GET", "/v2/runs/" + id + "?why=1", ""}, 2000,
-             [&told](const std::optional<Response>& r) {
-               auto body = r ? decodeBody(r->body) : std::nullopt;
-               const Json* why = body ? field(*body, "why") : nullptr;
-               if (!why) return;
-               const Json& waits = why->at("waits");
-               told = !why->at("leader").is_string() ? "no leader"
-                      : waits.empty()                ? "nothing"
-                                                     : waits[0].at("why").get<std::string>();
-             });
+std::string World::firstPendingReason(const std::string& id) {
+  std::string reason = "nobody answered";
+  sendToAnyController({"GET", "/v2/runs/" + id + "?why=1", ""}, 2000,
+                      [&reason](const std::optional<Response>& r) {
+                        auto body = r ? decodeBody(r->body) : std::nullopt;
+                        const Json* why = body ? field(*body, "why") : nullptr;
+                        if (!why) return;
+                        const Json& waits = why->at("waits");
+                        reason = !why->at("leader").is_string() ? "no leader"
+                                 : waits.empty()                ? "nothing"
+                                                 : waits[0].at("why").get<std::string>();
+                      });
   runFor(3);
-  return told;
+  return reason;
 }
 
 void World::crash(int i, std::int64_t downMs) {
@@ -268,7 +269,7 @@
   return -1;
 }
 
-int World::nodeFrom(const std::string& word) const {
+int World::parseController(const std::string& word) const {
   if (word != "leader") return std::stoi(word);
   int l = leaderNode();
   return l < 0 ? 0 : l;
@@ -283,13 +284,13 @@
 
 std::string World::phaseOf(const std::string& id) const {
   auto it = users_.find(id);
-  return it == users_.end() ? "" : it->second.last;
+  return it == users_.end() ? "" : it->second.lastPhase;
 }
 
 int World::runningReplicas(const std::string& id) const {
   int n = 0;
   for (const auto& [host, w] : workers) {
-    for (const auto& t : w->tasks) n += t.job == id && Worker::on(t);
+    for (const auto& t : w->tasks) n += t.job == id && Worker::isExecuting(t);
   }
   return n;
 }
@@ -300,7 +301,7 @@
     n += static_cast<std::size_t>(
         std::count_if(w->tasks.begin(), w->tasks.end(), [&](const auto& t) {
           const JobPlan* p = plan(t.job);
-          return Worker::on(t) && p && p->jobClass == jobClass;
+          return Worker::isExecuting(t) && p && p->jobClass == jobClass;
         }));
   }
   return n;
@@ -315,23 +316,22 @@
   r.ram = settings.ram;
   r.bootS = settings.bootS;
   r.fetchS = settings.fetchS;
-  r.ordinaryPerZone = settings.ordinaryPerZone;
+  r.onDemandPerZone = settings.onDemandPerZone;
   r.spotPerZone = settings.spotPerZone;
   r.reportS = settings.reportS;
   r.leaseS = settings.leaseS;
   r.listLagS = settings.listLagS;
-  r.bootFail = settings.bootFail;
-  r.soon = settings.soon;
+  r.bootFailureShare = settings.bootFailureShare;
+  r.fastBootShare = settings.fastBootShare;
   r.failedAfterS = settings.failedAfterS;
   r.lateSessions = settings.lateSessions;
   r.lateChanges = settings.lateChanges;
   return r;
 }
 
-// ---- tasks ----
-
-// Attempts that a transaction has on record: rows of machine, session, attempt and runs of tasks.
-void World::notePlaced(const Json& writes) {
+// Records the task attempts that a transaction stores. Each row holds a machine, a worker session,
+// an attempt and ranges of task indexes.
+void World::recordPlacements(const Json& writes) {
   const std::string prefix = "kh/tasks/";
   for (const auto& write : writes) {
     auto key = write.value("set", std::string());
@@ -342,7 +342,7 @@
       for (std::size_t i = 3; i + 1 < row.size(); i += 2) {
         int first = row.at(i).get<int>(), count = row.at(i + 1).get<int>();
         for (int index = first; index < first + count; ++index) {
-          auto& newest = newestTry_[{job, index}];
+          auto& newest = newestAttempts_[{job, index}];
           newest = std::max(newest, attempt);
         }
       }
@@ -350,16 +350,16 @@
   }
 }
 
-std::uint64_t World::newestTry(const std::string& job, int index) const {
-  auto it = newestTry_.find({job, index});
-  return it == newestTry_.end() ? 0 : it->second;
+std::uint64_t World::newestAttempt(const std::string& job, int index) const {
+  auto it = newestAttempts_.find({job, index});
+  return it == newestAttempts_.end() ? 0 : it->second;
 }
 
 void World::describe(Worker& worker, const Worker::Task& task,
                      std::function<void(std::optional<simulator::TaskNeeds>)> done) {
-  // A later attempt is placed only when the earlier one is proven gone: whoever makes a worker take
-  // that up again relies on a stop that comes in time.
-  if (task.attempt < newestTry(task.job, task.index)) {
+  // The leader places a later attempt only after it has proof that the earlier attempt has ended. A
+  // worker that launches the older attempt afterwards breaks that rule.
+  if (task.attempt < newestAttempt(task.job, task.index)) {
     fail("older_attempt", task.job + "/" + std::to_string(task.index) + " try " +
                               std::to_string(task.attempt) + " on " + worker.host);
   }
@@ -376,43 +376,41 @@
   const JobPlan* p = plan(task.job);
   std::pair key{task.job, task.index};
   ++startsOf[task.job];
-  double errsAfter = p->errsAfterS;
-  if (auto f = faulty_.find(worker.host); f != faulty_.end()) errsAfter = f->second;
-  if (errsAfter >= 0) {
-    clock.in(ms(errsAfter) + 1, [&worker, life = task.life] {
-      worker.whenAwake([&worker, life] {
-        if (!worker.gone) worker.exited(life, "error");
+  double failsAfter = p->failsAfterS;
+  if (auto f = failingHosts_.find(worker.host); f != failingHosts_.end()) failsAfter = f->second;
+  if (failsAfter >= 0) {
+    clock.in(ms(failsAfter) + 1, [&worker, executionId = task.executionId] {
+      worker.whenAwake([&worker, executionId] {
+        if (!worker.isDead) worker.exited(executionId, "error");
       });
     });
-    if (p->errsAfterS >= 0) return;
+    if (p->failsAfterS >= 0) return;
   }
   if (p->shape == "daemon") return;
   double left =
       results.contains(key) ? 0 : std::max(0.0, p->runS + task.index * p->staggerS - progress[key]);
-  clock.in(ms(left) + 1, [this, &worker, life = task.life, key] {
-    worker.whenAwake([this, &worker, life, key] {
-      Worker::Task* t = worker.byLife(life);
-      if (worker.gone || !t || t->state != "running") return;
+  clock.in(ms(left) + 1, [this, &worker, executionId = task.executionId, key] {
+    worker.whenAwake([this, &worker, executionId, key] {
+      Worker::Task* t = worker.findExecution(executionId);
+      if (worker.isDead || !t || t->state != "running") return;
       if (results.insert(key).second) pipelines.completed(key.first, clock.now());
       if (onResult) onResult(key.first);
-      worker.exited(life, "done");
+      worker.exited(executionId, "done");
     });
   });
 }
 
 void World::save(Worker& worker, const Worker::Task& task) {
-  clock.in(1000, [this, &worker, life = task.life] {
-    worker.whenAwake([this, &worker, life] {
-      Worker::Task* t = worker.byLife(life);
+  clock.in(1000, [this, &worker, executionId = task.executionId] {
+    worker.whenAwake([this, &worker, executionId] {
+      Worker::Task* t = worker.findExecution(executionId);
       if (!t || t->state != "flushing") return;
       progress[{t->job, t->index}] += static_cast<double>(clock.now() - t->startedAt) / 1000.0;
-      worker.exited(life, "halted");
+      worker.exited(executionId, "halted");
     });
   });
 }
 
-// ---- users ----
-
 Json World::spec(const JobPlan& p) const {
   Json v = {{"ref", p.id},
             {"lane", p.jobClass},
@@ -436,12 +434,12 @@
             {"due_s", nullptr}};
   if (!p.zone.empty()) v["site"] = p.zone;
   if (p.dueS >= 0) v["due_s"] = p.dueS;
-  if (!p.awaits.empty() && !settings.dropAwaits) v["awaits"] = p.awaits;
+  if (!p.awaits.empty() && !settings.omitsAwaits) v["awaits"] = p.awaits;
   if (!p.awaitsText.empty()) v["awaits"] = Json::parse(p.awaitsText);
   return v;
 }
 
-void World::toSomeNode(Request q, std::int64_t timeout, OnReply done) {
+void World::sendToAnyController(Request q, std::int64_t timeout, OnReply done) {
   if (balancer_) {
     return balancer_->send(std::move(q), timeout, std::move(done));
   }
@@ -449,23 +447,23 @@
   for (std::uint64_t i = 0; i < nodes_.size() && !nodes_[n].controller; ++i) {
     n = (n + 1) % nodes_.size();
   }
-  toNode(static_cast<int>(n), std::move(q), timeout, std::move(done));
+  sendToController(static_cast<int>(n), std::move(q), timeout, std::move(done));
 }
 
 void World::trySubmit(const std::string& id) {
   Request q{"POST", "/v2/runs", encodeBody(spec(users_[id].plan))};
-  auto done = [this, id, askedAt = clock.now(),
-               hasToBe = pipelines.hasToBeAccepted(id)](std::optional<Response> r) {
+  auto done = [this, id, requestedAt = clock.now(),
+               isAcceptable = pipelines.isAcceptable(id)](std::optional<Response> r) {
     UserJob& j = users_[id];
     if (r && (r->status == 200 || r->status == 201)) {
       if (!j.accepted) pipelines.accepted(id);
-      note(id, *r, askedAt);
+      recordResponse(id, *r, requestedAt);
       if (!j.accepted) {
         j.accepted = true;
         j.acceptedAt = clock.now();
-        if (onTold) onTold(id, "accepted");
+        if (onPhaseReported) onPhaseReported(id, "accepted");
         poll(id);
-        // A retry may come at any later time.
+        // A client may repeat an accepted submission at any later time.
         clock.in(20000 + static_cast<std::int64_t>(random() % 60000),
                  [this, id] { trySubmit(id); });
         onAccepted(id);
@@ -474,84 +472,87 @@
     }
     if (r && (r->status == 400 || r->status == 422)) {
       if (j.accepted) fail("forgotten", id + " got " + std::to_string(r->status));
-      pipelines.refused(id, r->status, hasToBe);
-      j.last = "refused";
+      pipelines.refused(id, r->status, isAcceptable);
+      j.lastPhase = "refused";
       return;
     }
     if (!j.accepted) clock.in(1000, [this, id] { trySubmit(id); });
   };
   int via = std::exchange(users_[id].plan.via, -1);
-  via < 0 ? toSomeNode(q, 5000, done) : toNode(via, q, 5000, done);
+  via < 0 ? sendToAnyController(q, 5000, done) : sendToController(via, q, 5000, done);
 }
 
 void World::abort(const std::string& id) { abortThrough(id, -1); }
 
 void World::abortThrough(const std::string& id, int node) {
-  users_[id].abortAsked = true;
-  pipelines.cancelAsked(id);
+  users_[id].cancelRequested = true;
+  pipelines.cancelRequested(id);
   tryAbort(id, node);
 }
 
 void World::tryAbort(const std::string& id, int node) {
   Request q{"POST", "/v2/runs/" + id + "/abort", ""};
-  auto done = [this, id, askedAt = clock.now()](std::optional<Response> r) {
-    if (r && r->status == 200) return note(id, *r, askedAt);
+  auto done = [this, id, requestedAt = clock.now()](std::optional<Response> r) {
+    if (r && r->status == 200) return recordResponse(id, *r, requestedAt);
     if (r && r->status == 404 && users_[id].accepted) fail("forgotten", id + " abort got 404");
     clock.in(1000, [this, id] { tryAbort(id); });
   };
-  node < 0 ? toSomeNode(q, 5000, done) : toNode(node, q, 5000, done);
+  node < 0 ? sendToAnyController(q, 5000, done) : sendToController(node, q, 5000, done);
 }
 
 void World::poll(const std::string& id) {
   auto pause = static_cast<double>(4000 + random() % 2000) / pollFactor;
   clock.in(static_cast<std::int64_t>(pause), [this, id] {
-    toSomeNode({"GET", "/v2/runs/" + id, ""}, 2000,
-               [this, id, askedAt = clock.now()](std::optional<Response> r) {
-                 if (r && r->status == 200) note(id, *r, askedAt);
-                 if (r && r->status == 404) fail("forgotten", id + " polled 404");
-                 poll(id);
-               });
+    sendToAnyController({"GET", "/v2/runs/" + id, ""}, 2000,
+                        [this, id, requestedAt = clock.now()](std::optional<Response> r) {
+                          if (r && r->status == 200) recordResponse(id, *r, requestedAt);
+                          if (r && r->status == 404)
+                            fail("forgotten", id + " status request got 404");
+                          poll(id);
+                        });
   });
 }
 
 void World::pollUnknown() {
   clock.in(7000, [this] {
-    toSomeNode({"GET", "/v2/runs/j-99999999", ""}, 2000, [this](std::optional<Response> r) {
-      if (r && r->status == 200) fail("invented", "j-99999999");
-    });
+    sendToAnyController({"GET", "/v2/runs/j-99999999", ""}, 2000,
+                        [this](std::optional<Response> r) {
+                          if (r && r->status == 200) fail("invented", "j-99999999");
+                        });
     pollUnknown();
   });
 }
 
-void World::note(const std::string& id, const Response& r, std::int64_t askedAt) {
+void World::recordResponse(const std::string& id, const Response& r, std::int64_t requestedAt) {
   auto body = decodeBody(r.body);
   auto phase = body ? textField(*body, "phase") : std::nullopt;
   if (!phase) return fail("malformed", id);
   UserJob& j = users_[id];
-  // An answer to a question asked before the user was told may arrive after it.
-  j.answeredAt = clock.now();
-  if (!j.told.empty() && askedAt <= j.toldAt) return;
-  j.last = *phase;
-  bool wasOver = !j.told.empty();
-  pipelines.told(id, *phase, clock.now());
-  if (!j.told.empty() && j.told != *phase) {
-    fail("went_back", id + " was " + j.told + ", now " + *phase);
+  j.lastResponseAt = clock.now();
+  // A response to a request from before the final phase may arrive after the final phase. Its phase
+  // is then ignored.
+  if (!j.finalPhase.empty() && requestedAt <= j.finalPhaseAt) return;
+  j.lastPhase = *phase;
+  bool wasOver = !j.finalPhase.empty();
+  pipelines.phaseReported(id, *phase, clock.now());
+  if (!j.finalPhase.empty() && j.finalPhase != *phase) {
+    fail("went_back", id + " was " + j.finalPhase + ", now " + *phase);
   }
   if (*phase == "done") {
     for (int i = 0; i < j.plan.tasks; ++i) {
       if (!results.contains({id, i})) fail("not_done", id + "/" + std::to_string(i));
     }
-    if (j.told.empty()) j.toldAt = j.doneAt = clock.now();
-    if (std::exchange(j.told, *phase).empty() && onTold) onTold(id, *phase);
+    if (j.finalPhase.empty()) j.finalPhaseAt = j.doneAt = clock.now();
+    if (std::exchange(j.finalPhase, *phase).empty() && onPhaseReported) onPhaseReported(id, *phase);
   } else if (*phase == "withdrawn") {
-    if (!j.abortAsked && !pipelines.mayBeWithdrawn(id)) {
-      fail("went_back", id + " cancelled although nobody asked");
+    if (!j.cancelRequested && !pipelines.mayBeWithdrawn(id)) {
+      fail("went_back", id + " withdrawn without a cancel request");
     }
-    if (j.cancelledToldAt < 0) j.cancelledToldAt = clock.now();
-    if (j.told.empty()) j.toldAt = clock.now();
-    if (std::exchange(j.told, *phase).empty() && onTold) onTold(id, *phase);
+    if (j.cancellationReportedAt < 0) j.cancellationReportedAt = clock.now();
+    if (j.finalPhase.empty()) j.finalPhaseAt = clock.now();
+    if (std::exchange(j.finalPhase, *phase).empty() && onPhaseReported) onPhaseReported(id, *phase);
   }
-  if (!wasOver && !j.told.empty()) onOver(id);
+  if (!wasOver && !j.finalPhase.empty()) onOver(id);
 }
 
 }  // namespace kestrelhoist::sim
--- a/tests/sim/world_flows.cpp
+++ b/tests/sim/world_flows.cpp
@@ -1,6 +1,6 @@
-// Users of flows, tasks of flows, and the checker of the rules that flows add: no instance starts
-// before its inputs are done, no output has two writers at a time, and after the end each wanted
-// output was made by exactly one completed attempt of the final version.
+// This file simulates users and tasks of flows and checks the rules of flows. No instance starts
+// before its inputs are complete, no output has two writers at a time, and after the end of a flow
+// exactly one completed attempt of the final version has made each requested output.
 #include <sstream>
 
 #include "sim/world.hpp"
@@ -9,13 +9,13 @@
 namespace {
 std::int64_t ms(double s) { return static_cast<std::int64_t>(s * 1000); }
 
-// "run SECONDS [anew] [fail TIMES]"
-struct Command {
+// Holds a parsed command of the form "run SECONDS [anew] [fail TIMES]".
+struct TaskCommand {
   double runS = 1;
   int failTimes = 0;
 };
-Command parse(const std::string& text) {
-  Command c;
+TaskCommand parse(const std::string& text) {
+  TaskCommand c;
   std::istringstream in(text);
   for (std::string word; in >> word;) {
     if (word == "run") in >> c.runS;
@@ -58,11 +58,11 @@
   clock.in(20, [this] { watchLeader(); });
 }
 
-double World::resumedAfter() const {
+double World::flowResumeSeconds() const {
   return firstStart_ < 0 ? 1e9 : static_cast<double>(firstStart_ - ledSince_) / 1000.0;
 }
 
-double World::flowTook(const std::string& id) const {
+double World::flowDurationS(const std::string& id) const {
   const UserFlow& f = flows_.at(id);
   return f.overAt < 0 ? 1e9 : static_cast<double>(f.overAt - f.sentAt) / 1000.0;
 }
@@ -77,7 +77,7 @@
 
 void World::amendFlow(const FlowPlanSpec& spec) {
   UserFlow& f = flows_[spec.id];
-  // Nobody changes what he has not been told is accepted.
+  // A user amends a flow only after its first version was accepted.
   if (f.sending && f.version == 0) return clock.in(500, [this, spec] { amendFlow(spec); });
   f.spec = spec;
   f.order.keepGoing = spec.keep;
@@ -106,20 +106,20 @@
 }
 
 void World::cancelFlow(const std::string& id) {
-  flows_[id].cancelAsked = true;
+  flows_[id].cancelRequested = true;
   userClient_->cancel(FlowId{id}, Duration{120000}, [this, id](FlowClient::Result r) {
     if (!r) return;
     auto phase = textField(r->body, "phase").value_or("");
     if (phase == "cancelled") {
       UserFlow& f = flows_[id];
       f.phase = phase;
-      // As for a job: every task is gone within the bound.
+      // All tasks of a cancelled flow must end within the same time limit as those of a job.
       clock.in(ms(settings.cancelS), [this, id] {
         for (const auto& [host, worker] : workers) {
           for (const auto& t : worker->tasks) {
-            auto at = flowTasks_.find({host, t.life});
-            if (at != flowTasks_.end() && at->second.flow == id && Worker::on(t) &&
-                !worker->leaseOver()) {
+            auto at = flowTasks_.find({host, t.executionId});
+            if (at != flowTasks_.end() && at->second.flow == id && Worker::isExecuting(t) &&
+                !worker->hasLeaseExpired()) {
               fail("ran_cancelled", id + ": " + t.job + " on " + host);
             }
           }
@@ -147,18 +147,20 @@
 void World::watchFlow(const std::string& id) {
   userClient_->status(FlowId{id}, Duration{20000}, [this, id](FlowClient::Result r) {
     UserFlow& f = flows_[id];
-    if (!r && r.error().kind == client::ErrorKind::unknown) fail("forgotten", id + " status 404");
+    if (!r && r.error().kind == client::ErrorKind::unknown)
+      fail("forgotten", id + " status request got 404");
     if (r) {
       auto phase = textField(r->body, "phase").value_or("");
       if (!f.phase.empty() && f.phase != "open" && phase != f.phase) {
         fail("went_back", id + " was " + f.phase + ", now " + phase);
       }
-      if (phase == "cancelled" && !f.cancelAsked) fail("went_back", id + " cancelled by nobody");
-      bool ends = phase != "open" && f.phase != phase;
+      if (phase == "cancelled" && !f.cancelRequested)
+        fail("went_back", id + " cancelled without a cancel request");
+      bool hasEnded = phase != "open" && f.phase != phase;
       f.phase = phase;
       f.status = r->body;
-      if (ends) f.overAt = clock.now();
-      if (ends && phase != "cancelled") checkFlowOver(id);
+      if (hasEnded) f.overAt = clock.now();
+      if (hasEnded && phase != "cancelled") checkFlowOver(id);
       if (phase != "open") {
         userClient_->get("/v2/flows/" + id + "/report", Duration{60000},
                          [this, id](FlowClient::Result rep) {
@@ -176,33 +178,33 @@
   for (const auto& i : f.plan.instances) {
     const std::string& out = i.outputs[0];
     auto made = f.files.find(out);
-    bool here = made != f.files.end() && made->second == workKey(i);
-    if (f.phase == "done" && !here) fail("not_made", id + " " + out);
-    if (here && f.completions[workKey(i)] != 1) fail("made_twice", id + " " + out);
+    bool isCurrent = made != f.files.end() && made->second == workKey(i);
+    if (f.phase == "done" && !isCurrent) fail("not_made", id + " " + out);
+    if (isCurrent && f.completions[workKey(i)] != 1) fail("made_twice", id + " " + out);
   }
 }
 
-// Asks some controller what the task is to do, as a real worker would.
+// Requests the description of the task from a random controller, as a real worker does.
 void World::fetchFlowTask(Worker& worker, const Worker::Task& task, int triesLeft,
                           std::function<void(std::optional<simulator::TaskNeeds>)> done) {
   auto node = random() % static_cast<std::uint64_t>(settings.nodes);
   network.send(worker.host, nodeApi(static_cast<int>(node)),
                {"GET", "/v2/flows/tasks/" + task.job + "/" + std::to_string(task.index), ""}, 2000,
                [this, &worker, task, triesLeft, done](std::optional<Response> r) {
-                 if (worker.gone) return;
+                 if (worker.isDead) return;
                  auto body = r && r->status == 200 ? decodeBody(r->body) : std::nullopt;
                  if (r && r->status == 404) return done(std::nullopt);
                  if (!body) {
                    if (triesLeft == 0) return done(std::nullopt);
                    clock.in(1000, [this, &worker, task, triesLeft, done] {
-                     if (!worker.gone) fetchFlowTask(worker, task, triesLeft - 1, done);
+                     if (!worker.isDead) fetchFlowTask(worker, task, triesLeft - 1, done);
                    });
                    return;
                  }
                  auto& part = texts_[*textField(*body, "text")];
                  if (part.empty()) part = rules::instancesFrom(*textField(*body, "text"));
-                 FlowTask known{*textField(*body, "flow"), part.at(*countField(*body, "at"))};
-                 flowTasks_[{worker.host, task.life}] = std::move(known);
+                 FlowTask flowTask{*textField(*body, "flow"), part.at(*countField(*body, "at"))};
+                 flowTasks_[{worker.host, task.executionId}] = std::move(flowTask);
                  done(simulator::TaskNeeds{*numberField(*body, "cpus"), *numberField(*body, "gpus"),
                                            *numberField(*body, "snapshot_s") > 0});
                });
@@ -210,37 +212,37 @@
 
 void World::beginFlowTask(Worker& worker, const Worker::Task& task) {
   if (firstStart_ < 0 && leader_ >= 0) firstStart_ = clock.now();
-  const FlowTask known = flowTasks_.at({worker.host, task.life});
-  UserFlow& f = flows_[known.flow];
-  const auto& i = known.instance;
+  const FlowTask flowTask = flowTasks_.at({worker.host, task.executionId});
+  UserFlow& f = flows_[flowTask.flow];
+  const auto& i = flowTask.instance;
   std::string key = workKey(i);
-  std::string name = known.flow + " " + i.outputs[0] + " on " + worker.host;
+  std::string name = flowTask.flow + " " + i.outputs[0] + " on " + worker.host;
   for (const auto& input : i.inputs) {
     if (!f.files.contains(input)) fail("started_early", name + " without " + input);
   }
-  auto& writers = writers_[known.flow + "/" + i.outputs[0]];
+  auto& writers = writers_[flowTask.flow + "/" + i.outputs[0]];
   std::erase_if(writers, [&](const auto& other) {
     auto at = workers.find(other.first);
-    const Worker::Task* t = at == workers.end() ? nullptr : at->second->byLife(other.second);
-    return !t || !Worker::on(*t);
+    const Worker::Task* t = at == workers.end() ? nullptr : at->second->findExecution(other.second);
+    return !t || !Worker::isExecuting(*t);
   });
   if (!writers.empty()) fail("two_writers", name + " while on " + writers.begin()->first);
-  writers.emplace(worker.host, task.life);
-  Command c = parse(i.command);
-  bool known_done = f.completions.contains(key) && f.files[i.outputs[0]] == key;
-  int attempt = known_done ? 0 : ++flowAttempts_[known.flow + key];
-  bool fails = !known_done && (c.failTimes < 0 || attempt <= c.failTimes);
-  clock.in(known_done ? 1 : ms(c.runS) + 1,
-           [this, &worker, life = task.life, known, key, fails, known_done] {
-             worker.whenAwake([this, &worker, life, known, key, fails, known_done] {
-               Worker::Task* t = worker.byLife(life);
-               if (worker.gone || !t || t->state != "running") return;
-               UserFlow& flow = flows_[known.flow];
+  writers.emplace(worker.host, task.executionId);
+  TaskCommand c = parse(i.command);
+  bool wasDone = f.completions.contains(key) && f.files[i.outputs[0]] == key;
+  int attempt = wasDone ? 0 : ++flowAttempts_[flowTask.flow + key];
+  bool fails = !wasDone && (c.failTimes < 0 || attempt <= c.failTimes);
+  clock.in(wasDone ? 1 : ms(c.runS) + 1,
+           [this, &worker, executionId = task.executionId, flowTask, key, fails, wasDone] {
+             worker.whenAwake([this, &worker, executionId, flowTask, key, fails, wasDone] {
+               Worker::Task* t = worker.findExecution(executionId);
+               if (worker.isDead || !t || t->state != "running") return;
+               UserFlow& flow = flows_[flowTask.flow];
                if (!fails) {
-                 for (const auto& out : known.instance.outputs) flow.files[out] = key;
-                 if (!known_done) ++flow.completions[key];
+                 for (const auto& out : flowTask.instance.outputs) flow.files[out] = key;
+                 if (!wasDone) ++flow.completions[key];
                }
-               worker.exited(life, fails ? "error" : "done");
+               worker.exited(executionId, fails ? "error" : "done");
              });
            });
 }
