--- a/src/flows/batching.hpp
+++ b/src/flows/batching.hpp
@@ -1,37 +1,41 @@
 /// \file
-/// When ready instances are made into jobs. The state service's changes are the scarce thing, so
-/// instances gather into arrays while the flow has other work in hand. Pure.
+/// Decides when ready instances are made into jobs. Writes to the state service are the scarce
+/// resource, so instances are collected into large job arrays while other tasks of the flow are
+/// queued or running. The module does no I/O.
 #pragma once
 
 #include "base/types.hpp"
 
 namespace kestrelhoist {
 
+/// The input of the decision for one flow.
 struct ReleaseView {
-  std::size_t ready{};    ///< instances that could be made into jobs now
-  std::size_t batch{};    ///< of how many one array is filled
-  Duration oldest{};      ///< for how long the first of them has been ready
-  std::size_t queued{};   ///< tasks of this flow that wait for room
-  std::size_t running{};  ///< tasks of this flow that may be on machines
-  std::size_t ended{};    ///< instances that have ended
-  std::size_t changes{};  ///< that this flow's advance has cost in this leadership
+  std::size_t ready{};    ///< number of instances that could be made into jobs now
+  std::size_t batch{};    ///< maximum number of instances in one job array
+  Duration oldest{};      ///< time since the first instance became ready
+  std::size_t queued{};   ///< number of tasks of this flow that wait for a machine
+  std::size_t running{};  ///< number of tasks of this flow that may be on machines
+  std::size_t ended{};    ///< number of instances that are done
+  std::size_t
+      changes{};  ///< number of state service changes that this leader has written for the flow
 };
 
+/// Returns true if the ready instances are to be made into jobs now.
 inline bool releaseNow(const ReleaseView& v) {
-  constexpr Duration kGather{700};      // what ends in one round of reports becomes one array
-  constexpr Duration kPatience{20000};  // however much it costs
+  constexpr Duration kGather{700};      // collects the results of one round of worker heartbeats
+  constexpr Duration kPatience{20000};  // limit of the delay, whatever the number of changes
   constexpr double kChangesPerInstance = 0.05;
-  constexpr double kFree = 60;  // so that small flows never wait
+  constexpr double kFree = 60;  // changes without a delay, so that small flows are not delayed
   if (v.ready == 0) return false;
   if (v.ready >= v.batch || v.oldest >= kPatience) return true;
-  // Nothing else is in hand: every moment would be lost.
+  // The flow has no other tasks, so any delay would leave it idle.
   if (v.queued == 0 && v.running == 0) return true;
   if (v.oldest < kGather) return false;
   if (static_cast<double>(v.changes) <=
       kFree + kChangesPerInstance * static_cast<double>(v.ended)) {
     return true;
   }
-  // Machines may fall idle soon.
+  // No tasks wait and few are running, so machines may become idle soon.
   return v.queued == 0 && v.ready * 4 >= v.running;
 }
 
--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -9,8 +9,8 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr Duration kEndedPatience{5000};    // an ended job stays on record at most so long
-constexpr std::size_t kMostQueued = 20000;  // tasks of one flow that wait for room
+constexpr Duration kEndedPatience{5000};    // maximum time that the record of an ended job is kept
+constexpr std::size_t kMostQueued = 20000;  // limit of waiting tasks per flow; no new jobs above it
 
 bool finishedOrGone(const JobState& job, std::uint32_t task) {
   return job.isFinished(task) || job.isGivenUp(task);
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-// The instances of a job's tasks in this version. Jobs of an earlier one are matched by
-// fingerprint, and only where the change to this version has kept them.
+// Maps the tasks of a job to instances of the given version. Tasks of a job of an earlier version
+// are matched by fingerprint; a task that the amendment dropped is mapped to kNone.
 FlowLoop::OpenJob FlowLoop::adopt(
     const FlowState& flow, const JobState& job, const FlowVersion& version,
     const std::unordered_map<std::uint64_t, Instance>* byPrint) const {
@@ -44,7 +44,7 @@
   return open;
 }
 
-// Takes in which tasks of a job have ended.
+// Updates the progress of the flow with the tasks of the job that have ended.
 void FlowLoop::settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const {
   const FlowPart& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
@@ -52,7 +52,7 @@
     Instance i = open.instances[task];
     if (part.drops(task)) {
       if (job.placed.contains(task)) return false;
-      // Proven gone: nobody writes its outputs any more.
+      // The dropped task is confirmed as stopped, so no process writes its outputs any more.
       Instance at = task;
       for (const auto& [first, count] : part.runs) {
         if (at < count) {
@@ -81,7 +81,7 @@
     run.readySince = context_.runtime.now();
 }
 
-// From the records alone.
+// Derives the state of the flow from its records only.
 std::optional<FlowLoop::Run> FlowLoop::build(const FlowState& flow, const Digest& graph) const {
   const FlowVersion* version = flow.version(graph);
   if (!version || !version->complete()) return std::nullopt;
@@ -111,7 +111,7 @@
   }
   for (Instance i = 0; i < g.size(); ++i) {
     char letter = version->stateOf(i);
-    // In a job when its page was written, and not wanted there any more.
+    // The instance was in a job when the page was written, but the job no longer contains it.
     if (letter == 'a' && !covered[i]) letter = 'w';
     run.progress.restore(i, letter == 'd'   ? Progress::State::done
                             : letter == 'f' ? Progress::State::failed
@@ -165,7 +165,8 @@
   for (const auto& [flow, job] : copy.takeTouched()) observe(flow, job);
   std::erase_if(runs_, [&](const auto& r) {
     const FlowState* flow = copy.find(r.first);
-    // Another version, or over: what is known of it is derived anew.
+    // The derived state is discarded if the flow has ended or has another version. It is rebuilt
+    // from the records when it is needed.
     return !flow || !flow->head || flow->head->phase != FlowPhase::open ||
            flow->head->graph != r.second.graph || !flow->head->from.empty();
   });
@@ -173,7 +174,7 @@
 
 LoopStep FlowLoop::next() {
   const auto& live = context_.replica.flows().live();
-  // Flows take turns.
+  // The search starts after the flow of the previous commit, so that all flows are served in turn.
   auto at = live.upper_bound(last_);
   for (std::size_t n = 0; n < live.size(); ++n) {
     if (at == live.end()) at = live.begin();
@@ -186,8 +187,8 @@
   return LoopStep::committing(dropOrphans());
 }
 
-// Parts of tasks' stretches go after their job, whose end would not fit one transaction with them.
-// Names of jobs are never given twice.
+// Removes task sub-chunks whose job record is already removed. The sub-chunks and the end of the
+// job may not fit in one transaction. Removing them later is safe because job ids are never reused.
 std::optional<Commit> FlowLoop::dropOrphans() const {
   Transaction t = context_.begin();
   for (const auto& [key, modRevision] : context_.replica.orphanSubChunks()) {
@@ -210,7 +211,7 @@
     auto built = build(flow, flow.head->graph);
     if (!built) return std::nullopt;
     run = runs_.emplace(id, std::move(*built)).first;
-    logInfo("flow taken up", "flow", id, "version", flow.head->version, "done",
+    logInfo("derived flow progress from records", "flow", id, "version", flow.head->version, "done",
             run->second.progress.count(Progress::State::done), "instances",
             flow.version(flow.head->graph)->graph.size());
   }
@@ -222,8 +223,9 @@
   return job.placed.empty() && (!job.active() || job.waiting() == 0);
 }
 
-// A job's end: its record and those of its tasks go, and what it used is counted, once. The
-// instances that it was for get their state in the same transaction.
+// Ends a job: removes the record and the task chunks of the job, adds its use to the account of the
+// rule, and writes the final states of its instances. All of this happens in one transaction, so
+// the use is counted exactly once.
 void FlowLoop::endJob(TransactionBuilder& builder, const FlowState& flow, const JobId& id,
                       const JobState& job, const OpenJob* open, Run* run) {
   Use use = job.flow->use();
@@ -264,7 +266,8 @@
     builder.state(i, 'a');
   }
   auto spec = std::make_shared<JobSpec>();
-  // Never given twice: tokens are, and the counter within one. Users' ids begin otherwise.
+  // The id is unique: a fencing token is never reused and the counter is unique within one token.
+  // Job ids of users have another prefix.
   spec->id = JobId{"f-" + std::to_string(context_.token.value) + "-" + std::to_string(++jobCount_)};
   spec->jobClass = flow.head->jobClass;
   spec->team = TeamId{flow.head->team};
@@ -283,8 +286,9 @@
   builder.set(keys::job(spec->id), toJson(record), Revision{});
 }
 
-// The step that records ended instances and creates the jobs that become ready: one transaction
-// on the stamps of the head, the pages and the jobs, under the leader's token.
+// Records ended instances and creates jobs for ready instances in one transaction. The transaction
+// compares the revisions of the head, the pages and the jobs, and carries the leader's fencing
+// token.
 std::optional<Commit> FlowLoop::advance(const FlowId& id, const FlowState& flow, Run& run) {
   Instant now = context_.runtime.now();
   const FlowVersion& version = *flow.version(run.graph);
@@ -310,8 +314,8 @@
   if (!release && !over && (ended == 0 || now - endedSince < kEndedPatience)) return std::nullopt;
 
   TransactionBuilder builder(context_, id, flow, version, run.graph);
-  // What is still to be written of a version whose record is taken from the head's stamp: an
-  // amendment or a cancellation that was committed meanwhile makes this fail.
+  // The transaction compares the revision of the head, so it fails if an amendment or a
+  // cancellation has been committed in the meantime.
   std::size_t endedNow = 0, createdNow = 0, instances = 0;
   for (auto& [jobId, open] : run.jobs) {
     const auto* job = context_.replica.job(jobId);
@@ -337,7 +341,8 @@
       auto ready = run.progress.takeReady(rule, run.progress.readyOf(rule));
       std::sort(ready.begin(), ready.end());
       for (std::size_t from = 0; from < ready.size() && !full;) {
-        // Its end must fit in one transaction too: few pages, however scattered what is ready.
+        // The later end of the job must also fit in one transaction. The number of pages is
+        // therefore limited, even if the ready instances are scattered over many pages.
         std::vector<Instance> batch;
         std::size_t pages = 0;
         for (; from < ready.size() && batch.size() < tasksPerChunk(); ++from) {
@@ -370,7 +375,7 @@
     if (!builder.fits()) {
       builder = std::move(before);
     } else {
-      logInfo("flow over", "flow", id, "done", head.done, "failed", head.failed, "skipped",
+      logInfo("flow ended", "flow", id, "done", head.done, "failed", head.failed, "skipped",
               head.skipped);
     }
   }
--- a/src/flows/flow_loop.hpp
+++ b/src/flows/flow_loop.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// The leader's work on flows: makes ready instances into jobs, takes ended jobs off the record and
-/// counts them, carries out amendments and cancellations, removes what is over. Everything it knows
-/// of a flow's progress is derived from the records, so a new leader goes on where the last one
-/// was.
+/// The leader's control loop for flows. It creates jobs from ready instances, removes the records
+/// of ended jobs and accounts for their use, applies amendments and cancellations, and removes
+/// unused versions. The loop derives the progress of a flow from the records in the state service,
+/// so a new leader continues where the previous leader stopped.
 #pragma once
 
 #include "cloud/demand.hpp"
@@ -12,6 +12,7 @@
 
 namespace kestrelhoist {
 
+/// Advances all flows, one transaction at a time.
 class FlowLoop : public ControlLoop {
  public:
   FlowLoop(LeaderContext& context, ConfirmedOutcomes& outcomes, TaskLoop& tasks)
@@ -20,26 +21,27 @@
   LoopStep next() override;
   void onRecordsChanged(bool byOthers) override;
 
-  /// What becomes ready when tasks end that are expected to end within `horizon`, and how many
-  /// tasks that is. DESIGN: waiting downstream jobs of a running upstream job add their room.
+  /// Returns the demand of the instances that become ready when the running tasks end that are
+  /// expected to end within `horizon`. This demand counts as that of waiting dependent jobs.
   std::vector<ProjectedDemand> upcoming(Duration horizon) const;
-  /// Of what is in jobs, tasks on machines that are expected to end within it: their room is free.
+  /// Returns the resources of the running tasks of flows that are expected to end within `horizon`.
+  /// These resources become free.
   std::vector<ProjectedDemand> ending(Duration horizon) const;
 
  private:
   static constexpr Instance kNone = 0xffffffffU;
   struct OpenJob {
-    std::vector<Instance> instances;     ///< by task; kNone: no longer wanted
-    std::vector<std::uint32_t> pending;  ///< tasks whose end is not known yet
-    Instant endedAt{};                   ///< when all were found ended
+    std::vector<Instance> instances;     ///< by task; kNone if an amendment removed the instance
+    std::vector<std::uint32_t> pending;  ///< tasks that have not ended
+    Instant endedAt{};  ///< time at which the loop first saw that all tasks have ended
   };
-  /// One open flow, derived from its records.
+  /// The execution state of one open flow, derived from its records.
   struct Run {
     Digest graph;
     Progress progress;
     std::map<JobId, OpenJob> jobs;
     Instant readySince{};
-    std::size_t changes = 0;  ///< written for it by this leadership
+    std::size_t changes = 0;  ///< number of changes that this leader has written for the flow
   };
   class TransactionBuilder;
 
@@ -60,7 +62,8 @@
   void createJob(TransactionBuilder& builder, const FlowId& id, const FlowState& flow, Run& run,
                  std::uint32_t rule, const std::vector<Instance>& instances);
   bool endable(const JobState& job) const;
-  /// Of one job: its record, its tasks' and an account change with them.
+  /// Returns the maximum number of pages that the instances of one job may span. The transaction
+  /// that ends the job also changes the job record, the task chunk, an account and the head.
   std::size_t mostPages() const {
     return context_.platform.transactionOps > 4 ? context_.platform.transactionOps - 4 : 1;
   }
@@ -70,9 +73,10 @@
   ConfirmedOutcomes& outcomes_;
   TaskLoop& tasks_;
   std::map<FlowId, Run> runs_;
-  FlowId last_;  ///< whose turn it was
+  FlowId last_;  ///< flow of the previous commit; the next search starts after it
   std::uint64_t jobCount_ = 0;
-  std::map<std::pair<FlowId, Digest>, std::uint32_t> removed_;  ///< texts and parts so far
+  std::map<std::pair<FlowId, Digest>, std::uint32_t>
+      removed_;  ///< number of keys of each version removed so far
 };
 
 }  // namespace kestrelhoist
--- a/src/flows/flow_loop_versions.cpp
+++ b/src/flows/flow_loop_versions.cpp
@@ -1,4 +1,4 @@
-// Changes of a flow's graph, cancellations, and the removal of what nobody needs any more.
+// Implements amendments and cancellations of flows, and the removal of unused versions.
 #include <algorithm>
 
 #include "base/log.hpp"
@@ -6,14 +6,16 @@
 
 namespace kestrelhoist {
 namespace {
-// A graph that was uploaded and never used; only garbage waits for it.
+// Age at which an uploaded version that was never committed is removed. A long delay only keeps
+// unused records longer.
 constexpr std::int64_t kAbandonedMs = 30 * 60 * 1000;
 const FlowVersion kNoVersion;
 }  // namespace
 
-// The change to another version: instances that are the same in both keep their state and their
-// running tasks; tasks of others are dropped, which stops them. Each step is derived from the
-// records, so whoever leads takes it up wherever it is. The flow starts nothing meanwhile.
+// Applies an amendment, which changes a flow to another version. Instances with the same
+// fingerprint in both versions keep their state and their running tasks; other tasks are dropped
+// and stopped. Each step is derived from the records, so a new leader can continue an unfinished
+// amendment. The flow creates no jobs until the amendment is complete.
 std::optional<Commit> FlowLoop::amend(const FlowId& id, const FlowState& flow) {
   const FlowVersion* target = flow.version(flow.head->graph);
   auto old = build(flow, flow.head->from);
@@ -38,7 +40,7 @@
     for (std::uint32_t task = 0; task < open.instances.size(); ++task) {
       Instance i = open.instances[task];
       auto kept = i == kNone ? byPrint.end() : byPrint.find(source.graph.print(i));
-      // A failed instance is tried again, in a job of its own.
+      // A failed instance is retried in a new job.
       bool wanted = kept != byPrint.end() && (job->isFinished(task) || !job->isGivenUp(task));
       if (wanted) {
         if (letters[kept->second] == 'w') letters[kept->second] = 'a';
@@ -90,11 +92,11 @@
   Transaction t = context_.begin();
   t.compares.push_back({keys::flow(id), flow.modRevision});
   t.writes.push_back({keys::flow(id), toJson(head), std::nullopt});
-  logInfo("flow changed", "flow", id, "version", head.version);
+  logInfo("flow amendment completed", "flow", id, "version", head.version);
   return Commit{std::move(t), nullptr, "flow " + id.value + ": changed"};
 }
 
-// A flow that was cancelled: its jobs are, then they leave the record.
+// Cancels the jobs of a cancelled flow, and ends each of them when its tasks have stopped.
 std::optional<Commit> FlowLoop::wind(const FlowId& id, const FlowState& flow) {
   const FlowVersion* version = flow.version(flow.head->graph);
   TransactionBuilder builder(context_, id, flow, version ? *version : kNoVersion, flow.head->graph);
@@ -130,13 +132,15 @@
                     std::to_string(ended) + " ended"};
 }
 
-// Versions that no head and no job refers to. First the upload's record says that it takes no more
-// parts: its stamp moves, so that a late write of a part fails. It is also the last to go.
+// Removes versions that no head and no job refers to. The upload record is first marked as closing.
+// This changes its revision, so that a late write of a part fails. The upload record itself is
+// removed last.
 std::optional<Commit> FlowLoop::remove(const FlowId& id, const FlowState& flow) {
   bool over = flow.head && flow.head->phase != FlowPhase::open;
   std::int64_t wall = context_.runtime.wallMillis();
   for (const auto& [digest, version] : flow.versions) {
-    if (!version.upload) continue;  // a part that outran its upload's record in the feed
+    if (!version.upload)
+      continue;  // the change feed has delivered a part but not the upload record
     if (flow.head && !over && (digest == flow.head->graph || digest == flow.head->from)) continue;
     bool used = std::any_of(flow.jobs.begin(), flow.jobs.end(), [&](const JobId& job) {
       const auto* state = context_.replica.job(job);
--- a/src/flows/graph.hpp
+++ b/src/flows/graph.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The graph of a flow as a controller keeps it: instances of rules, numbered so that each depends
-/// only on smaller numbers, in flat arrays (some 40 bytes an instance). Built from the parts in
-/// which it was uploaded; texts (commands, names of files) are not in it.
+/// Defines the in-memory graph of a flow. Instances of rules are numbered so that each instance
+/// depends only on smaller numbers, and are stored in flat arrays (about 40 bytes per instance).
+/// The graph is built from its uploaded parts and contains no texts (commands and file names).
 #pragma once
 
 #include <span>
@@ -14,26 +14,27 @@
 namespace kestrelhoist {
 
 using FlowId = Name<struct FlowIdTag>;
-using Digest = Name<struct DigestTag>;  ///< of one version of a flow's graph: 16 hex digits
+using Digest = Name<struct DigestTag>;  ///< identifies one version of a flow graph; 16 hex digits
 using Instance = std::uint32_t;         ///< number of an instance within one version
 
-/// w- and digits.
+/// Returns true if `ref` is "w-" followed by 1 to 18 digits.
 bool validFlowId(const std::string& ref);
-/// 16 hex digits.
+/// Returns true if `text` has exactly 16 hex digits.
 bool validDigest(const std::string& text);
-/// Of members and flows: letters, digits and ._-, so that it can be part of a key and of a path.
+/// Returns true if `text` is a valid name of a member or a flow. A name has 1 to 64 letters, digits
+/// or the characters ._- so that it can be part of a key and of a path.
 bool validLabel(const std::string& text);
 
-/// What the instances of one rule have in common.
+/// The properties that all instances of one rule share.
 struct FlowRule {
   std::string name;
   Resources perTask;
   std::string image;
   double imageGb{};
-  std::uint32_t retries{};  ///< after the first failure
-  std::int32_t priority{};  ///< among the ready instances of its flow, larger first
+  std::uint32_t retries{};  ///< number of retries after the first failure
+  std::int32_t priority{};  ///< orders the ready instances of a flow; larger values start first
   Duration estimate{};
-  Duration checkpointEvery{};  ///< 0: never saves
+  Duration checkpointEvery{};  ///< 0 if the tasks write no checkpoints
   Duration saveTime{};
   bool spot{};
 };
@@ -41,15 +42,18 @@
 Json toJson(const FlowRule& rule);
 std::optional<FlowRule> flowRuleFrom(const Json& value);
 
+/// The graph of one version of a flow.
 class FlowGraph {
  public:
   static constexpr std::size_t kMostRules = 10000;
-  static constexpr std::size_t kMostDeps = 10000;  ///< of one instance
+  static constexpr std::size_t kMostDeps = 10000;  ///< limit for one instance
 
-  /// Appends the next part; otherwise says why not and stays as it was.
+  /// Appends the next part. Returns an error text if the part is invalid; the graph is then
+  /// unchanged. The format of a part is:
   /// {"rules":[...new ones...], "of":[rule,count,...], "deps":[count,back,...,count,...],
   ///  "print":"16 hex digits an instance", "outs":[count,...], "outh":"16 hex digits an output"}
-  /// `deps` are distances back from the instance. Without `outs` each instance has one output.
+  /// An entry of `deps` is the distance from an instance back to the instance that it depends on.
+  /// Without `outs`, each instance has one output.
   std::optional<std::string> add(const Json& part);
 
   Instance size() const { return static_cast<Instance>(ruleOf_.size()); }
@@ -58,14 +62,15 @@
   std::span<const Instance> deps(Instance i) const {
     return std::span(deps_).subspan(depStart_[i], depStart_[i + 1] - depStart_[i]);
   }
+  /// Returns the fingerprint that identifies the same instance in different versions of a flow.
   std::uint64_t print(Instance i) const { return prints_[i]; }
-  /// Hashes of the names of the files it makes.
+  /// Returns the hashes of the names of the files that instance `i` writes.
   std::span<const std::uint64_t> outputs(Instance i) const {
     return std::span(outs_).subspan(outStart_[i], outStart_[i + 1] - outStart_[i]);
   }
   const std::vector<std::uint64_t>& allOutputs() const { return outs_; }
   std::size_t edges() const { return deps_.size(); }
-  /// Bytes of memory, as far as the graph knows.
+  /// Returns the memory of the arrays in bytes, without the strings of the rules.
   std::size_t bytes() const;
 
  private:
--- a/src/flows/progress.cpp
+++ b/src/flows/progress.cpp
@@ -50,7 +50,7 @@
 void Progress::assign(Instance i) {
   assert(state_[i] == State::waiting && missing_[i] == 0);
   auto& queue = ready_[graph_->ruleOf(i)];
-  // Taken from the front, up to blocked ones that stay.
+  // The search is short: only instances with blocked outputs stay in front of the assigned one.
   auto at = std::find(queue.begin(), queue.end(), i);
   assert(at != queue.end());
   queue.erase(at);
@@ -90,10 +90,10 @@
   }
 }
 
-std::vector<Instance> Progress::takeReady(std::uint32_t rule, std::size_t most) const {
+std::vector<Instance> Progress::readyInstances(std::uint32_t rule, std::size_t maxCount) const {
   std::vector<Instance> out;
   for (Instance i : ready_[rule]) {
-    if (out.size() >= most) break;
+    if (out.size() >= maxCount) break;
     auto outputs = graph_->outputs(i);
     bool free = blocked_.empty() || std::none_of(outputs.begin(), outputs.end(),
                                                  [&](auto o) { return blocked_.contains(o); });
@@ -109,7 +109,8 @@
 
 std::vector<std::uint32_t> Progress::upcoming(const std::vector<Instance>& assigned) const {
   std::vector<std::uint32_t> out(graph_->rules().size(), 0);
-  std::unordered_map<Instance, std::uint32_t> covered;  // inputs that will be done
+  std::unordered_map<Instance, std::uint32_t>
+      covered;  // number of inputs that become done, by dependent
   for (Instance i : assigned) {
     for (auto k = outStart_[i]; k < outStart_[i + 1]; ++k) ++covered[dependents_[k]];
   }
--- a/src/flows/progress.hpp
+++ b/src/flows/progress.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// How far one version of a flow is: which instances wait, are in a job, are done or failed, and
-/// which are ready. Pure; finishing one instance costs work by its dependents, not by the graph.
+/// Tracks the state of each instance of one flow version, and which instances are ready to start.
+/// The module does no I/O. The cost of finishing an instance is proportional to the number of its
+/// dependents, not to the size of the graph.
 #pragma once
 
 #include <deque>
@@ -10,49 +11,52 @@
 
 namespace kestrelhoist {
 
+/// The execution state of one version of a flow.
 class Progress {
  public:
   enum class State : std::uint8_t {
-    waiting,   ///< for its inputs, or in the queue of ready ones
-    assigned,  ///< in a job
+    waiting,   ///< waits for its inputs, or is ready but in no job
+    assigned,  ///< belongs to a job
     done,
-    failed,   ///< for good
-    skipped,  ///< needs a failed one, and the flow keeps going
+    failed,   ///< failed permanently
+    skipped,  ///< depends on a failed instance in a flow that keeps going
   };
 
   Progress() = default;
   Progress(const FlowGraph& graph, bool keepGoing);
 
   State state(Instance i) const { return state_[i]; }
-  /// From the records, before anything else; `settle` once all are set.
+  /// Sets the recorded state of an instance. The caller restores all instances first and then calls
+  /// `settle`, before it uses any other function.
   void restore(Instance i, State s) { state_[i] = s; }
+  /// Recomputes the counts, the ready queues and the skipped instances from the restored states.
   void settle();
 
   void assign(Instance i);
   void finish(Instance i);
   void fail(Instance i);
 
-  /// Ready instances of a rule, oldest first. Takes up to `most` of them whose outputs nobody else
-  /// may still be writing; the others stay.
-  std::vector<Instance> takeReady(std::uint32_t rule, std::size_t most) const;
+  /// Returns up to `maxCount` ready instances of a rule, oldest first. It leaves out instances with
+  /// a blocked output. The queue of ready instances does not change.
+  std::vector<Instance> readyInstances(std::uint32_t rule, std::size_t maxCount) const;
   std::size_t readyOf(std::uint32_t rule) const { return ready_[rule].size(); }
   std::size_t ready() const { return readyCount_; }
 
-  /// Outputs that a dropped task of an earlier version may still be writing.
+  /// Marks an output as blocked, because a dropped task of an earlier version may still write it.
   void block(std::uint64_t output) { ++blocked_[output]; }
   void unblock(std::uint64_t output);
 
   std::uint32_t count(State s) const { return counts_[static_cast<std::size_t>(s)]; }
-  /// Everything has ended: done, failed or skipped.
+  /// Returns true if every instance is done, failed or skipped.
   bool over() const { return count(State::waiting) == 0 && count(State::assigned) == 0; }
-  /// Nothing more can start: what waits needs something that failed.
+  /// Returns true if instances wait but none can start, because they depend on failed instances.
   bool stuck() const { return ready() == 0 && count(State::assigned) == 0 && !over(); }
-  /// Instances visited so far, to count work in tests.
+  /// Returns the number of dependents visited so far; tests use it to measure the work.
   std::uint64_t visits() const { return visits_; }
   std::size_t bytes() const;
 
-  /// Of the dependents of these assigned instances, how many of each rule become ready when they
-  /// are done: all their inputs are done or among them.
+  /// Returns, by rule, how many waiting instances become ready when the given assigned instances
+  /// are done.
   std::vector<std::uint32_t> upcoming(const std::vector<Instance>& assigned) const;
 
  private:
@@ -63,10 +67,11 @@
   const FlowGraph* graph_ = nullptr;
   bool keepGoing_ = false;
   std::vector<State> state_;
-  std::vector<std::uint32_t> missing_;   ///< inputs that are not done
-  std::vector<std::uint32_t> outStart_;  ///< dependents, in flat form
+  std::vector<std::uint32_t> missing_;  ///< number of inputs of each instance that are not done
+  std::vector<std::uint32_t>
+      outStart_;  ///< start of the dependents of each instance in `dependents_`
   std::vector<Instance> dependents_;
-  std::vector<std::deque<Instance>> ready_;  ///< by rule
+  std::vector<std::deque<Instance>> ready_;  ///< queues of ready instances, by rule
   std::size_t readyCount_ = 0;
   std::uint32_t counts_[5] = {};
   std::unordered_map<std::uint64_t, std::uint32_t> blocked_;
--- a/src/flows/records.cpp
+++ b/src/flows/records.cpp
@@ -153,7 +153,7 @@
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 constexpr char kDense = '~';
 
-// Their number, then three states in each sign.
+// Writes the number of states, then one character for every three states.
 std::string packDense(const std::string& states) {
   std::string out = kDense + std::to_string(states.size()) + kDense;
   for (std::size_t i = 0; i < states.size(); i += 3) {
--- a/src/flows/records.hpp
+++ b/src/flows/records.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The records of flows in the state service: keys and values (docs/flows.md).
+/// Defines the keys and values of the flow records in the state service (docs/flows.md).
 #pragma once
 
 #include <map>
@@ -9,13 +9,14 @@
 namespace kestrelhoist {
 
 namespace keys {
-inline const std::string kFlow = "kh/flow/";        ///< head
-inline const std::string kUpload = "kh/flowu/";     ///< one uploaded version
-inline const std::string kGraph = "kh/flowg/";      ///< parts of its graph
-inline const std::string kPage = "kh/flowp/";       ///< states of its instances
-inline const std::string kAccount = "kh/flowa/";    ///< what its rules used
-inline const std::string kOpenFlows = "kh/flows/";  ///< a member's open flows
-/// Texts are not part of what every controller copies; they are read when a worker asks.
+inline const std::string kFlow = "kh/flow/";      ///< prefix of flow heads
+inline const std::string kUpload = "kh/flowu/";   ///< prefix of the upload records, one per version
+inline const std::string kGraph = "kh/flowg/";    ///< prefix of the parts of flow graphs
+inline const std::string kPage = "kh/flowp/";     ///< prefix of the pages of instance states
+inline const std::string kAccount = "kh/flowa/";  ///< prefix of the resource accounts of rules
+inline const std::string kOpenFlows = "kh/flows/";  ///< prefix of the lists of members' open flows
+/// Prefix of the texts (commands and file names). Controllers do not replicate texts; they read a
+/// text from the state service when a worker requests it.
 inline const std::string kText = "kx/text/";
 std::string flow(const FlowId& id);
 std::string upload(const FlowId& id, const Digest& version);
@@ -26,52 +27,53 @@
 std::string openFlows(const std::string& team, const std::string& member);
 }  // namespace keys
 
-/// Announced before its parts are written; each part conditions on it, so that none can come late
-/// to a version that was removed.
+/// The record of one uploaded version. It is written before the parts of the version, and every
+/// write of a part compares its revision, so that a late part cannot be added to a removed version.
 struct FlowUpload {
   std::uint32_t instances{};
-  std::uint32_t parts{};    ///< of the graph
-  std::uint32_t texts{};    ///< parts of the texts
-  std::uint32_t perText{};  ///< instances in each of them
-  std::int64_t atMs{};      ///< time of day
-  bool closing{};           ///< is being removed: takes no parts any more
+  std::uint32_t parts{};    ///< number of graph parts
+  std::uint32_t texts{};    ///< number of text parts
+  std::uint32_t perText{};  ///< number of instances in each text part
+  std::int64_t atMs{};      ///< wall-clock time of the announcement
+  bool closing{};           ///< true while the version is removed; further parts are rejected
   auto operator<=>(const FlowUpload&) const = default;
 };
 
-/// `failed`: instances failed for good and, as asked, those that need them were skipped.
+/// A flow is `failed` if all its instances have ended and at least one failed permanently.
 enum class FlowPhase { open, done, failed, cancelled };
 const char* wordOf(FlowPhase phase);
 
 struct FlowHead {
   std::string team, member, name;
   std::string jobClass;
-  int priority{};    ///< Priority
-  bool keepGoing{};  ///< skip what needs a failed instance, rather than wait for an amendment
+  int priority{};    ///< numeric value of a Priority
+  bool keepGoing{};  ///< skips dependents of a failed instance instead of waiting for an amendment
   std::int64_t atMs{};
   FlowPhase phase = FlowPhase::open;
-  std::uint64_t version{};  ///< 1, 2, ...: each accepted graph
+  std::uint64_t version{};  ///< starts at 1 and grows by 1 with each accepted graph
   Digest graph;
-  Digest from;  ///< the version before, while the change to this one is under way
-  /// Once it is over: how many instances ended how.
+  Digest from;  ///< previous version while an amendment is in progress, else empty
+  /// Numbers of instances by final state, set when the flow ends.
   std::uint32_t done{}, failed{}, skipped{};
 };
 
-/// What was used, in milliseconds of one task.
+/// Counts tasks and attempts, and sums their run times.
 struct Use {
-  std::uint64_t tasks{};     ///< completed
-  std::uint64_t failed{};    ///< given up
-  std::uint64_t attempts{};  ///< that ended, in whatever way
-  std::uint64_t ranMs{};     ///< of completed attempts
-  std::uint64_t lostMs{};    ///< of the others
+  std::uint64_t tasks{};     ///< completed tasks
+  std::uint64_t failed{};    ///< tasks that failed permanently
+  std::uint64_t attempts{};  ///< attempts that ended, with any outcome
+  std::uint64_t ranMs{};     ///< run time of completed attempts
+  std::uint64_t lostMs{};    ///< run time of all other attempts
   Use& operator+=(const Use& o);
   auto operator<=>(const Use&) const = default;
   bool empty() const { return *this == Use{}; }
 };
 
-/// Instances of one page share a value.
+/// Number of instances whose states one page (one value of the state service) holds.
 inline constexpr std::uint32_t kPageSize = 4096;
 
-/// What one rule's tasks used. Accounts outlast the graph, so they carry the rule's name and room.
+/// The resource use of one rule's tasks. Accounts are kept after the graph is removed, so an entry
+/// contains the name of the rule and the resources of its tasks.
 struct AccountEntry {
   std::string rule;
   Resources perTask;
@@ -87,20 +89,23 @@
 Use useFrom(const Json& v);
 std::optional<AccountEntry> accountEntryFrom(const Json& v);
 
-/// States of up to kPageSize instances, a letter each: w(aiting), a(ssigned), d(one), f(ailed).
-/// Letters with their counts; if that is shorter and `dense` allows it, three states in each sign,
-/// which takes at most a third of a page's size (older versions can't read it).
+/// Encodes the states of up to kPageSize instances. `states` has one letter per instance:
+/// w(aiting), a(ssigned), d(one) or f(ailed). The default encoding is run-length. If `dense` is
+/// true and the run-length encoding is longer, each character encodes three states, so that the
+/// result takes about a third of the page size. Older program versions cannot decode the dense
+/// form.
 std::string packPage(const std::string& states, bool dense = false);
+/// Decodes both encodings of `packPage`; returns null if `text` is malformed.
 std::optional<std::string> unpackPage(const std::string& text);
 
-/// The part of a job's record that says which instances its tasks are.
+/// The part of a job record that maps the tasks of the job to flow instances.
 struct FlowPart {
   FlowId flow;
-  Digest graph;          ///< the version that the numbers are of
-  std::uint32_t rule{};  ///< in that version
+  Digest graph;          ///< version that defines the instance numbers
+  std::uint32_t rule{};  ///< rule index in that version
   std::uint32_t retries{};
-  std::vector<std::pair<Instance, std::uint32_t>> runs;  ///< first and count
-  std::vector<std::uint32_t> dropped;  ///< tasks that are no longer wanted, in order
+  std::vector<std::pair<Instance, std::uint32_t>> runs;  ///< first instance and count of each run
+  std::vector<std::uint32_t> dropped;                    ///< tasks removed by an amendment, sorted
   bool drops(std::uint32_t task) const;
 };
 
