--- a/src/flows/admission.cpp
+++ b/src/flows/admission.cpp
@@ -5,7 +5,7 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxOpenFlows = 64;  // of a member
+constexpr std::size_t kMaxOpenFlows = 64;  // limit per member
 constexpr double kRoomTolerance = 1e-6;
 
 Response refused(const std::string& why) { return jsonResponse(422, {{"error", why}}); }
@@ -28,7 +28,7 @@
   return outputRefusal(id, head, outputs);
 }
 
-// Whether a task of the rule is larger than any machine or than the team's limit.
+// Refuses a rule whose tasks are larger than every machine type or than the team's limit.
 std::optional<Response> FlowAdmission::ruleRefusal(const FlowRule& rule,
                                                    const Resources& limit) const {
   bool fits = std::any_of(types->types.begin(), types->types.end(), [&](const MachineType& type) {
@@ -42,8 +42,8 @@
   return std::nullopt;
 }
 
-// A member's own open flows must not make the same files; others never meet, since files are named
-// by member and flow.
+// Refuses a version that writes the same file as another open flow of the member. Flows of
+// different members cannot conflict, because file names contain the member and the flow.
 std::optional<Response> FlowAdmission::outputRefusal(const FlowId& id, const FlowHead& head,
                                                      const Outputs& outputs) const {
   auto open = replica.flows().openOf(head.team, head.member);
--- a/src/flows/admission.hpp
+++ b/src/flows/admission.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a version of a flow can be run.
+/// Checks whether a version of a flow can run.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,14 @@
 
 namespace kestrelhoist {
 
-/// What an admission depends on. `types`: null if the machine types aren't known yet.
+/// Checks a flow version against the configuration and the open flows. `types` is null while the
+/// machine types have not been received from the cloud.
 struct FlowAdmission {
   const Replica& replica;
   const Platform& platform;
   const Catalogue* types;
 
-  /// Why this version can't be run, as the answer to the user; empty: it can.
+  /// Returns the error response if the version cannot run, or null if it can.
   std::optional<Response> refusal(const FlowId& id, const FlowVersion& version,
                                   const FlowHead& head) const;
 
--- a/src/flows/answers.hpp
+++ b/src/flows/answers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Answers to users that several requests of the flows' interface give.
+/// Defines the HTTP responses that several requests for flows share.
 #pragma once
 
 #include <string>
@@ -9,11 +9,12 @@
 
 namespace kestrelhoist {
 
+/// Returns a response with an error text.
 inline Response errorResponse(int status, const std::string& why) {
   return jsonResponse(status, {{"error", why}});
 }
 
-/// Where a flow is: its phase and the number of its version.
+/// Returns a response with the phase and the version number of a flow.
 inline Response headResponse(const FlowId& id, const FlowHead& head, int status) {
   return jsonResponse(
       status, {{"ref", id.value}, {"phase", wordOf(head.phase)}, {"version", head.version}});
--- a/src/flows/flow_replica.cpp
+++ b/src/flows/flow_replica.cpp
@@ -8,7 +8,7 @@
 namespace kestrelhoist {
 namespace {
 
-// "id/digest/000012" after a prefix.
+// The part of a key after its prefix, for example "id/digest/000012".
 struct Path {
   FlowId flow;
   Digest version;
@@ -119,7 +119,7 @@
     if (flow.head && flow.head->phase == FlowPhase::cancelled) {
       newestCancellation_ = std::max(newestCancellation_, modRevision);
     }
-    if (value && !flow.head) logError("flow record can't be read", "flow", id);
+    if (value && !flow.head) logError("malformed flow record ignored", "flow", id);
     tidy(flows_.find(id));
     return true;
   }
@@ -145,7 +145,7 @@
   bool isUpload = key.starts_with(keys::kUpload);
   bool isGraph = key.starts_with(keys::kGraph);
   if (!isUpload && !isGraph && !key.starts_with(keys::kPage)) return true;
-  auto path = rest(keys::kUpload);  // all three prefixes are of one length
+  auto path = rest(keys::kUpload);  // all three prefixes have the same length
   if (path.size() != (isUpload ? 2U : 3U)) return true;
   auto it = flows_.try_emplace(FlowId{path[0]}).first;
   FlowVersion& version = it->second.versions[Digest{path[1]}];
@@ -164,7 +164,7 @@
       version.pages.erase(*number);
     }
   }
-  // The upload's record is the last of a version that is removed.
+  // The upload record is the last record of a version to be removed.
   if (!version.upload && !value && version.pages.empty()) {
     instances_ -= version.graph.size();
     it->second.versions.erase(Digest{path[1]});
--- a/src/flows/flow_replica.hpp
+++ b/src/flows/flow_replica.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A controller's copy of the flows' records, part of the replica. Applying a change costs what
-/// the change says, not what a flow is.
+/// Keeps an in-memory copy of the flow records on each controller, as part of the replica. The cost
+/// of applying a change is proportional to the change, not to the size of the flow.
 #pragma once
 
 #include <map>
@@ -14,49 +14,52 @@
 /// One uploaded graph of a flow.
 struct FlowVersion {
   std::optional<FlowUpload> upload;
-  Revision modRevision;                 ///< of the upload's record
-  FlowGraph graph;                      ///< of the parts that came so far, in order
-  std::uint32_t parts{};                ///< how many of them
-  std::map<std::uint32_t, Json> early;  ///< parts that came before an earlier one
-  std::string fault;                    ///< why a part was not accepted
+  Revision modRevision;                 ///< modification revision of the upload record
+  FlowGraph graph;                      ///< graph built from the consecutive parts received so far
+  std::uint32_t parts{};                ///< number of parts in `graph`
+  std::map<std::uint32_t, Json> early;  ///< parts that arrived before a part with a smaller number
+  std::string fault;                    ///< error text of a rejected part, else empty
   std::map<std::uint32_t, std::string> pages;
 
   bool complete() const {
     return upload && fault.empty() && parts == upload->parts && graph.size() == upload->instances;
   }
-  /// As on record; waiting where there is no page.
+  /// Returns the recorded state letter of an instance, or w(aiting) if its page does not exist.
   char stateOf(Instance i) const;
 };
 
+/// All replicated records of one flow.
 struct FlowState {
   std::optional<FlowHead> head;
-  Revision modRevision;  ///< of the head
+  Revision modRevision;  ///< modification revision of the head
   std::map<Digest, FlowVersion> versions;
-  std::map<std::uint32_t, std::vector<AccountEntry>> accounts;  ///< by block
-  std::set<JobId> jobs;                                         ///< on record, in whatever phase
+  std::map<std::uint32_t, std::vector<AccountEntry>> accounts;  ///< account entries by block number
+  std::set<JobId> jobs;  ///< jobs of the flow that have a record, in any phase
 
   const FlowVersion* version(const Digest& graph) const;
 };
 
+/// The replicated records of all flows.
 class FlowReplica {
  public:
-  /// False: not a key of a flow.
+  /// Applies a changed or removed (null) record. Returns false if the key is not a flow key.
   bool apply(const std::string& key, const Json* value, Revision modRevision);
   void addJob(const FlowId& flow, const JobId& job);
   void dropJob(const FlowId& flow, const JobId& job);
-  /// Tasks of this job ended or were dropped: whoever advances the flow looks at it.
+  /// Marks a job whose tasks have ended or were dropped, so that the flow loop reads it again.
   void touch(const FlowId& flow, const JobId& job) { touched_.emplace(flow, job); }
   std::set<std::pair<FlowId, JobId>> takeTouched() { return std::exchange(touched_, {}); }
 
   const std::map<FlowId, FlowState>& flows() const { return flows_; }
   const FlowState* find(const FlowId& id) const;
-  /// Those with a graph or a job on record: what the leader has to do with.
+  /// Returns the flows that have a version or a job record. Only these flows need work by the
+  /// leader.
   const std::set<FlowId>& live() const { return live_; }
-  /// A member's open flows.
+  /// Returns the open flows of a member.
   std::vector<FlowId> openOf(const std::string& team, const std::string& member) const;
-  /// Instances of all graphs held, uploads under way included.
+  /// Returns the number of instances of all graphs in memory, including unfinished uploads.
   std::size_t instances() const { return instances_; }
-  /// Of any flow that is cancelled here.
+  /// Returns the newest modification revision at which a flow head in this replica was cancelled.
   Revision newestCancellation() const { return newestCancellation_; }
 
  private:
@@ -64,7 +67,7 @@
   void tidy(std::map<FlowId, FlowState>::iterator flow);
 
   std::map<FlowId, FlowState> flows_;
-  std::map<std::string, std::vector<FlowId>> open_;  ///< by team/member
+  std::map<std::string, std::vector<FlowId>> open_;  ///< open flows by "team/member"
   std::set<std::pair<FlowId, JobId>> touched_;
   std::set<FlowId> live_;
   std::size_t instances_ = 0;
--- a/src/flows/flow_transaction.hpp
+++ b/src/flows/flow_transaction.hpp
@@ -1,12 +1,13 @@
 /// \file
-/// Puts together one transaction of a flow: jobs, pages of instances, accounts, the head. Copied to
-/// try out whether one more thing fits.
+/// Builds one transaction of a flow from changes to jobs, pages of instance states, accounts and
+/// the head. The builder can be copied, so that a caller can undo a change that exceeds the limits.
 #pragma once
 
 #include "flows/flow_loop.hpp"
 
 namespace kestrelhoist {
 
+/// Collects the writes and compares of one transaction of a flow.
 class FlowLoop::TransactionBuilder {
  public:
   TransactionBuilder(const LeaderContext& context, const FlowId& id, const FlowState& flow,
@@ -40,7 +41,8 @@
     page->second[i % kPageSize] = letter;
   }
 
-  /// Counts for a rule: in the entry that it has, or in a new one of the last value with room.
+  /// Adds resource use to the account of a rule. It extends the existing entry of the rule, or adds
+  /// a new entry to the last account block, or to a new block if the last one is full.
   void use(const FlowRule& rule, const Use& use) {
     if (use.empty()) return;
     auto same = [&](const AccountEntry& e) {
@@ -59,7 +61,8 @@
     }
     for (const auto& [block, entries] : flow_->accounts) {
       if (accounts_.contains(block) || std::none_of(entries.begin(), entries.end(), same)) continue;
-      // One that was filled under a larger limit stays as it is: entries of a rule add up.
+      // A block that was filled under a larger value limit cannot be rewritten. The use then goes
+      // to a second entry for the rule; readers sum all entries of a rule.
       if (accountBytes(entries) > context_->legacyValueBytes()) continue;
       add(accounts_.emplace(block, entries).first->second);
       return;
@@ -71,7 +74,7 @@
     std::size_t filled = accounts_.contains(last)         ? accountBytes(accounts_.at(last))
                          : known != flow_->accounts.end() ? accountBytes(known->second)
                                                           : 0;
-    // Numbers grow: a value is filled to a half only.
+    // A block is filled only to half of the value limit, because the numbers in it grow.
     if (filled + rule.name.size() + 128 > context_->platform.valueBytes / 2) {
       ++last;
     } else if (known != flow_->accounts.end()) {
@@ -80,7 +83,8 @@
     accounts_[last].push_back({rule.name, rule.perTask, use});
   }
 
-  /// Over: the head says so, and the flow leaves its member's list, which frees its outputs' names.
+  /// Ends the flow: writes the given head and removes the flow from the member's list of open
+  /// flows. Other flows of the member may then write the same output files.
   void endFlow(const FlowHead& head) {
     head_ = head;
     std::vector<FlowId> open = context_->replica.flows().openOf(head.team, head.member);
@@ -102,7 +106,7 @@
   }
   std::vector<JobId> droppedJobs() const { return dropped_; }
 
-  /// Within the limits of a transaction.
+  /// Returns true if the transaction is within the limits of the state service.
   bool fits() const {
     std::size_t bytes = bytes_ + 1024;
     for (const auto& [number, letters] : pages_) {
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -1,4 +1,5 @@
-// Properties of a flow's parts on drawn cases with a fixed seed.
+// Tests properties of flow graphs, progress, pages and batching with random cases from a fixed
+// seed.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -11,7 +12,7 @@
 namespace kestrelhoist {
 namespace {
 
-// The library reads this once, before its first check.
+// RapidCheck reads RC_PARAMS once, before its first check.
 const int kSeeded = setenv("RC_PARAMS", "seed=20261201 max_success=150", 1);
 
 struct Drawn {
@@ -76,7 +77,7 @@
   }));
 }
 
-// Parts with any field changed: taken or refused whole, never half.
+// A part with random fields changed must be accepted or rejected as a whole.
 TEST(FlowGraphProperty, MalformedPartsChangeNothing) {
   EXPECT_TRUE(rc::check([] {
     Drawn g = drawGraph();
@@ -116,7 +117,8 @@
   }));
 }
 
-// Whatever order things end in, what is ready is what a look at the whole graph says.
+// The incrementally maintained set of ready instances must equal the set computed from the whole
+// graph, in whatever order instances finish or fail.
 TEST(ProgressProperty, ReadyIsWhatTheGraphSays) {
   EXPECT_TRUE(rc::check([] {
     Drawn g = drawGraph();
@@ -178,7 +180,8 @@
 }
 
 TEST(ProgressProperty, WorkFollowsDependents) {
-  // A chain of pairs: ending one visits its one dependent, however large the graph is.
+  // The graph consists of pairs. Finishing the first instance of a pair must visit only its one
+  // dependent, whatever the size of the graph.
   Drawn g;
   for (Instance i = 0; i < 20000; ++i) {
     g.deps.push_back(i < 10000 ? std::vector<Instance>{} : std::vector<Instance>{i - 10000});
@@ -194,7 +197,7 @@
   EXPECT_EQ(p.visits() - before, 100u);
 }
 
-// Aim: at most 150 bytes an instance on a controller, the leader's own view included.
+// A controller must need at most 150 bytes per instance, including the leader's progress state.
 TEST(FlowGraph, AnInstanceCostsFewBytes) {
   FlowGraph graph;
   Drawn g;
@@ -209,8 +212,8 @@
   }
   Progress p(graph, false);
   p.settle();
-  double each =
-      static_cast<double>(graph.bytes() + p.bytes()) / n + 1;  // and its letter on its page
+  double each = static_cast<double>(graph.bytes() + p.bytes()) / n +
+                1;  // 1 byte for the state letter on the page
   RecordProperty("bytes_an_instance", std::to_string(each));
   EXPECT_LE(each, 150.0);
 }
@@ -233,24 +236,24 @@
 
 TEST(Batching, ReleasesWhenItIsWorthIt) {
   ReleaseView v{10, 100, Duration{1000}, 0, 0, 0, 0};
-  EXPECT_TRUE(releaseNow(v));  // nothing else is in hand
+  EXPECT_TRUE(releaseNow(v));  // the flow has no other tasks
   v.queued = v.running = 50;
-  EXPECT_TRUE(releaseNow(v));  // within what is free
+  EXPECT_TRUE(releaseNow(v));  // the changes are within the free allowance
   v.changes = 1000;
-  EXPECT_FALSE(releaseNow(v));  // too dear by now
+  EXPECT_FALSE(releaseNow(v));  // the changes exceed the allowance
   v.ended = 50000;
-  EXPECT_TRUE(releaseNow(v));  // earned again
+  EXPECT_TRUE(releaseNow(v));  // done instances have raised the allowance
   v.ended = 0;
   v.ready = 100;
-  EXPECT_TRUE(releaseNow(v));  // a full array
+  EXPECT_TRUE(releaseNow(v));  // the ready instances fill an array
   v.ready = 10;
   v.oldest = Duration{30000};
-  EXPECT_TRUE(releaseNow(v));  // has waited long
+  EXPECT_TRUE(releaseNow(v));  // the oldest ready instance has reached the maximum delay
   v.ready = 0;
   EXPECT_FALSE(releaseNow(v));
 }
 
-// Parts may outrun one another in the feed, and a version goes with its upload's record.
+// The change feed may deliver parts in any order. A version is removed with its upload record.
 TEST(FlowReplica, PartsInAnyOrder) {
   Drawn g;
   for (Instance i = 0; i < 6; ++i) {
--- a/src/flows/routes.hpp
+++ b/src/flows/routes.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// The paths of the flows' interface; docs/flows.md describes what they take and answer.
+/// Parses the paths of the HTTP interface for flows. Requests and responses are described in
+/// docs/flows.md.
 #pragma once
 
 #include <optional>
@@ -8,7 +9,7 @@
 
 namespace kestrelhoist {
 
-/// What a path below /v2/flows asks for.
+/// Identifies the request for a path below /v2/flows.
 enum class FlowRoute {
   list,
   account,
@@ -23,18 +24,18 @@
   cancel,
 };
 
-/// Whether the route changes something: those take POST, the others GET.
+/// Returns true if the route changes a flow. Such routes use POST; all others use GET.
 bool writes(FlowRoute route);
 
-/// A path below /v2/flows.
+/// The path segments after /v2/flows, and the query.
 struct FlowPath {
   std::vector<std::string> segments;
   std::string query;
 };
 
-/// Empty: not a path of flows.
+/// Returns null if `path` is not at or below /v2/flows.
 std::optional<FlowPath> flowPathFrom(const std::string& path);
-/// Empty: no such path.
+/// Returns null if no route has this path.
 std::optional<FlowRoute> routeOf(const FlowPath& path);
 
 }  // namespace kestrelhoist
--- a/src/flows/service.cpp
+++ b/src/flows/service.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Duration kCommitTimeout{1500};
-constexpr std::size_t kMaxWaiting = 32;  // requests in work; above it: 429 at once
-constexpr double kUploadShare = 0.3;     // of the write rate, for one node
-constexpr int kCancelTries = 5;          // again after a conflict
+constexpr std::size_t kMaxWaiting = 32;  // limit of concurrent commits; requests above it get 429
+constexpr double kUploadShare = 0.3;     // share of the write rate that one controller may use
+constexpr int kCancelTries = 5;          // number of retries after a conflict
 
 std::optional<std::uint32_t> numberFrom(const std::string& text) {
   std::uint32_t number = 0;
@@ -90,7 +90,7 @@
 
 void FlowService::send(Transaction t, std::function<void(CommitResult)> done,
                        const Respond& respond) {
-  // Refused at once rather than held back; the client comes again.
+  // The request is refused immediately instead of queued, because the client retries.
   if (waiting_ >= kMaxWaiting ||
       !writes_.take(runtime_.now(), static_cast<double>(t.writes.size()))) {
     return respond(retryLater(429));
--- a/src/flows/service.hpp
+++ b/src/flows/service.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// The users' interface of flows, and the workers' questions for what their tasks are to do.
-/// Bodies are CBOR of at most 64 KiB; the paths and fields are in docs/flows.md.
+/// Implements the HTTP interface for flows. Users submit and query flows; workers fetch the
+/// descriptions of their tasks. Bodies are CBOR of at most 64 KiB. The paths and fields are
+/// described in docs/flows.md.
 #pragma once
 
 #include <deque>
@@ -15,59 +16,62 @@
 
 namespace kestrelhoist {
 
-/// Each member function answers one request; they stand in service_uploads.cpp, service_commits.cpp
-/// and service_reads.cpp.
+/// Handles the requests below /v2/flows. The handlers are implemented in service_uploads.cpp,
+/// service_commits.cpp and service_reads.cpp.
 class FlowService {
  public:
   FlowService(Runtime& runtime, StoreClient& store, ChangeWatcher& watcher, Replica& replica,
               const Platform& platform, const OperatorSettings& settings,
               std::function<const Catalogue*()> catalogue);
 
-  /// Answers /v2/flows and below; false if the path is not one of these.
+  /// Answers a request at or below /v2/flows. Returns false if the path belongs to another service.
   bool handle(const Request& request, const Respond& respond);
 
-  std::function<void()> onCommitted;  ///< a flow was begun, changed or cancelled here
+  std::function<void()>
+      onCommitted;  ///< called after this service has started, amended or cancelled a flow
 
  private:
   using Body = std::shared_ptr<const Json>;
   void handleRead(FlowRoute route, const FlowPath& path, const Respond& respond);
   void handleWrite(FlowRoute route, const FlowPath& path, const Request& request,
                    const Respond& respond);
-  /// POST {flow}/uploads: announces a version.
+  /// Handles POST {flow}/uploads, which announces a version and its number of parts.
   void announce(const FlowId& id, const Body& body, const Respond& respond);
-  /// POST {flow}/parts: parts of its graph and of its texts.
+  /// Handles POST {flow}/parts, which stores parts of the graph and the texts of a version.
   void parts(const FlowId& id, const Body& body, const Respond& respond);
-  /// POST {flow}/commit: begins the flow with this version, or changes it to this version.
+  /// Handles POST {flow}/commit, which starts a flow or amends it to a new version.
   void commit(const FlowId& id, const Body& body, const Respond& respond);
-  /// The answer to a commit that was made already or can't be made; empty: the upload is complete.
+  /// Returns the response to a commit that is already done or is not possible. Returns null if the
+  /// upload is complete and the commit can proceed.
   std::optional<Response> answerWithoutCommit(const FlowId& id, const FlowHead& wanted,
                                               std::uint64_t base) const;
   void begin(const FlowId& id, const FlowHead& wanted, std::uint64_t base, const Respond& respond);
-  /// POST {flow}/cancel; tries again after a conflict.
+  /// Handles POST {flow}/cancel. It retries up to `triesLeft` times after a conflict.
   void cancel(const FlowId& id, int triesLeft, const Respond& respond);
   FlowHead cancelledHead(const FlowState& flow) const;
-  /// Adds the list of the member's open flows.
+  /// Adds the new list of the member's open flows to the transaction.
   void writeOpenFlows(Transaction& t, const FlowHead& head, const std::vector<FlowId>& open) const;
-  /// GET {flow}
+  /// Handles GET {flow}, which returns the state of a flow.
   void status(const FlowId& id, const Respond& respond);
-  /// GET {flow}/report: what it used, by rule.
+  /// Handles GET {flow}/report, which returns the resource use of a flow by rule.
   void report(const FlowId& id, const Respond& respond);
-  /// GET /v2/flows/account?owner=: what a team's flows used, by member.
+  /// Handles GET /v2/flows/account?owner=, which returns the resource use of a team by member.
   void account(const std::string& query, const Respond& respond);
-  /// Of one flow: its accounts, and what is counted with the tasks of its open jobs.
+  /// Returns the resource use of one flow: its accounts plus the use of its jobs on record.
   std::vector<AccountEntry> entriesOf(const FlowState& flow) const;
-  /// GET {flow}/failures: instances that failed for good.
+  /// Handles GET {flow}/failures, which lists the instances that failed permanently.
   void failures(const FlowId& id, const Respond& respond);
-  /// GET /v2/flows?owner=&member=: a member's open flows.
+  /// Handles GET /v2/flows?owner=&member=, which lists the open flows of a member.
   void list(const std::string& query, const Respond& respond);
-  /// GET {flow}/texts/{version}/{part}
+  /// Handles GET {flow}/texts/{version}/{part}, which returns one part of the texts.
   void text(const FlowId& id, const Digest& version, std::uint32_t part, const Respond& respond);
-  /// GET /v2/flows/tasks/{job}/{task}: what a worker needs to run it.
+  /// Handles GET /v2/flows/tasks/{job}/{task}, which returns what a worker needs to run a task.
   void task(const JobId& job, std::uint32_t task, const Respond& respond);
 
-  /// How many instances of a flow are in which state.
+  /// Returns the number of instances of a flow in each state.
   Json counts(const FlowState& flow) const;
-  /// Sends what may be sent within this node's share of the writes, or refuses at once.
+  /// Commits a transaction if it is within this controller's share of the write rate. Otherwise it
+  /// responds with 429 immediately.
   void send(Transaction t, std::function<void(CommitResult)> done, const Respond& respond);
 
   Runtime& runtime_;
@@ -79,7 +83,8 @@
   std::function<const Catalogue*()> catalogue_;
   RateBudget writes_;
   std::size_t waiting_ = 0;
-  /// Texts are read by many workers at once: one read serves all who wait, and the last few stay.
+  /// Many workers request the same text at the same time. Concurrent requests for a text share one
+  /// read from the state service, and the most recent texts are cached.
   using OnText = std::function<void(const GetResult&)>;
   void readText(const std::string& key, OnText done);
   std::map<std::string, std::vector<OnText>> reading_;
--- a/src/flows/service_commits.cpp
+++ b/src/flows/service_commits.cpp
@@ -1,4 +1,4 @@
-// Flows begin, change to another version and are cancelled.
+// Implements the requests that start, amend and cancel flows.
 #include <algorithm>
 
 #include "base/log.hpp"
@@ -9,9 +9,10 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxNameBytes = 200;  // of a team or a job class
+constexpr std::size_t kMaxNameBytes = 200;  // limit for the name of a team or a job class
 
-// Flows have all priorities but production, which is for what serves users.
+// Parses the priority of a flow. Production priority is reserved for services, so a flow cannot
+// have it.
 std::optional<Priority> priorityFrom(const std::string& word) {
   if (word == "high") return Priority::high;
   if (word == "standard") return Priority::normal;
@@ -19,7 +20,7 @@
   return std::nullopt;
 }
 
-// Team, member and name of a flow; empty: malformed.
+// Parses the fields of a flow head from the request body. Returns null if a field is malformed.
 std::optional<FlowHead> headFrom(const Json& body) {
   auto team = textField(body, "owner");
   auto member = textField(body, "member");
@@ -44,7 +45,7 @@
   return flow && flow->head ? &*flow->head : nullptr;
 }
 
-// Takes no other version any more.
+// Returns the response for a flow that has another version or has ended, and so cannot be amended.
 Response conflictResponse(const FlowId& id, const FlowHead& head) {
   const char* why =
       head.phase == FlowPhase::open ? "another version was first" : "the flow is over";
@@ -54,7 +55,7 @@
                             {"version", head.version}});
 }
 
-// The head of a flow that changes to the wanted version.
+// Returns the head of a flow that is amended to the wanted version.
 FlowHead changedHead(FlowHead head, const FlowHead& wanted) {
   ++head.version;
   head.from = head.graph;
@@ -63,7 +64,7 @@
   return head;
 }
 
-// The head of a flow that begins with the wanted version.
+// Returns the head of a flow that starts with the wanted version.
 FlowHead firstHead(FlowHead wanted, std::int64_t nowMs) {
   wanted.version = 1;
   wanted.atMs = nowMs;
@@ -85,7 +86,7 @@
     if (!ok) return respond(retryLater(503));
     if (auto answer = answerWithoutCommit(id, wanted, base)) return respond(*answer);
     const FlowVersion* version = replica_.flows().find(id)->version(wanted.graph);
-    // Texts are handed over in order: the last one tells that all are there.
+    // Clients upload texts in order, so all texts exist if the last one exists.
     readText(keys::text(id, wanted.graph, version->upload->texts - 1),
              [this, id, wanted, base, respond](const GetResult& r) {
                if (!r.ok) return respond(retryLater(503));
@@ -102,7 +103,7 @@
   if (head && (head->team != wanted.team || head->member != wanted.member)) {
     return errorResponse(404, "no such flow");
   }
-  // Asked again: by a retry, or by our own lost answer.
+  // The commit is already done. The client retries it, for example because the response was lost.
   if (head && head->graph == wanted.graph && head->version == base + 1) {
     return headResponse(id, *head, 200);
   }
@@ -110,7 +111,7 @@
     return conflictResponse(id, *head);
   }
   if (!head && base != 0) return errorResponse(404, "no such flow");
-  // One change at a time: the next one may be asked for in a moment.
+  // Only one amendment may be in progress; the client retries the next one later.
   if (head && !head->from.empty()) return retryLater(503);
   const FlowVersion* version = flow ? flow->version(wanted.graph) : nullptr;
   if (!version || !version->upload || version->upload->closing) {
@@ -126,14 +127,15 @@
   const FlowState* flow = replica_.flows().find(id);
   const FlowVersion* version = flow ? flow->version(wanted.graph) : nullptr;
   const FlowHead* head = headOf(flow);
-  // Read a moment ago; whatever has changed since is found here or by the conditions.
+  // The records may have changed since `commit` checked them. Changes before this point are found
+  // here; later changes make the compares of the transaction fail.
   if (!version || !version->complete() || version->upload->closing ||
       (head ? head->version : 0) != base ||
       (head && (head->phase != FlowPhase::open || !head->from.empty()))) {
     return respond(retryLater(503));
   }
-  // In one step with the revisions that are taken below: two flows that make the same file can't
-  // both pass.
+  // The admission check and the revisions for the compares come from the same replica state, so two
+  // flows that write the same file cannot both be accepted.
   FlowAdmission admission{replica_, platform_, catalogue_()};
   if (auto refusal = admission.refusal(id, *version, wanted)) return respond(*refusal);
   FlowHead next = head ? changedHead(*head, wanted) : firstHead(wanted, runtime_.wallMillis());
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -1,17 +1,17 @@
-// What users and workers read of flows: always after a read of the records that was sent after
-// the question, except where the answer can't change any more.
+// Implements the read requests of users and workers for flows. A response follows a linearizable
+// read that starts after the request arrives, except if the requested data is immutable.
 #include <algorithm>
 
 #include "flows/service.hpp"
 
 namespace kestrelhoist {
 namespace {
-constexpr std::size_t kTextsKept = 48;      // each at most a value of the state service
-constexpr std::size_t kMostFailures = 200;  // told of one flow
+constexpr std::size_t kTextsKept = 48;  // each no larger than the value limit of the state service
+constexpr std::size_t kMostFailures = 200;  // limit of failed instances in one response
 Response noFlow() { return jsonResponse(404, {{"error", "no such flow"}}); }
 }  // namespace
 
-// How many instances are in which state: from the pages, and the records of the open jobs.
+// Counts the instances by state, using the pages and the records of the jobs.
 Json FlowService::counts(const FlowState& flow) const {
   const FlowHead& head = *flow.head;
   std::uint32_t total = 0, done = 0, failed = 0, running = 0, queued = 0, blocked = 0;
@@ -63,7 +63,8 @@
           if (page[k] == 'f') mark(static_cast<Instance>(n * kPageSize + k));
         }
       }
-      // Numbers grow along every dependency: one pass finds all that need a failed one.
+      // An instance depends only on smaller numbers, so one pass in increasing order finds all
+      // instances that depend on a failed one.
       for (Instance i = 0; i < total && !bad.empty(); ++i) {
         if (bad[i]) continue;
         auto deps = version->graph.deps(i);
@@ -131,7 +132,7 @@
 }
 
 namespace {
-// Sums of some entries, in the units that users see.
+// Returns the sums of the entries in the units of the response.
 Json totalsOf(const std::vector<AccountEntry>& entries) {
   Use all;
   double cpu = 0, gpu = 0, gb = 0;
@@ -204,7 +205,7 @@
   });
 }
 
-// Instances that failed for good, with where their texts are.
+// Lists the instances that failed permanently, with the positions of their texts.
 void FlowService::failures(const FlowId& id, const Respond& respond) {
   watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
@@ -265,7 +266,7 @@
   });
 }
 
-// Texts never change under their key, and a removed one is asked for by nobody.
+// The cache needs no invalidation: a text never changes, and no client requests a removed text.
 void FlowService::readText(const std::string& key, OnText done) {
   if (auto known = texts_.find(key); known != texts_.end()) {
     return done({true, known->second});
@@ -333,7 +334,7 @@
              });
     return true;
   };
-  // A job's description never changes.
+  // A job specification never changes, so the response needs no linearizable read.
   if (answer()) return;
   watcher_.linearizableRead([answer, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -1,22 +1,22 @@
-// Uploads of flows: a version is announced, and then comes in parts.
+// Implements uploads of flows. A client first announces a version and then sends its parts.
 #include "flows/answers.hpp"
 #include "flows/service.hpp"
 
 namespace kestrelhoist {
 namespace {
 
-// What a version may have.
+// The maximum numbers of graph parts and text parts of one version.
 constexpr std::uint64_t kMaxParts = 0xffff;
 constexpr std::uint64_t kMaxTexts = 0xfffff;
-// Sizes of a transaction, in bytes.
+// The size limit of a transaction and the estimated overheads, in bytes.
 constexpr std::size_t kMaxBytes = 56 * 1024;
 constexpr std::size_t kBytesWithoutWrites = 512;
-constexpr std::size_t kBytesPerWrite = 64;  // beside its key and value
-// When a client comes again, in seconds.
+constexpr std::size_t kBytesPerWrite = 64;  // overhead in addition to the key and the value
+// The delays after which a client retries, in seconds.
 constexpr int kClosingRetryS = 5;    // an upload of the same version is being removed
-constexpr int kCapacityRetryS = 10;  // room comes back when other flows end
+constexpr int kCapacityRetryS = 10;  // capacity becomes available when other flows end
 
-// What an announced version has.
+// The announced numbers of instances and parts of a version.
 struct Announcement {
   Digest version;
   std::uint64_t instances{};
@@ -48,8 +48,8 @@
 
 enum class PartKind { graph, text };
 
-// As many parts of an upload, in their order, as one transaction takes; the client goes on from
-// there.
+// Collects parts of an upload, in order, up to the limits of one transaction. The client sends the
+// remaining parts again.
 class PartBatch {
  public:
   PartBatch(const Replica& replica, const Platform& platform, const FlowId& id,
@@ -58,7 +58,7 @@
     transaction_.compares.push_back({keys::upload(id, digest), version.modRevision});
   }
 
-  // The refusal, if one of the parts is not valid.
+  // Adds the parts of a list. Returns the error response if a part is invalid.
   std::optional<Response> add(PartKind kind, const Json* list) {
     if (!list) return std::nullopt;
     if (!list->is_array()) return errorResponse(400, "parts are not a list");
@@ -68,7 +68,7 @@
     return std::nullopt;
   }
 
-  // Parts that are written with this transaction or were before.
+  // Returns the number of parts that this transaction writes or that were already stored.
   std::size_t handled() const { return handled_; }
   Transaction takeTransaction() { return std::move(transaction_); }
 
