--- a/cli/commands.cpp
+++ b/cli/commands.cpp
@@ -191,7 +191,7 @@
         "team, member and files are needed (--team, --member, --files, environment or settings "
         "file)");
   }
-  if (!validLabel(settings_.member))
+  if (!isValidLabel(settings_.member))
     throw std::runtime_error("member " + settings_.member +
                              " has other letters than A-Z a-z 0-9 . _ -");
   FlowOrder order;
@@ -256,7 +256,7 @@
   }
   FlowOrder flow = order(file);
   flow.id = options_.flow.empty() ? client_->drawId() : FlowId{options_.flow};
-  if (!validFlowId(flow.id.value))
+  if (!isValidFlowId(flow.id.value))
     throw std::runtime_error("an id is w- and up to 18 digits, not " + flow.id.value);
   stage(file, flow.id, options_);
   auto bundle = rules::bundle(file.plan);
--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -22,7 +22,7 @@
 // are matched by fingerprint; a task that the amendment dropped is mapped to kNone.
 FlowLoop::OpenJob FlowLoop::adopt(
     const FlowState& flow, const JobState& job, const FlowVersion& version,
-    const std::unordered_map<std::uint64_t, Instance>* byPrint) const {
+    const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const {
   OpenJob open;
   const FlowPart& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
@@ -32,9 +32,9 @@
       Instance instance = first + k;
       if (!own || instance >= own->graph.size() || part.drops(task)) {
         instance = kNone;
-      } else if (byPrint) {
-        auto it = byPrint->find(own->graph.print(instance));
-        instance = it == byPrint->end() ? kNone : it->second;
+      } else if (instanceByFingerprint) {
+        auto it = instanceByFingerprint->find(own->graph.fingerprint(instance));
+        instance = it == instanceByFingerprint->end() ? kNone : it->second;
       }
       if (instance != kNone && instance >= version.graph.size()) instance = kNone;
       open.instances.push_back(instance);
@@ -77,7 +77,7 @@
     return true;
   });
   if (open.pending.empty() && open.endedAt == Instant{}) open.endedAt = context_.runtime.now();
-  if (run.progress.ready() > 0 && run.readySince == Instant{})
+  if (run.progress.readyCount() > 0 && run.readySince == Instant{})
     run.readySince = context_.runtime.now();
 }
 
@@ -89,21 +89,21 @@
   Run run;
   run.graph = graph;
   run.progress = Progress(g, flow.head->keepGoing);
-  std::unordered_map<std::uint64_t, Instance> byPrint;
+  std::unordered_map<std::uint64_t, Instance> instanceByFingerprint;
   bool others = std::any_of(flow.jobs.begin(), flow.jobs.end(), [&](const JobId& id) {
     const auto* job = context_.replica.job(id);
     return job && job->record.flow->graph != graph;
   });
   if (others) {
-    byPrint.reserve(g.size());
-    for (Instance i = 0; i < g.size(); ++i) byPrint.emplace(g.print(i), i);
+    instanceByFingerprint.reserve(g.size());
+    for (Instance i = 0; i < g.size(); ++i) instanceByFingerprint.emplace(g.fingerprint(i), i);
   }
   std::vector<bool> covered(g.size());
   for (const auto& id : flow.jobs) {
     const auto* job = context_.replica.job(id);
     if (!job) continue;
     bool same = job->record.flow->graph == graph;
-    OpenJob open = adopt(flow, *job, *version, same ? nullptr : &byPrint);
+    OpenJob open = adopt(flow, *job, *version, same ? nullptr : &instanceByFingerprint);
     for (Instance i : open.instances) {
       if (i != kNone) covered[i] = true;
     }
@@ -130,9 +130,9 @@
       }
     }
   }
-  run.progress.settle();
+  run.progress.recompute();
   for (auto& [id, open] : run.jobs) settle(flow, run, *context_.replica.job(id), open);
-  if (run.progress.ready() > 0) run.readySince = context_.runtime.now();
+  if (run.progress.readyCount() > 0) run.readySince = context_.runtime.now();
   return run;
 }
 
@@ -155,7 +155,7 @@
     for (Instance i : open->second.instances) {
       if (i != kNone && run.progress.state(i) == Progress::State::waiting) run.progress.assign(i);
     }
-    run.readySince = run.progress.ready() > 0 ? context_.runtime.now() : Instant{};
+    run.readySince = run.progress.readyCount() > 0 ? context_.runtime.now() : Instant{};
   }
   settle(*flow, run, *job, open->second);
 }
@@ -302,7 +302,7 @@
     if (ended++ == 0 || open.endedAt < endedSince) endedSince = open.endedAt;
   }
   ReleaseView view;
-  view.ready = queued >= kMostQueued ? 0 : run.progress.ready();
+  view.ready = queued >= kMostQueued ? 0 : run.progress.readyCount();
   view.batch = tasksPerChunk();
   view.oldest = now - run.readySince;
   view.queued = queued;
@@ -310,7 +310,7 @@
   view.ended = run.progress.count(Progress::State::done);
   view.changes = run.changes;
   bool release = releaseNow(view);
-  bool over = run.progress.over();
+  bool over = run.progress.hasEnded();
   if (!release && !over && (ended == 0 || now - endedSince < kEndedPatience)) return std::nullopt;
 
   TransactionBuilder builder(context_, id, flow, version, run.graph);
@@ -331,14 +331,14 @@
   if (release) {
     std::vector<std::uint32_t> rules;
     for (std::uint32_t r = 0; r < version.graph.rules().size(); ++r) {
-      if (run.progress.readyOf(r) > 0) rules.push_back(r);
+      if (run.progress.readyCountOf(r) > 0) rules.push_back(r);
     }
     std::stable_sort(rules.begin(), rules.end(), [&](auto a, auto b) {
       return version.graph.rules()[a].priority > version.graph.rules()[b].priority;
     });
     bool full = false;
     for (std::uint32_t rule : rules) {
-      auto ready = run.progress.takeReady(rule, run.progress.readyOf(rule));
+      auto ready = run.progress.readyInstances(rule, run.progress.readyCountOf(rule));
       std::sort(ready.begin(), ready.end());
       for (std::size_t from = 0; from < ready.size() && !full;) {
         // The later end of the job must also fit in one transaction. The number of pages is
--- a/src/flows/flow_loop.hpp
+++ b/src/flows/flow_loop.hpp
@@ -48,7 +48,7 @@
   void observe(const FlowId& id, const JobId& job);
   std::optional<Run> build(const FlowState& flow, const Digest& graph) const;
   OpenJob adopt(const FlowState& flow, const JobState& job, const FlowVersion& version,
-                const std::unordered_map<std::uint64_t, Instance>* byPrint) const;
+                const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const;
   void settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const;
 
   std::optional<Commit> nextOf(const FlowId& id, const FlowState& flow);
--- a/src/flows/flow_loop_versions.cpp
+++ b/src/flows/flow_loop_versions.cpp
@@ -21,14 +21,16 @@
   auto old = build(flow, flow.head->from);
   if (!target || !target->complete() || !old) return std::nullopt;
   const FlowVersion& source = *flow.version(flow.head->from);
-  std::unordered_map<std::uint64_t, Instance> byPrint;
-  byPrint.reserve(target->graph.size());
-  for (Instance i = 0; i < target->graph.size(); ++i) byPrint.emplace(target->graph.print(i), i);
+  std::unordered_map<std::uint64_t, Instance> instanceByFingerprint;
+  instanceByFingerprint.reserve(target->graph.size());
+  for (Instance i = 0; i < target->graph.size(); ++i)
+    instanceByFingerprint.emplace(target->graph.fingerprint(i), i);
 
   std::string letters(target->graph.size(), 'w');
   for (Instance i = 0; i < source.graph.size(); ++i) {
     if (source.stateOf(i) != 'd') continue;
-    if (auto it = byPrint.find(source.graph.print(i)); it != byPrint.end())
+    if (auto it = instanceByFingerprint.find(source.graph.fingerprint(i));
+        it != instanceByFingerprint.end())
       letters[it->second] = 'd';
   }
   TransactionBuilder builder(context_, id, flow, *target, flow.head->graph);
@@ -39,9 +41,11 @@
     std::vector<std::uint32_t> unwanted;
     for (std::uint32_t task = 0; task < open.instances.size(); ++task) {
       Instance i = open.instances[task];
-      auto kept = i == kNone ? byPrint.end() : byPrint.find(source.graph.print(i));
+      auto kept = i == kNone ? instanceByFingerprint.end()
+                             : instanceByFingerprint.find(source.graph.fingerprint(i));
       // A failed instance is retried in a new job.
-      bool wanted = kept != byPrint.end() && (job->isFinished(task) || !job->isGivenUp(task));
+      bool wanted =
+          kept != instanceByFingerprint.end() && (job->isFinished(task) || !job->isGivenUp(task));
       if (wanted) {
         if (letters[kept->second] == 'w') letters[kept->second] = 'a';
       } else if (!job->isDropped(task) && !job->isFinished(task)) {
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -131,11 +131,11 @@
       for (Instance d : graph.deps(i)) done = done && p.state(d) == State::done;
       if (done) p.restore(i, State::done);
     }
-    p.settle();
+    p.recompute();
     auto ready = [&] {
       std::set<Instance> out;
       for (std::uint32_t r = 0; r < graph.rules().size(); ++r) {
-        for (Instance i : p.takeReady(r, 1000)) out.insert(i);
+        for (Instance i : p.readyInstances(r, 1000)) out.insert(i);
       }
       return out;
     };
@@ -149,10 +149,10 @@
       return out;
     };
     std::vector<Instance> assigned;
-    for (int step = 0; step < 200 && !p.over(); ++step) {
+    for (int step = 0; step < 200 && !p.hasEnded(); ++step) {
       auto now = ready();
       RC_ASSERT(now == byHand());
-      RC_ASSERT(now.size() == p.ready());
+      RC_ASSERT(now.size() == p.readyCount());
       if (!now.empty() && (assigned.empty() || *rc::gen::arbitrary<bool>())) {
         Instance i = *std::next(now.begin(), *rc::gen::inRange(0, static_cast<int>(now.size())));
         p.assign(i);
@@ -167,11 +167,11 @@
           p.finish(i);
         }
       } else {
-        RC_ASSERT(p.stuck());
+        RC_ASSERT(p.isStuck());
         break;
       }
     }
-    if (keep) RC_ASSERT(p.over());
+    if (keep) RC_ASSERT(p.hasEnded());
     std::uint32_t sum = 0;
     for (auto s : {State::waiting, State::assigned, State::done, State::failed, State::skipped})
       sum += p.count(s);
@@ -190,7 +190,7 @@
   FlowGraph graph;
   ASSERT_FALSE(graph.add(partOf(g, 0, g.deps.size(), true)));
   Progress p(graph, false);
-  p.settle();
+  p.recompute();
   for (Instance i = 0; i < 100; ++i) p.assign(i);
   auto before = p.visits();
   for (Instance i = 0; i < 100; ++i) p.finish(i);
@@ -211,7 +211,7 @@
     ASSERT_FALSE(graph.add(partOf(g, from, std::min(n, from + 180), from == 0)));
   }
   Progress p(graph, false);
-  p.settle();
+  p.recompute();
   double each = static_cast<double>(graph.bytes() + p.bytes()) / n +
                 1;  // 1 byte for the state letter on the page
   RecordProperty("bytes_an_instance", std::to_string(each));
--- a/src/flows/graph.cpp
+++ b/src/flows/graph.cpp
@@ -5,14 +5,14 @@
 
 namespace kestrelhoist {
 
-bool validFlowId(const std::string& ref) {
+bool isValidFlowId(const std::string& ref) {
   if (ref.size() < 3 || ref.size() > 20 || ref.compare(0, 2, "w-") != 0) return false;
   return std::all_of(ref.begin() + 2, ref.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-bool validDigest(const std::string& text) { return text.size() == 16 && fromHex16(text); }
+bool isValidDigest(const std::string& text) { return text.size() == 16 && fromHex16(text); }
 
-bool validLabel(const std::string& text) {
+bool isValidLabel(const std::string& text) {
   if (text.empty() || text.size() > 64 || text[0] == '.') return false;
   return std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '.' ||
@@ -54,8 +54,8 @@
   return v;
 }
 
-std::optional<FlowRule> flowRuleFrom(const Json& v) {
-  constexpr double kMostAmount = 1e6;
+std::optional<FlowRule> flowRuleFromJson(const Json& v) {
+  constexpr double kMaxAmount = 1e6;
   FlowRule r;
   auto name = textField(v, "name");
   auto image = textField(v, "image");
@@ -69,7 +69,7 @@
   auto amount = [&](const char* field) {
     if (!kestrelhoist::field(v, field)) return 0.0;
     auto x = numberField(v, field);
-    valid = valid && x && *x >= 0 && *x <= kMostAmount;
+    valid = valid && x && *x >= 0 && *x <= kMaxAmount;
     return x.value_or(0);
   };
   r.perTask = {amount("cpus"), amount("gpus"), amount("ram_gb")};
@@ -80,7 +80,7 @@
   r.retries = static_cast<std::uint32_t>(
       std::min<std::uint64_t>(100, countField(v, "retries").value_or(0)));
   if (const Json* p = field(v, "priority")) {
-    valid = valid && p->is_number_integer() && std::abs(p->get<double>()) <= kMostAmount;
+    valid = valid && p->is_number_integer() && std::abs(p->get<double>()) <= kMaxAmount;
     if (valid) r.priority = p->get<std::int32_t>();
   }
   r.spot = boolField(v, "spot").value_or(false);
@@ -127,13 +127,13 @@
   if (const Json* list = field(part, "rules")) {
     if (!list->is_array()) return "rules is not a list";
     for (const auto& v : *list) {
-      auto rule = flowRuleFrom(v);
+      auto rule = flowRuleFromJson(v);
       if (!rule) return "a rule is invalid";
       rules.push_back(std::move(*rule));
     }
   }
   std::size_t known = rules_.size() + rules.size();
-  if (known > kMostRules) return "more than " + std::to_string(kMostRules) + " rules";
+  if (known > kMaxRules) return "more than " + std::to_string(kMaxRules) + " rules";
   auto of = counts(part, "of");
   auto deps = counts(part, "deps");
   auto print = hashes(part, "print");
@@ -157,8 +157,9 @@
     if (at >= deps->size()) return "a part is malformed";
     std::uint32_t count = (*deps)[at++];
     if (count > deps->size() - at) return "a part is malformed";
-    if (count > kMostDeps)
-      return "an instance has more than " + std::to_string(kMostDeps) + " inputs from others";
+    if (count > kMaxDependencies)
+      return "an instance has more than " + std::to_string(kMaxDependencies) +
+             " inputs from others";
     std::uint64_t self = size() + i;
     for (std::uint32_t k = 0; k < count; ++k) {
       std::uint32_t back = (*deps)[at++];
@@ -184,7 +185,7 @@
   ruleOf_.insert(ruleOf_.end(), ruleOf.begin(), ruleOf.end());
   deps_.insert(deps_.end(), all.begin(), all.end());
   depStart_.insert(depStart_.end(), depEnd.begin(), depEnd.end());
-  prints_.insert(prints_.end(), print->begin(), print->end());
+  fingerprints_.insert(fingerprints_.end(), print->begin(), print->end());
   outs_.insert(outs_.end(), outh->begin(), outh->end());
   outStart_.insert(outStart_.end(), outEnd.begin(), outEnd.end());
   return std::nullopt;
@@ -192,7 +193,7 @@
 
 std::size_t FlowGraph::bytes() const {
   auto of = [](const auto& v) { return v.capacity() * sizeof(v[0]); };
-  return of(rules_) + of(ruleOf_) + of(depStart_) + of(deps_) + of(prints_) + of(outStart_) +
+  return of(rules_) + of(ruleOf_) + of(depStart_) + of(deps_) + of(fingerprints_) + of(outStart_) +
          of(outs_);
 }
 
--- a/src/flows/graph.hpp
+++ b/src/flows/graph.hpp
@@ -18,12 +18,12 @@
 using Instance = std::uint32_t;         ///< number of an instance within one version
 
 /// Returns true if `ref` is "w-" followed by 1 to 18 digits.
-bool validFlowId(const std::string& ref);
+bool isValidFlowId(const std::string& ref);
 /// Returns true if `text` has exactly 16 hex digits.
-bool validDigest(const std::string& text);
+bool isValidDigest(const std::string& text);
 /// Returns true if `text` is a valid name of a member or a flow. A name has 1 to 64 letters, digits
 /// or the characters ._- so that it can be part of a key and of a path.
-bool validLabel(const std::string& text);
+bool isValidLabel(const std::string& text);
 
 /// The properties that all instances of one rule share.
 struct FlowRule {
@@ -40,13 +40,13 @@
 };
 
 Json toJson(const FlowRule& rule);
-std::optional<FlowRule> flowRuleFrom(const Json& value);
+std::optional<FlowRule> flowRuleFromJson(const Json& value);
 
 /// The graph of one version of a flow.
 class FlowGraph {
  public:
-  static constexpr std::size_t kMostRules = 10000;
-  static constexpr std::size_t kMostDeps = 10000;  ///< limit for one instance
+  static constexpr std::size_t kMaxRules = 10000;
+  static constexpr std::size_t kMaxDependencies = 10000;  ///< limit for one instance
 
   /// Appends the next part. Returns an error text if the part is invalid; the graph is then
   /// unchanged. The format of a part is:
@@ -63,7 +63,7 @@
     return std::span(deps_).subspan(depStart_[i], depStart_[i + 1] - depStart_[i]);
   }
   /// Returns the fingerprint that identifies the same instance in different versions of a flow.
-  std::uint64_t print(Instance i) const { return prints_[i]; }
+  std::uint64_t fingerprint(Instance i) const { return fingerprints_[i]; }
   /// Returns the hashes of the names of the files that instance `i` writes.
   std::span<const std::uint64_t> outputs(Instance i) const {
     return std::span(outs_).subspan(outStart_[i], outStart_[i + 1] - outStart_[i]);
@@ -78,7 +78,7 @@
   std::vector<std::uint16_t> ruleOf_;
   std::vector<std::uint32_t> depStart_{0};
   std::vector<Instance> deps_;
-  std::vector<std::uint64_t> prints_;
+  std::vector<std::uint64_t> fingerprints_;
   std::vector<std::uint32_t> outStart_{0};
   std::vector<std::uint64_t> outs_;
 };
--- a/src/flows/progress.cpp
+++ b/src/flows/progress.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-void Progress::settle() {
+void Progress::recompute() {
   for (auto& n : counts_) n = 0;
   for (Instance i = 0; i < state_.size(); ++i) {
     ++counts_[static_cast<std::size_t>(state_[i])];
--- a/src/flows/progress.hpp
+++ b/src/flows/progress.hpp
@@ -27,10 +27,10 @@
 
   State state(Instance i) const { return state_[i]; }
   /// Sets the recorded state of an instance. The caller restores all instances first and then calls
-  /// `settle`, before it uses any other function.
+  /// `recompute`, before it uses any other function.
   void restore(Instance i, State s) { state_[i] = s; }
   /// Recomputes the counts, the ready queues and the skipped instances from the restored states.
-  void settle();
+  void recompute();
 
   void assign(Instance i);
   void finish(Instance i);
@@ -39,8 +39,8 @@
   /// Returns up to `maxCount` ready instances of a rule, oldest first. It leaves out instances with
   /// a blocked output. The queue of ready instances does not change.
   std::vector<Instance> readyInstances(std::uint32_t rule, std::size_t maxCount) const;
-  std::size_t readyOf(std::uint32_t rule) const { return ready_[rule].size(); }
-  std::size_t ready() const { return readyCount_; }
+  std::size_t readyCountOf(std::uint32_t rule) const { return ready_[rule].size(); }
+  std::size_t readyCount() const { return readyCount_; }
 
   /// Marks an output as blocked, because a dropped task of an earlier version may still write it.
   void block(std::uint64_t output) { ++blocked_[output]; }
@@ -48,9 +48,9 @@
 
   std::uint32_t count(State s) const { return counts_[static_cast<std::size_t>(s)]; }
   /// Returns true if every instance is done, failed or skipped.
-  bool over() const { return count(State::waiting) == 0 && count(State::assigned) == 0; }
+  bool hasEnded() const { return count(State::waiting) == 0 && count(State::assigned) == 0; }
   /// Returns true if instances wait but none can start, because they depend on failed instances.
-  bool stuck() const { return ready() == 0 && count(State::assigned) == 0 && !over(); }
+  bool isStuck() const { return readyCount() == 0 && count(State::assigned) == 0 && !hasEnded(); }
   /// Returns the number of dependents visited so far; tests use it to measure the work.
   std::uint64_t visits() const { return visits_; }
   std::size_t bytes() const;
--- a/src/flows/service.cpp
+++ b/src/flows/service.cpp
@@ -64,12 +64,12 @@
   FlowId id{segments[0]};
   if (route == FlowRoute::text) {
     auto part = numberFrom(segments[3]);
-    if (!validFlowId(id.value) || !validDigest(segments[2]) || !part) {
+    if (!isValidFlowId(id.value) || !isValidDigest(segments[2]) || !part) {
       return respond(errorResponse(404, "no such text"));
     }
     return text(id, Digest{segments[2]}, *part, respond);
   }
-  if (!validFlowId(id.value)) return respond(errorResponse(404, "no such flow"));
+  if (!isValidFlowId(id.value)) return respond(errorResponse(404, "no such flow"));
   if (route == FlowRoute::report) return report(id, respond);
   if (route == FlowRoute::failures) return failures(id, respond);
   status(id, respond);
@@ -78,7 +78,7 @@
 void FlowService::handleWrite(FlowRoute route, const FlowPath& path, const Request& request,
                               const Respond& respond) {
   FlowId id{path.segments[0]};
-  if (!validFlowId(id.value)) return respond(errorResponse(404, "no such flow"));
+  if (!isValidFlowId(id.value)) return respond(errorResponse(404, "no such flow"));
   if (route == FlowRoute::cancel) return cancel(id, kCancelTries, respond);
   auto parsed = decodeBody(request.body);
   if (!parsed || !parsed->is_object()) return respond(errorResponse(400, "not a map"));
--- a/src/flows/service_commits.cpp
+++ b/src/flows/service_commits.cpp
@@ -28,8 +28,8 @@
   auto jobClass = textField(body, "lane");
   auto priority = priorityFrom(textField(body, "rank").value_or("best_effort"));
   if (!team || team->empty() || team->size() > kMaxNameBytes) return std::nullopt;
-  if (!member || !validLabel(*member)) return std::nullopt;
-  if (!name || !validLabel(*name)) return std::nullopt;
+  if (!member || !isValidLabel(*member)) return std::nullopt;
+  if (!name || !isValidLabel(*name)) return std::nullopt;
   if (!priority || (jobClass && jobClass->size() > kMaxNameBytes)) return std::nullopt;
   FlowHead head;
   head.team = *team;
@@ -77,7 +77,7 @@
   auto digest = textField(*body, "version");
   auto base = countField(*body, "base");
   auto wanted = headFrom(*body);
-  if (!digest || !validDigest(*digest) || !base || !wanted) {
+  if (!digest || !isValidDigest(*digest) || !base || !wanted) {
     return respond(errorResponse(
         400, "field version, base, owner, member, name or rank is missing or invalid"));
   }
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -248,7 +248,7 @@
 
 void FlowService::list(const std::string& query, const Respond& respond) {
   std::string team = queryValue(query, "owner"), member = queryValue(query, "member");
-  if (team.empty() || !validLabel(member)) {
+  if (team.empty() || !isValidLabel(member)) {
     return respond(jsonResponse(400, {{"error", "owner or member is missing"}}));
   }
   watcher_.linearizableRead([this, team, member, respond](bool ok) {
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -28,7 +28,7 @@
 std::optional<Announcement> announcementFrom(const Json& body) {
   auto count = [&](const char* name) { return countField(body, name).value_or(0); };
   auto digest = textField(body, "version");
-  if (!digest || !validDigest(*digest)) return std::nullopt;
+  if (!digest || !isValidDigest(*digest)) return std::nullopt;
   Announcement a{Digest{*digest}, count("instances"), count("parts"), count("texts"),
                  count("per_text")};
   if (a.instances < 1 || a.parts < 1 || a.texts < 1 || a.perText < 1) return std::nullopt;
@@ -163,7 +163,7 @@
 
 void FlowService::parts(const FlowId& id, const Body& body, const Respond& respond) {
   auto digest = textField(*body, "version");
-  if (!digest || !validDigest(*digest)) {
+  if (!digest || !isValidDigest(*digest)) {
     return respond(errorResponse(400, "field version is missing or invalid"));
   }
   watcher_.linearizableRead([this, id, body, digest = Digest{*digest}, respond](bool ok) {
--- a/src/rules/make_file.cpp
+++ b/src/rules/make_file.cpp
@@ -340,7 +340,7 @@
     auto inputs = makeWords(rest), orderOnly = makeWords(only);
     if (targets[0].size() > 1 && targets[0][0] == '.' && special(targets[0], inputs, place)) return;
     auto add = [&](MakeRule r) {
-      if (out_.rules.size() >= FlowGraph::kMostRules * 20) throw RuleError(place, "too many rules");
+      if (out_.rules.size() >= FlowGraph::kMaxRules * 20) throw RuleError(place, "too many rules");
       e_.spend(r.inputs.size() + r.targets.size() + 1, 0, place);
       r.place = place;
       r.doubleColon = twice;
--- a/src/rules/make_plan.cpp
+++ b/src/rules/make_plan.cpp
@@ -332,7 +332,7 @@
     std::string key = toJson(f).dump(-1, ' ', false, Json::error_handler_t::replace);
     auto [it, isNew] = rules_.emplace(key, static_cast<std::uint32_t>(plan_.rules.size()));
     if (isNew) {
-      if (plan_.rules.size() >= FlowGraph::kMostRules)
+      if (plan_.rules.size() >= FlowGraph::kMaxRules)
         throw RuleError(rule.place, "too many rules");
       plan_.rules.push_back(f);
     }
--- a/src/rules/snake_file.cpp
+++ b/src/rules/snake_file.cpp
@@ -291,7 +291,7 @@
         throw RuleError(s.at(lines[k].begin), "is not indented like the directives above");
       k = directive(s, lines, k, r);
     }
-    if (out_.rules.size() >= FlowGraph::kMostRules) throw RuleError(r.place, "too many rules");
+    if (out_.rules.size() >= FlowGraph::kMaxRules) throw RuleError(r.place, "too many rules");
     out_.rules.push_back(std::move(r));
     return end;
   }
