--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -9,10 +9,11 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr Duration kEndedPatience{5000};    // maximum time that the record of an ended job is kept
-constexpr std::size_t kMostQueued = 20000;  // limit of waiting tasks per flow; no new jobs above it
+constexpr Duration kMaxEndedJobDelay{5000};  // maximum time that the record of an ended job is kept
+constexpr std::size_t kMaxQueuedTasks =
+    20000;  // limit of waiting tasks per flow; no new jobs above it
 
-bool finishedOrGone(const JobState& job, std::uint32_t task) {
+bool isFinishedOrGivenUp(const JobState& job, std::uint32_t task) {
   return job.isFinished(task) || job.isGivenUp(task);
 }
 
@@ -20,7 +21,7 @@
 
 // Maps the tasks of a job to instances of the given version. Tasks of a job of an earlier version
 // are matched by fingerprint; a task that the amendment dropped is mapped to kNone.
-FlowLoop::OpenJob FlowLoop::adopt(
+FlowLoop::OpenJob FlowLoop::openJobFor(
     const FlowState& flow, const JobState& job, const FlowVersion& version,
     const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const {
   OpenJob open;
@@ -38,17 +39,18 @@
       }
       if (instance != kNone && instance >= version.graph.size()) instance = kNone;
       open.instances.push_back(instance);
-      open.pending.push_back(task);
+      open.unfinishedTasks.push_back(task);
     }
   }
   return open;
 }
 
 // Updates the progress of the flow with the tasks of the job that have ended.
-void FlowLoop::settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const {
+void FlowLoop::applyEndedTasks(const FlowState& flow, Run& run, const JobState& job,
+                               OpenJob& open) const {
   const FlowPart& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
-  std::erase_if(open.pending, [&](std::uint32_t task) {
+  std::erase_if(open.unfinishedTasks, [&](std::uint32_t task) {
     Instance i = open.instances[task];
     if (part.drops(task)) {
       if (job.placed.contains(task)) return false;
@@ -66,7 +68,7 @@
       }
       return true;
     }
-    if (!finishedOrGone(job, task)) return false;
+    if (!isFinishedOrGivenUp(job, task)) return false;
     if (i != kNone && run.progress.state(i) == Progress::State::assigned) {
       if (job.isFinished(task)) {
         run.progress.finish(i);
@@ -76,13 +78,14 @@
     }
     return true;
   });
-  if (open.pending.empty() && open.endedAt == Instant{}) open.endedAt = context_.runtime.now();
+  if (open.unfinishedTasks.empty() && open.endedAt == Instant{})
+    open.endedAt = context_.runtime.now();
   if (run.progress.readyCount() > 0 && run.readySince == Instant{})
     run.readySince = context_.runtime.now();
 }
 
 // Derives the state of the flow from its records only.
-std::optional<FlowLoop::Run> FlowLoop::build(const FlowState& flow, const Digest& graph) const {
+std::optional<FlowLoop::Run> FlowLoop::buildRun(const FlowState& flow, const Digest& graph) const {
   const FlowVersion* version = flow.version(graph);
   if (!version || !version->complete()) return std::nullopt;
   const FlowGraph& g = version->graph;
@@ -103,7 +106,7 @@
     const auto* job = context_.replica.job(id);
     if (!job) continue;
     bool same = job->record.flow->graph == graph;
-    OpenJob open = adopt(flow, *job, *version, same ? nullptr : &instanceByFingerprint);
+    OpenJob open = openJobFor(flow, *job, *version, same ? nullptr : &instanceByFingerprint);
     for (Instance i : open.instances) {
       if (i != kNone) covered[i] = true;
     }
@@ -131,12 +134,12 @@
     }
   }
   run.progress.recompute();
-  for (auto& [id, open] : run.jobs) settle(flow, run, *context_.replica.job(id), open);
+  for (auto& [id, open] : run.jobs) applyEndedTasks(flow, run, *context_.replica.job(id), open);
   if (run.progress.readyCount() > 0) run.readySince = context_.runtime.now();
   return run;
 }
 
-void FlowLoop::observe(const FlowId& id, const JobId& jobId) {
+void FlowLoop::applyJobChange(const FlowId& id, const JobId& jobId) {
   auto it = runs_.find(id);
   const FlowState* flow = context_.replica.flows().find(id);
   if (it == runs_.end() || !flow || !flow->head) return;
@@ -151,18 +154,18 @@
   auto open = run.jobs.find(jobId);
   if (open == run.jobs.end()) {
     if (job->record.flow->graph != run.graph) return;
-    open = run.jobs.emplace(jobId, adopt(*flow, *job, *version, nullptr)).first;
+    open = run.jobs.emplace(jobId, openJobFor(*flow, *job, *version, nullptr)).first;
     for (Instance i : open->second.instances) {
       if (i != kNone && run.progress.state(i) == Progress::State::waiting) run.progress.assign(i);
     }
     run.readySince = run.progress.readyCount() > 0 ? context_.runtime.now() : Instant{};
   }
-  settle(*flow, run, *job, open->second);
+  applyEndedTasks(*flow, run, *job, open->second);
 }
 
 void FlowLoop::onRecordsChanged(bool) {
   auto& copy = context_.replica.flows();
-  for (const auto& [flow, job] : copy.takeTouched()) observe(flow, job);
+  for (const auto& [flow, job] : copy.takeTouched()) applyJobChange(flow, job);
   std::erase_if(runs_, [&](const auto& r) {
     const FlowState* flow = copy.find(r.first);
     // The derived state is discarded if the flow has ended or has another version. It is rebuilt
@@ -175,21 +178,21 @@
 LoopStep FlowLoop::next() {
   const auto& live = context_.replica.flows().live();
   // The search starts after the flow of the previous commit, so that all flows are served in turn.
-  auto at = live.upper_bound(last_);
+  auto at = live.upper_bound(lastServedFlow_);
   for (std::size_t n = 0; n < live.size(); ++n) {
     if (at == live.end()) at = live.begin();
     const FlowId id = *at++;
-    if (auto commit = nextOf(id, *context_.replica.flows().find(id))) {
-      last_ = id;
+    if (auto commit = nextCommit(id, *context_.replica.flows().find(id))) {
+      lastServedFlow_ = id;
       return LoopStep::committing(std::move(commit));
     }
   }
-  return LoopStep::committing(dropOrphans());
+  return LoopStep::committing(removeOrphanSubChunks());
 }
 
 // Removes task sub-chunks whose job record is already removed. The sub-chunks and the end of the
 // job may not fit in one transaction. Removing them later is safe because job ids are never reused.
-std::optional<Commit> FlowLoop::dropOrphans() const {
+std::optional<Commit> FlowLoop::removeOrphanSubChunks() const {
   Transaction t = context_.begin();
   for (const auto& [key, modRevision] : context_.replica.orphanSubChunks()) {
     if (t.writes.size() == context_.platform.transactionOps) break;
@@ -200,15 +203,15 @@
   return Commit{std::move(t), nullptr, "parts of ended jobs"};
 }
 
-std::optional<Commit> FlowLoop::nextOf(const FlowId& id, const FlowState& flow) {
-  if (!flow.head) return remove(id, flow);
+std::optional<Commit> FlowLoop::nextCommit(const FlowId& id, const FlowState& flow) {
+  if (!flow.head) return removeUnusedVersion(id, flow);
   if (flow.head->phase != FlowPhase::open) {
-    return flow.jobs.empty() ? remove(id, flow) : wind(id, flow);
+    return flow.jobs.empty() ? removeUnusedVersion(id, flow) : endCancelledFlow(id, flow);
   }
   if (!flow.head->from.empty()) return amend(id, flow);
   auto run = runs_.find(id);
   if (run == runs_.end()) {
-    auto built = build(flow, flow.head->graph);
+    auto built = buildRun(flow, flow.head->graph);
     if (!built) return std::nullopt;
     run = runs_.emplace(id, std::move(*built)).first;
     logInfo("derived flow progress from records", "flow", id, "version", flow.head->version, "done",
@@ -216,10 +219,10 @@
             flow.version(flow.head->graph)->graph.size());
   }
   if (auto commit = advance(id, flow, run->second)) return commit;
-  return remove(id, flow);
+  return removeUnusedVersion(id, flow);
 }
 
-bool FlowLoop::endable(const JobState& job) const {
+bool FlowLoop::canEnd(const JobState& job) const {
   return job.placed.empty() && (!job.active() || job.waiting() == 0);
 }
 
@@ -232,20 +235,20 @@
   for (const auto& [chunk, s] : job.flow->chunks) {
     std::string key = keys::tasks(id, chunk);
     Revision modRevision = context_.replica.modRevisionOf(key);
-    if (modRevision != Revision{}) builder.drop(key, modRevision);
+    if (modRevision != Revision{}) builder.remove(key, modRevision);
   }
-  builder.drop(keys::job(id), job.modRevision);
+  builder.remove(keys::job(id), job.modRevision);
   const FlowVersion* own = flow.version(job.record.flow->graph);
   if (own && job.record.flow->rule < own->graph.rules().size()) {
-    builder.use(own->graph.rules()[job.record.flow->rule], use);
+    builder.addUse(own->graph.rules()[job.record.flow->rule], use);
   }
   if (!open || !run) return;
   for (std::size_t task = 0; task < open->instances.size(); ++task) {
     Instance i = open->instances[task];
     if (i == kNone) continue;
     auto n = static_cast<std::uint32_t>(task);
-    if (job.isFinished(n)) builder.state(i, 'd');
-    if (!job.isFinished(n) && job.isGivenUp(n)) builder.state(i, 'f');
+    if (job.isFinished(n)) builder.setState(i, 'd');
+    if (!job.isFinished(n) && job.isGivenUp(n)) builder.setState(i, 'f');
   }
 }
 
@@ -263,7 +266,7 @@
     } else {
       part.runs.emplace_back(i, 1);
     }
-    builder.state(i, 'a');
+    builder.setState(i, 'a');
   }
   auto spec = std::make_shared<JobSpec>();
   // The id is unique: a fencing token is never reused and the counter is unique within one token.
@@ -298,20 +301,21 @@
     const auto* job = context_.replica.job(jobId);
     queued += job->waiting();
     running += job->placed.size();
-    if (!open.pending.empty() || !endable(*job)) continue;
+    if (!open.unfinishedTasks.empty() || !canEnd(*job)) continue;
     if (ended++ == 0 || open.endedAt < endedSince) endedSince = open.endedAt;
   }
-  ReleaseView view;
-  view.ready = queued >= kMostQueued ? 0 : run.progress.readyCount();
-  view.batch = tasksPerChunk();
-  view.oldest = now - run.readySince;
-  view.queued = queued;
-  view.running = running;
-  view.ended = run.progress.count(Progress::State::done);
-  view.changes = run.changes;
-  bool release = releaseNow(view);
+  BatchingInput input;
+  input.ready = queued >= kMaxQueuedTasks ? 0 : run.progress.readyCount();
+  input.maxJobTasks = tasksPerChunk();
+  input.oldestReadyAge = now - run.readySince;
+  input.queued = queued;
+  input.running = running;
+  input.ended = run.progress.count(Progress::State::done);
+  input.changes = run.changes;
+  bool createJobs = shouldCreateJobs(input);
   bool over = run.progress.hasEnded();
-  if (!release && !over && (ended == 0 || now - endedSince < kEndedPatience)) return std::nullopt;
+  if (!createJobs && !over && (ended == 0 || now - endedSince < kMaxEndedJobDelay))
+    return std::nullopt;
 
   TransactionBuilder builder(context_, id, flow, version, run.graph);
   // The transaction compares the revision of the head, so it fails if an amendment or a
@@ -319,7 +323,7 @@
   std::size_t endedNow = 0, createdNow = 0, instances = 0;
   for (auto& [jobId, open] : run.jobs) {
     const auto* job = context_.replica.job(jobId);
-    if (!open.pending.empty() || !endable(*job)) continue;
+    if (!open.unfinishedTasks.empty() || !canEnd(*job)) continue;
     TransactionBuilder before = builder;
     endJob(builder, flow, jobId, *job, &open, &run);
     if (!builder.fits()) {
@@ -328,7 +332,7 @@
     }
     ++endedNow;
   }
-  if (release) {
+  if (createJobs) {
     std::vector<std::uint32_t> rules;
     for (std::uint32_t r = 0; r < version.graph.rules().size(); ++r) {
       if (run.progress.readyCountOf(r) > 0) rules.push_back(r);
@@ -347,7 +351,7 @@
         std::size_t pages = 0;
         for (; from < ready.size() && batch.size() < tasksPerChunk(); ++from) {
           bool newPage = batch.empty() || batch.back() / kPageSize != ready[from] / kPageSize;
-          if (newPage && pages == mostPages()) break;
+          if (newPage && pages == maxPagesPerJob()) break;
           pages += newPage ? 1 : 0;
           batch.push_back(ready[from]);
         }
@@ -381,10 +385,10 @@
   }
   if (builder.empty()) return std::nullopt;
   std::size_t changes = builder.changes();
-  std::vector<JobId> gone = builder.droppedJobs();
+  std::vector<JobId> removedJobs = builder.removedJobs();
   return Commit{builder.finish(),
-                [this, id, changes, gone] {
-                  for (const auto& job : gone) outcomes_.forgetJob(job);
+                [this, id, changes, removedJobs] {
+                  for (const auto& job : removedJobs) outcomes_.forgetJob(job);
                   if (auto r = runs_.find(id); r != runs_.end()) r->second.changes += changes;
                 },
                 "flow " + id.value + ": " + std::to_string(createdNow) + " jobs of " +
@@ -402,7 +406,7 @@
     for (const auto& [jobId, open] : run.jobs) {
       const auto* job = context_.replica.job(jobId);
       if (!job || !job->record.spec || job->record.spec->estimate > horizon) continue;
-      for (auto task : open.pending) {
+      for (auto task : open.unfinishedTasks) {
         if (open.instances[task] != kNone && job->placed.contains(task) &&
             run.progress.state(open.instances[task]) == Progress::State::assigned) {
           soon.push_back(open.instances[task]);
--- a/src/flows/flow_loop.hpp
+++ b/src/flows/flow_loop.hpp
@@ -31,8 +31,8 @@
  private:
   static constexpr Instance kNone = 0xffffffffU;
   struct OpenJob {
-    std::vector<Instance> instances;     ///< by task; kNone if an amendment removed the instance
-    std::vector<std::uint32_t> pending;  ///< tasks that have not ended
+    std::vector<Instance> instances;  ///< by task; kNone if an amendment removed the instance
+    std::vector<std::uint32_t> unfinishedTasks;  ///< tasks that have not ended
     Instant endedAt{};  ///< time at which the loop first saw that all tasks have ended
   };
   /// The execution state of one open flow, derived from its records.
@@ -45,26 +45,27 @@
   };
   class TransactionBuilder;
 
-  void observe(const FlowId& id, const JobId& job);
-  std::optional<Run> build(const FlowState& flow, const Digest& graph) const;
-  OpenJob adopt(const FlowState& flow, const JobState& job, const FlowVersion& version,
-                const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const;
-  void settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const;
+  void applyJobChange(const FlowId& id, const JobId& job);
+  std::optional<Run> buildRun(const FlowState& flow, const Digest& graph) const;
+  OpenJob openJobFor(
+      const FlowState& flow, const JobState& job, const FlowVersion& version,
+      const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const;
+  void applyEndedTasks(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const;
 
-  std::optional<Commit> nextOf(const FlowId& id, const FlowState& flow);
+  std::optional<Commit> nextCommit(const FlowId& id, const FlowState& flow);
   std::optional<Commit> advance(const FlowId& id, const FlowState& flow, Run& run);
   std::optional<Commit> amend(const FlowId& id, const FlowState& flow);
-  std::optional<Commit> wind(const FlowId& id, const FlowState& flow);
-  std::optional<Commit> remove(const FlowId& id, const FlowState& flow);
-  std::optional<Commit> dropOrphans() const;
+  std::optional<Commit> endCancelledFlow(const FlowId& id, const FlowState& flow);
+  std::optional<Commit> removeUnusedVersion(const FlowId& id, const FlowState& flow);
+  std::optional<Commit> removeOrphanSubChunks() const;
   void endJob(TransactionBuilder& builder, const FlowState& flow, const JobId& id,
               const JobState& job, const OpenJob* open, Run* run);
   void createJob(TransactionBuilder& builder, const FlowId& id, const FlowState& flow, Run& run,
                  std::uint32_t rule, const std::vector<Instance>& instances);
-  bool endable(const JobState& job) const;
+  bool canEnd(const JobState& job) const;
   /// Returns the maximum number of pages that the instances of one job may span. The transaction
   /// that ends the job also changes the job record, the task chunk, an account and the head.
-  std::size_t mostPages() const {
+  std::size_t maxPagesPerJob() const {
     return context_.platform.transactionOps > 4 ? context_.platform.transactionOps - 4 : 1;
   }
   std::uint32_t tasksPerChunk() const { return chunkSizeFor(context_.platform.valueBytes); }
@@ -73,10 +74,10 @@
   ConfirmedOutcomes& outcomes_;
   TaskLoop& tasks_;
   std::map<FlowId, Run> runs_;
-  FlowId last_;  ///< flow of the previous commit; the next search starts after it
+  FlowId lastServedFlow_;  ///< flow of the previous commit; the next search starts after it
   std::uint64_t jobCount_ = 0;
   std::map<std::pair<FlowId, Digest>, std::uint32_t>
-      removed_;  ///< number of keys of each version removed so far
+      removedKeyCounts_;  ///< number of keys of each version removed so far
 };
 
 }  // namespace kestrelhoist
--- a/src/flows/flow_loop_versions.cpp
+++ b/src/flows/flow_loop_versions.cpp
@@ -18,7 +18,7 @@
 // amendment. The flow creates no jobs until the amendment is complete.
 std::optional<Commit> FlowLoop::amend(const FlowId& id, const FlowState& flow) {
   const FlowVersion* target = flow.version(flow.head->graph);
-  auto old = build(flow, flow.head->from);
+  auto old = buildRun(flow, flow.head->from);
   if (!target || !target->complete() || !old) return std::nullopt;
   const FlowVersion& source = *flow.version(flow.head->from);
   std::unordered_map<std::uint64_t, Instance> instanceByFingerprint;
@@ -81,7 +81,7 @@
     }
     TransactionBuilder before = builder;
     for (std::size_t k = 0; k < states.size(); ++k) {
-      builder.state(static_cast<Instance>(page * kPageSize + k), states[k]);
+      builder.setState(static_cast<Instance>(page * kPageSize + k), states[k]);
     }
     if (!builder.fits()) {
       builder = std::move(before);
@@ -101,7 +101,7 @@
 }
 
 // Cancels the jobs of a cancelled flow, and ends each of them when its tasks have stopped.
-std::optional<Commit> FlowLoop::wind(const FlowId& id, const FlowState& flow) {
+std::optional<Commit> FlowLoop::endCancelledFlow(const FlowId& id, const FlowState& flow) {
   const FlowVersion* version = flow.version(flow.head->graph);
   TransactionBuilder builder(context_, id, flow, version ? *version : kNoVersion, flow.head->graph);
   std::size_t cancelled = 0, ended = 0;
@@ -126,10 +126,10 @@
     }
   }
   if (builder.empty()) return std::nullopt;
-  std::vector<JobId> gone = builder.droppedJobs();
+  std::vector<JobId> removedJobs = builder.removedJobs();
   return Commit{builder.finish(),
-                [this, gone] {
-                  for (const auto& job : gone) outcomes_.forgetJob(job);
+                [this, removedJobs] {
+                  for (const auto& job : removedJobs) outcomes_.forgetJob(job);
                   tasks_.sendStops();
                 },
                 "flow " + id.value + ": " + std::to_string(cancelled) + " jobs cancelled, " +
@@ -139,7 +139,7 @@
 // Removes versions that no head and no job refers to. The upload record is first marked as closing.
 // This changes its revision, so that a late write of a part fails. The upload record itself is
 // removed last.
-std::optional<Commit> FlowLoop::remove(const FlowId& id, const FlowState& flow) {
+std::optional<Commit> FlowLoop::removeUnusedVersion(const FlowId& id, const FlowState& flow) {
   bool over = flow.head && flow.head->phase != FlowPhase::open;
   std::int64_t wall = context_.runtime.wallMillis();
   for (const auto& [digest, version] : flow.versions) {
@@ -161,7 +161,7 @@
       t.writes.push_back({key, toJson(closing), std::nullopt});
       return Commit{std::move(t), nullptr, "flow " + id.value + ": a version is being removed"};
     }
-    std::uint32_t& at = removed_[{id, digest}];
+    std::uint32_t& at = removedKeyCounts_[{id, digest}];
     std::uint32_t pages = version.upload->instances / kPageSize + 1;
     std::uint32_t total = version.upload->texts + pages + version.upload->parts;
     std::uint32_t next = at;
@@ -182,8 +182,8 @@
     if (last) t.writes.push_back({key, std::nullopt, std::nullopt});
     return Commit{std::move(t),
                   [this, id, digest, next, last] {
-                    removed_[{id, digest}] = next;
-                    if (last) removed_.erase({id, digest});
+                    removedKeyCounts_[{id, digest}] = next;
+                    if (last) removedKeyCounts_.erase({id, digest});
                   },
                   "flow " + id.value + ": a version removed"};
   }
--- a/src/flows/flow_transaction.hpp
+++ b/src/flows/flow_transaction.hpp
@@ -20,14 +20,14 @@
     compares_.push_back({key, modRevision});
   }
 
-  void drop(const std::string& key, Revision modRevision) {
+  void remove(const std::string& key, Revision modRevision) {
     bytes_ += key.size() + 64;
     writes_.push_back({key, std::nullopt, std::nullopt});
     compares_.push_back({key, modRevision});
-    if (key.starts_with(keys::kJob)) dropped_.emplace_back(key.substr(keys::kJob.size()));
+    if (key.starts_with(keys::kJob)) removedJobs_.emplace_back(key.substr(keys::kJob.size()));
   }
 
-  void state(Instance i, char letter) {
+  void setState(Instance i, char letter) {
     std::uint32_t number = i / kPageSize;
     auto page = pages_.find(number);
     if (page == pages_.end()) {
@@ -43,14 +43,14 @@
 
   /// Adds resource use to the account of a rule. It extends the existing entry of the rule, or adds
   /// a new entry to the last account block, or to a new block if the last one is full.
-  void use(const FlowRule& rule, const Use& use) {
+  void addUse(const FlowRule& rule, const Use& use) {
     if (use.empty()) return;
     auto same = [&](const AccountEntry& e) {
       return e.rule == rule.name && e.perTask.cpus == rule.perTask.cpus &&
              e.perTask.gpus == rule.perTask.gpus && e.perTask.ramGb == rule.perTask.ramGb;
     };
     auto add = [&](std::vector<AccountEntry>& entries) {
-      if (accountBytes(entries) > context_->legacyValueBytes()) return false;
+      if (estimatedAccountBytes(entries) > context_->legacyValueBytes()) return false;
       auto it = std::find_if(entries.begin(), entries.end(), same);
       if (it == entries.end()) return false;
       it->use += use;
@@ -63,7 +63,7 @@
       if (accounts_.contains(block) || std::none_of(entries.begin(), entries.end(), same)) continue;
       // A block that was filled under a larger value limit cannot be rewritten. The use then goes
       // to a second entry for the rule; readers sum all entries of a rule.
-      if (accountBytes(entries) > context_->legacyValueBytes()) continue;
+      if (estimatedAccountBytes(entries) > context_->legacyValueBytes()) continue;
       add(accounts_.emplace(block, entries).first->second);
       return;
     }
@@ -71,8 +71,8 @@
     if (!flow_->accounts.empty()) last = flow_->accounts.rbegin()->first;
     if (!accounts_.empty()) last = std::max(last, accounts_.rbegin()->first);
     auto known = flow_->accounts.find(last);
-    std::size_t filled = accounts_.contains(last)         ? accountBytes(accounts_.at(last))
-                         : known != flow_->accounts.end() ? accountBytes(known->second)
+    std::size_t filled = accounts_.contains(last) ? estimatedAccountBytes(accounts_.at(last))
+                         : known != flow_->accounts.end() ? estimatedAccountBytes(known->second)
                                                           : 0;
     // A block is filled only to half of the value limit, because the numbers in it grow.
     if (filled + rule.name.size() + 128 > context_->platform.valueBytes / 2) {
@@ -94,7 +94,7 @@
     std::string key = keys::openFlows(head.team, head.member);
     Revision modRevision = context_->replica.modRevisionOf(key);
     if (open.empty()) {
-      drop(key, modRevision);
+      remove(key, modRevision);
     } else {
       set(key, Json::object({{"open", ids}}), modRevision);
     }
@@ -104,7 +104,7 @@
   std::size_t changes() const {
     return writes_.size() + pages_.size() + accounts_.size() + (head_ ? 1 : 0);
   }
-  std::vector<JobId> droppedJobs() const { return dropped_; }
+  std::vector<JobId> removedJobs() const { return removedJobs_; }
 
   /// Returns true if the transaction is within the limits of the state service.
   bool fits() const {
@@ -114,7 +114,7 @@
       if (size + 64 > context_->legacyValueBytes()) return false;
       bytes += size + 128;
     }
-    for (const auto& [block, entries] : accounts_) bytes += accountBytes(entries) + 128;
+    for (const auto& [block, entries] : accounts_) bytes += estimatedAccountBytes(entries) + 128;
     return changes() <= context_->platform.transactionOps && bytes <= kMaxTransactionBytes;
   }
 
@@ -143,7 +143,7 @@
   }
 
  private:
-  static std::size_t accountBytes(const std::vector<AccountEntry>& entries) {
+  static std::size_t estimatedAccountBytes(const std::vector<AccountEntry>& entries) {
     std::size_t n = 2;
     for (const auto& e : entries) n += e.rule.size() + 96;
     return n;
@@ -159,7 +159,7 @@
   std::map<std::uint32_t, std::string> pages_;
   std::map<std::uint32_t, std::vector<AccountEntry>> accounts_;
   std::optional<FlowHead> head_;
-  std::vector<JobId> dropped_;
+  std::vector<JobId> removedJobs_;
   std::size_t bytes_ = 0;
 };
 
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -235,22 +235,22 @@
 }
 
 TEST(Batching, ReleasesWhenItIsWorthIt) {
-  ReleaseView v{10, 100, Duration{1000}, 0, 0, 0, 0};
-  EXPECT_TRUE(releaseNow(v));  // the flow has no other tasks
+  BatchingInput v{10, 100, Duration{1000}, 0, 0, 0, 0};
+  EXPECT_TRUE(shouldCreateJobs(v));  // the flow has no other tasks
   v.queued = v.running = 50;
-  EXPECT_TRUE(releaseNow(v));  // the changes are within the free allowance
+  EXPECT_TRUE(shouldCreateJobs(v));  // the changes are within the free allowance
   v.changes = 1000;
-  EXPECT_FALSE(releaseNow(v));  // the changes exceed the allowance
+  EXPECT_FALSE(shouldCreateJobs(v));  // the changes exceed the allowance
   v.ended = 50000;
-  EXPECT_TRUE(releaseNow(v));  // done instances have raised the allowance
+  EXPECT_TRUE(shouldCreateJobs(v));  // done instances have raised the allowance
   v.ended = 0;
   v.ready = 100;
-  EXPECT_TRUE(releaseNow(v));  // the ready instances fill an array
+  EXPECT_TRUE(shouldCreateJobs(v));  // the ready instances fill an array
   v.ready = 10;
-  v.oldest = Duration{30000};
-  EXPECT_TRUE(releaseNow(v));  // the oldest ready instance has reached the maximum delay
+  v.oldestReadyAge = Duration{30000};
+  EXPECT_TRUE(shouldCreateJobs(v));  // the oldest ready instance has reached the maximum delay
   v.ready = 0;
-  EXPECT_FALSE(releaseNow(v));
+  EXPECT_FALSE(shouldCreateJobs(v));
 }
 
 // The change feed may deliver parts in any order. A version is removed with its upload record.
