--- a/src/flows/admission.cpp
+++ b/src/flows/admission.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kMaxOpenFlows = 64;  // limit per member
-constexpr double kRoomTolerance = 1e-6;
+constexpr double kResourceTolerance = 1e-6;
 
 Response refused(const std::string& why) { return jsonResponse(422, {{"error", why}}); }
 
@@ -35,8 +35,8 @@
     return rule.perTask.fitsIn(type.capacity);
   });
   if (!fits) return refused("rule " + rule.name + ": no machine type can hold a task");
-  if ((limit.cpus > 0 && rule.perTask.cpus > limit.cpus + kRoomTolerance) ||
-      (limit.gpus > 0 && rule.perTask.gpus > limit.gpus + kRoomTolerance)) {
+  if ((limit.cpus > 0 && rule.perTask.cpus > limit.cpus + kResourceTolerance) ||
+      (limit.gpus > 0 && rule.perTask.gpus > limit.gpus + kResourceTolerance)) {
     return refused("rule " + rule.name + ": a task needs more than the team's limit");
   }
   return std::nullopt;
@@ -46,7 +46,7 @@
 // different members cannot conflict, because file names contain the member and the flow.
 std::optional<Response> FlowAdmission::outputRefusal(const FlowId& id, const FlowHead& head,
                                                      const Outputs& outputs) const {
-  auto open = replica.flows().openOf(head.team, head.member);
+  auto open = replica.flows().openFlowsOf(head.team, head.member);
   if (open.size() >= kMaxOpenFlows && std::find(open.begin(), open.end(), id) == open.end()) {
     return refused("more than " + std::to_string(kMaxOpenFlows) + " open flows");
   }
@@ -54,14 +54,15 @@
     if (otherId == id) continue;
     const FlowState* other = replica.flows().find(otherId);
     if (!other || !other->head) continue;
-    if (auto refusal = sharedOutput(id, head, outputs, otherId, *other)) return refusal;
+    if (auto refusal = sharedOutputRefusal(id, head, outputs, otherId, *other)) return refusal;
   }
   return std::nullopt;
 }
 
-std::optional<Response> FlowAdmission::sharedOutput(const FlowId& id, const FlowHead& head,
-                                                    const Outputs& outputs, const FlowId& otherId,
-                                                    const FlowState& other) const {
+std::optional<Response> FlowAdmission::sharedOutputRefusal(const FlowId& id, const FlowHead& head,
+                                                           const Outputs& outputs,
+                                                           const FlowId& otherId,
+                                                           const FlowState& other) const {
   for (const Digest& digest : {other.head->graph, other.head->from}) {
     const FlowVersion* version = other.version(digest);
     if (!version) continue;
--- a/src/flows/admission.hpp
+++ b/src/flows/admission.hpp
@@ -30,9 +30,9 @@
   std::optional<Response> ruleRefusal(const FlowRule& rule, const Resources& limit) const;
   std::optional<Response> outputRefusal(const FlowId& id, const FlowHead& head,
                                         const Outputs& outputs) const;
-  std::optional<Response> sharedOutput(const FlowId& id, const FlowHead& head,
-                                       const Outputs& outputs, const FlowId& otherId,
-                                       const FlowState& other) const;
+  std::optional<Response> sharedOutputRefusal(const FlowId& id, const FlowHead& head,
+                                              const Outputs& outputs, const FlowId& otherId,
+                                              const FlowState& other) const;
 };
 
 }  // namespace kestrelhoist
--- a/src/flows/answers.hpp
+++ b/src/flows/answers.hpp
@@ -17,7 +17,7 @@
 /// Returns a response with the phase and the version number of a flow.
 inline Response headResponse(const FlowId& id, const FlowHead& head, int status) {
   return jsonResponse(
-      status, {{"ref", id.value}, {"phase", wordOf(head.phase)}, {"version", head.version}});
+      status, {{"ref", id.value}, {"phase", toString(head.phase)}, {"version", head.version}});
 }
 
 }  // namespace kestrelhoist
--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -25,13 +25,13 @@
     const FlowState& flow, const JobState& job, const FlowVersion& version,
     const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const {
   OpenJob open;
-  const FlowPart& part = *job.record.flow;
+  const FlowTaskMapping& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
   for (const auto& [first, count] : part.runs) {
     for (std::uint32_t k = 0; k < count; ++k) {
       auto task = static_cast<std::uint32_t>(open.instances.size());
       Instance instance = first + k;
-      if (!own || instance >= own->graph.size() || part.drops(task)) {
+      if (!own || instance >= own->graph.size() || part.isDropped(task)) {
         instance = kNone;
       } else if (instanceByFingerprint) {
         auto it = instanceByFingerprint->find(own->graph.fingerprint(instance));
@@ -48,11 +48,11 @@
 // Updates the progress of the flow with the tasks of the job that have ended.
 void FlowLoop::applyEndedTasks(const FlowState& flow, Run& run, const JobState& job,
                                OpenJob& open) const {
-  const FlowPart& part = *job.record.flow;
+  const FlowTaskMapping& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
   std::erase_if(open.unfinishedTasks, [&](std::uint32_t task) {
     Instance i = open.instances[task];
-    if (part.drops(task)) {
+    if (part.isDropped(task)) {
       if (job.placed.contains(task)) return false;
       // The dropped task is confirmed as stopped, so no process writes its outputs any more.
       Instance at = task;
@@ -165,7 +165,7 @@
 
 void FlowLoop::onRecordsChanged(bool) {
   auto& copy = context_.replica.flows();
-  for (const auto& [flow, job] : copy.takeTouched()) applyJobChange(flow, job);
+  for (const auto& [flow, job] : copy.takeChangedJobs()) applyJobChange(flow, job);
   std::erase_if(runs_, [&](const auto& r) {
     const FlowState* flow = copy.find(r.first);
     // The derived state is discarded if the flow has ended or has another version. It is rebuilt
@@ -176,11 +176,11 @@
 }
 
 LoopStep FlowLoop::next() {
-  const auto& live = context_.replica.flows().live();
+  const auto& active = context_.replica.flows().active();
   // The search starts after the flow of the previous commit, so that all flows are served in turn.
-  auto at = live.upper_bound(lastServedFlow_);
-  for (std::size_t n = 0; n < live.size(); ++n) {
-    if (at == live.end()) at = live.begin();
+  auto at = active.upper_bound(lastServedFlow_);
+  for (std::size_t n = 0; n < active.size(); ++n) {
+    if (at == active.end()) at = active.begin();
     const FlowId id = *at++;
     if (auto commit = nextCommit(id, *context_.replica.flows().find(id))) {
       lastServedFlow_ = id;
@@ -231,7 +231,7 @@
 // the use is counted exactly once.
 void FlowLoop::endJob(TransactionBuilder& builder, const FlowState& flow, const JobId& id,
                       const JobState& job, const OpenJob* open, Run* run) {
-  Use use = job.flow->use();
+  ResourceUse use = job.flow->use();
   for (const auto& [chunk, s] : job.flow->chunks) {
     std::string key = keys::tasks(id, chunk);
     Revision modRevision = context_.replica.modRevisionOf(key);
@@ -255,7 +255,7 @@
 void FlowLoop::createJob(TransactionBuilder& builder, const FlowId& id, const FlowState& flow,
                          Run& run, std::uint32_t rule, const std::vector<Instance>& instances) {
   const FlowRule& r = flow.version(run.graph)->graph.rules()[rule];
-  FlowPart part;
+  FlowTaskMapping part;
   part.flow = id;
   part.graph = run.graph;
   part.rule = rule;
@@ -285,7 +285,7 @@
   spec->checkpointEvery = r.checkpointEvery;
   spec->saveTime = r.saveTime;
   JobRecord record{spec, JobPhase::active, context_.runtime.wallMillis(), tasksPerChunk(),
-                   std::make_shared<const FlowPart>(std::move(part))};
+                   std::make_shared<const FlowTaskMapping>(std::move(part))};
   builder.set(keys::job(spec->id), toJson(record), Revision{});
 }
 
--- a/src/flows/flow_loop_versions.cpp
+++ b/src/flows/flow_loop_versions.cpp
@@ -54,10 +54,10 @@
     }
     if (unwanted.empty() || full) continue;
     JobRecord record = job->record;
-    FlowPart part = *record.flow;
+    FlowTaskMapping part = *record.flow;
     part.dropped.insert(part.dropped.end(), unwanted.begin(), unwanted.end());
     std::sort(part.dropped.begin(), part.dropped.end());
-    record.flow = std::make_shared<const FlowPart>(std::move(part));
+    record.flow = std::make_shared<const FlowTaskMapping>(std::move(part));
     TransactionBuilder before = builder;
     builder.set(keys::job(jobId), toJson(record), job->modRevision);
     if (!builder.fits()) {
--- a/src/flows/flow_replica.cpp
+++ b/src/flows/flow_replica.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // The part of a key after its prefix, for example "id/digest/000012".
-struct Path {
+struct KeyPath {
   FlowId flow;
   Digest version;
   std::uint32_t number{};
@@ -26,7 +26,7 @@
   }
 }
 
-std::optional<std::uint32_t> numberOf(const std::string& text) {
+std::optional<std::uint32_t> parseNumber(const std::string& text) {
   std::uint32_t n = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
   if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -51,7 +51,8 @@
   return it == flows_.end() ? nullptr : &it->second;
 }
 
-std::vector<FlowId> FlowReplica::openOf(const std::string& team, const std::string& member) const {
+std::vector<FlowId> FlowReplica::openFlowsOf(const std::string& team,
+                                             const std::string& member) const {
   auto it = open_.find(team + "/" + member);
   return it == open_.end() ? std::vector<FlowId>{} : it->second;
 }
@@ -59,38 +60,39 @@
 void FlowReplica::addJob(const FlowId& flow, const JobId& job) {
   auto it = flows_.try_emplace(flow).first;
   it->second.jobs.insert(job);
-  tidy(it);
+  updateIndexes(it);
 }
 
-void FlowReplica::dropJob(const FlowId& flow, const JobId& job) {
+void FlowReplica::removeJob(const FlowId& flow, const JobId& job) {
   auto it = flows_.find(flow);
   if (it == flows_.end()) return;
   it->second.jobs.erase(job);
-  touched_.emplace(flow, job);
-  tidy(it);
+  changedJobs_.emplace(flow, job);
+  updateIndexes(it);
 }
 
-void FlowReplica::tidy(std::map<FlowId, FlowState>::iterator it) {
+void FlowReplica::updateIndexes(std::map<FlowId, FlowState>::iterator it) {
   const FlowState& f = it->second;
   if (f.versions.empty() && f.jobs.empty()) {
-    live_.erase(it->first);
+    active_.erase(it->first);
   } else {
-    live_.insert(it->first);
+    active_.insert(it->first);
   }
   if (!f.head && f.versions.empty() && f.accounts.empty() && f.jobs.empty()) flows_.erase(it);
 }
 
-void FlowReplica::setPart(FlowVersion& version, std::uint32_t part, const Json* value) {
-  if (!value || part < version.parts || !version.fault.empty()) return;
-  version.early[part] = *value;
+void FlowReplica::addGraphPart(FlowVersion& version, std::uint32_t part, const Json* value) {
+  if (!value || part < version.parts || !version.partError.empty()) return;
+  version.outOfOrderParts[part] = *value;
   auto before = version.graph.size();
-  while (!version.early.empty() && version.early.begin()->first == version.parts) {
-    if (auto fault = version.graph.add(version.early.begin()->second)) {
-      version.fault = *fault;
-      version.early.clear();
+  while (!version.outOfOrderParts.empty() &&
+         version.outOfOrderParts.begin()->first == version.parts) {
+    if (auto error = version.graph.add(version.outOfOrderParts.begin()->second)) {
+      version.partError = *error;
+      version.outOfOrderParts.clear();
       break;
     }
-    version.early.erase(version.early.begin());
+    version.outOfOrderParts.erase(version.outOfOrderParts.begin());
     ++version.parts;
   }
   instances_ += version.graph.size() - before;
@@ -114,24 +116,24 @@
   if (key.starts_with(keys::kFlow)) {
     FlowId id{key.substr(keys::kFlow.size())};
     FlowState& flow = flows_[id];
-    flow.head = value ? flowHeadFrom(*value) : std::nullopt;
+    flow.head = value ? flowHeadFromJson(*value) : std::nullopt;
     flow.modRevision = modRevision;
     if (flow.head && flow.head->phase == FlowPhase::cancelled) {
       newestCancellation_ = std::max(newestCancellation_, modRevision);
     }
     if (value && !flow.head) logError("malformed flow record ignored", "flow", id);
-    tidy(flows_.find(id));
+    updateIndexes(flows_.find(id));
     return true;
   }
   if (key.starts_with(keys::kAccount)) {
     auto path = rest(keys::kAccount);
-    auto block = path.size() == 2 ? numberOf(path[1]) : std::nullopt;
+    auto block = path.size() == 2 ? parseNumber(path[1]) : std::nullopt;
     if (!block) return true;
     auto it = flows_.try_emplace(FlowId{path[0]}).first;
     std::vector<AccountEntry> uses;
     if (value && value->is_array()) {
       for (const auto& u : *value) {
-        if (auto entry = accountEntryFrom(u)) uses.push_back(std::move(*entry));
+        if (auto entry = accountEntryFromJson(u)) uses.push_back(std::move(*entry));
       }
     }
     if (value) {
@@ -139,7 +141,7 @@
     } else {
       it->second.accounts.erase(*block);
     }
-    tidy(it);
+    updateIndexes(it);
     return true;
   }
   bool isUpload = key.starts_with(keys::kUpload);
@@ -149,12 +151,12 @@
   if (path.size() != (isUpload ? 2U : 3U)) return true;
   auto it = flows_.try_emplace(FlowId{path[0]}).first;
   FlowVersion& version = it->second.versions[Digest{path[1]}];
-  auto number = isUpload ? std::nullopt : numberOf(path[2]);
+  auto number = isUpload ? std::nullopt : parseNumber(path[2]);
   if (isUpload) {
-    version.upload = value ? flowUploadFrom(*value) : std::nullopt;
+    version.upload = value ? flowUploadFromJson(*value) : std::nullopt;
     version.modRevision = value ? modRevision : Revision{};
   } else if (number && isGraph) {
-    setPart(version, *number, value);
+    addGraphPart(version, *number, value);
   } else if (number) {
     auto states =
         value && value->is_string() ? unpackPage(value->get<std::string>()) : std::nullopt;
@@ -169,7 +171,7 @@
     instances_ -= version.graph.size();
     it->second.versions.erase(Digest{path[1]});
   }
-  tidy(it);
+  updateIndexes(it);
   return true;
 }
 
--- a/src/flows/flow_replica.hpp
+++ b/src/flows/flow_replica.hpp
@@ -14,15 +14,17 @@
 /// One uploaded graph of a flow.
 struct FlowVersion {
   std::optional<FlowUpload> upload;
-  Revision modRevision;                 ///< modification revision of the upload record
-  FlowGraph graph;                      ///< graph built from the consecutive parts received so far
-  std::uint32_t parts{};                ///< number of parts in `graph`
-  std::map<std::uint32_t, Json> early;  ///< parts that arrived before a part with a smaller number
-  std::string fault;                    ///< error text of a rejected part, else empty
+  Revision modRevision;   ///< modification revision of the upload record
+  FlowGraph graph;        ///< graph built from the consecutive parts received so far
+  std::uint32_t parts{};  ///< number of parts in `graph`
+  std::map<std::uint32_t, Json>
+      outOfOrderParts;    ///< parts that arrived before a part with a smaller number
+  std::string partError;  ///< error text of a rejected part, else empty
   std::map<std::uint32_t, std::string> pages;
 
   bool complete() const {
-    return upload && fault.empty() && parts == upload->parts && graph.size() == upload->instances;
+    return upload && partError.empty() && parts == upload->parts &&
+           graph.size() == upload->instances;
   }
   /// Returns the recorded state letter of an instance, or w(aiting) if its page does not exist.
   char stateOf(Instance i) const;
@@ -45,31 +47,31 @@
   /// Applies a changed or removed (null) record. Returns false if the key is not a flow key.
   bool apply(const std::string& key, const Json* value, Revision modRevision);
   void addJob(const FlowId& flow, const JobId& job);
-  void dropJob(const FlowId& flow, const JobId& job);
+  void removeJob(const FlowId& flow, const JobId& job);
   /// Marks a job whose tasks have ended or were dropped, so that the flow loop reads it again.
-  void touch(const FlowId& flow, const JobId& job) { touched_.emplace(flow, job); }
-  std::set<std::pair<FlowId, JobId>> takeTouched() { return std::exchange(touched_, {}); }
+  void markChanged(const FlowId& flow, const JobId& job) { changedJobs_.emplace(flow, job); }
+  std::set<std::pair<FlowId, JobId>> takeChangedJobs() { return std::exchange(changedJobs_, {}); }
 
   const std::map<FlowId, FlowState>& flows() const { return flows_; }
   const FlowState* find(const FlowId& id) const;
   /// Returns the flows that have a version or a job record. Only these flows need work by the
   /// leader.
-  const std::set<FlowId>& live() const { return live_; }
+  const std::set<FlowId>& active() const { return active_; }
   /// Returns the open flows of a member.
-  std::vector<FlowId> openOf(const std::string& team, const std::string& member) const;
+  std::vector<FlowId> openFlowsOf(const std::string& team, const std::string& member) const;
   /// Returns the number of instances of all graphs in memory, including unfinished uploads.
   std::size_t instances() const { return instances_; }
   /// Returns the newest modification revision at which a flow head in this replica was cancelled.
   Revision newestCancellation() const { return newestCancellation_; }
 
  private:
-  void setPart(FlowVersion& version, std::uint32_t part, const Json* value);
-  void tidy(std::map<FlowId, FlowState>::iterator flow);
+  void addGraphPart(FlowVersion& version, std::uint32_t part, const Json* value);
+  void updateIndexes(std::map<FlowId, FlowState>::iterator flow);
 
   std::map<FlowId, FlowState> flows_;
   std::map<std::string, std::vector<FlowId>> open_;  ///< open flows by "team/member"
-  std::set<std::pair<FlowId, JobId>> touched_;
-  std::set<FlowId> live_;
+  std::set<std::pair<FlowId, JobId>> changedJobs_;
+  std::set<FlowId> active_;
   std::size_t instances_ = 0;
   Revision newestCancellation_;
 };
--- a/src/flows/flow_transaction.hpp
+++ b/src/flows/flow_transaction.hpp
@@ -43,7 +43,7 @@
 
   /// Adds resource use to the account of a rule. It extends the existing entry of the rule, or adds
   /// a new entry to the last account block, or to a new block if the last one is full.
-  void addUse(const FlowRule& rule, const Use& use) {
+  void addUse(const FlowRule& rule, const ResourceUse& use) {
     if (use.empty()) return;
     auto same = [&](const AccountEntry& e) {
       return e.rule == rule.name && e.perTask.cpus == rule.perTask.cpus &&
@@ -87,7 +87,7 @@
   /// flows. Other flows of the member may then write the same output files.
   void endFlow(const FlowHead& head) {
     head_ = head;
-    std::vector<FlowId> open = context_->replica.flows().openOf(head.team, head.member);
+    std::vector<FlowId> open = context_->replica.flows().openFlowsOf(head.team, head.member);
     std::erase(open, id_);
     Json ids = Json::array();
     for (const auto& f : open) ids.push_back(f.value);
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -15,13 +15,13 @@
 // RapidCheck reads RC_PARAMS once, before its first check.
 const int kSeeded = setenv("RC_PARAMS", "seed=20261201 max_success=150", 1);
 
-struct Drawn {
+struct GraphShape {
   std::vector<std::vector<Instance>> deps;
   std::vector<std::uint32_t> rule;
 };
 
-Drawn drawGraph() {
-  Drawn g;
+GraphShape randomGraphShape() {
+  GraphShape g;
   auto n = *rc::gen::inRange(1, 40);
   for (int i = 0; i < n; ++i) {
     std::set<Instance> deps;
@@ -34,7 +34,7 @@
   return g;
 }
 
-Json partOf(const Drawn& g, std::size_t from, std::size_t to, bool rules) {
+Json graphPartOf(const GraphShape& g, std::size_t from, std::size_t to, bool rules) {
   Json part = {{"of", Json::array()}, {"deps", Json::array()}};
   if (rules) {
     part["rules"] = Json::array();
@@ -55,18 +55,18 @@
   return part;
 }
 
-FlowGraph graphOf(const Drawn& g) {
+FlowGraph graphOf(const GraphShape& g) {
   FlowGraph graph;
   auto cut = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(g.deps.size()) + 1));
-  RC_ASSERT(!graph.add(partOf(g, 0, cut, true)));
-  RC_ASSERT(!graph.add(partOf(g, cut, g.deps.size(), false)));
+  RC_ASSERT(!graph.add(graphPartOf(g, 0, cut, true)));
+  RC_ASSERT(!graph.add(graphPartOf(g, cut, g.deps.size(), false)));
   return graph;
 }
 
 TEST(FlowGraphProperty, PartsComeToTheWhole) {
   EXPECT_EQ(kSeeded, 0);
   EXPECT_TRUE(rc::check([] {
-    Drawn g = drawGraph();
+    GraphShape g = randomGraphShape();
     FlowGraph graph = graphOf(g);
     RC_ASSERT(graph.size() == g.deps.size());
     for (Instance i = 0; i < graph.size(); ++i) {
@@ -80,8 +80,8 @@
 // A part with random fields changed must be accepted or rejected as a whole.
 TEST(FlowGraphProperty, MalformedPartsChangeNothing) {
   EXPECT_TRUE(rc::check([] {
-    Drawn g = drawGraph();
-    Json part = partOf(g, 0, g.deps.size(), true);
+    GraphShape g = randomGraphShape();
+    Json part = graphPartOf(g, 0, g.deps.size(), true);
     for (int k = *rc::gen::inRange(1, 4); k > 0; --k) {
       const char* fields[] = {"of", "deps", "print", "outh", "rules", "outs"};
       std::string name = fields[*rc::gen::inRange(0, 6)];
@@ -121,7 +121,7 @@
 // graph, in whatever order instances finish or fail.
 TEST(ProgressProperty, ReadyIsWhatTheGraphSays) {
   EXPECT_TRUE(rc::check([] {
-    Drawn g = drawGraph();
+    GraphShape g = randomGraphShape();
     FlowGraph graph = graphOf(g);
     bool keep = *rc::gen::arbitrary<bool>();
     Progress p(graph, keep);
@@ -139,7 +139,7 @@
       }
       return out;
     };
-    auto byHand = [&] {
+    auto expectedReady = [&] {
       std::set<Instance> out;
       for (Instance i = 0; i < graph.size(); ++i) {
         bool all = p.state(i) == State::waiting;
@@ -151,7 +151,7 @@
     std::vector<Instance> assigned;
     for (int step = 0; step < 200 && !p.hasEnded(); ++step) {
       auto now = ready();
-      RC_ASSERT(now == byHand());
+      RC_ASSERT(now == expectedReady());
       RC_ASSERT(now.size() == p.readyCount());
       if (!now.empty() && (assigned.empty() || *rc::gen::arbitrary<bool>())) {
         Instance i = *std::next(now.begin(), *rc::gen::inRange(0, static_cast<int>(now.size())));
@@ -182,13 +182,13 @@
 TEST(ProgressProperty, WorkFollowsDependents) {
   // The graph consists of pairs. Finishing the first instance of a pair must visit only its one
   // dependent, whatever the size of the graph.
-  Drawn g;
+  GraphShape g;
   for (Instance i = 0; i < 20000; ++i) {
     g.deps.push_back(i < 10000 ? std::vector<Instance>{} : std::vector<Instance>{i - 10000});
     g.rule.push_back(0);
   }
   FlowGraph graph;
-  ASSERT_FALSE(graph.add(partOf(g, 0, g.deps.size(), true)));
+  ASSERT_FALSE(graph.add(graphPartOf(g, 0, g.deps.size(), true)));
   Progress p(graph, false);
   p.recompute();
   for (Instance i = 0; i < 100; ++i) p.assign(i);
@@ -200,7 +200,7 @@
 // A controller must need at most 150 bytes per instance, including the leader's progress state.
 TEST(FlowGraph, AnInstanceCostsFewBytes) {
   FlowGraph graph;
-  Drawn g;
+  GraphShape g;
   constexpr std::size_t n = 100000;
   for (Instance i = 0; i < n; ++i) {
     g.deps.push_back(i < n / 4 ? std::vector<Instance>{}
@@ -208,7 +208,7 @@
     g.rule.push_back(i % 3);
   }
   for (std::size_t from = 0; from < n; from += 180) {
-    ASSERT_FALSE(graph.add(partOf(g, from, std::min(n, from + 180), from == 0)));
+    ASSERT_FALSE(graph.add(graphPartOf(g, from, std::min(n, from + 180), from == 0)));
   }
   Progress p(graph, false);
   p.recompute();
@@ -255,7 +255,7 @@
 
 // The change feed may deliver parts in any order. A version is removed with its upload record.
 TEST(FlowReplica, PartsInAnyOrder) {
-  Drawn g;
+  GraphShape g;
   for (Instance i = 0; i < 6; ++i) {
     g.deps.push_back(i == 0 ? std::vector<Instance>{} : std::vector<Instance>{i - 1});
     g.rule.push_back(0);
@@ -266,10 +266,10 @@
   auto put = [&](const std::string& key, const Json& v) {
     EXPECT_TRUE(flowReplica.apply(key, &v, Revision{1}));
   };
-  put(keys::graphPart(id, d, 1), partOf(g, 3, 6, false));
+  put(keys::graphPart(id, d, 1), graphPartOf(g, 3, 6, false));
   EXPECT_FALSE(flowReplica.find(id)->version(d)->complete());
   put(keys::upload(id, d), toJson(FlowUpload{6, 2, 1, 6, 0, false}));
-  put(keys::graphPart(id, d, 0), partOf(g, 0, 3, true));
+  put(keys::graphPart(id, d, 0), graphPartOf(g, 0, 3, true));
   EXPECT_TRUE(flowReplica.find(id)->version(d)->complete());
   EXPECT_EQ(flowReplica.instances(), 6u);
   put(keys::page(id, d, 0), "d2aw3");
@@ -280,7 +280,7 @@
   }
   EXPECT_EQ(flowReplica.find(id), nullptr);
   EXPECT_EQ(flowReplica.instances(), 0u);
-  EXPECT_TRUE(flowReplica.live().empty());
+  EXPECT_TRUE(flowReplica.active().empty());
 }
 
 }  // namespace
--- a/src/flows/records.cpp
+++ b/src/flows/records.cpp
@@ -12,24 +12,24 @@
   std::string digits = std::to_string(n);
   return std::string(digits.size() < 6 ? 6 - digits.size() : 0, '0') + digits;
 }
-std::string below(const std::string& root, const FlowId& id, const Digest& version,
-                  std::uint32_t n) {
+std::string numberedKey(const std::string& root, const FlowId& id, const Digest& version,
+                        std::uint32_t n) {
   return root + id.value + "/" + version.value + "/" + padded(n);
 }
 }  // namespace
 std::string flow(const FlowId& id) { return kFlow + id.value; }
 std::string upload(const FlowId& id, const Digest& v) { return kUpload + id.value + "/" + v.value; }
 std::string graphPart(const FlowId& id, const Digest& v, std::uint32_t n) {
-  return below(kGraph, id, v, n);
+  return numberedKey(kGraph, id, v, n);
 }
 std::string page(const FlowId& id, const Digest& v, std::uint32_t n) {
-  return below(kPage, id, v, n);
+  return numberedKey(kPage, id, v, n);
 }
 std::string account(const FlowId& id, std::uint32_t block) {
   return kAccount + id.value + "/" + padded(block);
 }
 std::string text(const FlowId& id, const Digest& v, std::uint32_t n) {
-  return below(kText, id, v, n);
+  return numberedKey(kText, id, v, n);
 }
 std::string openFlows(const std::string& team, const std::string& member) {
   return kOpenFlows + team + "/" + member;
@@ -39,15 +39,15 @@
 namespace {
 constexpr std::array kPhases{"open", "done", "failed", "cancelled"};
 
-std::uint32_t small(const Json& v, const char* name) {
+std::uint32_t countOrZero(const Json& v, const char* name) {
   auto n = countField(v, name).value_or(0);
   return static_cast<std::uint32_t>(std::min<std::uint64_t>(n, 0xffffffffU));
 }
 }  // namespace
 
-const char* wordOf(FlowPhase phase) { return kPhases[static_cast<std::size_t>(phase)]; }
+const char* toString(FlowPhase phase) { return kPhases[static_cast<std::size_t>(phase)]; }
 
-Use& Use::operator+=(const Use& o) {
+ResourceUse& ResourceUse::operator+=(const ResourceUse& o) {
   tasks += o.tasks;
   failed += o.failed;
   attempts += o.attempts;
@@ -66,11 +66,11 @@
   return v;
 }
 
-std::optional<FlowUpload> flowUploadFrom(const Json& v) {
-  FlowUpload u{small(v, "instances"),
-               small(v, "parts"),
-               small(v, "texts"),
-               small(v, "per"),
+std::optional<FlowUpload> flowUploadFromJson(const Json& v) {
+  FlowUpload u{countOrZero(v, "instances"),
+               countOrZero(v, "parts"),
+               countOrZero(v, "texts"),
+               countOrZero(v, "per"),
                static_cast<std::int64_t>(countField(v, "at").value_or(0)),
                boolField(v, "closing").value_or(false)};
   if (u.instances < 1 || u.parts < 1 || u.texts < 1 || u.perText < 1) return std::nullopt;
@@ -78,16 +78,16 @@
 }
 
 Json toJson(const FlowHead& h) {
-  Json v = {{"team", h.team},        {"member", h.member},       {"name", h.name},
-            {"class", h.jobClass},   {"priority", h.priority},   {"keep", h.keepGoing},
-            {"at", h.atMs},          {"phase", wordOf(h.phase)}, {"version", h.version},
+  Json v = {{"team", h.team},        {"member", h.member},         {"name", h.name},
+            {"class", h.jobClass},   {"priority", h.priority},     {"keep", h.keepGoing},
+            {"at", h.atMs},          {"phase", toString(h.phase)}, {"version", h.version},
             {"graph", h.graph.value}};
   if (!h.from.empty()) v["from"] = h.from.value;
   if (h.phase != FlowPhase::open) v["ended"] = {h.done, h.failed, h.skipped};
   return v;
 }
 
-std::optional<FlowHead> flowHeadFrom(const Json& v) {
+std::optional<FlowHead> flowHeadFromJson(const Json& v) {
   FlowHead h;
   auto team = textField(v, "team"), member = textField(v, "member"), name = textField(v, "name");
   auto jobClass = textField(v, "class"), phase = textField(v, "phase");
@@ -121,10 +121,10 @@
   return h;
 }
 
-Json toJson(const Use& u) { return {u.tasks, u.failed, u.attempts, u.ranMs, u.lostMs}; }
+Json toJson(const ResourceUse& u) { return {u.tasks, u.failed, u.attempts, u.ranMs, u.lostMs}; }
 
-Use useFrom(const Json& v) {
-  Use u;
+ResourceUse resourceUseFromJson(const Json& v) {
+  ResourceUse u;
   if (!v.is_array() || v.size() != 5) return u;
   std::array fields{&u.tasks, &u.failed, &u.attempts, &u.ranMs, &u.lostMs};
   for (std::size_t i = 0; i < fields.size(); ++i) {
@@ -137,31 +137,31 @@
   return {e.rule, e.perTask.cpus, e.perTask.gpus, e.perTask.ramGb, toJson(e.use)};
 }
 
-std::optional<AccountEntry> accountEntryFrom(const Json& v) {
+std::optional<AccountEntry> accountEntryFromJson(const Json& v) {
   if (!v.is_array() || v.size() != 5 || !v[0].is_string()) return std::nullopt;
   for (std::size_t i = 1; i < 4; ++i) {
     if (!v[i].is_number()) return std::nullopt;
   }
   return AccountEntry{v[0].get<std::string>(),
                       {v[1].get<double>(), v[2].get<double>(), v[3].get<double>()},
-                      useFrom(v[4])};
+                      resourceUseFromJson(v[4])};
 }
 
 namespace {
 constexpr std::string_view kLetters = "wadf";
-constexpr std::string_view kSigns =
+constexpr std::string_view kDenseAlphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-constexpr char kDense = '~';
+constexpr char kDenseMarker = '~';
 
 // Writes the number of states, then one character for every three states.
 std::string packDense(const std::string& states) {
-  std::string out = kDense + std::to_string(states.size()) + kDense;
+  std::string out = kDenseMarker + std::to_string(states.size()) + kDenseMarker;
   for (std::size_t i = 0; i < states.size(); i += 3) {
-    std::size_t sign = 0;
+    std::size_t code = 0;
     for (std::size_t k = i; k < i + 3; ++k) {
-      sign = sign * 4 + (k < states.size() ? kLetters.find(states[k]) : 0);
+      code = code * 4 + (k < states.size() ? kLetters.find(states[k]) : 0);
     }
-    out += kSigns[sign];
+    out += kDenseAlphabet[code];
   }
   return out;
 }
@@ -170,14 +170,14 @@
   std::size_t count = 0;
   const char* end = text.data() + text.size();
   auto [at, error] = std::from_chars(text.data() + 1, end, count);
-  if (error != std::errc{} || at == end || *at != kDense || count < 1 || count > kPageSize) {
+  if (error != std::errc{} || at == end || *at != kDenseMarker || count < 1 || count > kPageSize) {
     return std::nullopt;
   }
   std::string out;
   for (++at; at != end; ++at) {
-    std::size_t sign = kSigns.find(*at);
-    if (sign == std::string_view::npos || out.size() >= count) return std::nullopt;
-    out += {kLetters[sign / 16], kLetters[sign / 4 % 4], kLetters[sign % 4]};
+    std::size_t code = kDenseAlphabet.find(*at);
+    if (code == std::string_view::npos || out.size() >= count) return std::nullopt;
+    out += {kLetters[code / 16], kLetters[code / 4 % 4], kLetters[code % 4]};
   }
   if (out.size() < count || out.size() > count + 2) return std::nullopt;
   out.resize(count);
@@ -199,7 +199,7 @@
 }
 
 std::optional<std::string> unpackPage(const std::string& text) {
-  if (text.starts_with(kDense)) return unpackDense(text);
+  if (text.starts_with(kDenseMarker)) return unpackDense(text);
   std::string out;
   for (std::size_t i = 0; i < text.size();) {
     char c = text[i++];
@@ -216,11 +216,11 @@
   return out;
 }
 
-bool FlowPart::drops(std::uint32_t task) const {
+bool FlowTaskMapping::isDropped(std::uint32_t task) const {
   return std::binary_search(dropped.begin(), dropped.end(), task);
 }
 
-Json toJson(const FlowPart& p) {
+Json toJson(const FlowTaskMapping& p) {
   Json runs = Json::array();
   for (const auto& [first, count] : p.runs) {
     runs.push_back(first);
@@ -232,15 +232,15 @@
   return v;
 }
 
-std::optional<FlowPart> flowPartFrom(const Json& v) {
-  FlowPart p;
+std::optional<FlowTaskMapping> flowTaskMappingFromJson(const Json& v) {
+  FlowTaskMapping p;
   auto id = textField(v, "id"), graph = textField(v, "graph");
   const Json* runs = field(v, "runs");
   if (!id || !graph || !runs || !runs->is_array() || runs->size() % 2 != 0) return std::nullopt;
   p.flow = FlowId{*id};
   p.graph = Digest{*graph};
-  p.rule = small(v, "rule");
-  p.retries = small(v, "retries");
+  p.rule = countOrZero(v, "rule");
+  p.retries = countOrZero(v, "retries");
   for (std::size_t i = 0; i < runs->size(); i += 2) {
     if (!(*runs)[i].is_number_unsigned() || !(*runs)[i + 1].is_number_unsigned()) {
       return std::nullopt;
--- a/src/flows/records.hpp
+++ b/src/flows/records.hpp
@@ -41,7 +41,7 @@
 
 /// A flow is `failed` if all its instances have ended and at least one failed permanently.
 enum class FlowPhase { open, done, failed, cancelled };
-const char* wordOf(FlowPhase phase);
+const char* toString(FlowPhase phase);
 
 struct FlowHead {
   std::string team, member, name;
@@ -58,15 +58,15 @@
 };
 
 /// Counts tasks and attempts, and sums their run times.
-struct Use {
+struct ResourceUse {
   std::uint64_t tasks{};     ///< completed tasks
   std::uint64_t failed{};    ///< tasks that failed permanently
   std::uint64_t attempts{};  ///< attempts that ended, with any outcome
   std::uint64_t ranMs{};     ///< run time of completed attempts
   std::uint64_t lostMs{};    ///< run time of all other attempts
-  Use& operator+=(const Use& o);
-  auto operator<=>(const Use&) const = default;
-  bool empty() const { return *this == Use{}; }
+  ResourceUse& operator+=(const ResourceUse& o);
+  auto operator<=>(const ResourceUse&) const = default;
+  bool empty() const { return *this == ResourceUse{}; }
 };
 
 /// Number of instances whose states one page (one value of the state service) holds.
@@ -77,17 +77,17 @@
 struct AccountEntry {
   std::string rule;
   Resources perTask;
-  Use use;
+  ResourceUse use;
 };
 
 Json toJson(const FlowUpload& u);
 Json toJson(const FlowHead& h);
-Json toJson(const Use& u);
+Json toJson(const ResourceUse& u);
 Json toJson(const AccountEntry& e);
-std::optional<FlowUpload> flowUploadFrom(const Json& v);
-std::optional<FlowHead> flowHeadFrom(const Json& v);
-Use useFrom(const Json& v);
-std::optional<AccountEntry> accountEntryFrom(const Json& v);
+std::optional<FlowUpload> flowUploadFromJson(const Json& v);
+std::optional<FlowHead> flowHeadFromJson(const Json& v);
+ResourceUse resourceUseFromJson(const Json& v);
+std::optional<AccountEntry> accountEntryFromJson(const Json& v);
 
 /// Encodes the states of up to kPageSize instances. `states` has one letter per instance:
 /// w(aiting), a(ssigned), d(one) or f(ailed). The default encoding is run-length. If `dense` is
@@ -99,17 +99,17 @@
 std::optional<std::string> unpackPage(const std::string& text);
 
 /// The part of a job record that maps the tasks of the job to flow instances.
-struct FlowPart {
+struct FlowTaskMapping {
   FlowId flow;
   Digest graph;          ///< version that defines the instance numbers
   std::uint32_t rule{};  ///< rule index in that version
   std::uint32_t retries{};
   std::vector<std::pair<Instance, std::uint32_t>> runs;  ///< first instance and count of each run
   std::vector<std::uint32_t> dropped;                    ///< tasks removed by an amendment, sorted
-  bool drops(std::uint32_t task) const;
+  bool isDropped(std::uint32_t task) const;
 };
 
-Json toJson(const FlowPart& p);
-std::optional<FlowPart> flowPartFrom(const Json& v);
+Json toJson(const FlowTaskMapping& p);
+std::optional<FlowTaskMapping> flowTaskMappingFromJson(const Json& v);
 
 }  // namespace kestrelhoist
--- a/src/flows/routes.cpp
+++ b/src/flows/routes.cpp
@@ -20,12 +20,12 @@
 
 }  // namespace
 
-bool writes(FlowRoute route) {
+bool isWriteRoute(FlowRoute route) {
   return route == FlowRoute::uploads || route == FlowRoute::parts || route == FlowRoute::commit ||
          route == FlowRoute::cancel;
 }
 
-std::optional<FlowPath> flowPathFrom(const std::string& path) {
+std::optional<FlowPath> parseFlowPath(const std::string& path) {
   if (!path.starts_with(kRoot)) return std::nullopt;
   FlowPath out;
   auto mark = path.find('?');
--- a/src/flows/routes.hpp
+++ b/src/flows/routes.hpp
@@ -25,7 +25,7 @@
 };
 
 /// Returns true if the route changes a flow. Such routes use POST; all others use GET.
-bool writes(FlowRoute route);
+bool isWriteRoute(FlowRoute route);
 
 /// The path segments after /v2/flows, and the query.
 struct FlowPath {
@@ -34,7 +34,7 @@
 };
 
 /// Returns null if `path` is not at or below /v2/flows.
-std::optional<FlowPath> flowPathFrom(const std::string& path);
+std::optional<FlowPath> parseFlowPath(const std::string& path);
 /// Returns null if no route has this path.
 std::optional<FlowRoute> routeOf(const FlowPath& path);
 
--- a/src/flows/service.cpp
+++ b/src/flows/service.cpp
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr Duration kCommitTimeout{1500};
-constexpr std::size_t kMaxWaiting = 32;  // limit of concurrent commits; requests above it get 429
-constexpr double kUploadShare = 0.3;     // share of the write rate that one controller may use
-constexpr int kCancelTries = 5;          // number of retries after a conflict
+constexpr std::size_t kMaxPendingCommits =
+    32;                               // limit of concurrent commits; requests above it get 429
+constexpr double kUploadShare = 0.3;  // share of the write rate that one controller may use
+constexpr int kCancelRetries = 5;     // number of retries after a conflict
 
-std::optional<std::uint32_t> numberFrom(const std::string& text) {
+std::optional<std::uint32_t> parseNumber(const std::string& text) {
   std::uint32_t number = 0;
-  auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (fault != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
   return number;
 }
 
@@ -33,18 +34,18 @@
       platform_(platform),
       settings_(settings),
       catalogue_(std::move(catalogue)),
-      writes_(platform.stateWritesPerS * kUploadShare,
-              std::max(static_cast<double>(platform.transactionOps),
-                       platform.stateWritesPerS * kUploadShare)) {}
+      writeBudget_(platform.stateWritesPerS * kUploadShare,
+                   std::max(static_cast<double>(platform.transactionOps),
+                            platform.stateWritesPerS * kUploadShare)) {}
 
 bool FlowService::handle(const Request& request, const Respond& respond) {
   if (!settings_.flows) return false;
-  auto path = flowPathFrom(request.path);
+  auto path = parseFlowPath(request.path);
   auto route = path ? routeOf(*path) : std::nullopt;
   if (!route) return false;
-  if (request.method != (writes(*route) ? "POST" : "GET")) {
+  if (request.method != (isWriteRoute(*route) ? "POST" : "GET")) {
     respond(errorResponse(405, "wrong method"));
-  } else if (writes(*route)) {
+  } else if (isWriteRoute(*route)) {
     handleWrite(*route, *path, request, respond);
   } else {
     handleRead(*route, *path, respond);
@@ -57,13 +58,13 @@
   if (route == FlowRoute::list) return list(path.query, respond);
   if (route == FlowRoute::account) return account(path.query, respond);
   if (route == FlowRoute::task) {
-    auto number = numberFrom(segments[2]);
+    auto number = parseNumber(segments[2]);
     if (!number) return respond(errorResponse(404, "no such task"));
     return task(JobId{segments[1]}, *number, respond);
   }
   FlowId id{segments[0]};
   if (route == FlowRoute::text) {
-    auto part = numberFrom(segments[3]);
+    auto part = parseNumber(segments[3]);
     if (!isValidFlowId(id.value) || !isValidDigest(segments[2]) || !part) {
       return respond(errorResponse(404, "no such text"));
     }
@@ -79,25 +80,25 @@
                               const Respond& respond) {
   FlowId id{path.segments[0]};
   if (!isValidFlowId(id.value)) return respond(errorResponse(404, "no such flow"));
-  if (route == FlowRoute::cancel) return cancel(id, kCancelTries, respond);
+  if (route == FlowRoute::cancel) return cancel(id, kCancelRetries, respond);
   auto parsed = decodeBody(request.body);
   if (!parsed || !parsed->is_object()) return respond(errorResponse(400, "not a map"));
   auto body = std::make_shared<const Json>(std::move(*parsed));
   if (route == FlowRoute::uploads) return announce(id, body, respond);
-  if (route == FlowRoute::parts) return parts(id, body, respond);
+  if (route == FlowRoute::parts) return storeParts(id, body, respond);
   commit(id, body, respond);
 }
 
 void FlowService::send(Transaction t, std::function<void(CommitResult)> done,
                        const Respond& respond) {
   // The request is refused immediately instead of queued, because the client retries.
-  if (waiting_ >= kMaxWaiting ||
-      !writes_.take(runtime_.now(), static_cast<double>(t.writes.size()))) {
+  if (pendingCommits_ >= kMaxPendingCommits ||
+      !writeBudget_.take(runtime_.now(), static_cast<double>(t.writes.size()))) {
     return respond(retryLater(429));
   }
-  ++waiting_;
+  ++pendingCommits_;
   store_.commit(t, kCommitTimeout, [this, t, done = std::move(done)](CommitResult r) {
-    --waiting_;
+    --pendingCommits_;
     if (r.outcome == CommitOutcome::applied) {
       for (const auto& w : t.writes) replica_.apply({w.key, w.value, r.revision});
     }
--- a/src/flows/service.hpp
+++ b/src/flows/service.hpp
@@ -38,16 +38,17 @@
   /// Handles POST {flow}/uploads, which announces a version and its number of parts.
   void announce(const FlowId& id, const Body& body, const Respond& respond);
   /// Handles POST {flow}/parts, which stores parts of the graph and the texts of a version.
-  void parts(const FlowId& id, const Body& body, const Respond& respond);
+  void storeParts(const FlowId& id, const Body& body, const Respond& respond);
   /// Handles POST {flow}/commit, which starts a flow or amends it to a new version.
   void commit(const FlowId& id, const Body& body, const Respond& respond);
   /// Returns the response to a commit that is already done or is not possible. Returns null if the
   /// upload is complete and the commit can proceed.
   std::optional<Response> answerWithoutCommit(const FlowId& id, const FlowHead& wanted,
                                               std::uint64_t base) const;
-  void begin(const FlowId& id, const FlowHead& wanted, std::uint64_t base, const Respond& respond);
-  /// Handles POST {flow}/cancel. It retries up to `triesLeft` times after a conflict.
-  void cancel(const FlowId& id, int triesLeft, const Respond& respond);
+  void commitVersion(const FlowId& id, const FlowHead& wanted, std::uint64_t base,
+                     const Respond& respond);
+  /// Handles POST {flow}/cancel. It retries up to `retriesLeft` times after a conflict.
+  void cancel(const FlowId& id, int reretriesLeft, const Respond& respond);
   FlowHead cancelledHead(const FlowState& flow) const;
   /// Adds the new list of the member's open flows to the transaction.
   void writeOpenFlows(Transaction& t, const FlowHead& head, const std::vector<FlowId>& open) const;
@@ -81,15 +82,15 @@
   const Platform& platform_;
   const OperatorSettings& settings_;
   std::function<const Catalogue*()> catalogue_;
-  RateBudget writes_;
-  std::size_t waiting_ = 0;
+  RateBudget writeBudget_;
+  std::size_t pendingCommits_ = 0;
   /// Many workers request the same text at the same time. Concurrent requests for a text share one
   /// read from the state service, and the most recent texts are cached.
   using OnText = std::function<void(const GetResult&)>;
   void readText(const std::string& key, OnText done);
-  std::map<std::string, std::vector<OnText>> reading_;
-  std::map<std::string, Json> texts_;
-  std::deque<std::string> textOrder_;
+  std::map<std::string, std::vector<OnText>> pendingTextReads_;
+  std::map<std::string, Json> textCache_;
+  std::deque<std::string> textCacheOrder_;
 };
 
 }  // namespace kestrelhoist
--- a/src/flows/service_commits.cpp
+++ b/src/flows/service_commits.cpp
@@ -13,7 +13,7 @@
 
 // Parses the priority of a flow. Production priority is reserved for services, so a flow cannot
 // have it.
-std::optional<Priority> priorityFrom(const std::string& word) {
+std::optional<Priority> parsePriority(const std::string& word) {
   if (word == "high") return Priority::high;
   if (word == "standard") return Priority::normal;
   if (word == "best_effort") return Priority::low;
@@ -21,12 +21,12 @@
 }
 
 // Parses the fields of a flow head from the request body. Returns null if a field is malformed.
-std::optional<FlowHead> headFrom(const Json& body) {
+std::optional<FlowHead> flowHeadFromBody(const Json& body) {
   auto team = textField(body, "owner");
   auto member = textField(body, "member");
   auto name = textField(body, "name");
   auto jobClass = textField(body, "lane");
-  auto priority = priorityFrom(textField(body, "rank").value_or("best_effort"));
+  auto priority = parsePriority(textField(body, "rank").value_or("best_effort"));
   if (!team || team->empty() || team->size() > kMaxNameBytes) return std::nullopt;
   if (!member || !isValidLabel(*member)) return std::nullopt;
   if (!name || !isValidLabel(*name)) return std::nullopt;
@@ -51,7 +51,7 @@
       head.phase == FlowPhase::open ? "another version was first" : "the flow is over";
   return jsonResponse(409, {{"error", why},
                             {"ref", id.value},
-                            {"phase", wordOf(head.phase)},
+                            {"phase", toString(head.phase)},
                             {"version", head.version}});
 }
 
@@ -76,7 +76,7 @@
 void FlowService::commit(const FlowId& id, const Body& body, const Respond& respond) {
   auto digest = textField(*body, "version");
   auto base = countField(*body, "base");
-  auto wanted = headFrom(*body);
+  auto wanted = flowHeadFromBody(*body);
   if (!digest || !isValidDigest(*digest) || !base || !wanted) {
     return respond(errorResponse(
         400, "field version, base, owner, member, name or rank is missing or invalid"));
@@ -91,7 +91,7 @@
              [this, id, wanted, base, respond](const GetResult& r) {
                if (!r.ok) return respond(retryLater(503));
                if (!r.value) return respond(errorResponse(400, "texts are missing"));
-               begin(id, wanted, base, respond);
+               commitVersion(id, wanted, base, respond);
              });
   });
 }
@@ -117,13 +117,13 @@
   if (!version || !version->upload || version->upload->closing) {
     return errorResponse(404, "no such upload");
   }
-  if (!version->fault.empty()) return errorResponse(400, version->fault);
+  if (!version->partError.empty()) return errorResponse(400, version->partError);
   if (!version->complete()) return errorResponse(400, "parts are missing");
   return std::nullopt;
 }
 
-void FlowService::begin(const FlowId& id, const FlowHead& wanted, std::uint64_t base,
-                        const Respond& respond) {
+void FlowService::commitVersion(const FlowId& id, const FlowHead& wanted, std::uint64_t base,
+                                const Respond& respond) {
   const FlowState* flow = replica_.flows().find(id);
   const FlowVersion* version = flow ? flow->version(wanted.graph) : nullptr;
   const FlowHead* head = headOf(flow);
@@ -143,7 +143,7 @@
   t.compares.push_back({keys::flow(id), flow->modRevision});
   t.writes.push_back({keys::flow(id), toJson(next), std::nullopt});
   t.compares.push_back({keys::upload(id, wanted.graph), version->modRevision});
-  auto open = replica_.flows().openOf(wanted.team, wanted.member);
+  auto open = replica_.flows().openFlowsOf(wanted.team, wanted.member);
   if (std::find(open.begin(), open.end(), id) == open.end()) open.push_back(id);
   writeOpenFlows(t, wanted, open);
   send(
@@ -157,31 +157,32 @@
       respond);
 }
 
-void FlowService::cancel(const FlowId& id, int triesLeft, const Respond& respond) {
-  watcher_.linearizableRead([this, id, triesLeft, respond](bool ok) {
+void FlowService::cancel(const FlowId& id, int retriesLeft, const Respond& respond) {
+  watcher_.linearizableRead([this, id, retriesLeft, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!headOf(flow)) return respond(errorResponse(404, "no such flow"));
     if (flow->head->phase != FlowPhase::open) {
-      return respond(jsonResponse(200, {{"ref", id.value}, {"phase", wordOf(flow->head->phase)}}));
+      return respond(
+          jsonResponse(200, {{"ref", id.value}, {"phase", toString(flow->head->phase)}}));
     }
     FlowHead head = cancelledHead(*flow);
     Transaction t;
     t.compares.push_back({keys::flow(id), flow->modRevision});
     t.writes.push_back({keys::flow(id), toJson(head), std::nullopt});
-    auto open = replica_.flows().openOf(head.team, head.member);
+    auto open = replica_.flows().openFlowsOf(head.team, head.member);
     std::erase(open, id);
     writeOpenFlows(t, head, open);
     send(
         std::move(t),
-        [this, id, triesLeft, respond](const CommitResult& r) {
+        [this, id, retriesLeft, respond](const CommitResult& r) {
           if (r.outcome == CommitOutcome::applied) {
             logInfo("flow cancelled", "flow", id);
             if (onCommitted) onCommitted();
             return respond(jsonResponse(200, {{"ref", id.value}, {"phase", "cancelled"}}));
           }
-          if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
-            return cancel(id, triesLeft - 1, respond);
+          if (r.outcome == CommitOutcome::conflict && retriesLeft > 0) {
+            return cancel(id, retriesLeft - 1, respond);
           }
           respond(retryLater(503));
         },
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -6,8 +6,9 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr std::size_t kTextsKept = 48;  // each no larger than the value limit of the state service
-constexpr std::size_t kMostFailures = 200;  // limit of failed instances in one response
+constexpr std::size_t kMaxCachedTexts =
+    48;  // each no larger than the value limit of the state service
+constexpr std::size_t kMaxReportedFailures = 200;  // limit of failed instances in one response
 Response noFlow() { return jsonResponse(404, {{"error", "no such flow"}}); }
 }  // namespace
 
@@ -32,10 +33,10 @@
       done += static_cast<std::uint32_t>(std::count(page.begin(), page.end(), 'd'));
       failed += static_cast<std::uint32_t>(std::count(page.begin(), page.end(), 'f'));
     }
-    std::vector<bool> bad;
+    std::vector<bool> failedOrBlocked;
     auto mark = [&](Instance i) {
-      if (bad.empty()) bad.resize(total);
-      if (i < total) bad[i] = true;
+      if (failedOrBlocked.empty()) failedOrBlocked.resize(total);
+      if (i < total) failedOrBlocked[i] = true;
     };
     for (const auto& id : flow.jobs) {
       const auto* job = replica_.job(id);
@@ -65,11 +66,11 @@
       }
       // An instance depends only on smaller numbers, so one pass in increasing order finds all
       // instances that depend on a failed one.
-      for (Instance i = 0; i < total && !bad.empty(); ++i) {
-        if (bad[i]) continue;
+      for (Instance i = 0; i < total && !failedOrBlocked.empty(); ++i) {
+        if (failedOrBlocked[i]) continue;
         auto deps = version->graph.deps(i);
-        if (std::any_of(deps.begin(), deps.end(), [&](Instance d) { return bad[d]; })) {
-          bad[i] = true;
+        if (std::any_of(deps.begin(), deps.end(), [&](Instance d) { return failedOrBlocked[d]; })) {
+          failedOrBlocked[i] = true;
           ++blocked;
         }
       }
@@ -93,7 +94,7 @@
     v["name"] = head.name;
     v["owner"] = head.team;
     v["member"] = head.member;
-    v["phase"] = wordOf(head.phase);
+    v["phase"] = toString(head.phase);
     v["version"] = head.version;
     v["changing"] = !head.from.empty();
     v["graph"] = head.graph.value;
@@ -106,7 +107,7 @@
 
 std::vector<AccountEntry> FlowService::entriesOf(const FlowState& flow) const {
   std::vector<AccountEntry> entries;
-  auto add = [&](const std::string& rule, const Resources& room, const Use& use) {
+  auto add = [&](const std::string& rule, const Resources& room, const ResourceUse& use) {
     for (auto& e : entries) {
       if (e.rule == rule && e.perTask.cpus == room.cpus && e.perTask.gpus == room.gpus &&
           e.perTask.ramGb == room.ramGb) {
@@ -125,7 +126,7 @@
     const FlowVersion* version = flow.version(job->record.flow->graph);
     if (!version || job->record.flow->rule >= version->graph.rules().size()) continue;
     const FlowRule& rule = version->graph.rules()[job->record.flow->rule];
-    Use use = job->flow->use();
+    ResourceUse use = job->flow->use();
     if (!use.empty()) add(rule.name, rule.perTask, use);
   }
   return entries;
@@ -133,8 +134,8 @@
 
 namespace {
 // Returns the sums of the entries in the units of the response.
-Json totalsOf(const std::vector<AccountEntry>& entries) {
-  Use all;
+Json totalUse(const std::vector<AccountEntry>& entries) {
+  ResourceUse all;
   double cpu = 0, gpu = 0, gb = 0;
   for (const auto& e : entries) {
     double seconds = static_cast<double>(e.use.ranMs) / 1000.0;
@@ -162,15 +163,15 @@
     auto entries = entriesOf(*flow);
     Json rules = Json::array();
     for (const auto& e : entries) {
-      rules.push_back(totalsOf({e}));
+      rules.push_back(totalUse({e}));
       rules.back()["rule"] = e.rule;
     }
-    Json v = totalsOf(entries);
+    Json v = totalUse(entries);
     v["ref"] = id.value;
     v["name"] = flow->head->name;
     v["owner"] = flow->head->team;
     v["member"] = flow->head->member;
-    v["phase"] = wordOf(flow->head->phase);
+    v["phase"] = toString(flow->head->phase);
     v["rules"] = std::move(rules);
     respond(jsonResponse(200, v));
   });
@@ -194,11 +195,11 @@
     }
     Json list = Json::array();
     for (const auto& [member, entries] : members) {
-      list.push_back(totalsOf(entries));
+      list.push_back(totalUse(entries));
       list.back()["member"] = member;
       list.back()["flows"] = flows[member];
     }
-    Json v = totalsOf(all);
+    Json v = totalUse(all);
     v["owner"] = team;
     v["members"] = std::move(list);
     respond(jsonResponse(200, v));
@@ -215,7 +216,7 @@
     std::vector<Instance> failed;
     if (version && version->upload) {
       for (const auto& [n, page] : version->pages) {
-        for (std::size_t k = 0; k < page.size() && failed.size() < kMostFailures; ++k) {
+        for (std::size_t k = 0; k < page.size() && failed.size() < kMaxReportedFailures; ++k) {
           if (page[k] == 'f') failed.push_back(static_cast<Instance>(n * kPageSize + k));
         }
       }
@@ -225,7 +226,8 @@
         std::uint32_t task = 0;
         for (const auto& [first, count] : job->record.flow->runs) {
           for (std::uint32_t k = 0; k < count; ++k, ++task) {
-            if (job->isGivenUp(task) && !job->isDropped(task) && failed.size() < kMostFailures) {
+            if (job->isGivenUp(task) && !job->isDropped(task) &&
+                failed.size() < kMaxReportedFailures) {
               failed.push_back(first + k);
             }
           }
@@ -254,13 +256,13 @@
   watcher_.linearizableRead([this, team, member, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     Json list = Json::array();
-    for (const auto& id : replica_.flows().openOf(team, member)) {
+    for (const auto& id : replica_.flows().openFlowsOf(team, member)) {
       const FlowState* flow = replica_.flows().find(id);
       if (!flow || !flow->head) continue;
       list.push_back({{"ref", id.value},
                       {"name", flow->head->name},
                       {"version", flow->head->version},
-                      {"phase", wordOf(flow->head->phase)}});
+                      {"phase", toString(flow->head->phase)}});
     }
     respond(jsonResponse(200, {{"flows", std::move(list)}}));
   });
@@ -268,22 +270,22 @@
 
 // The cache needs no invalidation: a text never changes, and no client requests a removed text.
 void FlowService::readText(const std::string& key, OnText done) {
-  if (auto known = texts_.find(key); known != texts_.end()) {
+  if (auto known = textCache_.find(key); known != textCache_.end()) {
     return done({true, known->second});
   }
-  auto& waiting = reading_[key];
+  auto& waiting = pendingTextReads_[key];
   waiting.push_back(std::move(done));
   if (waiting.size() > 1) return;
   store_.get(key, Duration{1500}, [this, key](const GetResult& r) {
     if (r.ok && r.value) {
-      texts_[key] = *r.value;
-      textOrder_.push_back(key);
-      if (textOrder_.size() > kTextsKept) {
-        texts_.erase(textOrder_.front());
-        textOrder_.pop_front();
+      textCache_[key] = *r.value;
+      textCacheOrder_.push_back(key);
+      if (textCacheOrder_.size() > kMaxCachedTexts) {
+        textCache_.erase(textCacheOrder_.front());
+        textCacheOrder_.pop_front();
       }
     }
-    auto node = reading_.extract(key);
+    auto node = pendingTextReads_.extract(key);
     for (auto& f : node.mapped()) f(r);
   });
 }
@@ -301,7 +303,7 @@
   auto answer = [this, jobId, task, respond] {
     const auto* job = replica_.job(jobId);
     if (!job || !job->record.flow || task >= job->tasks) return false;
-    const FlowPart& part = *job->record.flow;
+    const FlowTaskMapping& part = *job->record.flow;
     const FlowState* flow = replica_.flows().find(part.flow);
     const FlowVersion* version = flow ? flow->version(part.graph) : nullptr;
     if (!version || !version->upload || !flow->head) return false;
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -25,7 +25,7 @@
   std::uint64_t perText{};
 };
 
-std::optional<Announcement> announcementFrom(const Json& body) {
+std::optional<Announcement> announcementFromBody(const Json& body) {
   auto count = [&](const char* name) { return countField(body, name).value_or(0); };
   auto digest = textField(body, "version");
   if (!digest || !isValidDigest(*digest)) return std::nullopt;
@@ -123,7 +123,7 @@
 }  // namespace
 
 void FlowService::announce(const FlowId& id, const Body& body, const Respond& respond) {
-  auto announcement = announcementFrom(*body);
+  auto announcement = announcementFromBody(*body);
   if (!announcement) {
     return respond(errorResponse(
         400, "field version, instances, parts, texts or per_text is missing or invalid"));
@@ -161,7 +161,7 @@
   });
 }
 
-void FlowService::parts(const FlowId& id, const Body& body, const Respond& respond) {
+void FlowService::storeParts(const FlowId& id, const Body& body, const Respond& respond) {
   auto digest = textField(*body, "version");
   if (!digest || !isValidDigest(*digest)) {
     return respond(errorResponse(400, "field version is missing or invalid"));
--- a/src/store/job_state.cpp
+++ b/src/store/job_state.cpp
@@ -5,8 +5,8 @@
 
 namespace kestrelhoist {
 
-Use FlowJobState::use() const {
-  Use sum;
+ResourceUse FlowJobState::use() const {
+  ResourceUse sum;
   for (const auto& [number, chunk] : chunks) sum += chunk.use;
   for (const auto& [first, use] : subChunks) sum += use;
   return sum;
--- a/src/store/job_state.hpp
+++ b/src/store/job_state.hpp
@@ -17,14 +17,14 @@
 struct FlowJobState {
   struct Chunk {
     std::map<std::uint32_t, std::uint32_t> failures;  ///< number of failures by task index
-    Use use;                                          ///< what ended attempts used
+    ResourceUse use;                                  ///< what ended attempts used
   };
   std::map<std::uint32_t, Chunk> chunks;
   /// What attempts of sub-chunks used, by the first task of the sub-chunk.
-  std::map<std::uint32_t, Use> subChunks;
+  std::map<std::uint32_t, ResourceUse> subChunks;
 
   /// Returns the sum of what ended attempts of all tasks used.
-  Use use() const;
+  ResourceUse use() const;
 };
 
 /// The state of a job that depends on others or that others depend on.
@@ -70,7 +70,7 @@
   /// Whether a task of a flow has failed more often than its rule allows retries.
   bool isGivenUp(std::uint32_t index) const;
   /// Whether the flow no longer wants this task.
-  bool isDropped(std::uint32_t index) const { return record.flow && record.flow->drops(index); }
+  bool isDropped(std::uint32_t index) const { return record.flow && record.flow->isDropped(index); }
   /// Whether the task has ended for good, or is no longer wanted.
   bool isSettled(std::uint32_t index) const {
     return isFinished(index) || (record.flow && (isDropped(index) || isGivenUp(index)));
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -160,9 +160,9 @@
   if (!chunk || *chunk < 1 || *chunk > TaskBits::kMost) return std::nullopt;
   r.chunkSize = static_cast<std::uint32_t>(*chunk);
   if (const Json* flow = field(v, "flow")) {
-    auto part = flowPartFrom(*flow);
+    auto part = flowTaskMappingFromJson(*flow);
     if (!part) return std::nullopt;
-    r.flow = std::make_shared<const FlowPart>(std::move(*part));
+    r.flow = std::make_shared<const FlowTaskMapping>(std::move(*part));
   }
   if (const Json* owner = field(v, "owner")) {
     auto member = textField(*owner, "member"), ref = textField(*owner, "ref");
@@ -204,7 +204,7 @@
       r.failures[index.get<std::uint32_t>()] = count.get<std::uint32_t>();
     }
   }
-  if (const Json* use = field(v, "use")) r.use = useFrom(*use);
+  if (const Json* use = field(v, "use")) r.use = resourceUseFromJson(*use);
   return r;
 }
 
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -41,11 +41,11 @@
 struct JobRecord {
   std::shared_ptr<const JobSpec> spec;
   JobPhase phase = JobPhase::active;
-  std::int64_t acceptedAtMs{};              ///< time of day, to order and to judge deadlines only
-  std::uint32_t chunkSize{};                ///< how many of its tasks share one TaskChunkRecord
-  std::shared_ptr<const FlowPart> flow{};   ///< if its tasks are instances of a flow
-  std::shared_ptr<const JobOwner> owner{};  ///< if a member submitted it with a key
-  std::int64_t endedAtMs{};                 ///< time of day of its end; 0: not known
+  std::int64_t acceptedAtMs{};  ///< time of day, to order and to judge deadlines only
+  std::uint32_t chunkSize{};    ///< how many of its tasks share one TaskChunkRecord
+  std::shared_ptr<const FlowTaskMapping> flow{};  ///< if its tasks are instances of a flow
+  std::shared_ptr<const JobOwner> owner{};        ///< if a member submitted it with a key
+  std::int64_t endedAtMs{};                       ///< time of day of its end; 0: not known
   /// The jobs that it awaits are in so many records of their own; 0: in its description.
   std::uint32_t dependencyParts{};
 };
@@ -70,7 +70,7 @@
   std::map<std::uint32_t, TaskPlacement> placed;  ///< by the task's number
   /// Of flows' jobs only.
   std::map<std::uint32_t, std::uint32_t> failures;  ///< of tasks that are not finished
-  Use use;                                          ///< of attempts that have ended
+  ResourceUse use;                                  ///< of attempts that have ended
 
   /// Of the value in text form, an upper bound for as many finished tasks: what the limits of the
   /// state service count.
--- a/src/store/replica.cpp
+++ b/src/store/replica.cpp
@@ -17,7 +17,7 @@
 }
 
 bool Replica::flowCancellationUnderWay() const {
-  return std::any_of(flows_.live().begin(), flows_.live().end(), [this](const FlowId& id) {
+  return std::any_of(flows_.active().begin(), flows_.active().end(), [this](const FlowId& id) {
     const auto* flow = flows_.find(id);
     if (!flow || !flow->head || flow->head->phase != FlowPhase::cancelled) return false;
     return std::any_of(flow->jobs.begin(), flow->jobs.end(), [this](const JobId& id) {
@@ -105,7 +105,7 @@
         orphanSubChunks_[key] = modRevisionOf(key);
       }
     }
-    flows_.dropJob(it->second.record.flow->flow, id);
+    flows_.removeJob(it->second.record.flow->flow, id);
     live_.erase(id);
     jobs_.erase(it);
     return;
@@ -127,7 +127,7 @@
   if (job.record.flow) {
     if (!job.flow) job.flow = std::make_unique<FlowJobState>();
     flows_.addJob(job.record.flow->flow, id);
-    flows_.touch(job.record.flow->flow, id);
+    flows_.markChanged(job.record.flow->flow, id);
   }
   if (job.record.owner) memberJobs_.note(job.record.owner->owner, id, modRevision);
   updateDependencies(job, id);
@@ -271,7 +271,7 @@
     if (covers(index)) chunk.failures[index] = count;
   }
   (wholeChunk ? chunk.use : job.flow->subChunks[range.first]) = record.use;
-  flows_.touch(job.record.flow->flow, id);
+  flows_.markChanged(job.record.flow->flow, id);
 }
 
 void Replica::applyPlacements(const JobId& id, JobState& job, TaskRange range, bool wholeChunk,
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -45,7 +45,7 @@
 std::optional<Json> rewriteFlowAccount(const Json& record) {
   Json out = Json::array();
   for (const auto& entry : record) {
-    auto parsed = accountEntryFrom(entry);
+    auto parsed = accountEntryFromJson(entry);
     if (!parsed) return std::nullopt;
     out.push_back(toJson(*parsed));
   }
@@ -108,8 +108,8 @@
       {keys::kChargesOfDay,
        [](const auto&, const Json& v) { return written(chargeRecordFrom(v)); }},
       {keys::kKey, [](const auto&, const Json& v) { return written(keyRecordFrom(v)); }},
-      {keys::kFlow, [](const auto&, const Json& v) { return written(flowHeadFrom(v)); }},
-      {keys::kUpload, [](const auto&, const Json& v) { return written(flowUploadFrom(v)); }},
+      {keys::kFlow, [](const auto&, const Json& v) { return written(flowHeadFromJson(v)); }},
+      {keys::kUpload, [](const auto&, const Json& v) { return written(flowUploadFromJson(v)); }},
       {keys::kPage, [](const auto&, const Json& v) { return rewriteFlowPage(v); }},
       {keys::kAccount, [](const auto&, const Json& v) { return rewriteFlowAccount(v); }},
   };
@@ -276,7 +276,7 @@
     ASSERT_TRUE(replica.apply(keyOf(entry), &record, kAnyRevision));
     std::string path = keyOf(entry).substr(keys::kOpenFlows.size());
     auto slash = path.find('/');
-    auto open = replica.openOf(path.substr(0, slash), path.substr(slash + 1));
+    auto open = replica.openFlowsOf(path.substr(0, slash), path.substr(slash + 1));
     ASSERT_EQ(open.size(), record.at("open").size()) << whereOf(entry);
     for (std::size_t i = 0; i < open.size(); ++i) EXPECT_EQ(open[i].value, record["open"][i]);
   }
