--- a/src/flows/admission.cpp
+++ b/src/flows/admission.cpp
@@ -5,7 +5,7 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxOpenFlows = 64;  // limit per member
+constexpr std::size_t kMaxOpenFlowsPerMember = 64;
 constexpr double kResourceTolerance = 1e-6;
 
 Response refused(const std::string& why) { return jsonResponse(422, {{"error", why}}); }
@@ -47,8 +47,9 @@
 std::optional<Response> FlowAdmission::outputRefusal(const FlowId& id, const FlowHead& head,
                                                      const Outputs& outputs) const {
   auto open = replica.flows().openFlowsOf(head.team, head.member);
-  if (open.size() >= kMaxOpenFlows && std::find(open.begin(), open.end(), id) == open.end()) {
-    return refused("more than " + std::to_string(kMaxOpenFlows) + " open flows");
+  if (open.size() >= kMaxOpenFlowsPerMember &&
+      std::find(open.begin(), open.end(), id) == open.end()) {
+    return refused("more than " + std::to_string(kMaxOpenFlowsPerMember) + " open flows");
   }
   for (const auto& otherId : open) {
     if (otherId == id) continue;
--- a/src/flows/batching.hpp
+++ b/src/flows/batching.hpp
@@ -8,25 +8,27 @@
 
 namespace kestrelhoist {
 
-/// The input of the decision for one flow.
+/// Contains the input of the batching decision for one flow.
 struct BatchingInput {
-  std::size_t ready{};        ///< number of instances that could be made into jobs now
-  std::size_t maxJobTasks{};  ///< maximum number of instances in one job array
-  Duration oldestReadyAge{};  ///< time since the first instance became ready
-  std::size_t queued{};       ///< number of tasks of this flow that wait for a machine
-  std::size_t running{};      ///< number of tasks of this flow that may be on machines
-  std::size_t ended{};        ///< number of instances that are done
-  std::size_t
-      changes{};  ///< number of state service changes that this leader has written for the flow
+  std::size_t ready{};        ///< Counts the instances that could be made into jobs now.
+  std::size_t maxJobTasks{};  ///< Limits the number of instances in one job array.
+  Duration oldestReadyAge{};  ///< Measures the time since the first instance became ready.
+  std::size_t queued{};       ///< Counts the tasks of this flow that wait for a machine.
+  std::size_t running{};      ///< Counts the tasks of this flow that may be on machines.
+  std::size_t ended{};        ///< Counts the instances that are done.
+  /// Counts the changes in the state service that this leader has written for the flow.
+  std::size_t changes{};
 };
 
 /// Returns true if the ready instances are to be made into jobs now.
 inline bool shouldCreateJobs(const BatchingInput& v) {
-  constexpr Duration kMinReadyAge{700};    // collects the results of one round of worker heartbeats
-  constexpr Duration kMaxReadyAge{20000};  // limit of the delay, whatever the number of changes
+  // The delay collects the results of one round of worker heartbeats into one job array.
+  constexpr Duration kMinReadyAge{700};
+  // At this age, jobs are created regardless of the number of changes.
+  constexpr Duration kMaxReadyAge{20000};
   constexpr double kChangesPerInstance = 0.05;
-  constexpr double kFreeChanges =
-      60;  // changes without a delay, so that small flows are not delayed
+  // The first changes cause no delay, so that small flows are not delayed.
+  constexpr double kFreeChanges = 60;
   if (v.ready == 0) return false;
   if (v.ready >= v.maxJobTasks || v.oldestReadyAge >= kMaxReadyAge) return true;
   // The flow has no other tasks, so any delay would leave it idle.
--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -9,9 +9,10 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr Duration kMaxEndedJobDelay{5000};  // maximum time that the record of an ended job is kept
-constexpr std::size_t kMaxQueuedTasks =
-    20000;  // limit of waiting tasks per flow; no new jobs above it
+// The record of an ended job is removed after this time, even if no other change is due.
+constexpr Duration kMaxEndedJobDelay{5000};
+// The loop creates no jobs for a flow while this many of its tasks wait for a machine.
+constexpr std::size_t kMaxQueuedTasks = 20000;
 
 bool isFinishedOrGivenUp(const JobState& job, std::uint32_t task) {
   return job.isFinished(task) || job.isGivenUp(task);
--- a/src/flows/flow_loop.hpp
+++ b/src/flows/flow_loop.hpp
@@ -22,7 +22,8 @@
   void onRecordsChanged(bool byOthers) override;
 
   /// Returns the demand of the instances that become ready when the running tasks end that are
-  /// expected to end within `horizon`. This demand counts as that of waiting dependent jobs.
+  /// expected to end within `horizon`. The scaling loop treats this
+  /// demand like the demand of jobs that wait for a running job.
   std::vector<ProjectedDemand> upcoming(Duration horizon) const;
   /// Returns the resources of the running tasks of flows that are expected to end within `horizon`.
   /// These resources become free.
@@ -30,18 +31,21 @@
 
  private:
   static constexpr Instance kNone = 0xffffffffU;
+  /// Holds the state of one job of a flow until the job record is removed.
   struct OpenJob {
-    std::vector<Instance> instances;  ///< by task; kNone if an amendment removed the instance
-    std::vector<std::uint32_t> unfinishedTasks;  ///< tasks that have not ended
-    Instant endedAt{};  ///< time at which the loop first saw that all tasks have ended
+    std::vector<Instance> instances;  ///< Lists instances by task; kNone if dropped.
+    std::vector<std::uint32_t> unfinishedTasks;
+    /// Records when the loop first saw that all tasks of the job had ended.
+    Instant endedAt{};
   };
-  /// The execution state of one open flow, derived from its records.
+  /// Holds the execution state of one open flow, derived from its records.
   struct Run {
     Digest graph;
     Progress progress;
     std::map<JobId, OpenJob> jobs;
     Instant readySince{};
-    std::size_t changes = 0;  ///< number of changes that this leader has written for the flow
+    /// Counts the changes that this leader has written for the flow.
+    std::size_t changes = 0;
   };
   class TransactionBuilder;
 
@@ -64,7 +68,7 @@
                  std::uint32_t rule, const std::vector<Instance>& instances);
   bool canEnd(const JobState& job) const;
   /// Returns the maximum number of pages that the instances of one job may span. The transaction
-  /// that ends the job also changes the job record, the task chunk, an account and the head.
+  /// that ends a job also changes its job record, its task chunk and an account.
   std::size_t maxPagesPerJob() const {
     return context_.platform.transactionOps > 4 ? context_.platform.transactionOps - 4 : 1;
   }
@@ -74,10 +78,11 @@
   ConfirmedOutcomes& outcomes_;
   TaskLoop& tasks_;
   std::map<FlowId, Run> runs_;
-  FlowId lastServedFlow_;  ///< flow of the previous commit; the next search starts after it
+  /// Identifies the flow of the previous commit. The next search for a commit starts after it.
+  FlowId lastServedFlow_;
   std::uint64_t jobCount_ = 0;
-  std::map<std::pair<FlowId, Digest>, std::uint32_t>
-      removedKeyCounts_;  ///< number of keys of each version removed so far
+  /// Counts the keys removed so far of each version that is being removed.
+  std::map<std::pair<FlowId, Digest>, std::uint32_t> removedKeyCounts_;
 };
 
 }  // namespace kestrelhoist
--- a/src/flows/flow_loop_versions.cpp
+++ b/src/flows/flow_loop_versions.cpp
@@ -143,8 +143,8 @@
   bool over = flow.head && flow.head->phase != FlowPhase::open;
   std::int64_t wall = context_.runtime.wallMillis();
   for (const auto& [digest, version] : flow.versions) {
-    if (!version.upload)
-      continue;  // the change feed has delivered a part but not the upload record
+    // The change feed has delivered a part, but not yet the upload record.
+    if (!version.upload) continue;
     if (flow.head && !over && (digest == flow.head->graph || digest == flow.head->from)) continue;
     bool used = std::any_of(flow.jobs.begin(), flow.jobs.end(), [&](const JobId& job) {
       const auto* state = context_.replica.job(job);
--- a/src/flows/flow_replica.cpp
+++ b/src/flows/flow_replica.cpp
@@ -8,7 +8,7 @@
 namespace kestrelhoist {
 namespace {
 
-// The part of a key after its prefix, for example "id/digest/000012".
+// Contains the part of a key after its prefix, for example "id/digest/000012".
 struct KeyPath {
   FlowId flow;
   Digest version;
@@ -147,7 +147,8 @@
   bool isUpload = key.starts_with(keys::kUpload);
   bool isGraph = key.starts_with(keys::kGraph);
   if (!isUpload && !isGraph && !key.starts_with(keys::kPage)) return true;
-  auto path = rest(keys::kUpload);  // all three prefixes have the same length
+  // All three prefixes have the same length.
+  auto path = rest(keys::kUpload);
   if (path.size() != (isUpload ? 2U : 3U)) return true;
   auto it = flows_.try_emplace(FlowId{path[0]}).first;
   FlowVersion& version = it->second.versions[Digest{path[1]}];
--- a/src/flows/flow_replica.hpp
+++ b/src/flows/flow_replica.hpp
@@ -11,15 +11,15 @@
 
 namespace kestrelhoist {
 
-/// One uploaded graph of a flow.
+/// Holds the replicated records of one uploaded version of a flow.
 struct FlowVersion {
   std::optional<FlowUpload> upload;
-  Revision modRevision;   ///< modification revision of the upload record
-  FlowGraph graph;        ///< graph built from the consecutive parts received so far
-  std::uint32_t parts{};  ///< number of parts in `graph`
-  std::map<std::uint32_t, Json>
-      outOfOrderParts;    ///< parts that arrived before a part with a smaller number
-  std::string partError;  ///< error text of a rejected part, else empty
+  Revision modRevision;   ///< Identifies the revision of the upload record.
+  FlowGraph graph;        ///< Contains the consecutive parts received so far.
+  std::uint32_t parts{};  ///< Counts the parts in `graph`.
+  /// Contains the parts that arrived before a part with a smaller number.
+  std::map<std::uint32_t, Json> outOfOrderParts;
+  std::string partError;  ///< Explains why a part was rejected; empty if none was.
   std::map<std::uint32_t, std::string> pages;
 
   bool complete() const {
@@ -30,18 +30,18 @@
   char stateOf(Instance i) const;
 };
 
-/// All replicated records of one flow.
+/// Holds the replicated records of one flow.
 struct FlowState {
   std::optional<FlowHead> head;
-  Revision modRevision;  ///< modification revision of the head
+  Revision modRevision;  ///< Identifies the revision of the head.
   std::map<Digest, FlowVersion> versions;
-  std::map<std::uint32_t, std::vector<AccountEntry>> accounts;  ///< account entries by block number
-  std::set<JobId> jobs;  ///< jobs of the flow that have a record, in any phase
+  std::map<std::uint32_t, std::vector<AccountEntry>> accounts;  ///< Maps block numbers to entries.
+  std::set<JobId> jobs;  ///< Contains the jobs that have a record, in any phase.
 
   const FlowVersion* version(const Digest& graph) const;
 };
 
-/// The replicated records of all flows.
+/// Holds the replicated records of all flows.
 class FlowReplica {
  public:
   /// Applies a changed or removed (null) record. Returns false if the key is not a flow key.
@@ -61,7 +61,7 @@
   std::vector<FlowId> openFlowsOf(const std::string& team, const std::string& member) const;
   /// Returns the number of instances of all graphs in memory, including unfinished uploads.
   std::size_t instances() const { return instances_; }
-  /// Returns the newest modification revision at which a flow head in this replica was cancelled.
+  /// Returns the newest modification revision of any cancelled flow head in this replica.
   Revision newestCancellation() const { return newestCancellation_; }
 
  private:
@@ -69,7 +69,7 @@
   void updateIndexes(std::map<FlowId, FlowState>::iterator flow);
 
   std::map<FlowId, FlowState> flows_;
-  std::map<std::string, std::vector<FlowId>> open_;  ///< open flows by "team/member"
+  std::map<std::string, std::vector<FlowId>> open_;  ///< Maps "team/member" to open flows.
   std::set<std::pair<FlowId, JobId>> changedJobs_;
   std::set<FlowId> active_;
   std::size_t instances_ = 0;
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -212,8 +212,8 @@
   }
   Progress p(graph, false);
   p.recompute();
-  double each = static_cast<double>(graph.bytes() + p.bytes()) / n +
-                1;  // 1 byte for the state letter on the page
+  // The state letter on the page takes 1 more byte.
+  double each = static_cast<double>(graph.bytes() + p.bytes()) / n + 1;
   RecordProperty("bytes_an_instance", std::to_string(each));
   EXPECT_LE(each, 150.0);
 }
--- a/src/flows/graph.cpp
+++ b/src/flows/graph.cpp
@@ -163,7 +163,7 @@
     std::uint64_t self = size() + i;
     for (std::uint32_t k = 0; k < count; ++k) {
       std::uint32_t back = (*deps)[at++];
-      // Only smaller numbers: no graph that is accepted has a cycle.
+      // An instance may depend only on smaller numbers, so an accepted graph has no cycle.
       if (back == 0 || back > self) return "an instance depends on a later one";
       all.push_back(static_cast<Instance>(self - back));
     }
--- a/src/flows/graph.hpp
+++ b/src/flows/graph.hpp
@@ -14,8 +14,8 @@
 namespace kestrelhoist {
 
 using FlowId = Name<struct FlowIdTag>;
-using Digest = Name<struct DigestTag>;  ///< identifies one version of a flow graph; 16 hex digits
-using Instance = std::uint32_t;         ///< number of an instance within one version
+using Digest = Name<struct DigestTag>;  ///< Identifies one version of a flow graph.
+using Instance = std::uint32_t;         ///< Numbers an instance within one version.
 
 /// Returns true if `ref` is "w-" followed by 1 to 18 digits.
 bool isValidFlowId(const std::string& ref);
@@ -25,16 +25,16 @@
 /// or the characters ._- so that it can be part of a key and of a path.
 bool isValidLabel(const std::string& text);
 
-/// The properties that all instances of one rule share.
+/// Describes the properties that all instances of one rule share.
 struct FlowRule {
   std::string name;
   Resources perTask;
   std::string image;
   double imageGb{};
-  std::uint32_t retries{};  ///< number of retries after the first failure
-  std::int32_t priority{};  ///< orders the ready instances of a flow; larger values start first
+  std::uint32_t retries{};  ///< Counts retries after the first failure.
+  std::int32_t priority{};  ///< Orders the ready instances of a flow; larger starts first.
   Duration estimate{};
-  Duration checkpointEvery{};  ///< 0 if the tasks write no checkpoints
+  Duration checkpointEvery{};  ///< The value 0 disables checkpoints.
   Duration saveTime{};
   bool spot{};
 };
@@ -42,11 +42,11 @@
 Json toJson(const FlowRule& rule);
 std::optional<FlowRule> flowRuleFromJson(const Json& value);
 
-/// The graph of one version of a flow.
+/// Stores the graph of one version of a flow.
 class FlowGraph {
  public:
   static constexpr std::size_t kMaxRules = 10000;
-  static constexpr std::size_t kMaxDependencies = 10000;  ///< limit for one instance
+  static constexpr std::size_t kMaxDependencies = 10000;  ///< Limits one instance.
 
   /// Appends the next part. Returns an error text if the part is invalid; the graph is then
   /// unchanged. The format of a part is:
--- a/src/flows/progress.cpp
+++ b/src/flows/progress.cpp
@@ -109,8 +109,8 @@
 
 std::vector<std::uint32_t> Progress::upcoming(const std::vector<Instance>& assigned) const {
   std::vector<std::uint32_t> out(graph_->rules().size(), 0);
-  std::unordered_map<Instance, std::uint32_t>
-      covered;  // number of inputs that become done, by dependent
+  // The map counts, for each dependent, the inputs that become done.
+  std::unordered_map<Instance, std::uint32_t> covered;
   for (Instance i : assigned) {
     for (auto k = outStart_[i]; k < outStart_[i + 1]; ++k) ++covered[dependents_[k]];
   }
--- a/src/flows/progress.hpp
+++ b/src/flows/progress.hpp
@@ -11,15 +11,15 @@
 
 namespace kestrelhoist {
 
-/// The execution state of one version of a flow.
+/// Holds the execution state of one version of a flow.
 class Progress {
  public:
   enum class State : std::uint8_t {
-    waiting,   ///< waits for its inputs, or is ready but in no job
-    assigned,  ///< belongs to a job
+    waiting,   ///< The instance waits for its inputs, or is ready but in no job.
+    assigned,  ///< The instance belongs to a job.
     done,
-    failed,   ///< failed permanently
-    skipped,  ///< depends on a failed instance in a flow that keeps going
+    failed,   ///< The instance failed permanently.
+    skipped,  ///< It depends on a failed instance, and the flow keeps going.
   };
 
   Progress() = default;
@@ -67,11 +67,11 @@
   const FlowGraph* graph_ = nullptr;
   bool keepGoing_ = false;
   std::vector<State> state_;
-  std::vector<std::uint32_t> missing_;  ///< number of inputs of each instance that are not done
-  std::vector<std::uint32_t>
-      outStart_;  ///< start of the dependents of each instance in `dependents_`
+  std::vector<std::uint32_t> missing_;  ///< Counts the unfinished inputs of each instance.
+  /// Contains the index of the first dependent of each instance in `dependents_`.
+  std::vector<std::uint32_t> outStart_;
   std::vector<Instance> dependents_;
-  std::vector<std::deque<Instance>> ready_;  ///< queues of ready instances, by rule
+  std::vector<std::deque<Instance>> ready_;  ///< Contains one queue per rule.
   std::size_t readyCount_ = 0;
   std::uint32_t counts_[5] = {};
   std::unordered_map<std::uint64_t, std::uint32_t> blocked_;
--- a/src/flows/records.hpp
+++ b/src/flows/records.hpp
@@ -9,14 +9,20 @@
 namespace kestrelhoist {
 
 namespace keys {
-inline const std::string kFlow = "kh/flow/";      ///< prefix of flow heads
-inline const std::string kUpload = "kh/flowu/";   ///< prefix of the upload records, one per version
-inline const std::string kGraph = "kh/flowg/";    ///< prefix of the parts of flow graphs
-inline const std::string kPage = "kh/flowp/";     ///< prefix of the pages of instance states
-inline const std::string kAccount = "kh/flowa/";  ///< prefix of the resource accounts of rules
-inline const std::string kOpenFlows = "kh/flows/";  ///< prefix of the lists of members' open flows
-/// Prefix of the texts (commands and file names). Controllers do not replicate texts; they read a
-/// text from the state service when a worker requests it.
+/// Prefixes the keys of flow heads.
+inline const std::string kFlow = "kh/flow/";
+/// Prefixes the keys of upload records. Each uploaded version has one.
+inline const std::string kUpload = "kh/flowu/";
+/// Prefixes the keys of graph parts.
+inline const std::string kGraph = "kh/flowg/";
+/// Prefixes the keys of pages, which hold instance states.
+inline const std::string kPage = "kh/flowp/";
+/// Prefixes the keys of accounts, which hold the resource use of rules.
+inline const std::string kAccount = "kh/flowa/";
+/// Prefixes the keys of the lists of open flows, one list per member.
+inline const std::string kOpenFlows = "kh/flows/";
+/// Prefixes the keys of texts (commands and file names). Controllers do not replicate texts; they
+/// read a text from the state service when a worker requests it.
 inline const std::string kText = "kx/text/";
 std::string flow(const FlowId& id);
 std::string upload(const FlowId& id, const Digest& version);
@@ -27,15 +33,16 @@
 std::string openFlows(const std::string& team, const std::string& member);
 }  // namespace keys
 
-/// The record of one uploaded version. It is written before the parts of the version, and every
-/// write of a part compares its revision, so that a late part cannot be added to a removed version.
+/// Describes one uploaded version. The record is written before the parts of the version, and every
+/// write of a part compares the revision of this record, so that a late part cannot be added to a
+/// removed version.
 struct FlowUpload {
   std::uint32_t instances{};
-  std::uint32_t parts{};    ///< number of graph parts
-  std::uint32_t texts{};    ///< number of text parts
-  std::uint32_t perText{};  ///< number of instances in each text part
-  std::int64_t atMs{};      ///< wall-clock time of the announcement
-  bool closing{};           ///< true while the version is removed; further parts are rejected
+  std::uint32_t parts{};    ///< Counts the graph parts.
+  std::uint32_t texts{};    ///< Counts the text parts.
+  std::uint32_t perText{};  ///< Counts the instances in each text part.
+  std::int64_t atMs{};      ///< Records the wall-clock time of the announcement.
+  bool closing{};           ///< Is true while the version is removed; new parts are rejected.
   auto operator<=>(const FlowUpload&) const = default;
 };
 
@@ -43,37 +50,39 @@
 enum class FlowPhase { open, done, failed, cancelled };
 const char* toString(FlowPhase phase);
 
+/// Describes the present version and phase of a flow.
 struct FlowHead {
   std::string team, member, name;
   std::string jobClass;
-  int priority{};    ///< numeric value of a Priority
-  bool keepGoing{};  ///< skips dependents of a failed instance instead of waiting for an amendment
+  int priority{};  ///< Holds the numeric value of a Priority.
+  /// If true, the flow skips dependents of a failed instance instead of waiting for an amendment.
+  bool keepGoing{};
   std::int64_t atMs{};
   FlowPhase phase = FlowPhase::open;
-  std::uint64_t version{};  ///< starts at 1 and grows by 1 with each accepted graph
+  std::uint64_t version{};  ///< Starts at 1 and grows by 1 with each accepted graph.
   Digest graph;
-  Digest from;  ///< previous version while an amendment is in progress, else empty
-  /// Numbers of instances by final state, set when the flow ends.
+  Digest from;  ///< Identifies the previous version while an amendment is in progress; else empty.
+  /// These fields count the instances by final state. They are set when the flow ends.
   std::uint32_t done{}, failed{}, skipped{};
 };
 
-/// Counts tasks and attempts, and sums their run times.
+/// Counts the tasks and attempts of flow jobs, and sums their run times.
 struct ResourceUse {
-  std::uint64_t tasks{};     ///< completed tasks
-  std::uint64_t failed{};    ///< tasks that failed permanently
-  std::uint64_t attempts{};  ///< attempts that ended, with any outcome
-  std::uint64_t ranMs{};     ///< run time of completed attempts
-  std::uint64_t lostMs{};    ///< run time of all other attempts
+  std::uint64_t tasks{};     ///< Counts completed tasks.
+  std::uint64_t failed{};    ///< Counts tasks that failed permanently.
+  std::uint64_t attempts{};  ///< Counts attempts that ended with any outcome.
+  std::uint64_t ranMs{};     ///< Sums the run time of completed attempts.
+  std::uint64_t lostMs{};    ///< Sums the run time of all other attempts.
   ResourceUse& operator+=(const ResourceUse& o);
   auto operator<=>(const ResourceUse&) const = default;
   bool empty() const { return *this == ResourceUse{}; }
 };
 
-/// Number of instances whose states one page (one value of the state service) holds.
+/// Limits the number of instance states in one page, which is one value of the state service.
 inline constexpr std::uint32_t kPageSize = 4096;
 
-/// The resource use of one rule's tasks. Accounts are kept after the graph is removed, so an entry
-/// contains the name of the rule and the resources of its tasks.
+/// Holds the resource use of one rule's tasks. Accounts are kept after the graph is removed, so an
+/// entry contains the name of the rule and the resources of its tasks.
 struct AccountEntry {
   std::string rule;
   Resources perTask;
@@ -98,14 +107,15 @@
 /// Decodes both encodings of `packPage`; returns null if `text` is malformed.
 std::optional<std::string> unpackPage(const std::string& text);
 
-/// The part of a job record that maps the tasks of the job to flow instances.
+/// Maps the tasks of a job to flow instances. The mapping is stored in the job record.
 struct FlowTaskMapping {
   FlowId flow;
-  Digest graph;          ///< version that defines the instance numbers
-  std::uint32_t rule{};  ///< rule index in that version
+  Digest graph;          ///< Identifies the version that defines the instance numbers.
+  std::uint32_t rule{};  ///< Gives the index of the rule in that version.
   std::uint32_t retries{};
-  std::vector<std::pair<Instance, std::uint32_t>> runs;  ///< first instance and count of each run
-  std::vector<std::uint32_t> dropped;                    ///< tasks removed by an amendment, sorted
+  /// Lists the instances as runs of consecutive numbers: the first instance and the count.
+  std::vector<std::pair<Instance, std::uint32_t>> runs;
+  std::vector<std::uint32_t> dropped;  ///< Lists the tasks removed by an amendment, sorted.
   bool isDropped(std::uint32_t task) const;
 };
 
--- a/src/flows/routes.hpp
+++ b/src/flows/routes.hpp
@@ -27,7 +27,7 @@
 /// Returns true if the route changes a flow. Such routes use POST; all others use GET.
 bool isWriteRoute(FlowRoute route);
 
-/// The path segments after /v2/flows, and the query.
+/// Contains the path segments after /v2/flows, and the query.
 struct FlowPath {
   std::vector<std::string> segments;
   std::string query;
--- a/src/flows/service.cpp
+++ b/src/flows/service.cpp
@@ -9,10 +9,9 @@
 namespace {
 
 constexpr Duration kCommitTimeout{1500};
-constexpr std::size_t kMaxPendingCommits =
-    32;                               // limit of concurrent commits; requests above it get 429
-constexpr double kUploadShare = 0.3;  // share of the write rate that one controller may use
-constexpr int kCancelRetries = 5;     // number of retries after a conflict
+constexpr std::size_t kMaxPendingCommits = 32;  // Requests above this limit get status 429.
+constexpr double kUploadShare = 0.3;  // One controller may use this share of the write rate.
+constexpr int kCancelRetries = 5;     // A cancellation is retried after a conflict.
 
 std::optional<std::uint32_t> parseNumber(const std::string& text) {
   std::uint32_t number = 0;
--- a/src/flows/service.hpp
+++ b/src/flows/service.hpp
@@ -27,8 +27,8 @@
   /// Answers a request at or below /v2/flows. Returns false if the path belongs to another service.
   bool handle(const Request& request, const Respond& respond);
 
-  std::function<void()>
-      onCommitted;  ///< called after this service has started, amended or cancelled a flow
+  /// Is called after this service has started, amended or cancelled a flow.
+  std::function<void()> onCommitted;
 
  private:
   using Body = std::shared_ptr<const Json>;
--- a/src/flows/service_commits.cpp
+++ b/src/flows/service_commits.cpp
@@ -9,7 +9,8 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxNameBytes = 200;  // limit for the name of a team or a job class
+// Limits the length of the name of a team or a job class.
+constexpr std::size_t kMaxNameBytes = 200;
 
 // Parses the priority of a flow. Production priority is reserved for services, so a flow cannot
 // have it.
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -6,9 +6,9 @@
 
 namespace kestrelhoist {
 namespace {
-constexpr std::size_t kMaxCachedTexts =
-    48;  // each no larger than the value limit of the state service
-constexpr std::size_t kMaxReportedFailures = 200;  // limit of failed instances in one response
+// A cached text is no larger than the value limit of the state service.
+constexpr std::size_t kMaxCachedTexts = 48;
+constexpr std::size_t kMaxReportedFailures = 200;
 Response noFlow() { return jsonResponse(404, {{"error", "no such flow"}}); }
 }  // namespace
 
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -5,18 +5,18 @@
 namespace kestrelhoist {
 namespace {
 
-// The maximum numbers of graph parts and text parts of one version.
+// These constants limit the graph parts and the text parts of one version.
 constexpr std::uint64_t kMaxParts = 0xffff;
 constexpr std::uint64_t kMaxTexts = 0xfffff;
-// The size limit of a transaction and the estimated overheads, in bytes.
+// These constants give the size limit of a transaction and its estimated overheads, in bytes.
 constexpr std::size_t kMaxBytes = 56 * 1024;
 constexpr std::size_t kBytesWithoutWrites = 512;
-constexpr std::size_t kBytesPerWrite = 64;  // overhead in addition to the key and the value
-// The delays after which a client retries, in seconds.
-constexpr int kClosingRetryS = 5;    // an upload of the same version is being removed
-constexpr int kCapacityRetryS = 10;  // capacity becomes available when other flows end
+constexpr std::size_t kBytesPerWrite = 64;  // excludes the key and the value
+// These constants tell a client after how many seconds it should retry.
+constexpr int kClosingRetryS = 5;    // An upload of the same version is being removed.
+constexpr int kCapacityRetryS = 10;  // Capacity becomes available when other flows end.
 
-// The announced numbers of instances and parts of a version.
+// Contains the announced numbers of instances and parts of a version.
 struct Announcement {
   Digest version;
   std::uint64_t instances{};
@@ -49,7 +49,7 @@
 enum class PartKind { graph, text };
 
 // Collects parts of an upload, in order, up to the limits of one transaction. The client sends the
-// remaining parts again.
+// remaining parts in its next request.
 class PartBatch {
  public:
   PartBatch(const Replica& replica, const Platform& platform, const FlowId& id,
