--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -169,7 +169,7 @@
   for (const auto& [flow, job] : copy.takeChangedJobs()) applyJobChange(flow, job);
   std::erase_if(runs_, [&](const auto& r) {
     const FlowState* flow = copy.find(r.first);
-    // The derived state is discarded if the flow has ended or has another version. It is rebuilt
+    // The derived state is discarded if the flow has ended or was amended. It is rebuilt
     // from the records when it is needed.
     return !flow || !flow->head || flow->head->phase != FlowPhase::open ||
            flow->head->graph != r.second.graph || !flow->head->from.empty();
@@ -297,13 +297,13 @@
   Instant now = context_.runtime.now();
   const FlowVersion& version = *flow.version(run.graph);
   std::size_t queued = 0, running = 0, ended = 0;
-  Instant endedSince{};
+  Instant firstEndedAt{};
   for (const auto& [jobId, open] : run.jobs) {
     const auto* job = context_.replica.job(jobId);
     queued += job->waiting();
     running += job->placed.size();
     if (!open.unfinishedTasks.empty() || !canEnd(*job)) continue;
-    if (ended++ == 0 || open.endedAt < endedSince) endedSince = open.endedAt;
+    if (ended++ == 0 || open.endedAt < firstEndedAt) firstEndedAt = open.endedAt;
   }
   BatchingInput input;
   input.ready = queued >= kMaxQueuedTasks ? 0 : run.progress.readyCount();
@@ -315,7 +315,7 @@
   input.changes = run.changes;
   bool createJobs = shouldCreateJobs(input);
   bool over = run.progress.hasEnded();
-  if (!createJobs && !over && (ended == 0 || now - endedSince < kMaxEndedJobDelay))
+  if (!createJobs && !over && (ended == 0 || now - firstEndedAt < kMaxEndedJobDelay))
     return std::nullopt;
 
   TransactionBuilder builder(context_, id, flow, version, run.graph);
--- a/src/flows/flow_loop.hpp
+++ b/src/flows/flow_loop.hpp
@@ -22,8 +22,8 @@
   void onRecordsChanged(bool byOthers) override;
 
   /// Returns the demand of the instances that become ready when the running tasks end that are
-  /// expected to end within `horizon`. The scaling loop treats this
-  /// demand like the demand of jobs that wait for a running job.
+  /// expected to end within `horizon`. The scaling loop treats this demand like the
+  /// demand of jobs that wait for a running job.
   std::vector<ProjectedDemand> upcoming(Duration horizon) const;
   /// Returns the resources of the running tasks of flows that are expected to end within `horizon`.
   /// These resources become free.
--- a/src/flows/flow_replica.hpp
+++ b/src/flows/flow_replica.hpp
@@ -54,8 +54,8 @@
 
   const std::map<FlowId, FlowState>& flows() const { return flows_; }
   const FlowState* find(const FlowId& id) const;
-  /// Returns the flows that have a version or a job record. Only these flows need work by the
-  /// leader.
+  /// Returns the flows that have a version or a job record. The leader processes only
+  /// these flows.
   const std::set<FlowId>& active() const { return active_; }
   /// Returns the open flows of a member.
   std::vector<FlowId> openFlowsOf(const std::string& team, const std::string& member) const;
--- a/src/flows/records.cpp
+++ b/src/flows/records.cpp
@@ -153,7 +153,7 @@
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 constexpr char kDenseMarker = '~';
 
-// Writes the number of states, then one character for every three states.
+// Writes the number of states, and then one character for every three states.
 std::string packDense(const std::string& states) {
   std::string out = kDenseMarker + std::to_string(states.size()) + kDenseMarker;
   for (std::size_t i = 0; i < states.size(); i += 3) {
--- a/src/flows/service.cpp
+++ b/src/flows/service.cpp
@@ -88,8 +88,8 @@
   commit(id, body, respond);
 }
 
-void FlowService::send(Transaction t, std::function<void(CommitResult)> done,
-                       const Respond& respond) {
+void FlowService::commitIfWithinRate(Transaction t, std::function<void(CommitResult)> done,
+                                     const Respond& respond) {
   // The request is refused immediately instead of queued, because the client retries.
   if (pendingCommits_ >= kMaxPendingCommits ||
       !writeBudget_.take(runtime_.now(), static_cast<double>(t.writes.size()))) {
--- a/src/flows/service.hpp
+++ b/src/flows/service.hpp
@@ -48,7 +48,7 @@
   void commitVersion(const FlowId& id, const FlowHead& wanted, std::uint64_t base,
                      const Respond& respond);
   /// Handles POST {flow}/cancel. It retries up to `retriesLeft` times after a conflict.
-  void cancel(const FlowId& id, int reretriesLeft, const Respond& respond);
+  void cancel(const FlowId& id, int retriesLeft, const Respond& respond);
   FlowHead cancelledHead(const FlowState& flow) const;
   /// Adds the new list of the member's open flows to the transaction.
   void writeOpenFlows(Transaction& t, const FlowHead& head, const std::vector<FlowId>& open) const;
@@ -58,8 +58,9 @@
   void report(const FlowId& id, const Respond& respond);
   /// Handles GET /v2/flows/account?owner=, which returns the resource use of a team by member.
   void account(const std::string& query, const Respond& respond);
-  /// Returns the resource use of one flow: its accounts plus the use of its jobs on record.
-  std::vector<AccountEntry> entriesOf(const FlowState& flow) const;
+  /// Returns the resource use of one flow by rule. The result includes the accounts of the flow and
+  /// the use of its jobs on record.
+  std::vector<AccountEntry> resourceUseByRule(const FlowState& flow) const;
   /// Handles GET {flow}/failures, which lists the instances that failed permanently.
   void failures(const FlowId& id, const Respond& respond);
   /// Handles GET /v2/flows?owner=&member=, which lists the open flows of a member.
@@ -73,7 +74,8 @@
   Json counts(const FlowState& flow) const;
   /// Commits a transaction if it is within this controller's share of the write rate. Otherwise it
   /// responds with 429 immediately.
-  void send(Transaction t, std::function<void(CommitResult)> done, const Respond& respond);
+  void commitIfWithinRate(Transaction t, std::function<void(CommitResult)> done,
+                          const Respond& respond);
 
   Runtime& runtime_;
   StoreClient& store_;
--- a/src/flows/service_commits.cpp
+++ b/src/flows/service_commits.cpp
@@ -147,7 +147,7 @@
   auto open = replica_.flows().openFlowsOf(wanted.team, wanted.member);
   if (std::find(open.begin(), open.end(), id) == open.end()) open.push_back(id);
   writeOpenFlows(t, wanted, open);
-  send(
+  commitIfWithinRate(
       std::move(t),
       [this, id, next, respond](const CommitResult& r) {
         if (r.outcome != CommitOutcome::applied) return respond(retryLater(503));
@@ -174,7 +174,7 @@
     auto open = replica_.flows().openFlowsOf(head.team, head.member);
     std::erase(open, id);
     writeOpenFlows(t, head, open);
-    send(
+    commitIfWithinRate(
         std::move(t),
         [this, id, retriesLeft, respond](const CommitResult& r) {
           if (r.outcome == CommitOutcome::applied) {
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -105,7 +105,7 @@
   });
 }
 
-std::vector<AccountEntry> FlowService::entriesOf(const FlowState& flow) const {
+std::vector<AccountEntry> FlowService::resourceUseByRule(const FlowState& flow) const {
   std::vector<AccountEntry> entries;
   auto add = [&](const std::string& rule, const Resources& room, const ResourceUse& use) {
     for (auto& e : entries) {
@@ -160,7 +160,7 @@
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!flow || !flow->head) return respond(noFlow());
-    auto entries = entriesOf(*flow);
+    auto entries = resourceUseByRule(*flow);
     Json rules = Json::array();
     for (const auto& e : entries) {
       rules.push_back(totalUse({e}));
@@ -187,7 +187,7 @@
     std::map<std::string, std::size_t> flows;
     for (const auto& [id, flow] : replica_.flows().flows()) {
       if (!flow.head || flow.head->team != team) continue;
-      auto entries = entriesOf(flow);
+      auto entries = resourceUseByRule(flow);
       auto& own = members[flow.head->member];
       own.insert(own.end(), entries.begin(), entries.end());
       all.insert(all.end(), entries.begin(), entries.end());
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -151,7 +151,7 @@
     t.compares.push_back({key, Revision{}});
     t.writes.push_back(
         {key, toJson(uploadFrom(announcement, runtime_.wallMillis())), std::nullopt});
-    send(
+    commitIfWithinRate(
         std::move(t),
         [answer, respond](const CommitResult& r) {
           respond(r.outcome == CommitOutcome::applied ? jsonResponse(201, answer)
@@ -179,7 +179,7 @@
     Json answer = {{"ref", id.value}, {"written", batch.handled()}};
     Transaction t = batch.takeTransaction();
     if (t.writes.empty()) return respond(jsonResponse(200, answer));
-    send(
+    commitIfWithinRate(
         std::move(t),
         [answer, respond](const CommitResult& r) {
           respond(r.outcome == CommitOutcome::applied ? jsonResponse(200, answer)
