--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -122,33 +122,34 @@
 
 std::vector<std::uint32_t> maxTasksOfYieldingJobs(const std::vector<YieldingJob>& jobs,
                                                   double machines) {
-  std::vector<std::uint32_t> most(jobs.size(), 0);
-  std::vector<std::size_t> open(jobs.size());
-  for (std::size_t j = 0; j < jobs.size(); ++j) open[j] = j;
+  std::vector<std::uint32_t> maxTasks(jobs.size(), 0);
+  std::vector<std::size_t> unsatisfied(jobs.size());
+  for (std::size_t j = 0; j < jobs.size(); ++j) unsatisfied[j] = j;
   // Each job may run one task, so that no job waits longer than four minutes for its first task.
-  for (auto j : open) {
-    if (jobs[j].waiting + jobs[j].held > 0) most[j] = 1;
-    machines -= most[j] * jobs[j].share;
+  for (auto j : unsatisfied) {
+    if (jobs[j].waiting + jobs[j].held > 0) maxTasks[j] = 1;
+    machines -= maxTasks[j] * jobs[j].share;
   }
   // The remaining machines are shared evenly. A job that needs less than an even share leaves the
   // difference to the other jobs.
-  while (!open.empty() && machines > 1e-6) {
-    double even = machines / static_cast<double>(open.size());
-    double given = 0;
-    std::vector<std::size_t> still;
-    for (auto j : open) {
+  while (!unsatisfied.empty() && machines > 1e-6) {
+    double evenShare = machines / static_cast<double>(unsatisfied.size());
+    double allocated = 0;
+    std::vector<std::size_t> remaining;
+    for (auto j : unsatisfied) {
       std::uint32_t wants = jobs[j].waiting + jobs[j].held;
-      auto more = static_cast<std::uint32_t>(even / std::max(1e-6, jobs[j].share) + 1e-6);
-      more = std::min(more, wants > most[j] ? wants - most[j] : 0);
-      most[j] += more;
-      given += more * jobs[j].share;
-      if (most[j] < wants) still.push_back(j);
+      auto additional =
+          static_cast<std::uint32_t>(evenShare / std::max(1e-6, jobs[j].share) + 1e-6);
+      additional = std::min(additional, wants > maxTasks[j] ? wants - maxTasks[j] : 0);
+      maxTasks[j] += additional;
+      allocated += additional * jobs[j].share;
+      if (maxTasks[j] < wants) remaining.push_back(j);
     }
-    machines -= given;
-    if (given <= 1e-9) break;
-    open = std::move(still);
+    machines -= allocated;
+    if (allocated <= 1e-9) break;
+    unsatisfied = std::move(remaining);
   }
-  return most;
+  return maxTasks;
 }
 
 Json toJson(const PolicyState& s) {
