--- a/src/flows/admission.cpp
+++ b/src/flows/admission.cpp
@@ -5,8 +5,8 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxOpenFlows = 64;  // of a member
-constexpr double kRoomTolerance = 1e-6;
+constexpr std::size_t kMaxOpenFlowsPerMember = 64;
+constexpr double kResourceTolerance = 1e-6;
 
 Response refused(const std::string& why) { return jsonResponse(422, {{"error", why}}); }
 
@@ -28,40 +28,42 @@
   return outputRefusal(id, head, outputs);
 }
 
-// Whether a task of the rule is larger than any machine or than the team's limit.
+// Refuses a rule whose tasks are larger than every machine type or than the team's limit.
 std::optional<Response> FlowAdmission::ruleRefusal(const FlowRule& rule,
                                                    const Resources& limit) const {
   bool fits = std::any_of(types->types.begin(), types->types.end(), [&](const MachineType& type) {
     return rule.perTask.fitsIn(type.capacity);
   });
   if (!fits) return refused("rule " + rule.name + ": no machine type can hold a task");
-  if ((limit.cpus > 0 && rule.perTask.cpus > limit.cpus + kRoomTolerance) ||
-      (limit.gpus > 0 && rule.perTask.gpus > limit.gpus + kRoomTolerance)) {
+  if ((limit.cpus > 0 && rule.perTask.cpus > limit.cpus + kResourceTolerance) ||
+      (limit.gpus > 0 && rule.perTask.gpus > limit.gpus + kResourceTolerance)) {
     return refused("rule " + rule.name + ": a task needs more than the team's limit");
   }
   return std::nullopt;
 }
 
-// A member's own open flows must not make the same files; others never meet, since files are named
-// by member and flow.
+// Refuses a version that writes the same file as another open flow of the member. Flows of
+// different members cannot conflict, because file names contain the member and the flow.
 std::optional<Response> FlowAdmission::outputRefusal(const FlowId& id, const FlowHead& head,
                                                      const Outputs& outputs) const {
-  auto open = replica.flows().openOf(head.team, head.member);
-  if (open.size() >= kMaxOpenFlows && std::find(open.begin(), open.end(), id) == open.end()) {
-    return refused("more than " + std::to_string(kMaxOpenFlows) + " open flows");
+  auto open = replica.flows().openFlowsOf(head.team, head.member);
+  if (open.size() >= kMaxOpenFlowsPerMember &&
+      std::find(open.begin(), open.end(), id) == open.end()) {
+    return refused("more than " + std::to_string(kMaxOpenFlowsPerMember) + " open flows");
   }
   for (const auto& otherId : open) {
     if (otherId == id) continue;
     const FlowState* other = replica.flows().find(otherId);
     if (!other || !other->head) continue;
-    if (auto refusal = sharedOutput(id, head, outputs, otherId, *other)) return refusal;
+    if (auto refusal = sharedOutputRefusal(id, head, outputs, otherId, *other)) return refusal;
   }
   return std::nullopt;
 }
 
-std::optional<Response> FlowAdmission::sharedOutput(const FlowId& id, const FlowHead& head,
-                                                    const Outputs& outputs, const FlowId& otherId,
-                                                    const FlowState& other) const {
+std::optional<Response> FlowAdmission::sharedOutputRefusal(const FlowId& id, const FlowHead& head,
+                                                           const Outputs& outputs,
+                                                           const FlowId& otherId,
+                                                           const FlowState& other) const {
   for (const Digest& digest : {other.head->graph, other.head->from}) {
     const FlowVersion* version = other.version(digest);
     if (!version) continue;
--- a/src/flows/admission.hpp
+++ b/src/flows/admission.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a version of a flow can be run.
+/// Checks whether a version of a flow can run.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,14 @@
 
 namespace kestrelhoist {
 
-/// What an admission depends on. `types`: null if the machine types aren't known yet.
+/// Checks a flow version against the configuration and the open flows. `types` is null while the
+/// machine types have not been received from the cloud.
 struct FlowAdmission {
   const Replica& replica;
   const Platform& platform;
   const Catalogue* types;
 
-  /// Why this version can't be run, as the answer to the user; empty: it can.
+  /// Returns the error response if the version cannot run, or null if it can.
   std::optional<Response> refusal(const FlowId& id, const FlowVersion& version,
                                   const FlowHead& head) const;
 
@@ -29,9 +30,9 @@
   std::optional<Response> ruleRefusal(const FlowRule& rule, const Resources& limit) const;
   std::optional<Response> outputRefusal(const FlowId& id, const FlowHead& head,
                                         const Outputs& outputs) const;
-  std::optional<Response> sharedOutput(const FlowId& id, const FlowHead& head,
-                                       const Outputs& outputs, const FlowId& otherId,
-                                       const FlowState& other) const;
+  std::optional<Response> sharedOutputRefusal(const FlowId& id, const FlowHead& head,
+                                              const Outputs& outputs, const FlowId& otherId,
+                                              const FlowState& other) const;
 };
 
 }  // namespace kestrelhoist
--- a/src/flows/flow_loop.cpp
+++ b/src/flows/flow_loop.cpp
@@ -9,50 +9,53 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr Duration kEndedPatience{5000};    // an ended job stays on record at most so long
-constexpr std::size_t kMostQueued = 20000;  // tasks of one flow that wait for room
+// The record of an ended job is removed after this time, even if no other change is due.
+constexpr Duration kMaxEndedJobDelay{5000};
+// The loop creates no jobs for a flow while this many of its tasks wait for a machine.
+constexpr std::size_t kMaxQueuedTasks = 20000;
 
-bool finishedOrGone(const JobState& job, std::uint32_t task) {
+bool isFinishedOrGivenUp(const JobState& job, std::uint32_t task) {
   return job.isFinished(task) || job.isGivenUp(task);
 }
 
 }  // namespace
 
-// The instances of a job's tasks in this version. Jobs of an earlier one are matched by
-// fingerprint, and only where the change to this version has kept them.
-FlowLoop::OpenJob FlowLoop::adopt(
+// Maps the tasks of a job to instances of the given version. Tasks of a job of an earlier version
+// are matched by fingerprint; a task that the amendment dropped is mapped to kNone.
+FlowLoop::OpenJob FlowLoop::openJobFor(
     const FlowState& flow, const JobState& job, const FlowVersion& version,
-    const std::unordered_map<std::uint64_t, Instance>* byPrint) const {
+    const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const {
   OpenJob open;
-  const FlowPart& part = *job.record.flow;
+  const FlowTaskMapping& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
   for (const auto& [first, count] : part.runs) {
     for (std::uint32_t k = 0; k < count; ++k) {
       auto task = static_cast<std::uint32_t>(open.instances.size());
       Instance instance = first + k;
-      if (!own || instance >= own->graph.size() || part.drops(task)) {
+      if (!own || instance >= own->graph.size() || part.isDropped(task)) {
         instance = kNone;
-      } else if (byPrint) {
-        auto it = byPrint->find(own->graph.print(instance));
-        instance = it == byPrint->end() ? kNone : it->second;
+      } else if (instanceByFingerprint) {
+        auto it = instanceByFingerprint->find(own->graph.fingerprint(instance));
+        instance = it == instanceByFingerprint->end() ? kNone : it->second;
       }
       if (instance != kNone && instance >= version.graph.size()) instance = kNone;
       open.instances.push_back(instance);
-      open.pending.push_back(task);
+      open.unfinishedTasks.push_back(task);
     }
   }
   return open;
 }
 
-// Takes in which tasks of a job have ended.
-void FlowLoop::settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const {
-  const FlowPart& part = *job.record.flow;
+// Updates the progress of the flow with the tasks of the job that have ended.
+void FlowLoop::applyEndedTasks(const FlowState& flow, Run& run, const JobState& job,
+                               OpenJob& open) const {
+  const FlowTaskMapping& part = *job.record.flow;
   const FlowVersion* own = flow.version(part.graph);
-  std::erase_if(open.pending, [&](std::uint32_t task) {
+  std::erase_if(open.unfinishedTasks, [&](std::uint32_t task) {
     Instance i = open.instances[task];
-    if (part.drops(task)) {
+    if (part.isDropped(task)) {
       if (job.placed.contains(task)) return false;
-      // Proven gone: nobody writes its outputs any more.
+      // The dropped task is confirmed as stopped, so no process writes its outputs any more.
       Instance at = task;
       for (const auto& [first, count] : part.runs) {
         if (at < count) {
@@ -66,7 +69,7 @@
       }
       return true;
     }
-    if (!finishedOrGone(job, task)) return false;
+    if (!isFinishedOrGivenUp(job, task)) return false;
     if (i != kNone && run.progress.state(i) == Progress::State::assigned) {
       if (job.isFinished(task)) {
         run.progress.finish(i);
@@ -76,34 +79,35 @@
     }
     return true;
   });
-  if (open.pending.empty() && open.endedAt == Instant{}) open.endedAt = context_.runtime.now();
-  if (run.progress.ready() > 0 && run.readySince == Instant{})
+  if (open.unfinishedTasks.empty() && open.endedAt == Instant{})
+    open.endedAt = context_.runtime.now();
+  if (run.progress.readyCount() > 0 && run.readySince == Instant{})
     run.readySince = context_.runtime.now();
 }
 
-// From the records alone.
-std::optional<FlowLoop::Run> FlowLoop::build(const FlowState& flow, const Digest& graph) const {
+// Derives the state of the flow from its records only.
+std::optional<FlowLoop::Run> FlowLoop::buildRun(const FlowState& flow, const Digest& graph) const {
   const FlowVersion* version = flow.version(graph);
   if (!version || !version->complete()) return std::nullopt;
   const FlowGraph& g = version->graph;
   Run run;
   run.graph = graph;
   run.progress = Progress(g, flow.head->keepGoing);
-  std::unordered_map<std::uint64_t, Instance> byPrint;
+  std::unordered_map<std::uint64_t, Instance> instanceByFingerprint;
   bool others = std::any_of(flow.jobs.begin(), flow.jobs.end(), [&](const JobId& id) {
     const auto* job = context_.replica.job(id);
     return job && job->record.flow->graph != graph;
   });
   if (others) {
-    byPrint.reserve(g.size());
-    for (Instance i = 0; i < g.size(); ++i) byPrint.emplace(g.print(i), i);
+    instanceByFingerprint.reserve(g.size());
+    for (Instance i = 0; i < g.size(); ++i) instanceByFingerprint.emplace(g.fingerprint(i), i);
   }
   std::vector<bool> covered(g.size());
   for (const auto& id : flow.jobs) {
     const auto* job = context_.replica.job(id);
     if (!job) continue;
     bool same = job->record.flow->graph == graph;
-    OpenJob open = adopt(flow, *job, *version, same ? nullptr : &byPrint);
+    OpenJob open = openJobFor(flow, *job, *version, same ? nullptr : &instanceByFingerprint);
     for (Instance i : open.instances) {
       if (i != kNone) covered[i] = true;
     }
@@ -111,7 +115,7 @@
   }
   for (Instance i = 0; i < g.size(); ++i) {
     char letter = version->stateOf(i);
-    // In a job when its page was written, and not wanted there any more.
+    // The instance was in a job when the page was written, but the job no longer contains it.
     if (letter == 'a' && !covered[i]) letter = 'w';
     run.progress.restore(i, letter == 'd'   ? Progress::State::done
                             : letter == 'f' ? Progress::State::failed
@@ -130,13 +134,13 @@
       }
     }
   }
-  run.progress.settle();
-  for (auto& [id, open] : run.jobs) settle(flow, run, *context_.replica.job(id), open);
-  if (run.progress.ready() > 0) run.readySince = context_.runtime.now();
+  run.progress.recompute();
+  for (auto& [id, open] : run.jobs) applyEndedTasks(flow, run, *context_.replica.job(id), open);
+  if (run.progress.readyCount() > 0) run.readySince = context_.runtime.now();
   return run;
 }
 
-void FlowLoop::observe(const FlowId& id, const JobId& jobId) {
+void FlowLoop::applyJobChange(const FlowId& id, const JobId& jobId) {
   auto it = runs_.find(id);
   const FlowState* flow = context_.replica.flows().find(id);
   if (it == runs_.end() || !flow || !flow->head) return;
@@ -151,44 +155,45 @@
   auto open = run.jobs.find(jobId);
   if (open == run.jobs.end()) {
     if (job->record.flow->graph != run.graph) return;
-    open = run.jobs.emplace(jobId, adopt(*flow, *job, *version, nullptr)).first;
+    open = run.jobs.emplace(jobId, openJobFor(*flow, *job, *version, nullptr)).first;
     for (Instance i : open->second.instances) {
       if (i != kNone && run.progress.state(i) == Progress::State::waiting) run.progress.assign(i);
     }
-    run.readySince = run.progress.ready() > 0 ? context_.runtime.now() : Instant{};
+    run.readySince = run.progress.readyCount() > 0 ? context_.runtime.now() : Instant{};
   }
-  settle(*flow, run, *job, open->second);
+  applyEndedTasks(*flow, run, *job, open->second);
 }
 
 void FlowLoop::onRecordsChanged(bool) {
   auto& copy = context_.replica.flows();
-  for (const auto& [flow, job] : copy.takeTouched()) observe(flow, job);
+  for (const auto& [flow, job] : copy.takeChangedJobs()) applyJobChange(flow, job);
   std::erase_if(runs_, [&](const auto& r) {
     const FlowState* flow = copy.find(r.first);
-    // Another version, or over: what is known of it is derived anew.
+    // The derived state is discarded if the flow has ended or was amended. It is rebuilt
+    // from the records when it is needed.
     return !flow || !flow->head || flow->head->phase != FlowPhase::open ||
            flow->head->graph != r.second.graph || !flow->head->from.empty();
   });
 }
 
 LoopStep FlowLoop::next() {
-  const auto& live = context_.replica.flows().live();
-  // Flows take turns.
-  auto at = live.upper_bound(last_);
-  for (std::size_t n = 0; n < live.size(); ++n) {
-    if (at == live.end()) at = live.begin();
+  const auto& active = context_.replica.flows().active();
+  // The search starts after the flow of the previous commit, so that all flows are served in turn.
+  auto at = active.upper_bound(lastServedFlow_);
+  for (std::size_t n = 0; n < active.size(); ++n) {
+    if (at == active.end()) at = active.begin();
     const FlowId id = *at++;
-    if (auto commit = nextOf(id, *context_.replica.flows().find(id))) {
-      last_ = id;
+    if (auto commit = nextCommit(id, *context_.replica.flows().find(id))) {
+      lastServedFlow_ = id;
       return LoopStep::committing(std::move(commit));
     }
   }
-  return LoopStep::committing(dropOrphans());
+  return LoopStep::committing(removeOrphanSubChunks());
 }
 
-// Parts of tasks' stretches go after their job, whose end would not fit one transaction with them.
-// Names of jobs are never given twice.
-std::optional<Commit> FlowLoop::dropOrphans() const {
+// Removes task sub-chunks whose job record is already removed. The sub-chunks and the end of the
+// job may not fit in one transaction. Removing them later is safe because job ids are never reused.
+std::optional<Commit> FlowLoop::removeOrphanSubChunks() const {
   Transaction t = context_.begin();
   for (const auto& [key, modRevision] : context_.replica.orphanSubChunks()) {
     if (t.writes.size() == context_.platform.transactionOps) break;
@@ -199,58 +204,59 @@
   return Commit{std::move(t), nullptr, "parts of ended jobs"};
 }
 
-std::optional<Commit> FlowLoop::nextOf(const FlowId& id, const FlowState& flow) {
-  if (!flow.head) return remove(id, flow);
+std::optional<Commit> FlowLoop::nextCommit(const FlowId& id, const FlowState& flow) {
+  if (!flow.head) return removeUnusedVersion(id, flow);
   if (flow.head->phase != FlowPhase::open) {
-    return flow.jobs.empty() ? remove(id, flow) : wind(id, flow);
+    return flow.jobs.empty() ? removeUnusedVersion(id, flow) : endCancelledFlow(id, flow);
   }
   if (!flow.head->from.empty()) return amend(id, flow);
   auto run = runs_.find(id);
   if (run == runs_.end()) {
-    auto built = build(flow, flow.head->graph);
+    auto built = buildRun(flow, flow.head->graph);
     if (!built) return std::nullopt;
     run = runs_.emplace(id, std::move(*built)).first;
-    logInfo("flow taken up", "flow", id, "version", flow.head->version, "done",
+    logInfo("derived flow progress from records", "flow", id, "version", flow.head->version, "done",
             run->second.progress.count(Progress::State::done), "instances",
             flow.version(flow.head->graph)->graph.size());
   }
   if (auto commit = advance(id, flow, run->second)) return commit;
-  return remove(id, flow);
+  return removeUnusedVersion(id, flow);
 }
 
-bool FlowLoop::endable(const JobState& job) const {
+bool FlowLoop::canEnd(const JobState& job) const {
   return job.placed.empty() && (!job.active() || job.waitingCount() == 0);
 }
 
-// A job's end: its record and those of its tasks go, and what it used is counted, once. The
-// instances that it was for get their state in the same transaction.
+// Ends a job: removes the record and the task chunks of the job, adds its use to the account of the
+// rule, and writes the final states of its instances. All of this happens in one transaction, so
+// the use is counted exactly once.
 void FlowLoop::endJob(TransactionBuilder& builder, const FlowState& flow, const JobId& id,
                       const JobState& job, const OpenJob* open, Run* run) {
-  Use use = job.flow->use();
+  ResourceUse use = job.flow->use();
   for (const auto& [chunk, s] : job.flow->chunks) {
     std::string key = keys::tasks(id, chunk);
     Revision modRevision = context_.replica.modRevisionOf(key);
-    if (modRevision != Revision{}) builder.drop(key, modRevision);
+    if (modRevision != Revision{}) builder.remove(key, modRevision);
   }
-  builder.drop(keys::job(id), job.modRevision);
+  builder.remove(keys::job(id), job.modRevision);
   const FlowVersion* own = flow.version(job.record.flow->graph);
   if (own && job.record.flow->rule < own->graph.rules().size()) {
-    builder.use(own->graph.rules()[job.record.flow->rule], use);
+    builder.addUse(own->graph.rules()[job.record.flow->rule], use);
   }
   if (!open || !run) return;
   for (std::size_t task = 0; task < open->instances.size(); ++task) {
     Instance i = open->instances[task];
     if (i == kNone) continue;
     auto n = static_cast<std::uint32_t>(task);
-    if (job.isFinished(n)) builder.state(i, 'd');
-    if (!job.isFinished(n) && job.isGivenUp(n)) builder.state(i, 'f');
+    if (job.isFinished(n)) builder.setState(i, 'd');
+    if (!job.isFinished(n) && job.isGivenUp(n)) builder.setState(i, 'f');
   }
 }
 
 void FlowLoop::createJob(TransactionBuilder& builder, const FlowId& id, const FlowState& flow,
                          Run& run, std::uint32_t rule, const std::vector<Instance>& instances) {
   const FlowRule& r = flow.version(run.graph)->graph.rules()[rule];
-  FlowPart part;
+  FlowTaskMapping part;
   part.flow = id;
   part.graph = run.graph;
   part.rule = rule;
@@ -261,10 +267,11 @@
     } else {
       part.runs.emplace_back(i, 1);
     }
-    builder.state(i, 'a');
+    builder.setState(i, 'a');
   }
   auto spec = std::make_shared<JobSpec>();
-  // Never given twice: tokens are, and the counter within one. Users' ids begin otherwise.
+  // The id is unique: a fencing token is never reused and the counter is unique within one token.
+  // Job ids of users have another prefix.
   spec->id = JobId{"f-" + std::to_string(context_.token.value) + "-" + std::to_string(++jobCount_)};
   spec->jobClass = flow.head->jobClass;
   spec->team = TeamId{flow.head->team};
@@ -279,43 +286,45 @@
   spec->checkpointEvery = r.checkpointEvery;
   spec->saveTime = r.saveTime;
   JobRecord record{spec, JobPhase::active, context_.runtime.wallMillis(), tasksPerChunk(),
-                   std::make_shared<const FlowPart>(std::move(part))};
+                   std::make_shared<const FlowTaskMapping>(std::move(part))};
   builder.set(keys::job(spec->id), toJson(record), Revision{});
 }
 
-// The step that records ended instances and creates the jobs that become ready: one transaction
-// on the stamps of the head, the pages and the jobs, under the leader's token.
+// Records ended instances and creates jobs for ready instances in one transaction. The transaction
+// compares the revisions of the head, the pages and the jobs, and carries the leader's fencing
+// token.
 std::optional<Commit> FlowLoop::advance(const FlowId& id, const FlowState& flow, Run& run) {
   Instant now = context_.runtime.now();
   const FlowVersion& version = *flow.version(run.graph);
   std::size_t queued = 0, running = 0, ended = 0;
-  Instant endedSince{};
+  Instant firstEndedAt{};
   for (const auto& [jobId, open] : run.jobs) {
     const auto* job = context_.replica.job(jobId);
     queued += job->waitingCount();
     running += job->placed.size();
-    if (!open.pending.empty() || !endable(*job)) continue;
-    if (ended++ == 0 || open.endedAt < endedSince) endedSince = open.endedAt;
+    if (!open.unfinishedTasks.empty() || !canEnd(*job)) continue;
+    if (ended++ == 0 || open.endedAt < firstEndedAt) firstEndedAt = open.endedAt;
   }
-  ReleaseView view;
-  view.ready = queued >= kMostQueued ? 0 : run.progress.ready();
-  view.batch = tasksPerChunk();
-  view.oldest = now - run.readySince;
-  view.queued = queued;
-  view.running = running;
-  view.ended = run.progress.count(Progress::State::done);
-  view.changes = run.changes;
-  bool release = releaseNow(view);
-  bool over = run.progress.over();
-  if (!release && !over && (ended == 0 || now - endedSince < kEndedPatience)) return std::nullopt;
+  BatchingInput input;
+  input.ready = queued >= kMaxQueuedTasks ? 0 : run.progress.readyCount();
+  input.maxJobTasks = tasksPerChunk();
+  input.oldestReadyAge = now - run.readySince;
+  input.queued = queued;
+  input.running = running;
+  input.ended = run.progress.count(Progress::State::done);
+  input.changes = run.changes;
+  bool createJobs = shouldCreateJobs(input);
+  bool over = run.progress.hasEnded();
+  if (!createJobs && !over && (ended == 0 || now - firstEndedAt < kMaxEndedJobDelay))
+    return std::nullopt;
 
   TransactionBuilder builder(context_, id, flow, version, run.graph);
-  // What is still to be written of a version whose record is taken from the head's stamp: an
-  // amendment or a cancellation that was committed meanwhile makes this fail.
+  // The transaction compares the revision of the head, so it fails if an amendment or a
+  // cancellation has been committed in the meantime.
   std::size_t endedNow = 0, createdNow = 0, instances = 0;
   for (auto& [jobId, open] : run.jobs) {
     const auto* job = context_.replica.job(jobId);
-    if (!open.pending.empty() || !endable(*job)) continue;
+    if (!open.unfinishedTasks.empty() || !canEnd(*job)) continue;
     TransactionBuilder before = builder;
     endJob(builder, flow, jobId, *job, &open, &run);
     if (!builder.fits()) {
@@ -324,25 +333,26 @@
     }
     ++endedNow;
   }
-  if (release) {
+  if (createJobs) {
     std::vector<std::uint32_t> rules;
     for (std::uint32_t r = 0; r < version.graph.rules().size(); ++r) {
-      if (run.progress.readyOf(r) > 0) rules.push_back(r);
+      if (run.progress.readyCountOf(r) > 0) rules.push_back(r);
     }
     std::stable_sort(rules.begin(), rules.end(), [&](auto a, auto b) {
       return version.graph.rules()[a].priority > version.graph.rules()[b].priority;
     });
     bool full = false;
     for (std::uint32_t rule : rules) {
-      auto ready = run.progress.takeReady(rule, run.progress.readyOf(rule));
+      auto ready = run.progress.readyInstances(rule, run.progress.readyCountOf(rule));
       std::sort(ready.begin(), ready.end());
       for (std::size_t from = 0; from < ready.size() && !full;) {
-        // Its end must fit in one transaction too: few pages, however scattered what is ready.
+        // The later end of the job must also fit in one transaction. The number of pages is
+        // therefore limited, even if the ready instances are scattered over many pages.
         std::vector<Instance> batch;
         std::size_t pages = 0;
         for (; from < ready.size() && batch.size() < tasksPerChunk(); ++from) {
           bool newPage = batch.empty() || batch.back() / kPageSize != ready[from] / kPageSize;
-          if (newPage && pages == mostPages()) break;
+          if (newPage && pages == maxPagesPerJob()) break;
           pages += newPage ? 1 : 0;
           batch.push_back(ready[from]);
         }
@@ -370,16 +380,16 @@
     if (!builder.fits()) {
       builder = std::move(before);
     } else {
-      logInfo("flow over", "flow", id, "done", head.done, "failed", head.failed, "skipped",
+      logInfo("flow ended", "flow", id, "done", head.done, "failed", head.failed, "skipped",
               head.skipped);
     }
   }
   if (builder.empty()) return std::nullopt;
   std::size_t changes = builder.changes();
-  std::vector<JobId> gone = builder.droppedJobs();
+  std::vector<JobId> removedJobs = builder.removedJobs();
   return Commit{builder.finish(),
-                [this, id, changes, gone] {
-                  for (const auto& job : gone) outcomes_.forgetJob(job);
+                [this, id, changes, removedJobs] {
+                  for (const auto& job : removedJobs) outcomes_.forgetJob(job);
                   if (auto r = runs_.find(id); r != runs_.end()) r->second.changes += changes;
                 },
                 "flow " + id.value + ": " + std::to_string(createdNow) + " jobs of " +
@@ -397,7 +407,7 @@
     for (const auto& [jobId, open] : run.jobs) {
       const auto* job = context_.replica.job(jobId);
       if (!job || !job->record.spec || job->record.spec->estimate > horizon) continue;
-      for (auto task : open.pending) {
+      for (auto task : open.unfinishedTasks) {
         if (open.instances[task] != kNone && job->placed.contains(task) &&
             run.progress.state(open.instances[task]) == Progress::State::assigned) {
           soon.push_back(open.instances[task]);
--- a/src/flows/flow_loop.hpp
+++ b/src/flows/flow_loop.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// The leader's work on flows: makes ready instances into jobs, takes ended jobs off the record and
-/// counts them, carries out amendments and cancellations, removes what is over. Everything it knows
-/// of a flow's progress is derived from the records, so a new leader goes on where the last one
-/// was.
+/// The leader's control loop for flows. It creates jobs from ready instances, removes the records
+/// of ended jobs and accounts for their use, applies amendments and cancellations, and removes
+/// unused versions. The loop derives the progress of a flow from the records in the state service,
+/// so a new leader continues where the previous leader stopped.
 #pragma once
 
 #include "cloud/demand.hpp"
@@ -12,6 +12,7 @@
 
 namespace kestrelhoist {
 
+/// Advances all flows, one transaction at a time.
 class FlowLoop : public ControlLoop {
  public:
   FlowLoop(LeaderContext& context, ConfirmedOutcomes& outcomes, TaskLoop& tasks)
@@ -20,48 +21,55 @@
   LoopStep next() override;
   void onRecordsChanged(bool byOthers) override;
 
-  /// What becomes ready when tasks end that are expected to end within `horizon`, and how many
-  /// tasks that is. DESIGN: waiting downstream jobs of a running upstream job add their room.
+  /// Returns the demand of the instances that become ready when the running tasks end that are
+  /// expected to end within `horizon`. The scaling loop treats this demand like the
+  /// demand of jobs that wait for a running job.
   std::vector<ProjectedDemand> upcoming(Duration horizon) const;
-  /// Of what is in jobs, tasks on machines that are expected to end within it: their room is free.
+  /// Returns the resources of the running tasks of flows that are expected to end within `horizon`.
+  /// These resources become free.
   std::vector<ProjectedDemand> ending(Duration horizon) const;
 
  private:
   static constexpr Instance kNone = 0xffffffffU;
+  /// Holds the state of one job of a flow until the job record is removed.
   struct OpenJob {
-    std::vector<Instance> instances;     ///< by task; kNone: no longer wanted
-    std::vector<std::uint32_t> pending;  ///< tasks whose end is not known yet
-    Instant endedAt{};                   ///< when all were found ended
+    std::vector<Instance> instances;  ///< Lists instances by task; kNone if dropped.
+    std::vector<std::uint32_t> unfinishedTasks;
+    /// Records when the loop first saw that all tasks of the job had ended.
+    Instant endedAt{};
   };
-  /// One open flow, derived from its records.
+  /// Holds the execution state of one open flow, derived from its records.
   struct Run {
     Digest graph;
     Progress progress;
     std::map<JobId, OpenJob> jobs;
     Instant readySince{};
-    std::size_t changes = 0;  ///< written for it by this leadership
+    /// Counts the changes that this leader has written for the flow.
+    std::size_t changes = 0;
   };
   class TransactionBuilder;
 
-  void observe(const FlowId& id, const JobId& job);
-  std::optional<Run> build(const FlowState& flow, const Digest& graph) const;
-  OpenJob adopt(const FlowState& flow, const JobState& job, const FlowVersion& version,
-                const std::unordered_map<std::uint64_t, Instance>* byPrint) const;
-  void settle(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const;
+  void applyJobChange(const FlowId& id, const JobId& job);
+  std::optional<Run> buildRun(const FlowState& flow, const Digest& graph) const;
+  OpenJob openJobFor(
+      const FlowState& flow, const JobState& job, const FlowVersion& version,
+      const std::unordered_map<std::uint64_t, Instance>* instanceByFingerprint) const;
+  void applyEndedTasks(const FlowState& flow, Run& run, const JobState& job, OpenJob& open) const;
 
-  std::optional<Commit> nextOf(const FlowId& id, const FlowState& flow);
+  std::optional<Commit> nextCommit(const FlowId& id, const FlowState& flow);
   std::optional<Commit> advance(const FlowId& id, const FlowState& flow, Run& run);
   std::optional<Commit> amend(const FlowId& id, const FlowState& flow);
-  std::optional<Commit> wind(const FlowId& id, const FlowState& flow);
-  std::optional<Commit> remove(const FlowId& id, const FlowState& flow);
-  std::optional<Commit> dropOrphans() const;
+  std::optional<Commit> endCancelledFlow(const FlowId& id, const FlowState& flow);
+  std::optional<Commit> removeUnusedVersion(const FlowId& id, const FlowState& flow);
+  std::optional<Commit> removeOrphanSubChunks() const;
   void endJob(TransactionBuilder& builder, const FlowState& flow, const JobId& id,
               const JobState& job, const OpenJob* open, Run* run);
   void createJob(TransactionBuilder& builder, const FlowId& id, const FlowState& flow, Run& run,
                  std::uint32_t rule, const std::vector<Instance>& instances);
-  bool endable(const JobState& job) const;
-  /// Of one job: its record, its tasks' and an account change with them.
-  std::size_t mostPages() const {
+  bool canEnd(const JobState& job) const;
+  /// Returns the maximum number of pages that the instances of one job may span. The transaction
+  /// that ends a job also changes its job record, its task chunk and an account.
+  std::size_t maxPagesPerJob() const {
     return context_.platform.transactionOps > 4 ? context_.platform.transactionOps - 4 : 1;
   }
   std::uint32_t tasksPerChunk() const { return chunkSizeFor(context_.platform.valueBytes); }
@@ -70,9 +78,11 @@
   ConfirmedOutcomes& outcomes_;
   TaskLoop& tasks_;
   std::map<FlowId, Run> runs_;
-  FlowId last_;  ///< whose turn it was
+  /// Identifies the flow of the previous commit. The next search for a commit starts after it.
+  FlowId lastServedFlow_;
   std::uint64_t jobCount_ = 0;
-  std::map<std::pair<FlowId, Digest>, std::uint32_t> removed_;  ///< texts and parts so far
+  /// Counts the keys removed so far of each version that is being removed.
+  std::map<std::pair<FlowId, Digest>, std::uint32_t> removedKeyCounts_;
 };
 
 }  // namespace kestrelhoist
--- a/src/flows/flow_loop_versions.cpp
+++ b/src/flows/flow_loop_versions.cpp
@@ -1,4 +1,4 @@
-// Changes of a flow's graph, cancellations, and the removal of what nobody needs any more.
+// Implements amendments and cancellations of flows, and the removal of unused versions.
 #include <algorithm>
 
 #include "base/log.hpp"
@@ -6,27 +6,31 @@
 
 namespace kestrelhoist {
 namespace {
-// A graph that was uploaded and never used; only garbage waits for it.
+// Age at which an uploaded version that was never committed is removed. A long delay only keeps
+// unused records longer.
 constexpr std::int64_t kAbandonedMs = 30 * 60 * 1000;
 const FlowVersion kNoVersion;
 }  // namespace
 
-// The change to another version: instances that are the same in both keep their state and their
-// running tasks; tasks of others are dropped, which stops them. Each step is derived from the
-// records, so whoever leads takes it up wherever it is. The flow starts nothing meanwhile.
+// Applies an amendment, which changes a flow to another version. Instances with the same
+// fingerprint in both versions keep their state and their running tasks; other tasks are dropped
+// and stopped. Each step is derived from the records, so a new leader can continue an unfinished
+// amendment. The flow creates no jobs until the amendment is complete.
 std::optional<Commit> FlowLoop::amend(const FlowId& id, const FlowState& flow) {
   const FlowVersion* target = flow.version(flow.head->graph);
-  auto old = build(flow, flow.head->from);
+  auto old = buildRun(flow, flow.head->from);
   if (!target || !target->complete() || !old) return std::nullopt;
   const FlowVersion& source = *flow.version(flow.head->from);
-  std::unordered_map<std::uint64_t, Instance> byPrint;
-  byPrint.reserve(target->graph.size());
-  for (Instance i = 0; i < target->graph.size(); ++i) byPrint.emplace(target->graph.print(i), i);
+  std::unordered_map<std::uint64_t, Instance> instanceByFingerprint;
+  instanceByFingerprint.reserve(target->graph.size());
+  for (Instance i = 0; i < target->graph.size(); ++i)
+    instanceByFingerprint.emplace(target->graph.fingerprint(i), i);
 
   std::string letters(target->graph.size(), 'w');
   for (Instance i = 0; i < source.graph.size(); ++i) {
     if (source.stateOf(i) != 'd') continue;
-    if (auto it = byPrint.find(source.graph.print(i)); it != byPrint.end())
+    if (auto it = instanceByFingerprint.find(source.graph.fingerprint(i));
+        it != instanceByFingerprint.end())
       letters[it->second] = 'd';
   }
   TransactionBuilder builder(context_, id, flow, *target, flow.head->graph);
@@ -37,9 +41,11 @@
     std::vector<std::uint32_t> unwanted;
     for (std::uint32_t task = 0; task < open.instances.size(); ++task) {
       Instance i = open.instances[task];
-      auto kept = i == kNone ? byPrint.end() : byPrint.find(source.graph.print(i));
-      // A failed instance is tried again, in a job of its own.
-      bool wanted = kept != byPrint.end() && (job->isFinished(task) || !job->isGivenUp(task));
+      auto kept = i == kNone ? instanceByFingerprint.end()
+                             : instanceByFingerprint.find(source.graph.fingerprint(i));
+      // A failed instance is retried in a new job.
+      bool wanted =
+          kept != instanceByFingerprint.end() && (job->isFinished(task) || !job->isGivenUp(task));
       if (wanted) {
         if (letters[kept->second] == 'w') letters[kept->second] = 'a';
       } else if (!job->isDropped(task) && !job->isFinished(task)) {
@@ -48,10 +54,10 @@
     }
     if (unwanted.empty() || full) continue;
     JobRecord record = job->record;
-    FlowPart part = *record.flow;
+    FlowTaskMapping part = *record.flow;
     part.dropped.insert(part.dropped.end(), unwanted.begin(), unwanted.end());
     std::sort(part.dropped.begin(), part.dropped.end());
-    record.flow = std::make_shared<const FlowPart>(std::move(part));
+    record.flow = std::make_shared<const FlowTaskMapping>(std::move(part));
     TransactionBuilder before = builder;
     builder.set(keys::job(jobId), toJson(record), job->modRevision);
     if (!builder.fits()) {
@@ -75,7 +81,7 @@
     }
     TransactionBuilder before = builder;
     for (std::size_t k = 0; k < states.size(); ++k) {
-      builder.state(static_cast<Instance>(page * kPageSize + k), states[k]);
+      builder.setState(static_cast<Instance>(page * kPageSize + k), states[k]);
     }
     if (!builder.fits()) {
       builder = std::move(before);
@@ -90,12 +96,12 @@
   Transaction t = context_.begin();
   t.compares.push_back({keys::flow(id), flow.modRevision});
   t.writes.push_back({keys::flow(id), toJson(head), std::nullopt});
-  logInfo("flow changed", "flow", id, "version", head.version);
+  logInfo("flow amendment completed", "flow", id, "version", head.version);
   return Commit{std::move(t), nullptr, "flow " + id.value + ": changed"};
 }
 
-// A flow that was cancelled: its jobs are, then they leave the record.
-std::optional<Commit> FlowLoop::wind(const FlowId& id, const FlowState& flow) {
+// Cancels the jobs of a cancelled flow, and ends each of them when its tasks have stopped.
+std::optional<Commit> FlowLoop::endCancelledFlow(const FlowId& id, const FlowState& flow) {
   const FlowVersion* version = flow.version(flow.head->graph);
   TransactionBuilder builder(context_, id, flow, version ? *version : kNoVersion, flow.head->graph);
   std::size_t cancelled = 0, ended = 0;
@@ -120,23 +126,25 @@
     }
   }
   if (builder.empty()) return std::nullopt;
-  std::vector<JobId> gone = builder.droppedJobs();
+  std::vector<JobId> removedJobs = builder.removedJobs();
   return Commit{builder.finish(),
-                [this, gone] {
-                  for (const auto& job : gone) outcomes_.forgetJob(job);
+                [this, removedJobs] {
+                  for (const auto& job : removedJobs) outcomes_.forgetJob(job);
                   tasks_.sendStops();
                 },
                 "flow " + id.value + ": " + std::to_string(cancelled) + " jobs cancelled, " +
                     std::to_string(ended) + " ended"};
 }
 
-// Versions that no head and no job refers to. First the upload's record says that it takes no more
-// parts: its stamp moves, so that a late write of a part fails. It is also the last to go.
-std::optional<Commit> FlowLoop::remove(const FlowId& id, const FlowState& flow) {
+// Removes versions that no head and no job refers to. The upload record is first marked as closing.
+// This changes its revision, so that a late write of a part fails. The upload record itself is
+// removed last.
+std::optional<Commit> FlowLoop::removeUnusedVersion(const FlowId& id, const FlowState& flow) {
   bool over = flow.head && flow.head->phase != FlowPhase::open;
   std::int64_t wall = context_.runtime.wallMillis();
   for (const auto& [digest, version] : flow.versions) {
-    if (!version.upload) continue;  // a part that outran its upload's record in the feed
+    // The change feed has delivered a part, but not yet the upload record.
+    if (!version.upload) continue;
     if (flow.head && !over && (digest == flow.head->graph || digest == flow.head->from)) continue;
     bool used = std::any_of(flow.jobs.begin(), flow.jobs.end(), [&](const JobId& job) {
       const auto* state = context_.replica.job(job);
@@ -153,7 +161,7 @@
       t.writes.push_back({key, toJson(closing), std::nullopt});
       return Commit{std::move(t), nullptr, "flow " + id.value + ": a version is being removed"};
     }
-    std::uint32_t& at = removed_[{id, digest}];
+    std::uint32_t& at = removedKeyCounts_[{id, digest}];
     std::uint32_t pages = version.upload->instances / kPageSize + 1;
     std::uint32_t total = version.upload->texts + pages + version.upload->parts;
     std::uint32_t next = at;
@@ -174,8 +182,8 @@
     if (last) t.writes.push_back({key, std::nullopt, std::nullopt});
     return Commit{std::move(t),
                   [this, id, digest, next, last] {
-                    removed_[{id, digest}] = next;
-                    if (last) removed_.erase({id, digest});
+                    removedKeyCounts_[{id, digest}] = next;
+                    if (last) removedKeyCounts_.erase({id, digest});
                   },
                   "flow " + id.value + ": a version removed"};
   }
--- a/src/flows/flow_replica.hpp
+++ b/src/flows/flow_replica.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// A controller's copy of the flows' records, part of the replica. Applying a change costs what
-/// the change says, not what a flow is.
+/// Keeps an in-memory copy of the flow records on each controller, as part of the replica. The cost
+/// of applying a change is proportional to the change, not to the size of the flow.
 #pragma once
 
 #include <map>
@@ -11,62 +11,67 @@
 
 namespace kestrelhoist {
 
-/// One uploaded graph of a flow.
+/// Holds the replicated records of one uploaded version of a flow.
 struct FlowVersion {
   std::optional<FlowUpload> upload;
-  Revision modRevision;                 ///< of the upload's record
-  FlowGraph graph;                      ///< of the parts that came so far, in order
-  std::uint32_t parts{};                ///< how many of them
-  std::map<std::uint32_t, Json> early;  ///< parts that came before an earlier one
-  std::string fault;                    ///< why a part was not accepted
+  Revision modRevision;   ///< Identifies the revision of the upload record.
+  FlowGraph graph;        ///< Contains the consecutive parts received so far.
+  std::uint32_t parts{};  ///< Counts the parts in `graph`.
+  /// Contains the parts that arrived before a part with a smaller number.
+  std::map<std::uint32_t, Json> outOfOrderParts;
+  std::string partError;  ///< Explains why a part was rejected; empty if none was.
   std::map<std::uint32_t, std::string> pages;
 
   bool complete() const {
-    return upload && fault.empty() && parts == upload->parts && graph.size() == upload->instances;
+    return upload && partError.empty() && parts == upload->parts &&
+           graph.size() == upload->instances;
   }
-  /// As on record; waiting where there is no page.
+  /// Returns the recorded state letter of an instance, or w(aiting) if its page does not exist.
   char stateOf(Instance i) const;
 };
 
+/// Holds the replicated records of one flow.
 struct FlowState {
   std::optional<FlowHead> head;
-  Revision modRevision;  ///< of the head
+  Revision modRevision;  ///< Identifies the revision of the head.
   std::map<Digest, FlowVersion> versions;
-  std::map<std::uint32_t, std::vector<AccountEntry>> accounts;  ///< by block
-  std::set<JobId> jobs;                                         ///< on record, in whatever phase
+  std::map<std::uint32_t, std::vector<AccountEntry>> accounts;  ///< Maps block numbers to entries.
+  std::set<JobId> jobs;  ///< Contains the jobs that have a record, in any phase.
 
   const FlowVersion* version(const Digest& graph) const;
 };
 
+/// Holds the replicated records of all flows.
 class FlowReplica {
  public:
-  /// False: not a key of a flow.
+  /// Applies a changed or removed (null) record. Returns false if the key is not a flow key.
   bool apply(const std::string& key, const Json* value, Revision modRevision);
   void addJob(const FlowId& flow, const JobId& job);
-  void dropJob(const FlowId& flow, const JobId& job);
-  /// Tasks of this job ended or were dropped: whoever advances the flow looks at it.
-  void touch(const FlowId& flow, const JobId& job) { touched_.emplace(flow, job); }
-  std::set<std::pair<FlowId, JobId>> takeTouched() { return std::exchange(touched_, {}); }
+  void removeJob(const FlowId& flow, const JobId& job);
+  /// Marks a job whose tasks have ended or were dropped, so that the flow loop reads it again.
+  void markChanged(const FlowId& flow, const JobId& job) { changedJobs_.emplace(flow, job); }
+  std::set<std::pair<FlowId, JobId>> takeChangedJobs() { return std::exchange(changedJobs_, {}); }
 
   const std::map<FlowId, FlowState>& flows() const { return flows_; }
   const FlowState* find(const FlowId& id) const;
-  /// Those with a graph or a job on record: what the leader has to do with.
-  const std::set<FlowId>& live() const { return live_; }
-  /// A member's open flows.
-  std::vector<FlowId> openOf(const std::string& team, const std::string& member) const;
-  /// Instances of all graphs held, uploads under way included.
+  /// Returns the flows that have a version or a job record. The leader processes only
+  /// these flows.
+  const std::set<FlowId>& active() const { return active_; }
+  /// Returns the open flows of a member.
+  std::vector<FlowId> openFlowsOf(const std::string& team, const std::string& member) const;
+  /// Returns the number of instances of all graphs in memory, including unfinished uploads.
   std::size_t instances() const { return instances_; }
-  /// Of any flow that is cancelled here.
+  /// Returns the newest modification revision of any cancelled flow head in this replica.
   Revision newestCancellation() const { return newestCancellation_; }
 
  private:
-  void setPart(FlowVersion& version, std::uint32_t part, const Json* value);
-  void tidy(std::map<FlowId, FlowState>::iterator flow);
+  void addGraphPart(FlowVersion& version, std::uint32_t part, const Json* value);
+  void updateIndexes(std::map<FlowId, FlowState>::iterator flow);
 
   std::map<FlowId, FlowState> flows_;
-  std::map<std::string, std::vector<FlowId>> open_;  ///< by team/member
-  std::set<std::pair<FlowId, JobId>> touched_;
-  std::set<FlowId> live_;
+  std::map<std::string, std::vector<FlowId>> open_;  ///< Maps "team/member" to open flows.
+  std::set<std::pair<FlowId, JobId>> changedJobs_;
+  std::set<FlowId> active_;
   std::size_t instances_ = 0;
   Revision newestCancellation_;
 };
--- a/src/flows/flows_test.cpp
+++ b/src/flows/flows_test.cpp
@@ -1,4 +1,5 @@
-// Properties of a flow's parts on drawn cases with a fixed seed.
+// Tests properties of flow graphs, progress, pages and batching with random cases from a fixed
+// seed.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -11,16 +12,16 @@
 namespace kestrelhoist {
 namespace {
 
-// The library reads this once, before its first check.
+// RapidCheck reads RC_PARAMS once, before its first check.
 const int kSeeded = setenv("RC_PARAMS", "seed=20261201 max_success=150", 1);
 
-struct Drawn {
+struct GraphShape {
   std::vector<std::vector<Instance>> deps;
   std::vector<std::uint32_t> rule;
 };
 
-Drawn drawGraph() {
-  Drawn g;
+GraphShape randomGraphShape() {
+  GraphShape g;
   auto n = *rc::gen::inRange(1, 40);
   for (int i = 0; i < n; ++i) {
     std::set<Instance> deps;
@@ -33,7 +34,7 @@
   return g;
 }
 
-Json partOf(const Drawn& g, std::size_t from, std::size_t to, bool rules) {
+Json graphPartOf(const GraphShape& g, std::size_t from, std::size_t to, bool rules) {
   Json part = {{"of", Json::array()}, {"deps", Json::array()}};
   if (rules) {
     part["rules"] = Json::array();
@@ -54,18 +55,18 @@
   return part;
 }
 
-FlowGraph graphOf(const Drawn& g) {
+FlowGraph graphOf(const GraphShape& g) {
   FlowGraph graph;
   auto cut = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(g.deps.size()) + 1));
-  RC_ASSERT(!graph.add(partOf(g, 0, cut, true)));
-  RC_ASSERT(!graph.add(partOf(g, cut, g.deps.size(), false)));
+  RC_ASSERT(!graph.add(graphPartOf(g, 0, cut, true)));
+  RC_ASSERT(!graph.add(graphPartOf(g, cut, g.deps.size(), false)));
   return graph;
 }
 
 TEST(FlowGraphProperty, PartsComeToTheWhole) {
   EXPECT_EQ(kSeeded, 0);
   EXPECT_TRUE(rc::check([] {
-    Drawn g = drawGraph();
+    GraphShape g = randomGraphShape();
     FlowGraph graph = graphOf(g);
     RC_ASSERT(graph.size() == g.deps.size());
     for (Instance i = 0; i < graph.size(); ++i) {
@@ -76,11 +77,11 @@
   }));
 }
 
-// Parts with any field changed: taken or refused whole, never half.
+// A part with random fields changed must be accepted or rejected as a whole.
 TEST(FlowGraphProperty, MalformedPartsChangeNothing) {
   EXPECT_TRUE(rc::check([] {
-    Drawn g = drawGraph();
-    Json part = partOf(g, 0, g.deps.size(), true);
+    GraphShape g = randomGraphShape();
+    Json part = graphPartOf(g, 0, g.deps.size(), true);
     for (int k = *rc::gen::inRange(1, 4); k > 0; --k) {
       const char* fields[] = {"of", "deps", "print", "outh", "rules", "outs"};
       std::string name = fields[*rc::gen::inRange(0, 6)];
@@ -116,10 +117,11 @@
   }));
 }
 
-// Whatever order things end in, what is ready is what a look at the whole graph says.
+// The incrementally maintained set of ready instances must equal the set computed from the whole
+// graph, in whatever order instances finish or fail.
 TEST(ProgressProperty, ReadyIsWhatTheGraphSays) {
   EXPECT_TRUE(rc::check([] {
-    Drawn g = drawGraph();
+    GraphShape g = randomGraphShape();
     FlowGraph graph = graphOf(g);
     bool keep = *rc::gen::arbitrary<bool>();
     Progress p(graph, keep);
@@ -129,15 +131,15 @@
       for (Instance d : graph.deps(i)) done = done && p.state(d) == State::done;
       if (done) p.restore(i, State::done);
     }
-    p.settle();
+    p.recompute();
     auto ready = [&] {
       std::set<Instance> out;
       for (std::uint32_t r = 0; r < graph.rules().size(); ++r) {
-        for (Instance i : p.takeReady(r, 1000)) out.insert(i);
+        for (Instance i : p.readyInstances(r, 1000)) out.insert(i);
       }
       return out;
     };
-    auto byHand = [&] {
+    auto expectedReady = [&] {
       std::set<Instance> out;
       for (Instance i = 0; i < graph.size(); ++i) {
         bool all = p.state(i) == State::waiting;
@@ -147,10 +149,10 @@
       return out;
     };
     std::vector<Instance> assigned;
-    for (int step = 0; step < 200 && !p.over(); ++step) {
+    for (int step = 0; step < 200 && !p.hasEnded(); ++step) {
       auto now = ready();
-      RC_ASSERT(now == byHand());
-      RC_ASSERT(now.size() == p.ready());
+      RC_ASSERT(now == expectedReady());
+      RC_ASSERT(now.size() == p.readyCount());
       if (!now.empty() && (assigned.empty() || *rc::gen::arbitrary<bool>())) {
         Instance i = *std::next(now.begin(), *rc::gen::inRange(0, static_cast<int>(now.size())));
         p.assign(i);
@@ -165,11 +167,11 @@
           p.finish(i);
         }
       } else {
-        RC_ASSERT(p.stuck());
+        RC_ASSERT(p.isStuck());
         break;
       }
     }
-    if (keep) RC_ASSERT(p.over());
+    if (keep) RC_ASSERT(p.hasEnded());
     std::uint32_t sum = 0;
     for (auto s : {State::waiting, State::assigned, State::done, State::failed, State::skipped})
       sum += p.count(s);
@@ -178,26 +180,27 @@
 }
 
 TEST(ProgressProperty, WorkFollowsDependents) {
-  // A chain of pairs: ending one visits its one dependent, however large the graph is.
-  Drawn g;
+  // The graph consists of pairs. Finishing the first instance of a pair must visit only its one
+  // dependent, whatever the size of the graph.
+  GraphShape g;
   for (Instance i = 0; i < 20000; ++i) {
     g.deps.push_back(i < 10000 ? std::vector<Instance>{} : std::vector<Instance>{i - 10000});
     g.rule.push_back(0);
   }
   FlowGraph graph;
-  ASSERT_FALSE(graph.add(partOf(g, 0, g.deps.size(), true)));
+  ASSERT_FALSE(graph.add(graphPartOf(g, 0, g.deps.size(), true)));
   Progress p(graph, false);
-  p.settle();
+  p.recompute();
   for (Instance i = 0; i < 100; ++i) p.assign(i);
   auto before = p.visits();
   for (Instance i = 0; i < 100; ++i) p.finish(i);
   EXPECT_EQ(p.visits() - before, 100u);
 }
 
-// Aim: at most 150 bytes an instance on a controller, the leader's own view included.
+// A controller must need at most 150 bytes per instance, including the leader's progress state.
 TEST(FlowGraph, AnInstanceCostsFewBytes) {
   FlowGraph graph;
-  Drawn g;
+  GraphShape g;
   constexpr std::size_t n = 100000;
   for (Instance i = 0; i < n; ++i) {
     g.deps.push_back(i < n / 4 ? std::vector<Instance>{}
@@ -205,12 +208,12 @@
     g.rule.push_back(i % 3);
   }
   for (std::size_t from = 0; from < n; from += 180) {
-    ASSERT_FALSE(graph.add(partOf(g, from, std::min(n, from + 180), from == 0)));
+    ASSERT_FALSE(graph.add(graphPartOf(g, from, std::min(n, from + 180), from == 0)));
   }
   Progress p(graph, false);
-  p.settle();
-  double each =
-      static_cast<double>(graph.bytes() + p.bytes()) / n + 1;  // and its letter on its page
+  p.recompute();
+  // The state letter on the page takes 1 more byte.
+  double each = static_cast<double>(graph.bytes() + p.bytes()) / n + 1;
   RecordProperty("bytes_an_instance", std::to_string(each));
   EXPECT_LE(each, 150.0);
 }
@@ -232,27 +235,27 @@
 }
 
 TEST(Batching, ReleasesWhenItIsWorthIt) {
-  ReleaseView v{10, 100, Duration{1000}, 0, 0, 0, 0};
-  EXPECT_TRUE(releaseNow(v));  // nothing else is in hand
+  BatchingInput v{10, 100, Duration{1000}, 0, 0, 0, 0};
+  EXPECT_TRUE(shouldCreateJobs(v));  // the flow has no other tasks
   v.queued = v.running = 50;
-  EXPECT_TRUE(releaseNow(v));  // within what is free
+  EXPECT_TRUE(shouldCreateJobs(v));  // the changes are within the free allowance
   v.changes = 1000;
-  EXPECT_FALSE(releaseNow(v));  // too dear by now
+  EXPECT_FALSE(shouldCreateJobs(v));  // the changes exceed the allowance
   v.ended = 50000;
-  EXPECT_TRUE(releaseNow(v));  // earned again
+  EXPECT_TRUE(shouldCreateJobs(v));  // done instances have raised the allowance
   v.ended = 0;
   v.ready = 100;
-  EXPECT_TRUE(releaseNow(v));  // a full array
+  EXPECT_TRUE(shouldCreateJobs(v));  // the ready instances fill an array
   v.ready = 10;
-  v.oldest = Duration{30000};
-  EXPECT_TRUE(releaseNow(v));  // has waited long
+  v.oldestReadyAge = Duration{30000};
+  EXPECT_TRUE(shouldCreateJobs(v));  // the oldest ready instance has reached the maximum delay
   v.ready = 0;
-  EXPECT_FALSE(releaseNow(v));
+  EXPECT_FALSE(shouldCreateJobs(v));
 }
 
-// Parts may outrun one another in the feed, and a version goes with its upload's record.
+// The change feed may deliver parts in any order. A version is removed with its upload record.
 TEST(FlowReplica, PartsInAnyOrder) {
-  Drawn g;
+  GraphShape g;
   for (Instance i = 0; i < 6; ++i) {
     g.deps.push_back(i == 0 ? std::vector<Instance>{} : std::vector<Instance>{i - 1});
     g.rule.push_back(0);
@@ -263,10 +266,10 @@
   auto put = [&](const std::string& key, const Json& v) {
     EXPECT_TRUE(flowReplica.apply(key, &v, Revision{1}));
   };
-  put(keys::graphPart(id, d, 1), partOf(g, 3, 6, false));
+  put(keys::graphPart(id, d, 1), graphPartOf(g, 3, 6, false));
   EXPECT_FALSE(flowReplica.find(id)->version(d)->complete());
   put(keys::upload(id, d), toJson(FlowUpload{6, 2, 1, 6, 0, false}));
-  put(keys::graphPart(id, d, 0), partOf(g, 0, 3, true));
+  put(keys::graphPart(id, d, 0), graphPartOf(g, 0, 3, true));
   EXPECT_TRUE(flowReplica.find(id)->version(d)->complete());
   EXPECT_EQ(flowReplica.instances(), 6u);
   put(keys::page(id, d, 0), "d2aw3");
@@ -277,7 +280,7 @@
   }
   EXPECT_EQ(flowReplica.find(id), nullptr);
   EXPECT_EQ(flowReplica.instances(), 0u);
-  EXPECT_TRUE(flowReplica.live().empty());
+  EXPECT_TRUE(flowReplica.active().empty());
 }
 
 }  // namespace
--- a/src/flows/graph.hpp
+++ b/src/flows/graph.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// The graph of a flow as a controller keeps it: instances of rules, numbered so that each depends
-/// only on smaller numbers, in flat arrays (some 40 bytes an instance). Built from the parts in
-/// which it was uploaded; texts (commands, names of files) are not in it.
+/// Defines the in-memory graph of a flow. Instances of rules are numbered so that each instance
+/// depends only on smaller numbers, and are stored in flat arrays (about 40 bytes per instance).
+/// The graph is built from its uploaded parts and contains no texts (commands and file names).
 #pragma once
 
 #include <span>
@@ -14,42 +14,46 @@
 namespace kestrelhoist {
 
 using FlowId = Name<struct FlowIdTag>;
-using Digest = Name<struct DigestTag>;  ///< of one version of a flow's graph: 16 hex digits
-using Instance = std::uint32_t;         ///< number of an instance within one version
+using Digest = Name<struct DigestTag>;  ///< Identifies one version of a flow graph.
+using Instance = std::uint32_t;         ///< Numbers an instance within one version.
 
-/// w- and digits.
-bool validFlowId(const std::string& ref);
-/// 16 hex digits.
-bool validDigest(const std::string& text);
-/// Of members and flows: letters, digits and ._-, so that it can be part of a key and of a path.
-bool validLabel(const std::string& text);
+/// Returns true if `ref` is "w-" followed by 1 to 18 digits.
+bool isValidFlowId(const std::string& ref);
+/// Returns true if `text` has exactly 16 hex digits.
+bool isValidDigest(const std::string& text);
+/// Returns true if `text` is a valid name of a member or a flow. A name has 1 to 64 letters, digits
+/// or the characters ._- so that it can be part of a key and of a path.
+bool isValidLabel(const std::string& text);
 
-/// What the instances of one rule have in common.
+/// Describes the properties that all instances of one rule share.
 struct FlowRule {
   std::string name;
   Resources perTask;
   std::string image;
   double imageGb{};
-  std::uint32_t retries{};  ///< after the first failure
-  std::int32_t priority{};  ///< among the ready instances of its flow, larger first
+  std::uint32_t retries{};  ///< Counts retries after the first failure.
+  std::int32_t priority{};  ///< Orders the ready instances of a flow; larger starts first.
   Duration estimate{};
-  Duration checkpointEvery{};  ///< 0: never saves
+  Duration checkpointEvery{};  ///< The value 0 disables checkpoints.
   Duration saveTime{};
   bool spot{};
 };
 
 Json toJson(const FlowRule& rule);
-std::optional<FlowRule> flowRuleFrom(const Json& value);
+std::optional<FlowRule> flowRuleFromJson(const Json& value);
 
+/// Stores the graph of one version of a flow.
 class FlowGraph {
  public:
-  static constexpr std::size_t kMostRules = 10000;
-  static constexpr std::size_t kMostDeps = 10000;  ///< of one instance
+  static constexpr std::size_t kMaxRules = 10000;
+  static constexpr std::size_t kMaxDependencies = 10000;  ///< Limits one instance.
 
-  /// Appends the next part; otherwise says why not and stays as it was.
+  /// Appends the next part. Returns an error text if the part is invalid; the graph is then
+  /// unchanged. The format of a part is:
   /// {"rules":[...new ones...], "of":[rule,count,...], "deps":[count,back,...,count,...],
   ///  "print":"16 hex digits an instance", "outs":[count,...], "outh":"16 hex digits an output"}
-  /// `deps` are distances back from the instance. Without `outs` each instance has one output.
+  /// An entry of `deps` is the distance from an instance back to the instance that it depends on.
+  /// Without `outs`, each instance has one output.
   std::optional<std::string> add(const Json& part);
 
   Instance size() const { return static_cast<Instance>(ruleOf_.size()); }
@@ -58,14 +62,15 @@
   std::span<const Instance> deps(Instance i) const {
     return std::span(deps_).subspan(depStart_[i], depStart_[i + 1] - depStart_[i]);
   }
-  std::uint64_t print(Instance i) const { return prints_[i]; }
-  /// Hashes of the names of the files it makes.
+  /// Returns the fingerprint that identifies the same instance in different versions of a flow.
+  std::uint64_t fingerprint(Instance i) const { return fingerprints_[i]; }
+  /// Returns the hashes of the names of the files that instance `i` writes.
   std::span<const std::uint64_t> outputs(Instance i) const {
     return std::span(outs_).subspan(outStart_[i], outStart_[i + 1] - outStart_[i]);
   }
   const std::vector<std::uint64_t>& allOutputs() const { return outs_; }
   std::size_t edges() const { return deps_.size(); }
-  /// Bytes of memory, as far as the graph knows.
+  /// Returns the memory of the arrays in bytes, without the strings of the rules.
   std::size_t bytes() const;
 
  private:
@@ -73,7 +78,7 @@
   std::vector<std::uint16_t> ruleOf_;
   std::vector<std::uint32_t> depStart_{0};
   std::vector<Instance> deps_;
-  std::vector<std::uint64_t> prints_;
+  std::vector<std::uint64_t> fingerprints_;
   std::vector<std::uint32_t> outStart_{0};
   std::vector<std::uint64_t> outs_;
 };
--- a/src/flows/service_commits.cpp
+++ b/src/flows/service_commits.cpp
@@ -1,4 +1,4 @@
-// Flows begin, change to another version and are cancelled.
+// Implements the requests that start, amend and cancel flows.
 #include <algorithm>
 
 #include "base/log.hpp"
@@ -9,26 +9,28 @@
 namespace kestrelhoist {
 namespace {
 
-constexpr std::size_t kMaxNameBytes = 200;  // of a team or a job class
+// Limits the length of the name of a team or a job class.
+constexpr std::size_t kMaxNameBytes = 200;
 
-// Flows have all priorities but production, which is for what serves users.
-std::optional<Priority> priorityFrom(const std::string& word) {
+// Parses the priority of a flow. Production priority is reserved for services, so a flow cannot
+// have it.
+std::optional<Priority> parsePriority(const std::string& word) {
   if (word == "high") return Priority::high;
   if (word == "standard") return Priority::normal;
   if (word == "best_effort") return Priority::low;
   return std::nullopt;
 }
 
-// Team, member and name of a flow; empty: malformed.
-std::optional<FlowHead> headFrom(const Json& body) {
+// Parses the fields of a flow head from the request body. Returns null if a field is malformed.
+std::optional<FlowHead> flowHeadFromBody(const Json& body) {
   auto team = textField(body, "owner");
   auto member = textField(body, "member");
   auto name = textField(body, "name");
   auto jobClass = textField(body, "lane");
-  auto priority = priorityFrom(textField(body, "rank").value_or("best_effort"));
+  auto priority = parsePriority(textField(body, "rank").value_or("best_effort"));
   if (!team || team->empty() || team->size() > kMaxNameBytes) return std::nullopt;
-  if (!member || !validLabel(*member)) return std::nullopt;
-  if (!name || !validLabel(*name)) return std::nullopt;
+  if (!member || !isValidLabel(*member)) return std::nullopt;
+  if (!name || !isValidLabel(*name)) return std::nullopt;
   if (!priority || (jobClass && jobClass->size() > kMaxNameBytes)) return std::nullopt;
   FlowHead head;
   head.team = *team;
@@ -44,17 +46,17 @@
   return flow && flow->head ? &*flow->head : nullptr;
 }
 
-// Takes no other version any more.
+// Returns the response for a flow that has another version or has ended, and so cannot be amended.
 Response conflictResponse(const FlowId& id, const FlowHead& head) {
   const char* why =
       head.phase == FlowPhase::open ? "another version was first" : "the flow is over";
   return jsonResponse(409, {{"error", why},
                             {"ref", id.value},
-                            {"phase", wordOf(head.phase)},
+                            {"phase", toString(head.phase)},
                             {"version", head.version}});
 }
 
-// The head of a flow that changes to the wanted version.
+// Returns the head of a flow that is amended to the wanted version.
 FlowHead changedHead(FlowHead head, const FlowHead& wanted) {
   ++head.version;
   head.from = head.graph;
@@ -63,7 +65,7 @@
   return head;
 }
 
-// The head of a flow that begins with the wanted version.
+// Returns the head of a flow that starts with the wanted version.
 FlowHead firstHead(FlowHead wanted, std::int64_t nowMs) {
   wanted.version = 1;
   wanted.atMs = nowMs;
@@ -75,8 +77,8 @@
 void FlowService::commit(const FlowId& id, const Body& body, const Respond& respond) {
   auto digest = textField(*body, "version");
   auto base = countField(*body, "base");
-  auto wanted = headFrom(*body);
-  if (!digest || !validDigest(*digest) || !base || !wanted) {
+  auto wanted = flowHeadFromBody(*body);
+  if (!digest || !isValidDigest(*digest) || !base || !wanted) {
     return respond(errorResponse(
         400, "field version, base, owner, member, name or rank is missing or invalid"));
   }
@@ -85,12 +87,12 @@
     if (!ok) return respond(retryLater(503));
     if (auto answer = answerWithoutCommit(id, wanted, base)) return respond(*answer);
     const FlowVersion* version = replica_.flows().find(id)->version(wanted.graph);
-    // Texts are handed over in order: the last one tells that all are there.
+    // Clients upload texts in order, so all texts exist if the last one exists.
     readText(keys::text(id, wanted.graph, version->upload->texts - 1),
              [this, id, wanted, base, respond](const GetResult& r) {
                if (!r.ok) return respond(retryLater(503));
                if (!r.value) return respond(errorResponse(400, "texts are missing"));
-               begin(id, wanted, base, respond);
+               commitVersion(id, wanted, base, respond);
              });
   });
 }
@@ -102,7 +104,7 @@
   if (head && (head->team != wanted.team || head->member != wanted.member)) {
     return errorResponse(404, "no such flow");
   }
-  // Asked again: by a retry, or by our own lost answer.
+  // The commit is already done. The client retries it, for example because the response was lost.
   if (head && head->graph == wanted.graph && head->version == base + 1) {
     return headResponse(id, *head, 200);
   }
@@ -110,30 +112,31 @@
     return conflictResponse(id, *head);
   }
   if (!head && base != 0) return errorResponse(404, "no such flow");
-  // One change at a time: the next one may be asked for in a moment.
+  // Only one amendment may be in progress; the client retries the next one later.
   if (head && !head->from.empty()) return retryLater(503);
   const FlowVersion* version = flow ? flow->version(wanted.graph) : nullptr;
   if (!version || !version->upload || version->upload->closing) {
     return errorResponse(404, "no such upload");
   }
-  if (!version->fault.empty()) return errorResponse(400, version->fault);
+  if (!version->partError.empty()) return errorResponse(400, version->partError);
   if (!version->complete()) return errorResponse(400, "parts are missing");
   return std::nullopt;
 }
 
-void FlowService::begin(const FlowId& id, const FlowHead& wanted, std::uint64_t base,
-                        const Respond& respond) {
+void FlowService::commitVersion(const FlowId& id, const FlowHead& wanted, std::uint64_t base,
+                                const Respond& respond) {
   const FlowState* flow = replica_.flows().find(id);
   const FlowVersion* version = flow ? flow->version(wanted.graph) : nullptr;
   const FlowHead* head = headOf(flow);
-  // Read a moment ago; whatever has changed since is found here or by the conditions.
+  // The records may have changed since `commit` checked them. Changes before this point are found
+  // here; later changes make the compares of the transaction fail.
   if (!version || !version->complete() || version->upload->closing ||
       (head ? head->version : 0) != base ||
       (head && (head->phase != FlowPhase::open || !head->from.empty()))) {
     return respond(retryLater(503));
   }
-  // In one step with the revisions that are taken below: two flows that make the same file can't
-  // both pass.
+  // The admission check and the revisions for the compares come from the same replica state, so two
+  // flows that write the same file cannot both be accepted.
   FlowAdmission admission{replica_, platform_, catalogue_()};
   if (auto refusal = admission.refusal(id, *version, wanted)) return respond(*refusal);
   FlowHead next = head ? changedHead(*head, wanted) : firstHead(wanted, runtime_.wallMillis());
@@ -141,10 +144,10 @@
   t.compares.push_back({keys::flow(id), flow->modRevision});
   t.writes.push_back({keys::flow(id), toJson(next), std::nullopt});
   t.compares.push_back({keys::upload(id, wanted.graph), version->modRevision});
-  auto open = replica_.flows().openOf(wanted.team, wanted.member);
+  auto open = replica_.flows().openFlowsOf(wanted.team, wanted.member);
   if (std::find(open.begin(), open.end(), id) == open.end()) open.push_back(id);
   writeOpenFlows(t, wanted, open);
-  send(
+  commitIfWithinRate(
       std::move(t),
       [this, id, next, respond](const CommitResult& r) {
         if (r.outcome != CommitOutcome::applied) return respond(retryLater(503));
@@ -155,31 +158,32 @@
       respond);
 }
 
-void FlowService::cancel(const FlowId& id, int triesLeft, const Respond& respond) {
-  watcher_.linearizableRead([this, id, triesLeft, respond](bool ok) {
+void FlowService::cancel(const FlowId& id, int retriesLeft, const Respond& respond) {
+  watcher_.linearizableRead([this, id, retriesLeft, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!headOf(flow)) return respond(errorResponse(404, "no such flow"));
     if (flow->head->phase != FlowPhase::open) {
-      return respond(jsonResponse(200, {{"ref", id.value}, {"phase", wordOf(flow->head->phase)}}));
+      return respond(
+          jsonResponse(200, {{"ref", id.value}, {"phase", toString(flow->head->phase)}}));
     }
     FlowHead head = cancelledHead(*flow);
     Transaction t;
     t.compares.push_back({keys::flow(id), flow->modRevision});
     t.writes.push_back({keys::flow(id), toJson(head), std::nullopt});
-    auto open = replica_.flows().openOf(head.team, head.member);
+    auto open = replica_.flows().openFlowsOf(head.team, head.member);
     std::erase(open, id);
     writeOpenFlows(t, head, open);
-    send(
+    commitIfWithinRate(
         std::move(t),
-        [this, id, triesLeft, respond](const CommitResult& r) {
+        [this, id, retriesLeft, respond](const CommitResult& r) {
           if (r.outcome == CommitOutcome::applied) {
             logInfo("flow cancelled", "flow", id);
             if (onCommitted) onCommitted();
             return respond(jsonResponse(200, {{"ref", id.value}, {"phase", "cancelled"}}));
           }
-          if (r.outcome == CommitOutcome::conflict && triesLeft > 0) {
-            return cancel(id, triesLeft - 1, respond);
+          if (r.outcome == CommitOutcome::conflict && retriesLeft > 0) {
+            return cancel(id, retriesLeft - 1, respond);
           }
           respond(retryLater(503));
         },
--- a/src/flows/service_reads.cpp
+++ b/src/flows/service_reads.cpp
@@ -1,17 +1,18 @@
-// What users and workers read of flows: always after a read of the records that was sent after
-// the question, except where the answer can't change any more.
+// Implements the read requests of users and workers for flows. A response follows a linearizable
+// read that starts after the request arrives, except if the requested data is immutable.
 #include <algorithm>
 
 #include "flows/service.hpp"
 
 namespace kestrelhoist {
 namespace {
-constexpr std::size_t kTextsKept = 48;      // each at most a value of the state service
-constexpr std::size_t kMostFailures = 200;  // told of one flow
+// A cached text is no larger than the value limit of the state service.
+constexpr std::size_t kMaxCachedTexts = 48;
+constexpr std::size_t kMaxReportedFailures = 200;
 Response noFlow() { return jsonResponse(404, {{"error", "no such flow"}}); }
 }  // namespace
 
-// How many instances are in which state: from the pages, and the records of the open jobs.
+// Counts the instances by state, using the pages and the records of the jobs.
 Json FlowService::counts(const FlowState& flow) const {
   const FlowHead& head = *flow.head;
   std::uint32_t total = 0, done = 0, failed = 0, running = 0, queued = 0, blocked = 0;
@@ -32,10 +33,10 @@
       done += static_cast<std::uint32_t>(std::count(page.begin(), page.end(), 'd'));
       failed += static_cast<std::uint32_t>(std::count(page.begin(), page.end(), 'f'));
     }
-    std::vector<bool> bad;
+    std::vector<bool> failedOrBlocked;
     auto mark = [&](Instance i) {
-      if (bad.empty()) bad.resize(total);
-      if (i < total) bad[i] = true;
+      if (failedOrBlocked.empty()) failedOrBlocked.resize(total);
+      if (i < total) failedOrBlocked[i] = true;
     };
     for (const auto& id : flow.jobs) {
       const auto* job = replica_.job(id);
@@ -63,12 +64,13 @@
           if (page[k] == 'f') mark(static_cast<Instance>(n * kPageSize + k));
         }
       }
-      // Numbers grow along every dependency: one pass finds all that need a failed one.
-      for (Instance i = 0; i < total && !bad.empty(); ++i) {
-        if (bad[i]) continue;
+      // An instance depends only on smaller numbers, so one pass in increasing order finds all
+      // instances that depend on a failed one.
+      for (Instance i = 0; i < total && !failedOrBlocked.empty(); ++i) {
+        if (failedOrBlocked[i]) continue;
         auto deps = version->graph.deps(i);
-        if (std::any_of(deps.begin(), deps.end(), [&](Instance d) { return bad[d]; })) {
-          bad[i] = true;
+        if (std::any_of(deps.begin(), deps.end(), [&](Instance d) { return failedOrBlocked[d]; })) {
+          failedOrBlocked[i] = true;
           ++blocked;
         }
       }
@@ -92,7 +94,7 @@
     v["name"] = head.name;
     v["owner"] = head.team;
     v["member"] = head.member;
-    v["phase"] = wordOf(head.phase);
+    v["phase"] = toString(head.phase);
     v["version"] = head.version;
     v["changing"] = !head.from.empty();
     v["graph"] = head.graph.value;
@@ -103,9 +105,9 @@
   });
 }
 
-std::vector<AccountEntry> FlowService::entriesOf(const FlowState& flow) const {
+std::vector<AccountEntry> FlowService::resourceUseByRule(const FlowState& flow) const {
   std::vector<AccountEntry> entries;
-  auto add = [&](const std::string& rule, const Resources& room, const Use& use) {
+  auto add = [&](const std::string& rule, const Resources& room, const ResourceUse& use) {
     for (auto& e : entries) {
       if (e.rule == rule && e.perTask.cpus == room.cpus && e.perTask.gpus == room.gpus &&
           e.perTask.ramGb == room.ramGb) {
@@ -124,16 +126,16 @@
     const FlowVersion* version = flow.version(job->record.flow->graph);
     if (!version || job->record.flow->rule >= version->graph.rules().size()) continue;
     const FlowRule& rule = version->graph.rules()[job->record.flow->rule];
-    Use use = job->flow->use();
+    ResourceUse use = job->flow->use();
     if (!use.empty()) add(rule.name, rule.perTask, use);
   }
   return entries;
 }
 
 namespace {
-// Sums of some entries, in the units that users see.
-Json totalsOf(const std::vector<AccountEntry>& entries) {
-  Use all;
+// Returns the sums of the entries in the units of the response.
+Json totalUse(const std::vector<AccountEntry>& entries) {
+  ResourceUse all;
   double cpu = 0, gpu = 0, gb = 0;
   for (const auto& e : entries) {
     double seconds = static_cast<double>(e.use.ranMs) / 1000.0;
@@ -158,18 +160,18 @@
     if (!ok) return respond(retryLater(503));
     const FlowState* flow = replica_.flows().find(id);
     if (!flow || !flow->head) return respond(noFlow());
-    auto entries = entriesOf(*flow);
+    auto entries = resourceUseByRule(*flow);
     Json rules = Json::array();
     for (const auto& e : entries) {
-      rules.push_back(totalsOf({e}));
+      rules.push_back(totalUse({e}));
       rules.back()["rule"] = e.rule;
     }
-    Json v = totalsOf(entries);
+    Json v = totalUse(entries);
     v["ref"] = id.value;
     v["name"] = flow->head->name;
     v["owner"] = flow->head->team;
     v["member"] = flow->head->member;
-    v["phase"] = wordOf(flow->head->phase);
+    v["phase"] = toString(flow->head->phase);
     v["rules"] = std::move(rules);
     respond(jsonResponse(200, v));
   });
@@ -185,7 +187,7 @@
     std::map<std::string, std::size_t> flows;
     for (const auto& [id, flow] : replica_.flows().flows()) {
       if (!flow.head || flow.head->team != team) continue;
-      auto entries = entriesOf(flow);
+      auto entries = resourceUseByRule(flow);
       auto& own = members[flow.head->member];
       own.insert(own.end(), entries.begin(), entries.end());
       all.insert(all.end(), entries.begin(), entries.end());
@@ -193,18 +195,18 @@
     }
     Json list = Json::array();
     for (const auto& [member, entries] : members) {
-      list.push_back(totalsOf(entries));
+      list.push_back(totalUse(entries));
       list.back()["member"] = member;
       list.back()["flows"] = flows[member];
     }
-    Json v = totalsOf(all);
+    Json v = totalUse(all);
     v["owner"] = team;
     v["members"] = std::move(list);
     respond(jsonResponse(200, v));
   });
 }
 
-// Instances that failed for good, with where their texts are.
+// Lists the instances that failed permanently, with the positions of their texts.
 void FlowService::failures(const FlowId& id, const Respond& respond) {
   watcher_.linearizableRead([this, id, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
@@ -214,7 +216,7 @@
     std::vector<Instance> failed;
     if (version && version->upload) {
       for (const auto& [n, page] : version->pages) {
-        for (std::size_t k = 0; k < page.size() && failed.size() < kMostFailures; ++k) {
+        for (std::size_t k = 0; k < page.size() && failed.size() < kMaxReportedFailures; ++k) {
           if (page[k] == 'f') failed.push_back(static_cast<Instance>(n * kPageSize + k));
         }
       }
@@ -224,7 +226,8 @@
         std::uint32_t task = 0;
         for (const auto& [first, count] : job->record.flow->runs) {
           for (std::uint32_t k = 0; k < count; ++k, ++task) {
-            if (job->isGivenUp(task) && !job->isDropped(task) && failed.size() < kMostFailures) {
+            if (job->isGivenUp(task) && !job->isDropped(task) &&
+                failed.size() < kMaxReportedFailures) {
               failed.push_back(first + k);
             }
           }
@@ -247,42 +250,42 @@
 
 void FlowService::list(const std::string& query, const Respond& respond) {
   std::string team = queryValue(query, "owner"), member = queryValue(query, "member");
-  if (team.empty() || !validLabel(member)) {
+  if (team.empty() || !isValidLabel(member)) {
     return respond(jsonResponse(400, {{"error", "owner or member is missing"}}));
   }
   watcher_.linearizableRead([this, team, member, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
     Json list = Json::array();
-    for (const auto& id : replica_.flows().openOf(team, member)) {
+    for (const auto& id : replica_.flows().openFlowsOf(team, member)) {
       const FlowState* flow = replica_.flows().find(id);
       if (!flow || !flow->head) continue;
       list.push_back({{"ref", id.value},
                       {"name", flow->head->name},
                       {"version", flow->head->version},
-                      {"phase", wordOf(flow->head->phase)}});
+                      {"phase", toString(flow->head->phase)}});
     }
     respond(jsonResponse(200, {{"flows", std::move(list)}}));
   });
 }
 
-// Texts never change under their key, and a removed one is asked for by nobody.
+// The cache needs no invalidation: a text never changes, and no client requests a removed text.
 void FlowService::readText(const std::string& key, OnText done) {
-  if (auto known = texts_.find(key); known != texts_.end()) {
+  if (auto known = textCache_.find(key); known != textCache_.end()) {
     return done({true, known->second});
   }
-  auto& waiting = reading_[key];
+  auto& waiting = pendingTextReads_[key];
   waiting.push_back(std::move(done));
   if (waiting.size() > 1) return;
   store_.get(key, Duration{1500}, [this, key](const GetResult& r) {
     if (r.ok && r.value) {
-      texts_[key] = *r.value;
-      textOrder_.push_back(key);
-      if (textOrder_.size() > kTextsKept) {
-        texts_.erase(textOrder_.front());
-        textOrder_.pop_front();
+      textCache_[key] = *r.value;
+      textCacheOrder_.push_back(key);
+      if (textCacheOrder_.size() > kMaxCachedTexts) {
+        textCache_.erase(textCacheOrder_.front());
+        textCacheOrder_.pop_front();
       }
     }
-    auto node = reading_.extract(key);
+    auto node = pendingTextReads_.extract(key);
     for (auto& f : node.mapped()) f(r);
   });
 }
@@ -300,7 +303,7 @@
   auto answer = [this, jobId, task, respond] {
     const auto* job = replica_.job(jobId);
     if (!job || !job->record.flow || task >= job->tasks) return false;
-    const FlowPart& part = *job->record.flow;
+    const FlowTaskMapping& part = *job->record.flow;
     const FlowState* flow = replica_.flows().find(part.flow);
     const FlowVersion* version = flow ? flow->version(part.graph) : nullptr;
     if (!version || !version->upload || !flow->head) return false;
@@ -333,7 +336,7 @@
              });
     return true;
   };
-  // A job's description never changes.
+  // A job specification never changes, so the response needs no linearizable read.
   if (answer()) return;
   watcher_.linearizableRead([answer, respond](bool ok) {
     if (!ok) return respond(retryLater(503));
--- a/src/flows/service_uploads.cpp
+++ b/src/flows/service_uploads.cpp
@@ -1,22 +1,22 @@
-// Uploads of flows: a version is announced, and then comes in parts.
+// Implements uploads of flows. A client first announces a version and then sends its parts.
 #include "flows/answers.hpp"
 #include "flows/service.hpp"
 
 namespace kestrelhoist {
 namespace {
 
-// What a version may have.
+// These constants limit the graph parts and the text parts of one version.
 constexpr std::uint64_t kMaxParts = 0xffff;
 constexpr std::uint64_t kMaxTexts = 0xfffff;
-// Sizes of a transaction, in bytes.
+// These constants give the size limit of a transaction and its estimated overheads, in bytes.
 constexpr std::size_t kMaxBytes = 56 * 1024;
 constexpr std::size_t kBytesWithoutWrites = 512;
-constexpr std::size_t kBytesPerWrite = 64;  // beside its key and value
-// When a client comes again, in seconds.
-constexpr int kClosingRetryS = 5;    // an upload of the same version is being removed
-constexpr int kCapacityRetryS = 10;  // room comes back when other flows end
+constexpr std::size_t kBytesPerWrite = 64;  // excludes the key and the value
+// These constants tell a client after how many seconds it should retry.
+constexpr int kClosingRetryS = 5;    // An upload of the same version is being removed.
+constexpr int kCapacityRetryS = 10;  // Capacity becomes available when other flows end.
 
-// What an announced version has.
+// Contains the announced numbers of instances and parts of a version.
 struct Announcement {
   Digest version;
   std::uint64_t instances{};
@@ -25,10 +25,10 @@
   std::uint64_t perText{};
 };
 
-std::optional<Announcement> announcementFrom(const Json& body) {
+std::optional<Announcement> announcementFromBody(const Json& body) {
   auto count = [&](const char* name) { return countField(body, name).value_or(0); };
   auto digest = textField(body, "version");
-  if (!digest || !validDigest(*digest)) return std::nullopt;
+  if (!digest || !isValidDigest(*digest)) return std::nullopt;
   Announcement a{Digest{*digest}, count("instances"), count("parts"), count("texts"),
                  count("per_text")};
   if (a.instances < 1 || a.parts < 1 || a.texts < 1 || a.perText < 1) return std::nullopt;
@@ -48,8 +48,8 @@
 
 enum class PartKind { graph, text };
 
-// As many parts of an upload, in their order, as one transaction takes; the client goes on from
-// there.
+// Collects parts of an upload, in order, up to the limits of one transaction. The client sends the
+// remaining parts in its next request.
 class PartBatch {
  public:
   PartBatch(const Replica& replica, const Platform& platform, const FlowId& id,
@@ -58,7 +58,7 @@
     transaction_.compares.push_back({keys::upload(id, digest), version.modRevision});
   }
 
-  // The refusal, if one of the parts is not valid.
+  // Adds the parts of a list. Returns the error response if a part is invalid.
   std::optional<Response> add(PartKind kind, const Json* list) {
     if (!list) return std::nullopt;
     if (!list->is_array()) return errorResponse(400, "parts are not a list");
@@ -68,7 +68,7 @@
     return std::nullopt;
   }
 
-  // Parts that are written with this transaction or were before.
+  // Returns the number of parts that this transaction writes or that were already stored.
   std::size_t handled() const { return handled_; }
   Transaction takeTransaction() { return std::move(transaction_); }
 
@@ -123,7 +123,7 @@
 }  // namespace
 
 void FlowService::announce(const FlowId& id, const Body& body, const Respond& respond) {
-  auto announcement = announcementFrom(*body);
+  auto announcement = announcementFromBody(*body);
   if (!announcement) {
     return respond(errorResponse(
         400, "field version, instances, parts, texts or per_text is missing or invalid"));
@@ -151,7 +151,7 @@
     t.compares.push_back({key, Revision{}});
     t.writes.push_back(
         {key, toJson(uploadFrom(announcement, runtime_.wallMillis())), std::nullopt});
-    send(
+    commitIfWithinRate(
         std::move(t),
         [answer, respond](const CommitResult& r) {
           respond(r.outcome == CommitOutcome::applied ? jsonResponse(201, answer)
@@ -161,9 +161,9 @@
   });
 }
 
-void FlowService::parts(const FlowId& id, const Body& body, const Respond& respond) {
+void FlowService::storeParts(const FlowId& id, const Body& body, const Respond& respond) {
   auto digest = textField(*body, "version");
-  if (!digest || !validDigest(*digest)) {
+  if (!digest || !isValidDigest(*digest)) {
     return respond(errorResponse(400, "field version is missing or invalid"));
   }
   watcher_.linearizableRead([this, id, body, digest = Digest{*digest}, respond](bool ok) {
@@ -179,7 +179,7 @@
     Json answer = {{"ref", id.value}, {"written", batch.handled()}};
     Transaction t = batch.takeTransaction();
     if (t.writes.empty()) return respond(jsonResponse(200, answer));
-    send(
+    commitIfWithinRate(
         std::move(t),
         [answer, respond](const CommitResult& r) {
           respond(r.outcome == CommitOutcome::applied ? jsonResponse(200, answer)
--- a/src/store/job_state.hpp
+++ b/src/store/job_state.hpp
@@ -21,15 +21,15 @@
   struct Chunk {
     /// Maps task indexes to numbers of failures.
     std::map<std::uint32_t, std::uint32_t> failures;
-    Use use;  ///< Holds the total resource use of attempts that have ended.
+    ResourceUse use;  ///< Holds the total resource use of attempts that have ended.
   };
   std::map<std::uint32_t, Chunk> chunks;
   /// Maps the first task of each sub-chunk to the total resource use of the sub-chunk's attempts
   /// that have ended.
-  std::map<std::uint32_t, Use> subChunks;
+  std::map<std::uint32_t, ResourceUse> subChunks;
 
   /// Returns the total resource use of all attempts that have ended.
-  Use use() const;
+  ResourceUse use() const;
 };
 
 /// Holds the dependency state of a job that depends on other jobs or that other jobs depend on.
@@ -88,7 +88,7 @@
   /// retries.
   bool isGivenUp(std::uint32_t index) const;
   /// Returns whether the flow no longer needs this task.
-  bool isDropped(std::uint32_t index) const { return record.flow && record.flow->drops(index); }
+  bool isDropped(std::uint32_t index) const { return record.flow && record.flow->isDropped(index); }
   /// Returns whether the task has finished or will never be attempted again.
   bool isSettled(std::uint32_t index) const {
     return isFinished(index) || (record.flow && (isDropped(index) || isGivenUp(index)));
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -51,7 +51,7 @@
   /// Holds the number of tasks that share one TaskChunkRecord.
   std::uint32_t chunkSize{};
   /// Null unless the job's tasks are instances of a flow.
-  std::shared_ptr<const FlowPart> flow{};
+  std::shared_ptr<const FlowTaskMapping> flow{};
   /// Null unless a member submitted the job with a key.
   std::shared_ptr<const JobOwner> owner{};
   /// Holds the wall-clock time at which the job ended. It is 0 if that time is not on record.
@@ -86,7 +86,7 @@
   /// field.
   std::map<std::uint32_t, std::uint32_t> failures;
   /// Holds the total resource use of attempts that have ended. Only jobs of flows use this field.
-  Use use;
+  ResourceUse use;
 
   /// Returns an upper bound of the record's size as JSON text, which is the size that the state
   /// service limits. The bound holds until the finished bits need more bytes.
