--- a/client/include/kestrelhoist/error.hpp
+++ b/client/include/kestrelhoist/error.hpp
@@ -1,5 +1,5 @@
-// How calls of the client end: a value, or an error of one of a few kinds that a program can act
-// on. Nothing here throws but Result::value().
+// The results of client calls. A result holds a value or an error, and the kind of the error tells
+// a program how to react. Only Result::value() throws.
 #pragma once
 
 #include <chrono>
@@ -13,42 +13,66 @@
 
 namespace kestrelhoist::client {
 
+// Why a call failed.
 enum class ErrorKind {
-  malformed,         // the service can't read the request, or a field is invalid; never repeat it
-  neverRuns,         // well-formed, but no machine, team or limit will ever let it run
-  notPermitted,      // no key, not a valid one, or one without the right
-  unknown,           // no such job for this member
-  conflict,          // the id is known with another description, or a cursor is no longer good
-  throttled,         // too much at once: come back after `comeBack`
-  unavailable,       // no controller could answer in the time; nothing was changed
-  deadlinePassed,    // the call's own time was over before anything could be learnt
-  outcomeUnknown,    // a change was sent and not answered: carried out, or not, or later. Settle it
-                     // by the same call with the same id
-  protocolViolated,  // an answer that the protocol does not allow
-  cancelled,         // the caller gave up the call; a change may have been carried out
-  unusable,          // settings of the client that can't work
+  // The service can't parse the request, or a field is invalid. The caller must not repeat it.
+  malformed,
+  // The request is well-formed, but the machine types or the team's limits never allow the job to
+  // run.
+  neverRuns,
+  // The request had no key, an invalid key or a key without the necessary right.
+  notPermitted,
+  // The member has no such job.
+  unknown,
+  // The id belongs to a job with another description, or a cursor has expired.
+  conflict,
+  // The client exceeds a rate limit. It may send the request again after Error::comeBack.
+  throttled,
+  // No controller could process the request before the deadline. The service changed nothing.
+  unavailable,
+  // The deadline of the call passed before any response arrived.
+  deadlinePassed,
+  // The client sent a change and received no conclusive response, so the service may have made the
+  // change, or may still make it. The caller can repeat the call with the same id to find out.
+  outcomeUnknown,
+  // A response violates the protocol.
+  protocolViolated,
+  // The caller cancelled the call. The service may have made the change.
+  cancelled,
+  // The settings of the client are invalid.
+  unusable,
 };
 
-// A word of lower-case letters and '_'.
+// Returns the name of the error kind in lower-case letters and '_'.
 KESTRELHOIST_API const char* wordOf(ErrorKind kind);
 
+// A failed call.
 struct KESTRELHOIST_API Error {
   ErrorKind kind = ErrorKind::unavailable;
-  std::string tried;                      // what was asked: "submit j-12"
-  std::string where;                      // the address of the last try
-  int tries = 0;                          // requests sent
-  int status = 0;                         // of the last answer; 0: there was none
-  std::chrono::milliseconds comeBack{0};  // throttled: not before
-  std::string why;                        // for people
-  std::string requestId;                  // as the service's logs have it
-  std::string jobId;                      // of submissions: the id that settles it
-  std::uint64_t version = 0;              // of flows: the version that was first
+  // The operation that failed, for example "submit j-12".
+  std::string tried;
+  // The address of the controller that received the last request.
+  std::string where;
+  // The number of requests that the call sent.
+  int tries = 0;
+  // The HTTP status of the last response, or 0 if the last request got no response.
+  int status = 0;
+  // The shortest time to wait before a retry, if the kind is `throttled`.
+  std::chrono::milliseconds comeBack{0};
+  // The reason as a text for users.
+  std::string why;
+  // The request id that the service's logs contain.
+  std::string requestId;
+  // The job id of a failed submission. A second submission with this id never creates a second job.
+  std::string jobId;
+  // The current version of the flow, if another version was committed first.
+  std::uint64_t version = 0;
 
-  // One line for people.
+  // Returns the error as one line of text for users.
   std::string text() const;
 };
 
-// An Error as an exception, for those who ask for a value that is not there.
+// The exception that Result::value() throws if the result holds an error.
 class KESTRELHOIST_API Failure : public std::runtime_error {
  public:
   explicit Failure(Error e) : std::runtime_error(e.text()), error_(std::move(e)) {}
@@ -58,7 +82,7 @@
   Error error_;
 };
 
-// A value or an error; the members are those of std::expected, which C++20 does not have yet.
+// Holds a value or an error. The members are named like those of std::expected, which C++20 lacks.
 template <class T>
 class [[nodiscard]] Result {
  public:
@@ -67,14 +91,14 @@
 
   bool has_value() const { return held_.index() == 0; }
   explicit operator bool() const { return has_value(); }
-  // The value; only if there is one.
+  // Returns the value. The result must hold a value.
   const T& operator*() const { return *std::get_if<0>(&held_); }
   T& operator*() { return *std::get_if<0>(&held_); }
   const T* operator->() const { return std::get_if<0>(&held_); }
   T* operator->() { return std::get_if<0>(&held_); }
-  // The error; only if there is no value.
+  // Returns the error. The result must hold an error.
   const Error& error() const { return *std::get_if<1>(&held_); }
-  // The value, or Failure is thrown.
+  // Returns the value. Throws Failure if the result holds an error.
   const T& value() const {
     if (!has_value()) throw Failure(error());
     return **this;
--- a/client/include/kestrelhoist/export.hpp
+++ b/client/include/kestrelhoist/export.hpp
@@ -1,4 +1,4 @@
-// What the shared library shows.
+// Defines the macro that marks the exported symbols of the shared library.
 #pragma once
 
 #define KESTRELHOIST_API __attribute__((visibility("default")))
--- a/client/include/kestrelhoist/job.hpp
+++ b/client/include/kestrelhoist/job.hpp
@@ -1,4 +1,4 @@
-// Jobs as users describe them and as the service tells of them.
+// Job descriptions that users submit, and job states that the service returns.
 #pragma once
 
 #include <cstdint>
@@ -10,82 +10,117 @@
 
 namespace kestrelhoist::client {
 
-// array: independent tasks, each runs to completion. service: replicas that run until the job is
-// cancelled. gang: tasks that only run all together.
+// How the tasks of a job run. The tasks of an `array` are independent and run to completion. The
+// replicas of a `service` run until the job is cancelled. The tasks of a `gang` run only if all of
+// them run at the same time.
 enum class Shape { array, service, gang };
+// The priority of a job, from the lowest to the highest.
 enum class Priority { best_effort, standard, high, production };
-// Ended phases are done and withdrawn; a job never leaves them.
+// The phase of a job. The phases `done` and `withdrawn` are final: a job never leaves them.
 enum class Phase { pending, running, done, withdrawn };
 
+// These functions return the name of an enumerator.
 KESTRELHOIST_API const char* wordOf(Shape shape);
 KESTRELHOIST_API const char* wordOf(Priority priority);
 KESTRELHOIST_API const char* wordOf(Phase phase);
+// These functions parse the name of an enumerator and return std::nullopt for any other word.
 KESTRELHOIST_API std::optional<Shape> shapeFrom(const std::string& word);
 KESTRELHOIST_API std::optional<Priority> priorityFrom(const std::string& word);
 KESTRELHOIST_API std::optional<Phase> phaseFrom(const std::string& word);
+// Returns whether the phase is final.
 inline bool ended(Phase phase) { return phase == Phase::done || phase == Phase::withdrawn; }
 
-// What is asked for. Amounts are per task.
+// The description of a job. The amounts of resources are per task.
 struct Job {
-  std::string jobClass = "job";  // the operators' objectives are by class
-  std::string team;              // empty: that of the key or of the settings
+  // The job class. Operators define service objectives per job class.
+  std::string jobClass = "job";
+  // The team of the job. If it is empty, the client uses the team of the key or of the settings.
+  std::string team;
   Shape shape = Shape::array;
   Priority priority = Priority::best_effort;
-  std::uint32_t tasks = 1;  // 1 to 100,000
+  // The number of tasks, from 1 to 100,000.
+  std::uint32_t tasks = 1;
   double cpus = 1, gpus = 0, ramGb = 1;
   std::string image = "default";
   double imageGb = 0;
-  std::vector<std::string> types;   // allowed machine types; empty: any
-  std::string zone;                 // the only allowed zone; empty: any
-  bool oneZone = false;             // all tasks in the same zone
-  bool spread = false;              // at most half of the tasks, rounded up, in one zone
-  bool spot = false;                // may use machines that are taken back
-  double estimateS = 0;             // of a task's run time; 0 for services
-  double checkpointS = 0;           // progress after which a task saves; 0: never
-  double saveS = 0;                 // time that a task needs to save when it is stopped
-  std::optional<double> deadlineS;  // complete after so many seconds from submission
+  // The allowed machine types. If the list is empty, all machine types are allowed.
+  std::vector<std::string> types;
+  // The only allowed zone. If it is empty, all zones are allowed.
+  std::string zone;
+  // Whether all tasks must run in the same zone.
+  bool oneZone = false;
+  // Whether each zone may run at most half of the tasks, rounded up.
+  bool spread = false;
+  // Whether tasks may run on spot machines.
+  bool spot = false;
+  // The estimated run time of a task. It is 0 for services.
+  double estimateS = 0;
+  // The run time between two checkpoints of a task. It is 0 if tasks write no checkpoints.
+  double checkpointS = 0;
+  // The time that a task needs to save its state when it is stopped.
+  double saveS = 0;
+  // The time after submission by which the job is to be complete.
+  std::optional<double> deadlineS;
 };
 
-// A job as last told. The order of a job's phases is pending, running, then one of the ended ones.
+// The state of a job in the service's last response. A job goes from `pending` to `running` to one
+// of the final phases.
 struct JobState {
-  std::string id;  // as the member calls it: j- and digits
+  // The id that the member uses for the job: "j-" and digits.
+  std::string id;
   Phase phase = Phase::pending;
-  std::uint32_t tasks = 0;  // 0: not told
+  // The number of tasks, or 0 if the response does not contain it.
+  std::uint32_t tasks = 0;
   std::uint32_t done = 0, running = 0;
-  std::string jobClass;           // empty: not told
-  std::int64_t acceptedAtMs = 0;  // milliseconds since 1970; 0: not told
-  std::string serviceName;        // the name that workers and operators see; empty: the id
-  std::string digest;             // of its description; empty: not told
+  // The job class, or empty if the response does not contain it.
+  std::string jobClass;
+  // The time of acceptance in milliseconds since 1970, or 0 if the response does not contain it.
+  std::int64_t acceptedAtMs = 0;
+  // The job id that workers and operators see. It is empty if it equals `id`.
+  std::string serviceName;
+  // The digest of the job description, or empty if the response does not contain it.
+  std::string digest;
 
   bool hasEnded() const { return ended(phase); }
   bool operator==(const JobState&) const = default;
 };
 
+// One page of a list of jobs.
 struct JobPage {
-  std::vector<JobState> jobs;  // in the order in which they last changed
-  std::string cursor;          // where the next page, or what changes later, begins
-  bool more = false;           // there is a next page now
+  // The jobs in the order of their last changes.
+  std::vector<JobState> jobs;
+  // The cursor at which the next page and all later changes start.
+  std::string cursor;
+  // Whether another page exists now.
+  bool more = false;
 };
 
+// Selects the jobs of a list.
 struct JobQuery {
   std::optional<Phase> phase;
   std::string jobClass;
-  std::string since;  // a cursor; empty: from the beginning; "now": only what changes from now on
+  // The cursor at which the list starts. An empty cursor starts at the oldest change. The cursor
+  // "now" selects only changes after this request.
+  std::string since;
   std::size_t limit = 100;
 };
 
-// Whose key it is and what it may do.
+// The owner and the rights of a member key.
 struct Identity {
   std::string key, team, member;
-  std::string rights;  // "submit,read,cancel,admin"
+  // The rights, separated by commas: "submit,read,cancel,admin".
+  std::string rights;
 };
 
-// A key as it is shown to those who manage keys.
+// A member key as the calls that manage keys return it.
 struct KeyInfo {
   std::string id, team, member, rights, note;
-  std::int64_t madeAtMs = 0, endsAtMs = 0;  // 0: does not end
+  // The times at which the key was created and at which it expires, in milliseconds since 1970. The
+  // field `endsAtMs` is 0 if the key does not expire.
+  std::int64_t madeAtMs = 0, endsAtMs = 0;
   bool ended = false;
-  std::string secret;  // the whole key, "kh_...", where it was just made; told once
+  // The complete key ("kh_..."). Only the call that creates the key returns it.
+  std::string secret;
 };
 
 }  // namespace kestrelhoist::client
