--- a/client/include/kestrelhoist/client.hpp
+++ b/client/include/kestrelhoist/client.hpp
@@ -23,7 +23,8 @@
   std::vector<std::string> servers;
   // The member key ("kh_..."). It is empty if the service has no members.
   std::string key;
-  // The team of jobs that name no team. It applies only to clients without a member key.
+  // The team of jobs that name no team. It applies only if no member key
+  // determines the team.
   std::string team;
 
   bool tls = false;
--- a/client/src/caller.cpp
+++ b/client/src/caller.cpp
@@ -4,9 +4,10 @@
 
 namespace kestrelhoist::client {
 namespace {
-// What PROTOCOL has users wait for an answer.
+// The protocol (PROTOCOL) requires users to wait this long for a response.
 constexpr Duration kReadTry{2000}, kChangeTry{5000};
-constexpr Duration kOtherAddress{50};  // before another controller is tried
+// The delay before a failed request goes to another controller.
+constexpr Duration kOtherAddress{50};
 constexpr Duration kMostComeBack{30000};
 constexpr double kRetriesPerCall = 0.1;
 
@@ -24,16 +25,22 @@
   Instant until{};
   Backoff backoff;
   int tries = 0;
-  std::size_t inRow = 0;       // failures since the last pause
-  bool ambiguous = false;      // a change may have been carried out
-  bool lastThrottled = false;  // of the last answer
-  bool garbled = false;        // the last answer could not be read
+  // The number of failures since the last long pause.
+  std::size_t inRow = 0;
+  // Whether the service may have made the change although no response confirms it.
+  bool ambiguous = false;
+  // Whether the last response had the status 429.
+  bool lastThrottled = false;
+  // Whether the body of the last response was not a CBOR map.
+  bool garbled = false;
   int lastStatus = 0;
   Duration comeBack{0};
   std::string lastAddress, lastWhy, requestId;
   std::optional<std::size_t> lastIndex;
   int inFlight = 0;
-  std::uint64_t round = 0;  // replies to requests of earlier rounds come too late
+  // The number of the current attempt. Responses to requests of earlier attempts are ignored.
+  std::uint64_t round = 0;
+  // The addresses whose responses to the current attempt are pending.
   std::vector<std::size_t> open;
   bool over = false;
 };
@@ -54,7 +61,7 @@
   call->ask = std::move(ask);
   call->done = std::move(done);
   call->until = runtime_.now() + call->ask.within;
-  // One id for all tries: they are the same request.
+  // All attempts of a call share one request id, because they repeat the same request.
   call->requestId = settings_.agent + "-" + std::to_string(random_() % 100000000) + "-" +
                     std::to_string(++lastId_);
   call->ask.request.id = call->requestId;
@@ -68,7 +75,7 @@
     });
   };
   later([this, call] { attempt(call); });
-  // A call that hangs in pauses ends with its time, not after it.
+  // This timer ends the call at its deadline even if the call is pausing before a retry.
   runtime_.after(call->ask.within,
                  [this, late = std::weak_ptr<Call>(call), weak = std::weak_ptr<int>(alive_)] {
                    auto call = late.lock();
@@ -101,7 +108,8 @@
                    : call->ask.changes          ? kChangeTry
                                                 : kReadTry;
   Duration timeout = std::min(usual, call->until - now);
-  if (timeout.count() <= 0) return;  // the end of its time is about to be noticed
+  // The timer of the deadline ends the call.
+  if (timeout.count() <= 0) return;
   ++call->round;
   call->open.clear();
   send(call, *choice.address, timeout);
@@ -109,7 +117,8 @@
   if (hedged) hedge(call, *choice.address, timeout);
 }
 
-// Reads only: asking twice changes nothing.
+// Sends a slow read to a second controller as well. Only reads are hedged, because a repeated read
+// changes no data.
 void Caller::hedge(const std::shared_ptr<Call>& call, std::size_t first, Duration timeout) {
   Duration after = router_.slow();
   if (after >= timeout) return;
@@ -130,7 +139,6 @@
   call->lastAddress = router_.name(address);
   call->lastIndex = address;
   call->open.push_back(address);
-  // Until there is an answer, it may be carried out.
   http_.send(router_.name(address), call->ask.request, timeout,
              [this, call, address, round = call->round, sentAt = runtime_.now(),
               weak = std::weak_ptr<int>(alive_)](std::optional<Response> r) {
@@ -192,15 +200,17 @@
   Duration rest = r && r->retryAfterS > 0 ? std::min(kMostComeBack, Duration{r->retryAfterS * 1000})
                                           : Duration{0};
   if (call->lastThrottled) {
-    // This controller is in order; it is us who ask too much, wherever we ask.
+    // The status 429 is no failure of the controller: the rate limit of the client is the same at
+    // all controllers.
     served();
     call->comeBack = std::max(rest, Duration{1000});
   } else {
-    // 503 is also said when it is not known whether a change was carried out.
+    // A controller also responds with 503 if it does not know whether it made the change.
     call->ambiguous = call->ambiguous || call->ask.changes;
     router_.failed(address, now, rest);
   }
-  if (call->inFlight > 0) return;  // the other of two may still answer
+  // The response to the hedged request may still arrive.
+  if (call->inFlight > 0) return;
   ++call->inRow;
   if (call->lastThrottled) {
     call->inRow = 0;
--- a/client/src/caller.hpp
+++ b/client/src/caller.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// One request to the service, asked again until there is an answer that ends it, or the time is
-/// over. Everything that the client sends goes through here: routing, retries, their budget, hedged
-/// reads, and what an outcome is called. Callbacks come on the event loop.
+/// Sends a request to the service and retries it until a response ends the call or the call times
+/// out. All requests of the client go through the class Caller, which routes them, limits their
+/// retries, hedges reads and maps responses to error kinds. Callbacks run on the event loop.
 #pragma once
 
 #include <functional>
@@ -14,6 +14,7 @@
 
 namespace kestrelhoist::client {
 
+/// The settings of a Caller. client::Settings describes the fields.
 struct CallerSettings {
   std::string credential;
   double retriesPerS = 2, retryBurst = 20;
@@ -21,23 +22,30 @@
   std::string agent = "client";
 };
 
-/// An answer that ended a call: 200 or 201.
+/// A response with the status 200 or 201, which ends a call.
 struct Answer {
   int status{};
   Json body = Json::object();
-  bool first{};  ///< it came to the only request that was sent
+  bool first{};  ///< Whether the call sent no other request.
 };
 
-/// What a call is for: how it may be repeated, and what no answer means.
+/// Describes one call: its request, its timeouts, and whether it changes data.
 struct Ask {
   Request request;
-  std::string tried;   ///< for people
-  Duration within{};   ///< all tries together
-  bool changes{};      ///< carried out or not, if there is no answer
-  Duration oneTry{0};  ///< 0: what a user waits for an answer (PROTOCOL)
-  bool held{};         ///< the service may take its time: not hedged
+  /// The name of the operation in error messages.
+  std::string tried;
+  /// The timeout of the whole call, including its retries.
+  Duration within{};
+  /// Whether the request changes data. The outcome of such a request is unknown if there is no
+  /// response.
+  bool changes{};
+  /// The timeout of one attempt. If it is 0, the timeout of the protocol for users applies.
+  Duration oneTry{0};
+  /// Whether the service may delay the response until there is news. Such a read is not hedged.
+  bool held{};
 };
 
+/// Sends requests to the controllers of one service.
 class Caller {
  public:
   using Done = std::function<void(Result<Answer>)>;
@@ -47,12 +55,12 @@
   Caller(const Caller&) = delete;
   Caller& operator=(const Caller&) = delete;
 
-  /// `done` is called once, never from within this call. The handle ends the call early: `done` is
-  /// then called with the kind `cancelled`.
+  /// Starts a call. `done` runs exactly once, after this function has returned. The returned handle
+  /// cancels the call; `done` then receives the error kind `cancelled`.
   using Handle = std::function<void()>;
   Handle call(Ask ask, Done done);
 
-  /// Of all calls so far.
+  /// The totals of all calls since the construction.
   struct Counts {
     std::uint64_t calls{}, requests{}, retries{}, hedges{};
   };
@@ -69,7 +77,7 @@
                std::optional<Response> reply);
   void again(const std::shared_ptr<Call>& call, Duration pause);
   void finish(const std::shared_ptr<Call>& call, Result<Answer> result);
-  /// Why nothing came of it, when the time is over or it was given up.
+  /// Returns the error of a call that has timed out.
   Error outOfTime(const Call& call) const;
   Error errorOf(const Call& call, ErrorKind kind, const std::string& why) const;
 
@@ -81,7 +89,7 @@
   RateBudget budget_;
   Counts counts_;
   std::uint64_t lastId_ = 0;
-  std::set<std::shared_ptr<Call>> open_;  ///< each until it has ended, whatever it waits for
+  std::set<std::shared_ptr<Call>> open_;  ///< The calls that have not ended.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/client/src/job_watcher.cpp
+++ b/client/src/job_watcher.cpp
@@ -2,9 +2,13 @@
 
 namespace kestrelhoist::client {
 namespace {
-constexpr Duration kHeld{20000};      // how long the service may hold an empty answer
-constexpr Duration kOneCall{30000};   // for a question; the watch itself has no end
-constexpr Duration kPollEvery{2000};  // where there is no watch (users poll every 5 s, PROTOCOL)
+// The service may delay an empty response to a watch request by this time.
+constexpr Duration kHeld{20000};
+// The timeout of one request. The watch itself has no timeout.
+constexpr Duration kOneCall{30000};
+// The mean interval between polls if the service offers no watch requests. Users of the protocol
+// (PROTOCOL) poll every 5 s.
+constexpr Duration kPollEvery{2000};
 constexpr std::size_t kAtATime = 4;
 constexpr std::size_t kPage = 200;
 }  // namespace
@@ -62,8 +66,8 @@
   }
 }
 
-// The place from which changes are told, then the jobs themselves: what changes between the two is
-// told twice at most, and `note` sorts that out.
+// Fetches a cursor first and reads the jobs afterwards. A change between the two requests can
+// arrive twice; note() drops the duplicate.
 void JobWatcher::beginWatch() {
   JobQuery q;
   q.since = "now";
@@ -129,8 +133,8 @@
         steps_.erase(n);
         if (stopped_) return;
         if (!r) {
-          // The place is no longer good: everything is read again, and what is known is not told
-          // again.
+          // The cursor has expired, so the watcher reads all jobs again. The function note()
+          // reports only the states that differ from the reported ones.
           if (r.error().kind == ErrorKind::conflict && r.error().status == 410) {
             cursor_.clear();
             return named() ? beginWatch() : later(backoff_.next(random_), [this] { watch(); });
@@ -163,8 +167,8 @@
       end(e);
       return false;
     }
-    // A task that was lost leaves a job without running ones for a while; it has begun all the
-    // same.
+    // The service reports the phase `pending` for a started job whose running tasks are all lost.
+    // The watcher keeps the phase `running` for such a job.
     if (!ended(state.phase)) state.phase = std::max(state.phase, seen.phase);
     if (state.phase == seen.phase && state.done == seen.done && state.running == seen.running) {
       return true;
--- a/client/src/job_watcher.hpp
+++ b/client/src/job_watcher.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Follows jobs and tells what changed, over restarts of controllers: by the service's watch where
-/// there is one, by polls otherwise. Tells each job when it is first seen and when it has changed,
-/// its end once; a job's phase never goes back.
+/// Follows jobs and reports their changes, also across restarts of controllers. The watcher uses
+/// the watch requests of a service with members, and polls otherwise.
 #pragma once
 
 #include <map>
@@ -11,20 +10,24 @@
 
 namespace kestrelhoist::client {
 
+/// Reports each job when the watcher first sees it and after each change, and reports the end of a
+/// job exactly once. The reported phase of a job never goes back to an earlier one.
 class JobWatcher : public std::enable_shared_from_this<JobWatcher> {
  public:
+  /// One reported change.
   struct Told {
     JobState job;
-    std::string cursor;  ///< see JobEvent
+    std::string cursor;  ///< The cursor as in JobEvent::cursor.
   };
   using OnTold = std::function<void(const Told&)>;
   using OnOver = std::function<void(std::optional<Error>)>;
 
-  /// `ids` empty: all of the member's, from `since` on.
+  /// Watches the jobs in `ids`. If `ids` is empty, watches all jobs of the member, starting at the
+  /// cursor `since`.
   JobWatcher(JobCalls& calls, std::vector<std::string> ids, std::string since, OnTold told,
              OnOver over);
   void start();
-  /// Nothing is told any more, not even that it is over.
+  /// Stops the watcher. It runs no callback after this call, not even the one for the end.
   void stop();
 
  private:
@@ -33,9 +36,11 @@
   void readNext();
   void watch();
   void poll();
-  bool note(JobState state, const std::string& cursor);  ///< false: it is over now
+  /// Reports a job state if it is new. Returns false if the watch has ended.
+  bool note(JobState state, const std::string& cursor);
   void end(std::optional<Error> why);
-  /// After an error: true if the watch goes on, later.
+  /// Handles an error: schedules `next` after a pause and returns true if the error is temporary,
+  /// and ends the watch otherwise.
   bool goesOn(const Error& error, std::function<void()> next);
   void later(Duration pause, std::function<void()> f);
   bool named() const { return !ids_.empty(); }
@@ -53,7 +58,7 @@
     std::uint32_t done, running;
   };
   std::map<std::string, Seen> seen_;
-  std::set<std::string> open_;  ///< named and not ended yet
+  std::set<std::string> open_;  ///< The jobs of `ids_` that have not ended.
   std::vector<std::string> toRead_;
   std::size_t reading_ = 0;
   std::map<std::size_t, StepsPtr> steps_;
--- a/client/src/router.cpp
+++ b/client/src/router.cpp
@@ -12,7 +12,7 @@
 
 Router::Router(std::vector<std::string> addresses, std::uint64_t seed) : random_(seed) {
   for (auto& a : addresses) addresses_.push_back({std::move(a)});
-  // Clients start at different controllers.
+  // The first controller is random, which spreads the clients over all controllers.
   if (!addresses_.empty()) preferred_ = random_() % addresses_.size();
 }
 
@@ -21,7 +21,8 @@
   auto usable = [&](const Address& a) {
     return a.failures == 0 || (!a.probing && now >= a.restsUntil);
   };
-  // First those in order, from the one that answered last; then one that has rested.
+  // The first pass considers controllers without failures, starting with the one that responded
+  // last. The second pass considers controllers whose pause is over.
   for (bool rested : {false, true}) {
     for (std::size_t k = 0; k < n; ++k) {
       std::size_t i = (preferred_ + k) % n;
--- a/client/src/router.hpp
+++ b/client/src/router.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Which controller is asked, and when again. Pure: time and outcomes in, decisions out.
+/// Selects the controller that receives the next request, and the time of a retry. The classes do
+/// no I/O: the caller passes in the current time and the outcomes of requests.
 #pragma once
 
 #include <optional>
@@ -11,38 +12,43 @@
 
 namespace kestrelhoist::client {
 
-/// Remembers of each address whether it answered. One that did not is left alone for a growing
-/// pause, then tried with one request at a time until it answers again.
+/// Tracks which controllers respond. After a failure the router sends no request to that controller
+/// for a pause that grows with each further failure. After the pause the controller receives one
+/// request at a time until it responds.
 class Router {
  public:
   Router(std::vector<std::string> addresses, std::uint64_t seed);
 
+  /// The result of choose().
   struct Choice {
     std::optional<std::size_t> address;
-    Duration wait{};  ///< without an address: when to ask here again
+    Duration wait{};  ///< The time until the next call of choose(), if there is no address.
   };
-  /// The address for the next request, which must be told with `answered`, `failed` or `dropped`.
-  /// `avoid`: not this one, if there is another.
+  /// Returns the address for the next request. The caller must report the outcome of that request
+  /// to answered(), failed() or dropped(). The result differs from `avoid` if another controller
+  /// can receive the request.
   Choice choose(Instant now, std::optional<std::size_t> avoid = std::nullopt);
-  /// Any answer of a controller that serves.
+  /// Records a response of a working controller. `took` is the time between request and response.
   void answered(std::size_t address, Duration took);
-  /// No answer, or one that it can't serve now; `rest`: as long as it asked to be left alone.
+  /// Records that a controller did not respond or could not process the request. `rest` is the
+  /// shortest pause that the controller asked for.
   void failed(std::size_t address, Instant now, Duration rest = Duration{0});
-  /// The request was given up: nothing was learnt.
+  /// Records that the client cancelled the request before its outcome was certain.
   void dropped(std::size_t address) { at(address).probing = false; }
-  /// Another address that is in order, for a second request while the first is slow.
+  /// Returns another address without recent failures, to which a hedged request can go.
   std::optional<std::size_t> other(std::size_t than) const;
 
   const std::string& name(std::size_t address) const { return addresses_[address].name; }
   std::size_t size() const { return addresses_.size(); }
-  /// A controller that takes longer than this is slow.
+  /// Returns the response time above which a read is hedged.
   Duration slow() const;
-  Duration between(Duration low, Duration high);  ///< drawn
+  /// Returns a random duration between `low` and `high`.
+  Duration between(Duration low, Duration high);
 
  private:
   struct Address {
     std::string name;
-    int failures = 0;  ///< in a row
+    int failures = 0;  ///< The number of consecutive failures.
     bool probing = false;
     Duration pause{0};
     Instant restsUntil{};
@@ -50,13 +56,13 @@
   Address& at(std::size_t i) { return addresses_[i]; }
 
   std::vector<Address> addresses_;
-  std::size_t preferred_ = 0;  ///< answered last
-  double usualMs_ = 50;        ///< time of an answer, smoothed
+  std::size_t preferred_ = 0;  ///< The controller that responded last.
+  double usualMs_ = 50;        ///< The exponential moving average of the response times.
   std::mt19937_64 random_;
 };
 
-/// Pauses between the tries of one call: decorrelated, so that clients that failed together do not
-/// come back together.
+/// Computes the pauses between the attempts of one call. The pauses are random (decorrelated
+/// jitter), so that clients that failed at the same time do not retry at the same time.
 class Backoff {
  public:
   Duration next(Router& random);
