--- a/client/src/caller.cpp
+++ b/client/src/caller.cpp
@@ -250,6 +250,7 @@
 }
 
 Error Caller::outOfTime(const Call& call) const {
+  // The service may still make a change for which a response is pending.
   bool mayBeDone = call.ambiguous || (call.ask.changes && call.inFlight > 0);
   if (mayBeDone) {
     return errorOf(call, ErrorKind::outcomeUnknown, "sent, and no answer says what came of it");
--- a/client/src/caller_test.cpp
+++ b/client/src/caller_test.cpp
@@ -1,4 +1,4 @@
-// Routing, retries and the names of outcomes, against scripted controllers in virtual time.
+// Tests routing, retries and error kinds against scripted controllers in virtual time.
 #include "client/src/caller.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,8 @@
 namespace kestrelhoist::client {
 namespace {
 
-// Controllers whose answers are given by a function of time and count; none: silence.
+// Simulates controllers whose responses a function computes. The function gets the controller's
+// number and the count of requests; it returns std::nullopt for a request without a response.
 class Service {
  public:
   using Answering = std::function<std::optional<Response>(int controller, int count)>;
@@ -40,7 +41,8 @@
     return *result;
   }
   sim::Clockwork clock;
-  std::vector<std::pair<int, std::int64_t>> times;  // of requests
+  // The controller and the time of each request.
+  std::vector<std::pair<int, std::int64_t>> times;
   std::set<std::string> ids;
   std::map<int, std::int64_t> delays;
 
@@ -60,7 +62,7 @@
 
 TEST(Caller, NamesEachOutcome) {
   struct Case {
-    int status;  // 0: silence
+    int status;  // The status is 0 if the controllers never respond.
     bool changes;
     ErrorKind kind;
   };
@@ -93,7 +95,8 @@
   EXPECT_EQ(garbled.call(false, Duration{9000}).error().kind, ErrorKind::protocolViolated);
   Service silent(1, [](int, int) { return std::nullopt; });
   EXPECT_EQ(silent.call(false, Duration{500}).error().kind, ErrorKind::deadlinePassed);
-  // Silence, then a refusal for certain: the first may still have been carried out.
+  // The first request gets no response and the second gets 429. The outcome is unknown, because the
+  // service may have processed the first request.
   Service mixed(1, [](int, int n) { return n == 1 ? std::nullopt : std::optional(answer(429)); });
   EXPECT_EQ(mixed.call(true, Duration{15000}).error().kind, ErrorKind::outcomeUnknown);
 }
@@ -116,7 +119,8 @@
   EXPECT_EQ(s.times.size(), before + 5) << "asked others again";
 }
 
-// One that does not answer is tried by one request at a time, however many calls wait.
+// Guards against a burst of requests to a failed controller: it gets one request at a time, even if
+// many calls wait for it.
 TEST(Caller, ProbesABrokenControllerOnceAtATime) {
   Service s(1, [](int, int) { return std::nullopt; }, {"", 1000, 1000, true, "t"});
   int ended = 0;
@@ -126,7 +130,8 @@
   }
   s.clock.runUntil(40000);
   EXPECT_EQ(ended, 30);
-  // The first round goes out together; after it one at a time, 2 s each.
+  // All 30 calls send their first attempts at once. Afterwards there is one request at a time, each
+  // with a timeout of 2 s.
   EXPECT_LE(s.times.size(), 30U + 16U);
 }
 
@@ -150,7 +155,8 @@
   }
 }
 
-// However calls and failures fall, requests beyond the calls themselves stay in the budget.
+// Checks that the number of retries and hedged requests stays within the retry budget for random
+// failures and numbers of calls.
 TEST(CallerProperty, RetriesStayWithinTheBudget) {
   EXPECT_TRUE(rc::check([] {
     int mode = *rc::gen::inRange(0, 3);
--- a/client/src/client.cpp
+++ b/client/src/client.cpp
@@ -24,7 +24,7 @@
 }
 }  // namespace
 
-// ---- giving up ----
+// ---- cancellation ----
 
 struct Cancel::State {
   std::mutex mutex;
@@ -32,7 +32,8 @@
   std::uint64_t next = 0;
   std::map<std::uint64_t, std::function<void()>> listeners;
 
-  // Calls `f` when it is requested, at once if it was.
+  // Registers `f`, which request() calls. Calls `f` at once if cancellation was already requested.
+  // Returns the number of the listener, or 0 if `f` was called.
   std::uint64_t listen(std::function<void()> f) {
     {
       std::lock_guard lock(mutex);
@@ -81,7 +82,8 @@
       closing = true;
       auto all = std::exchange(open, {});
       for (auto& [n, stop] : all) stop();
-      // What was given up is told on the loop's next turns.
+      // The loop runs a little longer, because the callbacks of the cancelled calls are queued on
+      // it.
       loop->after(Duration{20}, [this] { loop->stop(); });
     });
     thread.join();
@@ -119,7 +121,7 @@
     own.run();
   }
 
-  // Runs one call on the loop; `begin` starts it. Its callback comes once, whatever happens.
+  // Runs one call on the event loop. `begin` starts the call, and `done` runs exactly once.
   template <class T, class Begin>
   void start(const CallOptions& options, Done<T> done, Begin begin) {
     auto token = options.cancel ? options.cancel->state_ : nullptr;
@@ -162,7 +164,7 @@
   EventLoop* loop = nullptr;
   JobCalls* calls = nullptr;
   std::string unusable;
-  // On the loop only.
+  // Only the thread of the event loop accesses the following members.
   bool closing = false;
   std::uint64_t lastCall = 0;
   std::map<std::uint64_t, std::function<void()>> open;
@@ -194,7 +196,7 @@
   };
 }
 
-// A watch of one job, as a call that ends with it.
+// Returns a call that watches one job and ends when the job has ended.
 auto waiting(const std::string& id) {
   return [id](JobCalls& c, Duration within, const JobCalls::Done<JobState>& plain) {
     struct Wait {
@@ -341,15 +343,16 @@
   std::deque<JobEvent> events;
   bool over = false;
   std::optional<Error> why;
-  std::function<void()> stop;  // from any thread; null once there is nothing to stop
+  // Stops the watch and may be called from any thread. It is null once the watch has ended.
+  std::function<void()> stop;
   std::function<void(const JobEvent&)> onTold;
   std::function<void(std::optional<Error>)> onOver;
 
   void tell(JobEvent event) {
     if (onTold) return onTold(event);
     std::lock_guard lock(mutex);
-    // One that was not taken yet is brought up to date: what a slow reader costs is bounded by the
-    // jobs that it watches.
+    // A new event replaces the queued event of the same job. This limits the queue of a slow reader
+    // to one event per watched job.
     auto same = std::find_if(events.begin(), events.end(),
                              [&](const JobEvent& e) { return e.job.id == event.job.id; });
     if (same != events.end()) {
@@ -414,7 +417,8 @@
   auto token = options.cancel ? options.cancel->state_ : nullptr;
   Inside* in = in_.get();
   auto n = std::make_shared<std::uint64_t>(0);
-  // Of a client that is gone there is nothing to stop: its watches have ended with it.
+  // finish() clears this function when the watch ends, so it never runs after the destruction of
+  // the client.
   state->stop = [in, n] {
     in->loop->post([in, n] {
       auto it = in->open.find(*n);
--- a/client/src/flow_client.cpp
+++ b/client/src/flow_client.cpp
@@ -6,7 +6,8 @@
 namespace {
 constexpr Duration kPause{1000};
 constexpr Duration kOneTry{5000};
-// Parts of one request: within the 64 KiB of a body and about one transaction of the service.
+// The limit of the parts in one request. It keeps a body below the service's limit of 64 KiB, and
+// the service can write the parts of one request in about one transaction.
 constexpr std::size_t kBodyBytes = 48 * 1024;
 }  // namespace
 
@@ -14,9 +15,12 @@
   FlowOrder order;
   rules::Bundle bundle;
   std::uint64_t base{};
-  Duration within{};  // for each step: a large flow takes as long as it takes
+  // The timeout of each request. The upload as a whole has no timeout, because a large flow needs
+  // many requests.
+  Duration within{};
   Done done;
-  std::size_t graph = 0, text = 0;  // parts handed over
+  // The numbers of graph parts and text parts that the service has written.
+  std::size_t graph = 0, text = 0;
 };
 
 FlowId FlowClient::drawId() {
@@ -73,7 +77,8 @@
   call({"POST", "/v2/flows/" + u->order.id.value + "/parts", encodeBody(body)}, u->within,
        [this, u, g, t](Result r) {
          if (!r) return u->done(std::move(r));
-         // The service writes as much as its rate allows, in the order of the body.
+         // The service writes the parts in the order of the body, and may stop early because of its
+         // rate limit.
          std::size_t all = (g - u->graph) + (t - u->text);
          std::size_t written =
              std::min(all, static_cast<std::size_t>(countField(r->body, "written").value_or(all)));
--- a/client/src/flow_client.hpp
+++ b/client/src/flow_client.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Flows on a user's behalf. Callbacks come on the event loop. Every request may be repeated: ids
-/// and versions are chosen by the client, so nothing is begun twice.
+/// Submits, changes and queries flows of a user. Callbacks run on the event loop. Every request is
+/// idempotent: the client chooses the flow ids and versions, so a repeated request starts no second
+/// flow.
 #pragma once
 
 #include <functional>
@@ -11,7 +12,7 @@
 
 namespace kestrelhoist {
 
-/// Whose flow it is and how it is to be run.
+/// The owner of a flow and the options of its execution.
 struct FlowOrder {
   FlowId id;
   std::string team, member, name;
@@ -20,16 +21,18 @@
   bool keepGoing = false;
 };
 
+/// Sends requests about flows.
 class FlowClient {
  public:
   using Result = client::Result<client::Answer>;
   using Done = client::Caller::Done;
   explicit FlowClient(client::Caller& caller) : caller_(caller) {}
 
-  /// `within`: for how long it is tried.
+  /// Sends one request. `within` is the timeout of the call, including its retries.
   void call(Request request, Duration within, Done done);
-  /// Hands over a version: base 0 begins the flow, otherwise it is changed from version `base`.
-  /// `within`: for how long each of its steps is tried.
+  /// Uploads and commits a version of a flow. If `base` is 0, the version starts the flow;
+  /// otherwise it replaces the version `base`. `within` is the timeout of each request of the
+  /// upload.
   void submit(const FlowOrder& order, const rules::Bundle& bundle, std::uint64_t base,
               Duration within, Done done);
   void status(const FlowId& id, Duration within, Done done) {
@@ -41,7 +44,7 @@
   void cancel(const FlowId& id, Duration within, Done done) {
     call({"POST", "/v2/flows/" + id.value + "/cancel", ""}, within, std::move(done));
   }
-  /// 53 bits, so that two are never the same.
+  /// Returns a random flow id. It has 53 random bits, which makes duplicates very unlikely.
   FlowId drawId();
 
  private:
--- a/client/src/job_calls.cpp
+++ b/client/src/job_calls.cpp
@@ -5,7 +5,7 @@
 namespace kestrelhoist::client {
 namespace {
 constexpr int kMostDraws = 5;
-// A held answer comes with a margin after the time that the service was given for it.
+// The client waits this much longer for a delayed response than the service may delay it.
 constexpr Duration kHeldMargin{4000};
 
 Error violated(Error e, const std::string& why) {
@@ -22,7 +22,7 @@
   return e;
 }
 
-// What an answer says, or that it says nothing that makes sense.
+// Parses a response. Returns the error `protocolViolated` if the response lacks a required field.
 template <class T>
 Result<T> parsed(const Result<Answer>& r, const std::string& tried,
                  std::optional<T> (*parse)(const Json&)) {
@@ -93,7 +93,7 @@
     if (r) {
       identity_ = *r;
     } else if (r.error().kind == ErrorKind::unknown) {
-      // A service without members has no such path, and takes no notice of keys.
+      // A service without members responds with 404 to this path and ignores keys.
       noMembers_ = true;
       return done(Identity{"", team_, "", ""});
     }
@@ -162,15 +162,15 @@
       }));
 }
 
-// Accepted now, or known: by an earlier try of ours, of another life of this script, or because
-// somebody means another job by the same id.
+// Handles the response to a submission. If the service already knew the id, either an earlier
+// submission of the same job created that job, or the id belongs to a different job.
 void JobCalls::accepted(const std::shared_ptr<Submitting>& s, const Answer& answer,
                         const JobState& state) {
-  bool another =
-      state.digest.empty()
-          // Nothing tells them apart but that a drawn id was there before our only request.
-          ? s->drawn && answer.status == 200 && answer.first
-          : !s->digest.empty() && state.digest != s->digest;
+  bool another = state.digest.empty()
+                     // Without a digest, the id belongs to a different job only if it is random and
+                     // the service knew it before the only request of this call.
+                     ? s->drawn && answer.status == 200 && answer.first
+                     : !s->digest.empty() && state.digest != s->digest;
   if (!another) return s->done(state);
   if (s->drawn && s->draws < kMostDraws) {
     s->id = drawRef();
--- a/client/src/job_calls.hpp
+++ b/client/src/job_calls.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Calls of more than one request: who asks, submissions that can't become two jobs, keys. On one
-/// event loop; the public client runs them on its thread, tests in virtual time.
+/// The calls of the public client: jobs, idempotent submissions, identities and keys. A call may
+/// send several requests. All calls run on one event loop: the public client runs the loop on its
+/// own thread, and tests run it in virtual time.
 #pragma once
 
 #include "client/src/caller.hpp"
@@ -9,10 +10,10 @@
 
 namespace kestrelhoist::client {
 
-/// A call of several requests, one after the other, that can be given up.
+/// A call that sends one or more requests in sequence and that can be cancelled.
 class Steps {
  public:
-  /// The request under way, or, once given up, none any more.
+  /// Sets the request that stop() cancels. Cancels it at once if the call is already stopped.
   void now(const Caller::Handle& handle) {
     current_ = handle;
     if (stopped_ && current_) current_();
@@ -29,21 +30,23 @@
 };
 using StepsPtr = std::shared_ptr<Steps>;
 
+/// Implements the calls of the public client on top of a Caller.
 class JobCalls {
  public:
   template <class T>
   using Done = std::function<void(Result<T>)>;
 
-  /// `team`: of those who come without a key.
+  /// `team` is the default team of jobs if no member key determines the team.
   JobCalls(Caller& caller, std::string team, bool hasKey)
       : caller_(caller), team_(std::move(team)), hasKey_(hasKey) {}
 
-  /// `key`: of idempotency; `id`: chosen by the caller; both empty: drawn.
+  /// Submits a job. `key` is the idempotency key, and `id` is a job id that the caller has chosen.
+  /// If both are empty, the job gets a random id.
   StepsPtr submit(Job job, const std::string& key, const std::string& id, Duration within,
                   Done<JobState> done);
   StepsPtr get(const std::string& id, Duration within, Done<JobState> done);
   StepsPtr cancel(const std::string& id, Duration within, Done<JobState> done);
-  /// `wait`: how long the service may hold an empty answer open.
+  /// Requests a page of jobs. The service may delay an empty response by `wait`.
   StepsPtr list(const JobQuery& query, Duration wait, Duration within, Done<JobPage> done);
   StepsPtr whoAmI(Duration within, Done<Identity> done);
   StepsPtr idFor(const std::string& key, Duration within, Done<std::string> done);
@@ -55,13 +58,15 @@
   StepsPtr revokeKey(const std::string& id, Duration after, Duration within, Done<KeyInfo> done);
   StepsPtr rotateKey(const std::string& id, Duration grace, Duration within, Done<KeyInfo> done);
 
-  /// Whether the service has members and this client a key: lists and watches are to be had.
+  /// Returns whether this client has a key and the service has members. Lists and watch requests
+  /// need both.
   bool hasMembers() const { return hasKey_ && !noMembers_; }
   Caller& caller() { return caller_; }
 
  private:
   struct Submitting;
-  /// Who asks: told by the service once, or by the settings where it has no members.
+  /// Determines the team and the member of this client. The service returns them once for the key;
+  /// if it has no members, they come from the settings.
   void identity(const StepsPtr& steps, Duration within, Done<Identity> done);
   void send(const std::shared_ptr<Submitting>& s);
   void accepted(const std::shared_ptr<Submitting>& s, const Answer& answer, const JobState& state);
--- a/client/src/job_codec.cpp
+++ b/client/src/job_codec.cpp
@@ -63,7 +63,7 @@
 }
 
 std::string digestFor(const Job& job) {
-  // The name is no part of it.
+  // The digest does not depend on the job id, so any valid id works here.
   auto parsed = parseSubmission(toBody(job, "j-0"));
   const auto* spec = std::get_if<JobSpec>(&parsed);
   return spec ? digestOf(*spec) : "";
--- a/client/src/job_codec.hpp
+++ b/client/src/job_codec.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Jobs in the service's words: bodies of requests and answers (PROTOCOL, docs/members.md).
+/// Converts jobs, identities and keys to and from the bodies of requests and responses (PROTOCOL,
+/// docs/members.md).
 #pragma once
 
 #include "base/runtime.hpp"
@@ -8,14 +9,17 @@
 
 namespace kestrelhoist::client {
 
+/// Returns the body of the request that submits a job.
 Json toBody(const Job& job, const std::string& id);
-/// What the service will say of the same description; empty if it would not accept it.
+/// Returns the digest that the service computes for a job description. The digest is empty if the
+/// service would reject the description.
 std::string digestFor(const Job& job);
+/// These functions parse a response body. They return std::nullopt if a required field is missing.
 std::optional<JobState> jobStateFrom(const Json& body);
 std::optional<JobPage> jobPageFrom(const Json& body);
 std::optional<Identity> identityFrom(const Json& body);
 std::optional<KeyInfo> keyInfoFrom(const Json& body);
-/// The query of a list or a watch.
+/// Returns the query string of a list request or, if `wait` is positive, of a watch request.
 std::string queryOf(const JobQuery& query, Duration wait);
 
 }  // namespace kestrelhoist::client
--- a/client/src/job_watcher_test.cpp
+++ b/client/src/job_watcher_test.cpp
@@ -1,5 +1,5 @@
-// What a watch tells, against a scripted service: ends once, phases forward only, a place that is
-// no longer good, and answers that can't be.
+// Tests the events of a watch against a scripted service: each end is reported once, phases never
+// go back, an expired cursor restarts the watch, and an invalid sequence of phases ends it.
 #include "client/src/job_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,8 @@
 }
 Response one(const Json& v) { return {200, encodeBody(v), 0}; }
 
-// Answers of polls and of lists, in turn; after the last one: silence.
+// The responses to polls and to list requests, in order. The service does not respond to further
+// requests.
 struct Script {
   std::deque<Response> polls, lists;
   std::vector<std::string> asked;
@@ -56,7 +57,8 @@
   }
 };
 
-// What has changed between the cursor and the read of the jobs comes a second time.
+// Guards against a duplicate end: a change between the request for the cursor and the read of the
+// job arrives twice.
 TEST(JobWatcher, TellsAnEndOnceThoughItComesTwice) {
   Script s;
   s.lists = {page({}, "c1"), page({job("j-1", "done", 3), job("j-2", "running")}, "c2"),
--- a/client/src/settings.hpp
+++ b/client/src/settings.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Where hoist finds the service and what it says of its user: command line before environment
-/// before the JSON file (checked by a schema).
+/// Loads the settings of the command-line programs: the addresses of the service and the identity
+/// of the user. The command line overrides the environment, and the environment overrides the JSON
+/// file, which must match a JSON schema.
 #pragma once
 
 #include <string>
@@ -10,24 +11,29 @@
 
 namespace kestrelhoist {
 
+/// The settings of the command-line programs.
 struct ClientSettings {
-  std::vector<std::string> servers;  ///< "ip:port", tried in turn
+  std::vector<std::string> servers;  ///< The controllers' addresses, each as "ip:port".
   std::string team, member;
-  std::string files;  ///< root of the files that all machines share
-  std::string key;    ///< "kh_..."; empty: a service without members
+  std::string files;  ///< The root directory of the files that all machines share.
+  std::string key;    ///< The member key ("kh_..."), or empty if the service has no members.
   bool tls = false;
-  std::string authority, serverName;  ///< see kestrelhoist/client.hpp
+  std::string authority, serverName;  ///< The fields of client::Settings with these names.
 };
 
+/// The JSON schema of the settings file.
 extern const char* const kClientSchema;
 
-/// Throws std::runtime_error with one line that names the file and the field.
+/// Parses the text of a settings file. Throws std::runtime_error with a one-line message that names
+/// the file and the invalid field.
 ClientSettings parseClientSettings(const std::string& text, const std::string& file);
-/// From the file and the environment. `file` empty: HOIST_CONFIG, or hoist.json in the user's
-/// configuration directory, if there is one.
+/// Loads the settings from a file and from the environment. If `file` is empty, the path comes from
+/// HOIST_CONFIG; if that is empty too, the function reads hoist.json in the user's configuration
+/// directory if that file exists.
 ClientSettings loadClientSettings(const std::string& file);
-/// As the library takes them.
+/// Converts the settings to the settings of the client library.
 client::Settings librarySettings(const ClientSettings& s);
+/// Splits a text at each separator and drops empty parts.
 std::vector<std::string> splitList(const std::string& text, char separator = ',');
 
 }  // namespace kestrelhoist
