--- a/cli/commands.cpp
+++ b/cli/commands.cpp
@@ -136,7 +136,7 @@
   }
   if (s.servers.empty()) {
     throw std::runtime_error(
-        "no server is known: --server, HOIST_SERVERS or \"servers\" in the settings file");
+        "no server is known; set --server, HOIST_SERVERS or \"servers\" in the settings file");
   }
   return s;
 }
@@ -188,12 +188,13 @@
 FlowOrder Session::order(const PlannedFile& file) const {
   if (settings_.team.empty() || settings_.member.empty() || settings_.files.empty()) {
     throw std::runtime_error(
-        "team, member and files are needed (--team, --member, --files, environment or settings "
-        "file)");
+        "team, member or files is not set; use --team, --member and --files, the environment or "
+        "the "
+        "settings file");
   }
   if (!validLabel(settings_.member))
     throw std::runtime_error("member " + settings_.member +
-                             " has other letters than A-Z a-z 0-9 . _ -");
+                             " contains characters other than A-Z a-z 0-9 . _ -");
   FlowOrder order;
   order.team = settings_.team;
   order.member = settings_.member;
@@ -219,7 +220,7 @@
     if (!rules::staysInside(name))
       throw std::runtime_error(name + " is not below the rule file's directory");
     fs::create_directories((to / name).parent_path(), error);
-    // In one step, so that a machine never sees half of it.
+    // The file is renamed into place, so that no machine reads an incomplete file.
     fs::path part = to / (name + ".part-" + std::to_string(getpid()));
     fs::copy_file(fs::path(file.directory) / name, part, fs::copy_options::overwrite_existing,
                   error);
@@ -230,7 +231,7 @@
   };
   for (const auto& name : file.plan.sources) copy(name);
   for (const auto& name : file.read) copy(name);
-  // What `replan` needs after a checkpoint.
+  // The request file contains the options that `hoist flow replan` needs after a checkpoint.
   fs::create_directories(to / ".hoist", error);
   Json request = {{"file", file.file},
                   {"targets", options.file.targets},
@@ -251,13 +252,13 @@
   PlannedFile file = planned(options_);
   addReplans(file);
   if (file.plan.instances.empty()) {
-    print({{"instances", 0}}, "nothing is to be made\n");
+    print({{"instances", 0}}, "the plan contains no instances; no flow was submitted\n");
     return kOk;
   }
   FlowOrder flow = order(file);
   flow.id = options_.flow.empty() ? client_->drawId() : FlowId{options_.flow};
   if (!validFlowId(flow.id.value))
-    throw std::runtime_error("an id is w- and up to 18 digits, not " + flow.id.value);
+    throw std::runtime_error("a flow id is w- followed by up to 18 digits, not " + flow.id.value);
   stage(file, flow.id, options_);
   auto bundle = rules::bundle(file.plan);
   auto r = wait([&](FlowClient::Done done) {
@@ -298,7 +299,7 @@
                        std::to_string(count(v, "queued") + count(v, "waiting")) + " waiting, " +
                        std::to_string(count(v, "failed")) + " failed";
     if (count(v, "blocked") > 0)
-      line += ", " + std::to_string(count(v, "blocked")) + " need a failed one";
+      line += ", " + std::to_string(count(v, "blocked")) + " blocked by failures";
     if (terminal) {
       double passed = toSeconds(loop_.now() - began);
       std::string eta;
@@ -316,7 +317,7 @@
       if (terminal) std::cout << "\n";
       if (!options_.json)
         std::cout << id.value << " "
-                  << (stuck ? "waits for an amendment: hoist flow amend " + id.value + " FILE"
+                  << (stuck ? "waits for an amendment; run hoist flow amend " + id.value + " FILE"
                             : phase)
                   << std::endl;
       if (phase == "done") return kOk;
@@ -405,7 +406,7 @@
 }
 
 namespace {
-// A table of what was used, a row for each entry and one for all.
+// Formats the used resources as a table with one row for each entry of `list` and a row of totals.
 std::string useTable(const Json& v, const char* list, const char* name) {
   char line[256];
   std::snprintf(line, sizeof line, "%-24s %7s %7s %8s %10s %10s %10s %10s %10s\n", name, "tasks",
@@ -434,7 +435,8 @@
 }
 
 int Session::account() {
-  if (settings_.team.empty()) throw std::runtime_error("a team is needed");
+  if (settings_.team.empty())
+    throw std::runtime_error("no team is set; use --team, HOIST_TEAM or the settings file");
   auto r = get("/v2/flows/account?owner=" + settings_.team);
   if (int code = ended(r)) return code;
   print(r->body, useTable(r->body, "members", "member"));
@@ -451,7 +453,7 @@
   const Json* why = field(v, "why");
   auto leader = why ? textField(*why, "leader") : std::nullopt;
   if (!leader) {
-    text += "no leader is known here\n";
+    text += "this controller knows no leader\n";
   } else {
     const Json* since = field(*why, "leads_s");
     text += *leader + " leads";
@@ -472,7 +474,8 @@
 
 int Session::list() {
   if (settings_.team.empty() || settings_.member.empty())
-    throw std::runtime_error("team and member are needed");
+    throw std::runtime_error(
+        "no team or member is set; use --team and --member, the environment or the settings file");
   auto r = get("/v2/flows?owner=" + settings_.team + "&member=" + settings_.member);
   if (int code = ended(r)) return code;
   std::string text;
@@ -487,15 +490,14 @@
   return kOk;
 }
 
-// In the flow's directory, after a checkpoint: the file is worked out again with the files that
-// are there now, and handed in if it comes to something else. Whoever amended first has had the
-// file worked out again, too.
+// Runs in the flow's directory after a checkpoint. Plans the rule file again with the files that
+// now exist, and amends the flow if the plan has changed.
 int Session::replan() {
   std::ifstream in(".hoist/request.json");
   Json request = Json::parse(in, nullptr, false);
   const char* flow = std::getenv("HOIST_FLOW");
   if (!request.is_object() || !flow)
-    throw std::runtime_error("replan runs in a flow's directory, as one of its tasks");
+    throw std::runtime_error("replan must run as a task of a flow, in the flow's directory");
   options_.file.path = textField(request, "file").value_or("");
   options_.file.directory = ".";
   options_.file.targets = request.value("targets", std::vector<std::string>{});
@@ -519,7 +521,7 @@
     client_->submit(amended, bundle, countField(r->body, "version").value_or(0),
                     fromSeconds(options_.timeoutS), std::move(done));
   });
-  // Tried again from the version that was first.
+  // After a conflict the task fails, and its retry starts from the flow's new version.
   return !result && result.error().kind == client::ErrorKind::conflict ? kConflict : ended(result);
 }
 
--- a/cli/commands.hpp
+++ b/cli/commands.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What hoist's subcommands do.
+/// Implements the subcommands of hoist for flows, and those of hoist-admin for the policy.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -13,13 +13,16 @@
 
 namespace kestrelhoist::hoist {
 
+/// The exit codes of the programs.
 inline constexpr int kOk = 0, kUsage = 2, kRuleFile = 3, kRefused = 4, kConflict = 5, kUnknown = 6,
                      kUnavailable = 7, kFailed = 8;
+/// The help text on the exit codes.
 inline constexpr const char* kExits =
     "Exit codes: 0 done, 2 usage or settings, 3 the rule file is not accepted, 4 refused by the "
     "service, 5 another version or flow was first, 6 no such flow, 7 no usable answer (done, or "
     "not: ask again), 8 the flow failed or was cancelled.";
 
+/// The options of the command line.
 struct Options {
   std::string configFile, team, member, files, key, authority;
   std::vector<std::string> servers;
@@ -32,14 +35,18 @@
   std::uint64_t base = 0;
 };
 
+/// Prints the plan of a rule file and returns the exit code.
 int plan(const Options& options);
-/// From the settings file, the environment and the command line.
+/// Returns the settings. The command line overrides the environment, and the environment overrides
+/// the settings file.
 ClientSettings clientSettings(const Options& options);
-/// Prints why a call failed; the exit code.
+/// Prints the error of a call and returns the exit code.
 int told(const client::Error& error, bool json);
+/// Prints the completion script for bash.
 int printCompletion(const CLI::App& app);
 
-/// A conversation with the service: one call after the other on an event loop of its own.
+/// Runs the subcommands that send requests to the service. A session has its own event loop and
+/// sends one request at a time.
 class Session {
  public:
   explicit Session(const Options& options);
@@ -53,7 +60,8 @@
   int list();
   int why(const std::string& job);
   int replan();
-  /// The policy, at the address at which controllers speak to each other. `file` empty: cleared.
+  /// Sets the policy from a file, or clears it if `file` is empty. If `check` is true, only prints
+  /// the effect of the change. The server address must be a controller's address for its peers.
   int policySet(const std::string& file, std::optional<std::uint64_t> base, bool check);
   int policyShow(bool history);
   int pools();
@@ -62,10 +70,11 @@
  private:
   FlowClient::Result wait(const std::function<void(FlowClient::Done)>& call);
   FlowClient::Result get(const std::string& path);
-  int ended(const FlowClient::Result& r) const;  ///< prints why not; the exit code
+  /// Prints the error of a call, if there is one, and returns the exit code.
+  int ended(const FlowClient::Result& r) const;
   int follow(const FlowId& id);
   FlowOrder order(const PlannedFile& file) const;
-  /// Copies sources and rule files to where the flow's machines find them.
+  /// Copies sources and rule files to the flow's directory, which all machines share.
   void stage(const PlannedFile& file, const FlowId& id, const Options& options) const;
   std::string directoryOf(const FlowId& id) const;
   void print(const Json& value, const std::string& text) const;
--- a/cli/job_commands.cpp
+++ b/cli/job_commands.cpp
@@ -49,24 +49,25 @@
 
 int endOf(const JobState& s) { return s.phase == client::Phase::done ? kOk : kFailed; }
 
-// Where the tasks of a member's job write what they print: one file a task.
+// Returns the directory of a job's logs. Each task writes its output to one file there.
 fs::path logDirectory(const ClientSettings& s, const std::string& team, const std::string& member,
                       const std::string& id) {
   return fs::path(s.files) / team / member / ".jobs" / id;
 }
 
-// Whose jobs these are: as the key says, or the settings where there is none.
+// Returns the team and member that own the jobs. They come from the key, or from the settings if
+// there is no key.
 client::Result<client::Identity> identity(client::Client& c, const JobOptions& o) {
   if (!o.settings.key.empty()) return c.whoAmI(within(o));
   return client::Identity{"", o.settings.team, o.settings.member, ""};
 }
 
-// What the workers are to run, where they look for it: users hand descriptions to them
-// (PROTOCOL, "the worker fetches the job's description itself"). In one step, so that no worker
-// reads half of it.
+// Writes the job's command to a file in the shared directory from which workers fetch it (PROTOCOL,
+// "the worker fetches the job's description itself"). The file is renamed into place, so that no
+// worker reads an incomplete file. Returns an error message, or an empty text on success.
 std::string stage(const JobOptions& o, const client::Identity& who, const std::string& id) {
   const ClientSettings& s = o.settings;
-  if (s.files.empty()) return "files is needed to hand a command over (--files, HOIST_FILES)";
+  if (s.files.empty()) return "files is not set; a job with a command needs --files or HOIST_FILES";
   Owner owner{TeamId{who.team}, who.member};
   std::string name = who.key.empty() ? id : memberJob(owner, id).value;
   fs::path depot = fs::path(s.files) / ".jobs";
@@ -124,13 +125,14 @@
 int jobSubmit(JobOptions o) {
   auto shape = client::shapeFrom(o.shape);
   auto priority = client::priorityFrom(o.priority);
-  if (!shape || !priority) throw std::runtime_error("shape or priority is no good");
+  if (!shape || !priority) throw std::runtime_error("shape or priority is invalid");
   o.job.shape = *shape;
   o.job.priority = *priority;
   client::Client c(librarySettings(o.settings));
   client::SubmitOptions submit{o.batch, o.id, within(o)};
   if (!o.command.empty()) {
-    // The workers must find the command before the job starts, so its name is settled first.
+    // The file with the command must exist before the job starts, and its name contains the job id.
+    // The id is therefore chosen before the submission.
     auto who = identity(c, o);
     if (!who) return told(who.error(), o.json);
     if (submit.id.empty()) {
@@ -170,7 +172,7 @@
   client::JobQuery q;
   if (!o.phase.empty()) {
     q.phase = client::phaseFrom(o.phase);
-    if (!q.phase) throw std::runtime_error(o.phase + " is no phase");
+    if (!q.phase) throw std::runtime_error(o.phase + " is not a phase");
   }
   q.jobClass = o.job.jobClass;
   q.since = o.since;
@@ -184,7 +186,7 @@
     if (o.json) {
       std::cout << Json({{"cursor", page->cursor}, {"more", page->more}}).dump() << std::endl;
     } else if (page->more) {
-      std::cerr << "more with --since " << page->cursor << std::endl;
+      std::cerr << "more jobs follow; use --since " << page->cursor << std::endl;
     }
     return kOk;
   }
@@ -227,7 +229,8 @@
   client::Client c(librarySettings(o.settings));
   auto who = identity(c, o);
   if (!who) return told(who.error(), o.json);
-  if (o.settings.files.empty()) throw std::runtime_error("files is needed (--files, HOIST_FILES)");
+  if (o.settings.files.empty())
+    throw std::runtime_error("files is not set; use --files or HOIST_FILES");
   fs::path file = logDirectory(o.settings, who->team, who->member, o.ids[0]) /
                   (std::to_string(o.task) + ".log");
   std::ifstream in(file, std::ios::binary);
@@ -241,23 +244,24 @@
     in.clear();
     std::cout.flush();
     if (over) break;
-    // What is written until the job's end is seen is still shown.
+    // After the job's end the loop reads the log once more, so that no output is lost.
     auto state = c.get(o.ids[0], within(o));
     if (!state) return told(state.error(), o.json);
     over = state->hasEnded();
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
   }
   if (in.is_open()) return kOk;
-  std::cerr << "hoist: " << o.ids[0] << "/" << o.task << " has printed nothing (" << file.string()
+  std::cerr << "hoist: " << o.ids[0] << "/" << o.task << " has no log file (" << file.string()
             << ")" << std::endl;
   return kUnknown;
 }
 
-// The operator's own key: its hash goes to the controllers, by file.
+// Creates the operator's root key and writes its hash to a file that the controllers load.
 int keyInit(const JobOptions& o) {
   Credential made = drawCredential();
   if (fs::exists(o.hashFile)) {
-    throw std::runtime_error(o.hashFile + " is there already: keys made under it stay valid");
+    throw std::runtime_error(o.hashFile +
+                             " already exists; keys that were created with it stay valid");
   }
   std::ofstream out(o.hashFile);
   out << made.id.value << " " << hashOfSecret(made) << "\n";
@@ -267,15 +271,16 @@
               << std::endl;
   } else {
     std::cout << made.str() << std::endl;
-    std::cerr << "hoist-admin: this is the only time that the key is shown; its hash is in "
-              << o.hashFile << std::endl;
+    std::cerr << "hoist-admin: the key is not shown again; its hash is in " << o.hashFile
+              << std::endl;
   }
   return kOk;
 }
 
 int keyMake(const JobOptions& o) {
   if (!rightsFrom(o.rights)) {
-    throw std::runtime_error("rights are some of submit,read,cancel,admin, not " + o.rights);
+    throw std::runtime_error("rights must be a list of submit, read, cancel and admin, not " +
+                             o.rights);
   }
   client::Client c(librarySettings(o.settings));
   return shown(o, c.makeKey(o.team, o.member, o.rights, o.note, within(o)));
--- a/cli/job_commands.hpp
+++ b/cli/job_commands.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// hoist's commands about jobs and keys, on the client library.
+/// Implements the commands of hoist and hoist-admin for jobs and keys with the client library.
 #pragma once
 
 #include "client/src/settings.hpp"
@@ -7,6 +7,7 @@
 
 namespace kestrelhoist::hoist {
 
+/// The options of these commands.
 struct JobOptions {
   ClientSettings settings;
   bool json = false;
@@ -14,16 +15,16 @@
 
   client::Job job;
   std::string shape = "array", priority = "best_effort";
-  std::string batch;                 ///< idempotency key
-  std::string id;                    ///< chosen by the user
-  std::vector<std::string> command;  ///< what each task runs
-  std::string directory;             ///< below the member's files
+  std::string batch;                 ///< The idempotency key of the submission.
+  std::string id;                    ///< The job id, if the user chooses one.
+  std::vector<std::string> command;  ///< The command line of each task.
+  std::string directory;             ///< The working directory, below the member's files.
   bool wait = false;
 
   std::vector<std::string> ids;
   std::string phase, since;
   std::size_t limit = 100;
-  bool all = false;  ///< every page
+  bool all = false;  ///< Whether to list all pages.
 
   std::uint32_t task = 0;
   bool follow = false;
@@ -32,6 +33,7 @@
   double graceS = 0;
 };
 
+/// Each function runs one command and returns the exit code.
 int jobSubmit(JobOptions o);
 int jobStatus(const JobOptions& o);
 int jobList(const JobOptions& o);
--- a/cli/job_main.cpp
+++ b/cli/job_main.cpp
@@ -4,57 +4,63 @@
 
 JobCommands::JobCommands(CLI::App& app) {
   options_.job.jobClass = "";
-  CLI::App* job = app.add_subcommand("job", "jobs, one by one");
+  CLI::App* job = app.add_subcommand("job", "submit and manage jobs");
   job->require_subcommand(1);
   auto ids = [&](CLI::App* c, const char* what) {
     return c->add_option("job", options_.ids, what);
   };
-  submit_ =
-      job->add_subcommand("submit", "submit a job; repeated with the same --batch or --id, once");
+  submit_ = job->add_subcommand(
+      "submit",
+      "submit a job; a repeated command with the same --batch or --id submits no second job");
   submit_->add_option("--batch", options_.batch,
-                      "name of the batch: the same name is the same job");
-  submit_->add_option("--id", options_.id, "the id to use (j- and digits)");
-  submit_->add_option("--class", options_.job.jobClass, "class of jobs that it belongs to");
+                      "idempotency key; the same key always refers to the same job");
+  submit_->add_option("--id", options_.id, "job id (j- and digits)");
+  submit_->add_option("--class", options_.job.jobClass, "job class");
   submit_->add_option("--shape", options_.shape, "array, service or gang")
       ->check(CLI::IsMember({"array", "service", "gang"}));
   submit_->add_option("--priority", options_.priority, "best_effort, standard, high or production")
       ->check(CLI::IsMember({"best_effort", "standard", "high", "production"}));
-  submit_->add_option("--tasks", options_.job.tasks, "how many")->check(CLI::Range(1, 100000));
-  submit_->add_option("--cpus", options_.job.cpus, "of each task");
-  submit_->add_option("--gpus", options_.job.gpus, "of each task");
-  submit_->add_option("--ram-gb", options_.job.ramGb, "of each task");
-  submit_->add_option("--image", options_.job.image, "that a machine must have");
-  submit_->add_option("--image-gb", options_.job.imageGb, "its size");
+  submit_->add_option("--tasks", options_.job.tasks, "number of tasks")
+      ->check(CLI::Range(1, 100000));
+  submit_->add_option("--cpus", options_.job.cpus, "CPUs of each task");
+  submit_->add_option("--gpus", options_.job.gpus, "GPUs of each task");
+  submit_->add_option("--ram-gb", options_.job.ramGb, "memory of each task in GB");
+  submit_->add_option("--image", options_.job.image, "image that the tasks need");
+  submit_->add_option("--image-gb", options_.job.imageGb, "size of the image in GB");
   submit_->add_option("--zone", options_.job.zone, "the only allowed zone");
   submit_->add_option("--types", options_.job.types, "allowed machine types")->delimiter(',');
-  submit_->add_option("--estimate", options_.job.estimateS, "seconds that a task runs, about");
-  submit_->add_flag("--spot", options_.job.spot, "may use machines that are taken back");
-  submit_->add_flag("--spread", options_.job.spread, "at most half of the tasks in one zone");
-  submit_->add_flag("--one-zone", options_.job.oneZone, "all tasks in the same zone");
+  submit_->add_option("--estimate", options_.job.estimateS,
+                      "estimated run time of a task in seconds");
+  submit_->add_flag("--spot", options_.job.spot, "allow spot machines");
+  submit_->add_flag("--spread", options_.job.spread, "run at most half of the tasks in one zone");
+  submit_->add_flag("--one-zone", options_.job.oneZone, "run all tasks in the same zone");
   submit_->add_option("--directory", options_.directory,
-                      "where tasks run, below the member's files");
-  submit_->add_flag("--wait", options_.wait, "until it has ended");
+                      "working directory of the tasks, below the member's files");
+  submit_->add_flag("--wait", options_.wait, "wait until the job has ended");
   submit_->add_option("command", options_.command,
-                      "what each task runs (HOIST_TASK is its number)");
+                      "command of each task (HOIST_TASK is the number of the task)");
   submit_->footer("Example: hoist job submit --batch drawer-12 --tasks 40 -- ./scan.sh");
-  status_ = job->add_subcommand("status", "what a job's state is");
-  ids(status_, "ids")->required();
-  list_ = job->add_subcommand("list", "the member's jobs, in the order of their last change");
-  list_->add_option("--phase", options_.phase, "pending, running, done or withdrawn")
+  status_ = job->add_subcommand("status", "show the states of jobs");
+  ids(status_, "ids of jobs")->required();
+  list_ = job->add_subcommand("list", "list the member's jobs in the order of their last changes");
+  list_
+      ->add_option("--phase", options_.phase,
+                   "list only jobs in this phase: pending, running, done or withdrawn")
       ->check(CLI::IsMember({"pending", "running", "done", "withdrawn"}));
-  list_->add_option("--class", options_.job.jobClass, "only of this class");
-  list_->add_option("--since", options_.since, "a cursor, as a list or watch told it");
-  list_->add_option("--limit", options_.limit, "jobs of one page")->check(CLI::Range(1, 200));
-  list_->add_flag("--all", options_.all, "every page");
-  watch_ = job->add_subcommand("watch", "tells each change until the jobs named have ended");
-  ids(watch_, "ids; none: all of the member's");
-  watch_->add_option("--since", options_.since, "a cursor: all that changed after it");
+  list_->add_option("--class", options_.job.jobClass, "list only jobs of this class");
+  list_->add_option("--since", options_.since, "cursor that list or watch printed");
+  list_->add_option("--limit", options_.limit, "number of jobs per page")
+      ->check(CLI::Range(1, 200));
+  list_->add_flag("--all", options_.all, "list all pages");
+  watch_ = job->add_subcommand("watch", "print each change until the given jobs have ended");
+  ids(watch_, "ids of jobs (default: all jobs of the member)");
+  watch_->add_option("--since", options_.since, "cursor; print all changes after it");
   cancel_ = job->add_subcommand("cancel", "cancel jobs");
-  ids(cancel_, "ids")->required();
-  logs_ = job->add_subcommand("logs", "what a task has printed");
-  ids(logs_, "the job's id")->required()->expected(1);
+  ids(cancel_, "ids of jobs")->required();
+  logs_ = job->add_subcommand("logs", "print the output of a task");
+  ids(logs_, "id of the job")->required()->expected(1);
   logs_->add_option("--task", options_.task, "number of the task");
-  logs_->add_flag("--follow", options_.follow, "until the job has ended");
+  logs_->add_flag("--follow", options_.follow, "print new output until the job has ended");
 }
 
 std::optional<int> JobCommands::run(const Options& common) {
--- a/cli/job_main.hpp
+++ b/cli/job_main.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The command lines of `hoist job` and of hoist-admin.
+/// Defines the command line of `hoist job`.
 #pragma once
 
 #include "cli/commands.hpp"
@@ -7,11 +7,12 @@
 
 namespace kestrelhoist::hoist {
 
-/// `hoist job ...`, as subcommands of an application.
+/// Adds `hoist job` and its subcommands to an application.
 class JobCommands {
  public:
   explicit JobCommands(CLI::App& app);
-  /// The exit code, if one of them was given.
+  /// Runs the subcommand of the command line and returns its exit code. Returns std::nullopt if the
+  /// command line contains no subcommand of `hoist job`.
   std::optional<int> run(const Options& common);
 
  private:
--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -1,4 +1,5 @@
-// hoist: the users' command. Exit codes are in kExits; every answer is also to be had as JSON.
+// hoist is the command-line program for users. kExits lists its exit codes, and the option --json
+// prints every response as JSON.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -13,89 +14,99 @@
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "hoist hands jobs and rule files (Snakemake, Make) to kestrelhoist and follows them"};
+      "hoist submits jobs and rule files (Snakemake, Make) to kestrelhoist and follows them"};
   app.require_subcommand(1);
   app.set_version_flag("--version", "hoist " KESTRELHOIST_VERSION);
   app.footer(hoist::kExits);
   hoist::Options o;
   app.add_option("--config", o.configFile, "JSON file with servers, team, member and files");
-  app.add_option("--server", o.servers,
-                 "address of a controller (ip:port); several are tried in turn")
+  app.add_option("--server", o.servers, "addresses of controllers (ip:port), separated by commas")
       ->delimiter(',');
-  app.add_option("--team", o.team, "team whose quota is used");
-  app.add_option("--member", o.member, "who asks");
-  app.add_option("--files", o.files, "root of the files that all machines share");
-  app.add_flag("--json", o.json, "answers as JSON, one value a line");
-  app.add_option("--timeout", o.timeoutS, "seconds to try for before giving up")
+  app.add_option("--team", o.team, "team whose quota the jobs use");
+  app.add_option("--member", o.member, "member of the team who submits the request");
+  app.add_option("--files", o.files, "root directory of the files that all machines share");
+  app.add_flag("--json", o.json, "print responses as JSON, one value per line");
+  app.add_option("--timeout", o.timeoutS, "timeout of each request in seconds, including retries")
       ->check(CLI::Range(1.0, 86400.0));
 
-  app.add_option("--key", o.key, "the member's key (better: HOIST_KEY, or a file in the settings)");
-  app.add_option("--authority", o.authority, "speak TLS; PEM file of who is believed");
+  app.add_option("--key", o.key,
+                 "the member's key; HOIST_KEY or a key file in the settings is safer");
+  app.add_option("--authority", o.authority,
+                 "use TLS; PEM file with the trusted certificate authorities");
   hoist::JobCommands jobs(app);
-  CLI::App* flow = app.add_subcommand("flow", "rule files");
+  CLI::App* flow = app.add_subcommand("flow", "submit and manage rule files");
   flow->require_subcommand(1);
   auto ruleFile = [&](CLI::App* c) {
     c->add_option("file", o.file.path, "Snakefile or Makefile")->required();
-    c->add_option("targets", o.file.targets, "files or rules to make (default: the file's first)");
+    c->add_option("targets", o.file.targets,
+                  "files or rules to build (default: the first rule of the file)");
     c->add_option("--set", o.set,
-                  "NAME=VALUE: configuration of a Snakefile, a variable of a Makefile");
-    c->add_option("--language", o.file.language, "what the file is, if its name does not say")
+                  "NAME=VALUE: a configuration value of a Snakefile or a variable of a Makefile");
+    c->add_option("--language", o.file.language,
+                  "language of the file (default: determined by the file name)")
         ->check(CLI::IsMember({"snakemake", "make"}));
     c->add_option("--directory", o.file.directory,
-                  "where the sources are (default: the file's directory)");
-    c->add_option("--image", o.file.image, "image of rules that name none");
-    c->add_flag("!--no-spot", o.file.spot, "not on machines that may be taken back");
+                  "directory of the sources (default: the file's directory)");
+    c->add_option("--image", o.file.image, "image of the rules that name no image");
+    c->add_flag("!--no-spot", o.file.spot, "do not use spot machines");
   };
   auto sending = [&](CLI::App* c) {
-    c->add_option("--name", o.name, "name of the flow (default: the directory's)");
+    c->add_option("--name", o.name, "name of the flow (default: the directory's name)");
     c->add_option("--rank", o.rank, "best_effort, standard or high")
         ->check(CLI::IsMember({"best_effort", "standard", "high"}));
     c->add_flag(
         "--keep-going", o.keepGoing,
-        "when an instance fails for good, skip what needs it instead of waiting for an amendment");
+        "if an instance fails permanently, skip the instances that depend on it instead of waiting "
+        "for an amendment");
   };
   auto newId = [&](CLI::App* c) {
-    c->add_option("--id", o.flow, "the id to use: a repeated call with it begins nothing twice");
+    c->add_option("--id", o.flow,
+                  "flow id; a repeated command with the same id starts no second flow");
   };
   auto flowId = [&](CLI::App* c) {
-    c->add_option("flow", o.flow, "the flow's id, as submit told it")->required();
+    c->add_option("flow", o.flow, "the flow id that submit printed")->required();
   };
 
-  auto* plan = flow->add_subcommand("plan", "show what would run, and why");
+  auto* plan = flow->add_subcommand("plan", "show the instances that would run and the reasons");
   ruleFile(plan);
-  plan->add_flag("--dot", o.dot, "as a graph for Graphviz");
-  plan->add_flag("--commands", o.commands, "with the commands");
+  plan->add_flag("--dot", o.dot, "print a graph for Graphviz");
+  plan->add_flag("--commands", o.commands, "also print the commands of the instances");
   plan->footer("Example: hoist flow plan Snakefile all --set sheets=12");
-  auto* submit = flow->add_subcommand("submit", "hand a rule file over; prints the flow's id");
+  auto* submit = flow->add_subcommand("submit", "submit a rule file and print the flow id");
   ruleFile(submit);
   sending(submit);
   newId(submit);
   submit->footer("Example: hoist flow submit Snakefile --name herbarium");
-  auto* run = flow->add_subcommand("run", "hand it over and follow it to its end");
+  auto* run = flow->add_subcommand("run", "submit a rule file and follow the flow to its end");
   ruleFile(run);
   sending(run);
   newId(run);
   run->footer("Example: hoist flow run Makefile audit --keep-going");
-  auto* status = flow->add_subcommand("status", "how far a flow is, and what has failed");
+  auto* status =
+      flow->add_subcommand("status", "show the progress of a flow and its failed instances");
   flowId(status);
-  auto* follow = flow->add_subcommand("follow", "wait for its end");
+  auto* follow = flow->add_subcommand("follow", "follow a flow to its end");
   flowId(follow);
-  auto* amend = flow->add_subcommand("amend", "change a flow's file: what is the same goes on");
+  auto* amend =
+      flow->add_subcommand("amend", "change the rule file of a flow; unchanged instances continue");
   flowId(amend);
   ruleFile(amend);
-  amend->add_flag("--keep-going", o.keepGoing, "from now on");
+  amend->add_flag("--keep-going", o.keepGoing,
+                  "from now on, skip the instances that depend on a failed one");
   amend->add_option("--base", o.base,
-                    "the version that is to be changed (default: the present one)");
+                    "the flow version that the amendment replaces (default: the current one)");
   amend->footer("Example: hoist flow amend w-1234 Snakefile");
-  auto* cancel = flow->add_subcommand("cancel", "stop a flow");
+  auto* cancel = flow->add_subcommand("cancel", "cancel a flow");
   flowId(cancel);
-  auto* report = flow->add_subcommand("report", "what a flow has used, by rule");
+  auto* report = flow->add_subcommand("report", "show the resources that a flow has used, by rule");
   flowId(report);
-  auto* account = flow->add_subcommand("account", "what the team's flows have used, by member");
-  auto* list = flow->add_subcommand("list", "the member's open flows");
-  auto* replan = flow->add_subcommand("replan", "after a checkpoint, on the machine that ran it");
+  auto* account = flow->add_subcommand(
+      "account", "show the resources that the team's flows have used, by member");
+  auto* list = flow->add_subcommand("list", "list the member's open flows");
+  auto* replan = flow->add_subcommand(
+      "replan", "plan the rule file again after a checkpoint, as a task of the flow");
   replan->group("");
-  auto* completion = app.add_subcommand("completion", "prints the completion for bash");
+  auto* completion = app.add_subcommand("completion", "print the completion script for bash");
   completion->footer(
       "Example: hoist completion > ~/.local/share/bash-completion/completions/hoist");
 
--- a/cli/policy_commands.cpp
+++ b/cli/policy_commands.cpp
@@ -1,4 +1,4 @@
-// hoist-admin policy and pool.
+// Implements the subcommands `policy` and `pool` of hoist-admin.
 #include <ctime>
 #include <fstream>
 #include <iostream>
@@ -30,7 +30,8 @@
     std::stringstream text;
     text << in.rdbuf();
     document = jsonFrom(text.str());
-    parsePolicy(document);  // wrong ones are told here, with the pointer, and sent nowhere
+    // An invalid document throws here, with a JSON pointer to the fault, and is not sent.
+    parsePolicy(document);
   }
   Json body = {{"document", document}, {"check", check}, {"request", client_->drawId().value}};
   if (base) body["if"] = *base;
@@ -46,12 +47,12 @@
   const Json& v = r->body;
   std::string text = "version " + std::to_string(number(v, "version")) + " is in force\n";
   if (const Json* effect = field(v, "effect")) {
-    text += std::to_string(number(*effect, "services_kept")) + " services would be kept\n";
+    text += std::to_string(number(*effect, "services_kept")) + " services would be protected\n";
     if (auto open = textField(*effect, "open")) text += *open + " would be open now\n";
     if (const Json* periods = field(*effect, "periods")) {
       for (const auto& [name, p] : periods->items()) {
-        text += name + ": " + std::to_string(number(p, "first")) + " jobs would go first, " +
-                std::to_string(number(p, "yield")) + " would yield\n";
+        text += name + ": " + std::to_string(number(p, "first")) + " jobs would get precedence, " +
+                std::to_string(number(p, "yield")) + " jobs would yield\n";
       }
     }
   }
@@ -82,12 +83,12 @@
                 : open + " is open until " +
                       timeText(static_cast<std::int64_t>(number(standing, "closes"))) + " UTC\n";
     if (const Json* storm = field(standing, "storm")) {
-      text += "storm since " + timeText(static_cast<std::int64_t>(number(*storm, "since"))) +
+      text += "mass failure since " + timeText(static_cast<std::int64_t>(number(*storm, "since"))) +
               " UTC: " + std::to_string(number(*storm, "lost")) + " machines lost, " +
-              std::to_string(number(*storm, "missing")) + " kept replicas not up\n";
+              std::to_string(number(*storm, "missing")) + " protected replicas not running\n";
     }
     if (auto n = number(standing, "uncovered")) {
-      text += std::to_string(n) + " kept replicas would find no place after the worst loss\n";
+      text += std::to_string(n) + " protected replicas would not fit after the worst failure\n";
     }
   }
   print(v, text);
@@ -100,8 +101,8 @@
   const Json pools = r->body.value("standing", Json::object()).value("pools", Json::object());
   std::string text;
   for (const auto& [image, held] : pools.items()) {
-    text += image + ": " + std::to_string(number(held, "wanted")) + " wanted, " +
-            std::to_string(held.value("on", Json::array()).size()) + " hold it\n";
+    text += image + ": " + std::to_string(number(held, "wanted")) + " machines wanted, " +
+            std::to_string(held.value("on", Json::array()).size()) + " machines have the image\n";
   }
   print(pools, text);
   return kOk;
--- a/cli/rule_file.cpp
+++ b/cli/rule_file.cpp
@@ -21,7 +21,8 @@
   char block[65536];
   while (in.read(block, sizeof block) || in.gcount() > 0) {
     text.append(block, static_cast<std::size_t>(in.gcount()));
-    if (text.size() > most) break;  // refused by whoever reads it
+    // The parser rejects files that exceed the limit.
+    if (text.size() > most) break;
   }
   return text;
 }
@@ -82,7 +83,7 @@
     std::vector<Instance> deps;
     for (Instance d : p.deps) {
       deps.push_back(number[d]);
-      // What needs a checkpoint waits until the file has been worked out again.
+      // An instance that depends on a checkpoint also waits until the file has been planned again.
       if (replan[d] != 0) deps.push_back(replan[d]);
     }
     std::sort(deps.begin(), deps.end());
--- a/client/python/module.cpp
+++ b/client/python/module.cpp
@@ -1,5 +1,5 @@
-// The Python package's native part: the C++ client as it is. Errors become exceptions, one class a
-// kind; waiting calls let other Python threads run.
+// The native module of the Python package, which wraps the C++ client. Each error kind becomes an
+// exception class. Blocking calls release Python's global interpreter lock.
 #include <pybind11/chrono.h>
 #include <pybind11/functional.h>
 #include <pybind11/pybind11.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The exception classes, by kind; made once by the module.
+// Returns the exception class of each error kind. The initialization of the module fills the map.
 std::map<ErrorKind, py::object>& classes() {
   static auto* all = new std::map<ErrorKind, py::object>();
   return *all;
@@ -56,10 +56,10 @@
   return o;
 }
 
-// How long a wait stays in C++ before Python may handle a signal (Ctrl-C).
+// A blocking call checks for Python signals, such as Ctrl-C, at this interval.
 constexpr std::chrono::milliseconds kTurn{200};
 
-// Iterates over events; ends when all jobs named have.
+// Iterates over the events of a watch. The iteration stops when all selected jobs have ended.
 struct Events {
   Watch watch;
   JobEvent next() {
@@ -73,7 +73,7 @@
   }
 };
 
-// Open until closed, or until its `with` ends.
+// The client object of Python. It stays open until close() or the end of its `with` block.
 class PyClient {
  public:
   explicit PyClient(Settings s) : client_(std::make_unique<Client>(std::move(s))) {}
@@ -94,18 +94,18 @@
 template <class E>
 E wordOrThrow(std::optional<E> (*from)(const std::string&), const std::string& word) {
   auto e = from(word);
-  if (!e) throw py::value_error("no such word here: " + word);
+  if (!e) throw py::value_error("invalid value: " + word);
   return *e;
 }
 
 }  // namespace
 
 PYBIND11_MODULE(_client, m) {
-  m.doc() = "kestrelhoist's client: submit, watch, cancel and query jobs";
+  m.doc() = "Submits, watches, cancels and queries jobs of the kestrelhoist service.";
 
   py::object base = py::reinterpret_steal<py::object>(PyErr_NewExceptionWithDoc(
       "kestrelhoist.Error",
-      "A call that did not succeed. Attributes: kind, tried, where, tries, status, come_back_s, "
+      "A failed call. Attributes: kind, tried, where, tries, status, come_back_s, "
       "why, request_id, job_id.",
       PyExc_Exception, nullptr));
   m.attr("Error") = base;
@@ -116,22 +116,25 @@
     m.attr(name) = type;
     classes()[k] = type;
   };
-  kind(ErrorKind::malformed, "Malformed", "The service can't read the request; never repeat it.");
-  kind(ErrorKind::neverRuns, "NeverRuns", "No machine, team or limit will ever let it run.");
-  kind(ErrorKind::notPermitted, "NotPermitted", "No key, not a valid one, or without the right.");
-  kind(ErrorKind::unknown, "Unknown", "No such job for this member.");
+  kind(ErrorKind::malformed, "Malformed", "The request is malformed. Do not repeat it.");
+  kind(ErrorKind::neverRuns, "NeverRuns", "No machine type or team limit allows the job to run.");
+  kind(ErrorKind::notPermitted, "NotPermitted",
+       "The key is missing, invalid or lacks the necessary right.");
+  kind(ErrorKind::unknown, "Unknown", "The member has no such job.");
   kind(ErrorKind::conflict, "Conflict",
-       "The id is known with another description, or a cursor is no longer good.");
-  kind(ErrorKind::throttled, "Throttled", "Too much at once: come back after come_back_s.");
-  kind(ErrorKind::unavailable, "Unavailable", "No controller could answer; nothing was changed.");
-  kind(ErrorKind::deadlinePassed, "DeadlinePassed", "The call's own time was over.");
+       "The id belongs to a job with another description, or the cursor has expired.");
+  kind(ErrorKind::throttled, "Throttled",
+       "The client exceeds a rate limit. Retry after come_back_s seconds.");
+  kind(ErrorKind::unavailable, "Unavailable",
+       "No controller could process the request. The service changed nothing.");
+  kind(ErrorKind::deadlinePassed, "DeadlinePassed", "The call timed out.");
   kind(ErrorKind::outcomeUnknown, "OutcomeUnknown",
-       "Sent and not answered: carried out, or not. The same call with the same id settles it.");
-  kind(ErrorKind::protocolViolated, "ProtocolViolated", "An answer that can't be.");
-  kind(ErrorKind::cancelled, "Cancelled", "Given up.");
-  kind(ErrorKind::unusable, "Unusable", "Settings that can't work.");
+       "The service may have made the change. Repeat the call with the same id to find out.");
+  kind(ErrorKind::protocolViolated, "ProtocolViolated", "A response violates the protocol.");
+  kind(ErrorKind::cancelled, "Cancelled", "The caller cancelled the call.");
+  kind(ErrorKind::unusable, "Unusable", "The settings of the client are invalid.");
 
-  py::class_<JobState>(m, "JobState", "A job as last told.")
+  py::class_<JobState>(m, "JobState", "The state of a job in the service's last response.")
       .def_readonly("id", &JobState::id)
       .def_property_readonly("phase", [](const JobState& s) { return wordOf(s.phase); })
       .def_readonly("tasks", &JobState::tasks)
@@ -147,19 +150,19 @@
         return "<JobState " + s.id + " " + wordOf(s.phase) + " " + std::to_string(s.done) + "/" +
                std::to_string(s.tasks) + ">";
       });
-  py::class_<JobEvent>(m, "JobEvent", "What a watch tells.")
+  py::class_<JobEvent>(m, "JobEvent", "A change of a job that a watch reports.")
       .def_readonly("job", &JobEvent::job)
       .def_readonly("cursor", &JobEvent::cursor);
-  py::class_<JobPage>(m, "JobPage", "One page of a list.")
+  py::class_<JobPage>(m, "JobPage", "One page of a list of jobs.")
       .def_readonly("jobs", &JobPage::jobs)
       .def_readonly("cursor", &JobPage::cursor)
       .def_readonly("more", &JobPage::more);
-  py::class_<Identity>(m, "Identity", "Whose key it is and what it may do.")
+  py::class_<Identity>(m, "Identity", "The owner and the rights of a key.")
       .def_readonly("key", &Identity::key)
       .def_readonly("team", &Identity::team)
       .def_readonly("member", &Identity::member)
       .def_readonly("rights", &Identity::rights);
-  py::class_<Job>(m, "Job", "What is asked for; amounts are per task.")
+  py::class_<Job>(m, "Job", "The description of a job. The amounts of resources are per task.")
       .def(py::init([](const std::string& jobClass, const std::string& team,
                        const std::string& shape, const std::string& priority, std::uint32_t tasks,
                        double cpus, double gpus, double ramGb, const std::string& image,
@@ -197,11 +200,11 @@
            py::arg("estimate_s") = 0.0, py::arg("checkpoint_s") = 0.0, py::arg("save_s") = 0.0,
            py::arg("deadline_s") = py::none());
 
-  py::class_<Events>(m, "Events", "Events of a watch, as an iterator.")
+  py::class_<Events>(m, "Events", "An iterator over the events of a watch.")
       .def("__iter__", [](Events& e) -> Events& { return e; })
       .def("__next__", &Events::next);
 
-  py::class_<PyClient>(m, "Client", "Talks to the service; closes with its `with`.")
+  py::class_<PyClient>(m, "Client", "A client of the service. The end of a `with` block closes it.")
       .def(py::init([](std::vector<std::string> servers, const std::string& key,
                        const std::string& team, const std::string& authority,
                        const std::string& serverName, const std::string& config) {
@@ -226,7 +229,7 @@
            py::arg("config") = "")
       .def("__enter__", [](PyClient& c) -> PyClient& { return c; })
       .def("__exit__", [](PyClient& c, const py::args&) { c.close(); })
-      .def("close", &PyClient::close, "Gives up its calls; they end as Cancelled.")
+      .def("close", &PyClient::close, "Closes the client. Its open calls raise Cancelled.")
       .def(
           "submit",
           [](PyClient& c, const Job& job, const std::string& key, const std::string& id,
@@ -236,21 +239,21 @@
           },
           py::arg("job"), py::kw_only(), py::arg("idempotency_key") = "", py::arg("id") = "",
           py::arg("timeout") = 60.0,
-          "The job is accepted, once: the same idempotency key is the same job, for ever.")
+          "Submits a job exactly once. The same idempotency key always refers to the same job.")
       .def(
           "get",
           [](PyClient& c, const std::string& id, double timeout) {
             return valueOf(released([&] { return c.get().get(id, within(timeout)); }));
           },
           py::arg("id"), py::kw_only(), py::arg("timeout") = 60.0,
-          "A job's state. Raises Unknown if this member has no such job.")
+          "Returns the state of a job. Raises Unknown if the member has no such job.")
       .def(
           "cancel",
           [](PyClient& c, const std::string& id, double timeout) {
             return valueOf(released([&] { return c.get().cancel(id, within(timeout)); }));
           },
           py::arg("id"), py::kw_only(), py::arg("timeout") = 60.0,
-          "Cancelled, or done if that came first: the state tells.")
+          "Cancels a job. Returns its state, which is done if the job completed first.")
       .def(
           "wait",
           [](PyClient& c, const std::string& id, double timeout) {
@@ -272,8 +275,8 @@
             raise(late);
           },
           py::arg("id"), py::kw_only(), py::arg("timeout") = 60.0,
-          "Until the job has ended, over restarts of the controllers; DeadlinePassed if not in "
-          "time.")
+          "Waits until a job has ended, also across restarts of controllers. Raises DeadlinePassed "
+          "if the job does not end in time.")
       .def(
           "list",
           [](PyClient& c, const std::string& phase, const std::string& jobClass,
@@ -287,7 +290,7 @@
           },
           py::kw_only(), py::arg("phase") = "", py::arg("job_class") = "", py::arg("since") = "",
           py::arg("limit") = 100, py::arg("timeout") = 60.0,
-          "One page of the member's jobs, in the order of their last change.")
+          "Returns one page of the member's jobs in the order of their last changes.")
       .def(
           "watch",
           [](PyClient& c, std::vector<std::string> ids, const std::string& since) {
@@ -298,16 +301,17 @@
           },
           py::arg("ids") = std::vector<std::string>{}, py::kw_only(), py::arg("since") = "",
           py::keep_alive<0, 1>(),
-          "Tells each change; an iterator that ends when all jobs named have. None named: all, for "
-          "ever.")
+          "Returns an iterator over the changes of the given jobs, which stops when they have "
+          "ended. "
+          "Without ids it never stops and covers all jobs of the member.")
       .def(
           "who_am_i",
           [](PyClient& c) { return valueOf(released([&] { return c.get().whoAmI(); })); },
-          "Whose key it is and what it may do.")
+          "Returns the owner and the rights of the client's key.")
       .def(
           "id_for",
           [](PyClient& c, const std::string& key) {
             return valueOf(released([&] { return c.get().idFor(key); }));
           },
-          py::arg("idempotency_key"), "The id that a job of this idempotency key has.");
+          py::arg("idempotency_key"), "Returns the id of the job with this idempotency key.");
 }
