--- a/cli/admin_main.cpp
+++ b/cli/admin_main.cpp
@@ -14,7 +14,7 @@
       "hoist-admin manages the member keys and the policy of kestrelhoist and shows why jobs wait"};
   app.require_subcommand(1);
   app.set_version_flag("--version", "hoist-admin " KESTRELHOIST_VERSION);
-  app.footer(hoist::kExits);
+  app.footer(hoist::kExitCodes);
   hoist::Options common;
   hoist::JobOptions o;
   app.add_option("--config", common.configFile, "JSON settings file with servers, key and tls");
@@ -101,8 +101,8 @@
     if (show->parsed() || history->parsed()) {
       return hoist::Session(common).policyShow(history->parsed());
     }
-    if (poolShow->parsed()) return hoist::Session(common).pools();
-    if (pay->parsed()) return hoist::Session(common).paid(team);
+    if (poolShow->parsed()) return hoist::Session(common).showPools();
+    if (pay->parsed()) return hoist::Session(common).showCharges(team);
     o.settings = hoist::clientSettings(common);
     if (make->parsed()) return hoist::keyMake(o);
     if (list->parsed()) return hoist::keyList(o);
--- a/cli/commands.cpp
+++ b/cli/commands.cpp
@@ -15,7 +15,7 @@
 namespace fs = std::filesystem;
 namespace {
 
-constexpr Duration kFollowEvery{1000};
+constexpr Duration kFollowInterval{1000};
 
 std::vector<std::pair<std::string, std::string>> settingsOf(const std::vector<std::string>& set) {
   std::vector<std::pair<std::string, std::string>> out;
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-int told(const client::Error& e, bool json) {
+int printError(const client::Error& e, bool json) {
   std::fprintf(stderr, "hoist: %s\n", e.text().c_str());
   if (json) {
     Json v = {{"kind", client::wordOf(e.kind)}, {"status", e.status}, {"error", e.why}};
@@ -177,15 +177,15 @@
   }
 }
 
-int Session::ended(const FlowClient::Result& r) const {
-  return r ? kOk : told(r.error(), options_.json);
+int Session::exitCodeOf(const FlowClient::Result& r) const {
+  return r ? kOk : printError(r.error(), options_.json);
 }
 
 std::string Session::directoryOf(const FlowId& id) const {
   return settings_.files + "/" + settings_.team + "/" + settings_.member + "/" + id.value;
 }
 
-FlowOrder Session::order(const PlannedFile& file) const {
+FlowSubmission Session::submissionFor(const PlannedFile& file) const {
   if (settings_.team.empty() || settings_.member.empty() || settings_.files.empty()) {
     throw std::runtime_error(
         "team, member or files is not set; use --team, --member and --files, the environment or "
@@ -195,22 +195,22 @@
   if (!validLabel(settings_.member))
     throw std::runtime_error("member " + settings_.member +
                              " contains characters other than A-Z a-z 0-9 . _ -");
-  FlowOrder order;
-  order.team = settings_.team;
-  order.member = settings_.member;
-  order.rank = options_.rank;
-  order.keepGoing = options_.keepGoing;
+  FlowSubmission submission;
+  submission.team = settings_.team;
+  submission.member = settings_.member;
+  submission.rank = options_.rank;
+  submission.keepGoing = options_.keepGoing;
   std::error_code error;
-  order.name = options_.name.empty()
-                   ? fs::weakly_canonical(file.directory, error).filename().string()
-                   : options_.name;
+  submission.name = options_.name.empty()
+                        ? fs::weakly_canonical(file.directory, error).filename().string()
+                        : options_.name;
   std::string clean;
-  for (char c : order.name)
+  for (char c : submission.name)
     clean +=
         std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_' || c == '.' ? c : '-';
   while (!clean.empty() && clean[0] == '.') clean.erase(0, 1);
-  order.name = clean.empty() ? "flow" : clean.substr(0, 64);
-  return order;
+  submission.name = clean.empty() ? "flow" : clean.substr(0, 64);
+  return submission;
 }
 
 void Session::stage(const PlannedFile& file, const FlowId& id, const Options& options) const {
@@ -255,7 +255,7 @@
     print({{"instances", 0}}, "the plan contains no instances; no flow was submitted\n");
     return kOk;
   }
-  FlowOrder flow = order(file);
+  FlowSubmission flow = submissionFor(file);
   flow.id = options_.flow.empty() ? client_->drawId() : FlowId{options_.flow};
   if (!validFlowId(flow.id.value))
     throw std::runtime_error("a flow id is w- followed by up to 18 digits, not " + flow.id.value);
@@ -264,7 +264,7 @@
   auto r = wait([&](FlowClient::Done done) {
     client_->submit(flow, bundle, 0, fromSeconds(options_.timeoutS), std::move(done));
   });
-  if (int code = ended(r)) {
+  if (int code = exitCodeOf(r)) {
     std::fprintf(stderr, "hoist: the flow's id is %s\n", flow.id.value.c_str());
     return code;
   }
@@ -287,7 +287,7 @@
     auto r = get("/v2/flows/" + id.value);
     if (!r) {
       if (terminal) std::cout << "\n";
-      return ended(r);
+      return exitCodeOf(r);
     }
     const Json& v = r->body;
     std::string phase = textField(v, "phase").value_or("");
@@ -325,7 +325,7 @@
       return kFailed;
     }
     (void)wait([&](const FlowClient::Done& done2) {
-      loop_.after(kFollowEvery, [done2] { done2(client::Answer{}); });
+      loop_.after(kFollowInterval, [done2] { done2(client::Answer{}); });
     });
   }
 }
@@ -333,7 +333,7 @@
 int Session::status() {
   FlowId id{options_.flow};
   auto r = get("/v2/flows/" + id.value);
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   Json v = r->body;
   std::string text = id.value + " " + textField(v, "name").value_or("") + " of " +
                      textField(v, "member").value_or("") + ": " +
@@ -347,7 +347,7 @@
   }
   if (count(v, "failed") > 0) {
     auto failed = get("/v2/flows/" + id.value + "/failures");
-    if (int code = ended(failed)) return code;
+    if (int code = exitCodeOf(failed)) return code;
     Json names = Json::array();
     const Json* list = field(failed->body, "failed");
     std::map<std::uint64_t, std::vector<rules::PlannedInstance>> texts;
@@ -357,7 +357,7 @@
       if (!texts.contains(part)) {
         auto t = get("/v2/flows/" + id.value + "/texts/" +
                      textField(failed->body, "version").value_or("") + "/" + std::to_string(part));
-        if (int code = ended(t)) return code;
+        if (int code = exitCodeOf(t)) return code;
         auto data = textField(t->body, "data");
         texts[part] = data ? rules::instancesFrom(*data) : std::vector<rules::PlannedInstance>{};
       }
@@ -377,12 +377,12 @@
 int Session::amend() {
   PlannedFile file = planned(options_);
   addReplans(file);
-  FlowOrder flow = order(file);
+  FlowSubmission flow = submissionFor(file);
   flow.id = FlowId{options_.flow};
   std::uint64_t base = options_.base;
   if (base == 0) {
     auto r = get("/v2/flows/" + options_.flow);
-    if (int code = ended(r)) return code;
+    if (int code = exitCodeOf(r)) return code;
     base = countField(r->body, "version").value_or(0);
   }
   stage(file, flow.id, options_);
@@ -390,7 +390,7 @@
   auto r = wait([&](FlowClient::Done done) {
     client_->submit(flow, bundle, base, fromSeconds(options_.timeoutS), std::move(done));
   });
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   print(r->body, flow.id.value + ": version " + std::to_string(count(r->body, "version")) + ", " +
                      std::to_string(bundle.instances) + " instances\n");
   return kOk;
@@ -400,7 +400,7 @@
   auto r = wait([&](FlowClient::Done done) {
     client_->cancel(FlowId{options_.flow}, fromSeconds(options_.timeoutS), std::move(done));
   });
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   print(r->body, options_.flow + ": " + textField(r->body, "phase").value_or("") + "\n");
   return kOk;
 }
@@ -429,7 +429,7 @@
 
 int Session::report() {
   auto r = get("/v2/flows/" + options_.flow + "/report");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   print(r->body, useTable(r->body, "rules", "rule"));
   return kOk;
 }
@@ -438,14 +438,14 @@
   if (settings_.team.empty())
     throw std::runtime_error("no team is set; use --team, HOIST_TEAM or the settings file");
   auto r = get("/v2/flows/account?owner=" + settings_.team);
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   print(r->body, useTable(r->body, "members", "member"));
   return kOk;
 }
 
 int Session::why(const std::string& job) {
   auto r = get("/v2/runs/" + job + "?why=1");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
   std::string text = job + " " + textField(v, "phase").value_or("?") + ", " +
                      std::to_string(count(v, "running")) + " on machines, " +
@@ -477,7 +477,7 @@
     throw std::runtime_error(
         "no team or member is set; use --team and --member, the environment or the settings file");
   auto r = get("/v2/flows?owner=" + settings_.team + "&member=" + settings_.member);
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   std::string text;
   if (const Json* flows = field(r->body, "flows"); flows && flows->is_array()) {
     for (const auto& f : *flows) {
@@ -513,16 +513,17 @@
   addReplans(file);
   auto bundle = rules::bundle(file.plan);
   auto r = get("/v2/flows/" + options_.flow);
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   if (textField(r->body, "graph") == bundle.version.value) return kOk;
-  FlowOrder amended = order(file);
+  FlowSubmission amended = submissionFor(file);
   amended.id = FlowId{options_.flow};
   auto result = wait([&](FlowClient::Done done) {
     client_->submit(amended, bundle, countField(r->body, "version").value_or(0),
                     fromSeconds(options_.timeoutS), std::move(done));
   });
   // After a conflict the task fails, and its retry starts from the flow's new version.
-  return !result && result.error().kind == client::ErrorKind::conflict ? kConflict : ended(result);
+  return !result && result.error().kind == client::ErrorKind::conflict ? kConflict
+                                                                       : exitCodeOf(result);
 }
 
 }  // namespace kestrelhoist::hoist
--- a/cli/commands.hpp
+++ b/cli/commands.hpp
@@ -17,7 +17,7 @@
 inline constexpr int kOk = 0, kUsage = 2, kRuleFile = 3, kRefused = 4, kConflict = 5, kUnknown = 6,
                      kUnavailable = 7, kFailed = 8;
 /// The help text on the exit codes.
-inline constexpr const char* kExits =
+inline constexpr const char* kExitCodes =
     "Exit codes: 0 done, 2 usage or settings, 3 the rule file is not accepted, 4 refused by the "
     "service, 5 another version or flow was first, 6 no such flow, 7 no usable answer (done, or "
     "not: ask again), 8 the flow failed or was cancelled.";
@@ -41,7 +41,7 @@
 /// the settings file.
 ClientSettings clientSettings(const Options& options);
 /// Prints the error of a call and returns the exit code.
-int told(const client::Error& error, bool json);
+int printError(const client::Error& error, bool json);
 /// Prints the completion script for bash.
 int printCompletion(const CLI::App& app);
 
@@ -64,16 +64,18 @@
   /// the effect of the change. The server address must be a controller's address for its peers.
   int policySet(const std::string& file, std::optional<std::uint64_t> base, bool check);
   int policyShow(bool history);
-  int pools();
-  int paid(const std::string& team);
+  int showPools();
+  int showCharges(const std::string& team);
 
  private:
   FlowClient::Result wait(const std::function<void(FlowClient::Done)>& call);
   FlowClient::Result get(const std::string& path);
   /// Prints the error of a call, if there is one, and returns the exit code.
-  int ended(const FlowClient::Result& r) const;
+  int exitCodeOf(const FlowClient::Result& r) const;
   int follow(const FlowId& id);
-  FlowOrder order(const PlannedFile& file) const;
+  /// Returns the owner and the options of the flow. Throws std::runtime_error if a setting is
+  /// missing.
+  FlowSubmission submissionFor(const PlannedFile& file) const;
   /// Copies sources and rule files to the flow's directory, which all machines share.
   void stage(const PlannedFile& file, const FlowId& id, const Options& options) const;
   std::string directoryOf(const FlowId& id) const;
--- a/cli/job_commands.cpp
+++ b/cli/job_commands.cpp
@@ -18,7 +18,7 @@
 
 using client::JobState;
 
-client::CallOptions within(const JobOptions& o) {
+client::CallOptions callOptions(const JobOptions& o) {
   client::CallOptions c;
   c.deadline = fromSeconds(o.timeoutS);
   return c;
@@ -47,7 +47,7 @@
   std::cout << std::endl;
 }
 
-int endOf(const JobState& s) { return s.phase == client::Phase::done ? kOk : kFailed; }
+int exitCodeOf(const JobState& s) { return s.phase == client::Phase::done ? kOk : kFailed; }
 
 // Returns the directory of a job's logs. Each task writes its output to one file there.
 fs::path logDirectory(const ClientSettings& s, const std::string& team, const std::string& member,
@@ -58,7 +58,7 @@
 // Returns the team and member that own the jobs. They come from the key, or from the settings if
 // there is no key.
 client::Result<client::Identity> identity(client::Client& c, const JobOptions& o) {
-  if (!o.settings.key.empty()) return c.whoAmI(within(o));
+  if (!o.settings.key.empty()) return c.whoAmI(callOptions(o));
   return client::Identity{"", o.settings.team, o.settings.member, ""};
 }
 
@@ -114,8 +114,8 @@
   }
 }
 
-int shown(const JobOptions& o, const client::Result<client::KeyInfo>& k) {
-  if (!k) return told(k.error(), o.json);
+int printKeyResult(const JobOptions& o, const client::Result<client::KeyInfo>& k) {
+  if (!k) return printError(k.error(), o.json);
   printKey(o, *k);
   return kOk;
 }
@@ -129,12 +129,12 @@
   o.job.shape = *shape;
   o.job.priority = *priority;
   client::Client c(librarySettings(o.settings));
-  client::SubmitOptions submit{o.batch, o.id, within(o)};
+  client::SubmitOptions submit{o.batch, o.id, callOptions(o)};
   if (!o.command.empty()) {
     // The file with the command must exist before the job starts, and its name contains the job id.
     // The id is therefore chosen before the submission.
     auto who = identity(c, o);
-    if (!who) return told(who.error(), o.json);
+    if (!who) return printError(who.error(), o.json);
     if (submit.id.empty()) {
       submit.id = o.batch.empty() ? drawRef() : refFor({TeamId{who->team}, who->member}, o.batch);
       submit.idempotencyKey.clear();
@@ -144,24 +144,24 @@
     if (!fault.empty()) throw std::runtime_error(fault);
   }
   auto r = c.submit(o.job, submit);
-  if (!r) return told(r.error(), o.json);
+  if (!r) return printError(r.error(), o.json);
   print(o, *r);
   if (!o.wait) return kOk;
-  auto end = c.wait(r->id, within(o));
-  if (!end) return told(end.error(), o.json);
+  auto end = c.wait(r->id, callOptions(o));
+  if (!end) return printError(end.error(), o.json);
   print(o, *end);
-  return endOf(*end);
+  return exitCodeOf(*end);
 }
 
 int jobStatus(const JobOptions& o) {
   client::Client c(librarySettings(o.settings));
   int code = kOk;
   for (const auto& id : o.ids) {
-    auto r = c.get(id, within(o));
+    auto r = c.get(id, callOptions(o));
     if (r) {
       print(o, *r);
     } else {
-      code = told(r.error(), o.json);
+      code = printError(r.error(), o.json);
     }
   }
   return code;
@@ -178,8 +178,8 @@
   q.since = o.since;
   q.limit = o.limit;
   while (true) {
-    auto page = c.list(q, within(o));
-    if (!page) return told(page.error(), o.json);
+    auto page = c.list(q, callOptions(o));
+    if (!page) return printError(page.error(), o.json);
     for (const auto& job : page->jobs) print(o, job);
     q.since = page->cursor;
     if (page->more && o.all) continue;
@@ -204,7 +204,7 @@
     auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
         until - std::chrono::steady_clock::now());
     auto event = watch.next(std::max(left, std::chrono::milliseconds(1)));
-    if (!event) return told(event.error(), o.json);
+    if (!event) return printError(event.error(), o.json);
     if (!*event) return code;
     print(o, (*event)->job, (*event)->cursor);
     if ((*event)->job.phase == client::Phase::withdrawn) code = kFailed;
@@ -215,11 +215,11 @@
   client::Client c(librarySettings(o.settings));
   int code = kOk;
   for (const auto& id : o.ids) {
-    auto r = c.cancel(id, within(o));
+    auto r = c.cancel(id, callOptions(o));
     if (r) {
       print(o, *r);
     } else {
-      code = told(r.error(), o.json);
+      code = printError(r.error(), o.json);
     }
   }
   return code;
@@ -228,7 +228,7 @@
 int jobLogs(const JobOptions& o) {
   client::Client c(librarySettings(o.settings));
   auto who = identity(c, o);
-  if (!who) return told(who.error(), o.json);
+  if (!who) return printError(who.error(), o.json);
   if (o.settings.files.empty())
     throw std::runtime_error("files is not set; use --files or HOIST_FILES");
   fs::path file = logDirectory(o.settings, who->team, who->member, o.ids[0]) /
@@ -245,8 +245,8 @@
     std::cout.flush();
     if (over) break;
     // After the job's end the loop reads the log once more, so that no output is lost.
-    auto state = c.get(o.ids[0], within(o));
-    if (!state) return told(state.error(), o.json);
+    auto state = c.get(o.ids[0], callOptions(o));
+    if (!state) return printError(state.error(), o.json);
     over = state->hasEnded();
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
   }
@@ -283,25 +283,25 @@
                              o.rights);
   }
   client::Client c(librarySettings(o.settings));
-  return shown(o, c.makeKey(o.team, o.member, o.rights, o.note, within(o)));
+  return printKeyResult(o, c.makeKey(o.team, o.member, o.rights, o.note, callOptions(o)));
 }
 
 int keyList(const JobOptions& o) {
   client::Client c(librarySettings(o.settings));
-  auto r = c.keys(o.team, o.member, within(o));
-  if (!r) return told(r.error(), o.json);
+  auto r = c.keys(o.team, o.member, callOptions(o));
+  if (!r) return printError(r.error(), o.json);
   for (const auto& k : *r) printKey(o, k);
   return kOk;
 }
 
 int keyRotate(const JobOptions& o) {
   client::Client c(librarySettings(o.settings));
-  return shown(o, c.rotateKey(o.key, fromSeconds(o.graceS), within(o)));
+  return printKeyResult(o, c.rotateKey(o.key, fromSeconds(o.graceS), callOptions(o)));
 }
 
 int keyRevoke(const JobOptions& o) {
   client::Client c(librarySettings(o.settings));
-  return shown(o, c.revokeKey(o.key, fromSeconds(o.graceS), within(o)));
+  return printKeyResult(o, c.revokeKey(o.key, fromSeconds(o.graceS), callOptions(o)));
 }
 
 }  // namespace kestrelhoist::hoist
--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -1,5 +1,5 @@
-// hoist is the command-line program for users. kExits lists its exit codes, and the option --json
-// prints every response as JSON.
+// hoist is the command-line program for users. kExitCodes lists its exit codes, and the option
+// --json prints every response as JSON.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -17,7 +17,7 @@
       "hoist submits jobs and rule files (Snakemake, Make) to kestrelhoist and follows them"};
   app.require_subcommand(1);
   app.set_version_flag("--version", "hoist " KESTRELHOIST_VERSION);
-  app.footer(hoist::kExits);
+  app.footer(hoist::kExitCodes);
   hoist::Options o;
   app.add_option("--config", o.configFile, "JSON file with servers, team, member and files");
   app.add_option("--server", o.servers, "addresses of controllers (ip:port), separated by commas")
--- a/cli/policy_commands.cpp
+++ b/cli/policy_commands.cpp
@@ -43,7 +43,7 @@
     std::cerr << r.error().why << "\n";
     return kUsage;
   }
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
   std::string text = "version " + std::to_string(number(v, "version")) + " is in force\n";
   if (const Json* effect = field(v, "effect")) {
@@ -62,7 +62,7 @@
 
 int Session::policyShow(bool history) {
   auto r = get("/mesh/policy");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
   auto line = [](const Json& p) {
     return "version " + std::to_string(number(p, "version")) + ", " +
@@ -88,16 +88,18 @@
               std::to_string(number(*storm, "missing")) + " protected replicas not running\n";
     }
     if (auto n = number(standing, "uncovered")) {
-      text += std::to_string(n) + " protected replicas would not fit after the worst failure\n";
+      text += std::to_string(n) +
+              " protected replicas could not be placed after the worst failure that the policy "
+              "covers\n";
     }
   }
   print(v, text);
   return kOk;
 }
 
-int Session::pools() {
+int Session::showPools() {
   auto r = get("/mesh/policy");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json pools = r->body.value("standing", Json::object()).value("pools", Json::object());
   std::string text;
   for (const auto& [image, held] : pools.items()) {
@@ -108,9 +110,9 @@
   return kOk;
 }
 
-int Session::paid(const std::string& team) {
+int Session::showCharges(const std::string& team) {
   auto r = get("/mesh/paid");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   char line[160];
   std::string text;
   Json out = Json::array();
--- a/cli/rule_file.cpp
+++ b/cli/rule_file.cpp
@@ -11,9 +11,9 @@
 namespace fs = std::filesystem;
 namespace {
 
-constexpr std::size_t kMostSources = 200000;
+constexpr std::size_t kMaxSources = 200000;
 
-std::optional<std::string> readText(const fs::path& path, std::size_t most) {
+std::optional<std::string> readText(const fs::path& path, std::size_t maxBytes) {
   std::error_code error;
   if (!fs::is_regular_file(path, error)) return std::nullopt;
   std::ifstream in(path, std::ios::binary);
@@ -22,7 +22,7 @@
   while (in.read(block, sizeof block) || in.gcount() > 0) {
     text.append(block, static_cast<std::size_t>(in.gcount()));
     // The parser rejects files that exceed the limit.
-    if (text.size() > most) break;
+    if (text.size() > maxBytes) break;
   }
   return text;
 }
@@ -51,7 +51,7 @@
   request.image = file.image;
   request.spot = file.spot;
   request.limits = limits;
-  request.sources = rules::filesBelow(out.directory, kMostSources);
+  request.sources = rules::filesBelow(out.directory, kMaxSources);
   request.read = [&](const std::string& name) {
     return readText(fs::path(out.directory) / name, limits.fileBytes);
   };
@@ -76,19 +76,19 @@
 void addReplans(PlannedFile& planned) {
   auto& plan = planned.plan;
   std::vector<rules::PlannedInstance> out;
-  std::vector<Instance> number(plan.instances.size()), replan(plan.instances.size());
+  std::vector<Instance> newNumbers(plan.instances.size()), replanNumbers(plan.instances.size());
   std::uint32_t rule = 0;
   for (Instance i = 0; i < plan.instances.size(); ++i) {
     rules::PlannedInstance p = std::move(plan.instances[i]);
     std::vector<Instance> deps;
     for (Instance d : p.deps) {
-      deps.push_back(number[d]);
+      deps.push_back(newNumbers[d]);
       // An instance that depends on a checkpoint also waits until the file has been planned again.
-      if (replan[d] != 0) deps.push_back(replan[d]);
+      if (replanNumbers[d] != 0) deps.push_back(replanNumbers[d]);
     }
     std::sort(deps.begin(), deps.end());
     p.deps = std::move(deps);
-    number[i] = static_cast<Instance>(out.size());
+    newNumbers[i] = static_cast<Instance>(out.size());
     bool checkpoint = p.checkpoint;
     out.push_back(std::move(p));
     if (!checkpoint) continue;
@@ -100,15 +100,15 @@
       rule = static_cast<std::uint32_t>(plan.rules.size());
       plan.rules.push_back(f);
     }
-    rules::PlannedInstance again;
-    again.rule = rule;
-    again.command = "\"$HOIST\" flow replan";
-    again.outputs = {".done/replan/" + hex16(rules::hashOf(out.back().outputs[0]))};
-    again.flags = {{false, false, false, true}};
-    again.deps = {number[i]};
-    again.why = "after the checkpoint that makes " + out.back().outputs[0];
-    replan[i] = static_cast<Instance>(out.size());
-    out.push_back(std::move(again));
+    rules::PlannedInstance replanInstance;
+    replanInstance.rule = rule;
+    replanInstance.command = "\"$HOIST\" flow replan";
+    replanInstance.outputs = {".done/replan/" + hex16(rules::hashOf(out.back().outputs[0]))};
+    replanInstance.flags = {{false, false, false, true}};
+    replanInstance.deps = {newNumbers[i]};
+    replanInstance.why = "after the checkpoint that makes " + out.back().outputs[0];
+    replanNumbers[i] = static_cast<Instance>(out.size());
+    out.push_back(std::move(replanInstance));
   }
   plan.instances = std::move(out);
   if (rule != 0) rules::seal(plan);
--- a/client/python/module.cpp
+++ b/client/python/module.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 // Returns the exception class of each error kind. The initialization of the module fills the map.
-std::map<ErrorKind, py::object>& classes() {
+std::map<ErrorKind, py::object>& exceptionClasses() {
   static auto* all = new std::map<ErrorKind, py::object>();
   return *all;
 }
 
 [[noreturn]] void raise(const Error& e) {
-  py::object type = classes().at(e.kind);
+  py::object type = exceptionClasses().at(e.kind);
   py::object error = type(e.text());
   error.attr("kind") = wordOf(e.kind);
   error.attr("tried") = e.tried;
@@ -41,7 +41,7 @@
 }
 
 template <class F>
-auto released(F&& f) {
+auto withoutGil(F&& f) {
   py::gil_scoped_release others;
   return f();
 }
@@ -50,21 +50,21 @@
   return std::chrono::milliseconds(static_cast<std::int64_t>(seconds * 1000));
 }
 
-CallOptions within(double timeoutS) {
+CallOptions callOptions(double timeoutS) {
   CallOptions o;
   o.deadline = ms(timeoutS);
   return o;
 }
 
 // A blocking call checks for Python signals, such as Ctrl-C, at this interval.
-constexpr std::chrono::milliseconds kTurn{200};
+constexpr std::chrono::milliseconds kSignalCheckInterval{200};
 
 // Iterates over the events of a watch. The iteration stops when all selected jobs have ended.
 struct Events {
   Watch watch;
   JobEvent next() {
     while (true) {
-      auto event = released([&] { return watch.next(kTurn); });
+      auto event = withoutGil([&] { return watch.next(kSignalCheckInterval); });
       if (event && !*event) throw py::stop_iteration();
       if (event) return **event;
       if (event.error().kind != ErrorKind::deadlinePassed) raise(event.error());
@@ -114,7 +114,7 @@
     py::object type = py::reinterpret_steal<py::object>(
         PyErr_NewExceptionWithDoc(full.c_str(), doc, base.ptr(), nullptr));
     m.attr(name) = type;
-    classes()[k] = type;
+    exceptionClasses()[k] = type;
   };
   kind(ErrorKind::malformed, "Malformed", "The request is malformed. Do not repeat it.");
   kind(ErrorKind::neverRuns, "NeverRuns", "No machine type or team limit allows the job to run.");
@@ -234,8 +234,8 @@
           "submit",
           [](PyClient& c, const Job& job, const std::string& key, const std::string& id,
              double timeout) {
-            SubmitOptions o{key, id, within(timeout)};
-            return valueOf(released([&] { return c.get().submit(job, o); }));
+            SubmitOptions o{key, id, callOptions(timeout)};
+            return valueOf(withoutGil([&] { return c.get().submit(job, o); }));
           },
           py::arg("job"), py::kw_only(), py::arg("idempotency_key") = "", py::arg("id") = "",
           py::arg("timeout") = 60.0,
@@ -243,14 +243,14 @@
       .def(
           "get",
           [](PyClient& c, const std::string& id, double timeout) {
-            return valueOf(released([&] { return c.get().get(id, within(timeout)); }));
+            return valueOf(withoutGil([&] { return c.get().get(id, callOptions(timeout)); }));
           },
           py::arg("id"), py::kw_only(), py::arg("timeout") = 60.0,
           "Returns the state of a job. Raises Unknown if the member has no such job.")
       .def(
           "cancel",
           [](PyClient& c, const std::string& id, double timeout) {
-            return valueOf(released([&] { return c.get().cancel(id, within(timeout)); }));
+            return valueOf(withoutGil([&] { return c.get().cancel(id, callOptions(timeout)); }));
           },
           py::arg("id"), py::kw_only(), py::arg("timeout") = 60.0,
           "Cancels a job. Returns its state, which is done if the job completed first.")
@@ -263,7 +263,7 @@
             Events events{client.watch(o)};
             auto until = std::chrono::steady_clock::now() + ms(timeout);
             while (std::chrono::steady_clock::now() < until) {
-              auto event = released([&] { return events.watch.next(kTurn); });
+              auto event = withoutGil([&] { return events.watch.next(kSignalCheckInterval); });
               if (event && *event && (*event)->job.hasEnded()) return (*event)->job;
               if (!event && event.error().kind != ErrorKind::deadlinePassed) raise(event.error());
               if (PyErr_CheckSignals() != 0) throw py::error_already_set();
@@ -286,7 +286,7 @@
             q.jobClass = jobClass;
             q.since = since;
             q.limit = limit;
-            return valueOf(released([&] { return c.get().list(q, within(timeout)); }));
+            return valueOf(withoutGil([&] { return c.get().list(q, callOptions(timeout)); }));
           },
           py::kw_only(), py::arg("phase") = "", py::arg("job_class") = "", py::arg("since") = "",
           py::arg("limit") = 100, py::arg("timeout") = 60.0,
@@ -306,12 +306,12 @@
           "Without ids it never stops and covers all jobs of the member.")
       .def(
           "who_am_i",
-          [](PyClient& c) { return valueOf(released([&] { return c.get().whoAmI(); })); },
+          [](PyClient& c) { return valueOf(withoutGil([&] { return c.get().whoAmI(); })); },
           "Returns the owner and the rights of the client's key.")
       .def(
           "id_for",
           [](PyClient& c, const std::string& key) {
-            return valueOf(released([&] { return c.get().idFor(key); }));
+            return valueOf(withoutGil([&] { return c.get().idFor(key); }));
           },
           py::arg("idempotency_key"), "Returns the id of the job with this idempotency key.");
 }
--- a/client/src/caller.cpp
+++ b/client/src/caller.cpp
@@ -5,13 +5,13 @@
 namespace kestrelhoist::client {
 namespace {
 // The protocol (PROTOCOL) requires users to wait this long for a response.
-constexpr Duration kReadTry{2000}, kChangeTry{5000};
+constexpr Duration kReadAttemptTimeout{2000}, kChangeAttemptTimeout{5000};
 // The delay before a failed request goes to another controller.
-constexpr Duration kOtherAddress{50};
-constexpr Duration kMostComeBack{30000};
+constexpr Duration kNextControllerDelay{50};
+constexpr Duration kMaxRetryAfter{30000};
 constexpr double kRetriesPerCall = 0.1;
 
-bool readable(const Response& r, Json& body) {
+bool parseBody(const Response& r, Json& body) {
   auto decoded = decodeBody(r.body);
   if (!decoded || !decoded->is_object()) return false;
   body = std::move(*decoded);
@@ -20,29 +20,29 @@
 }  // namespace
 
 struct Caller::Call {
-  Ask ask;
+  CallRequest request;
   Done done;
-  Instant until{};
+  Instant deadline{};
   Backoff backoff;
   int tries = 0;
   // The number of failures since the last long pause.
-  std::size_t inRow = 0;
+  std::size_t consecutiveFailures = 0;
   // Whether the service may have made the change although no response confirms it.
-  bool ambiguous = false;
+  bool mayHaveChanged = false;
   // Whether the last response had the status 429.
-  bool lastThrottled = false;
+  bool lastWasThrottled = false;
   // Whether the body of the last response was not a CBOR map.
-  bool garbled = false;
+  bool lastWasUnreadable = false;
   int lastStatus = 0;
-  Duration comeBack{0};
+  Duration retryAfter{0};
   std::string lastAddress, lastWhy, requestId;
-  std::optional<std::size_t> lastIndex;
+  std::optional<std::size_t> lastAddressIndex;
   int inFlight = 0;
   // The number of the current attempt. Responses to requests of earlier attempts are ignored.
-  std::uint64_t round = 0;
+  std::uint64_t attemptNumber = 0;
   // The addresses whose responses to the current attempt are pending.
-  std::vector<std::size_t> open;
-  bool over = false;
+  std::vector<std::size_t> pendingAddresses;
+  bool hasEnded = false;
 };
 
 Caller::Caller(Runtime& runtime, HttpClient& http, std::vector<std::string> servers,
@@ -56,17 +56,17 @@
 
 Caller::~Caller() = default;
 
-Caller::Handle Caller::call(Ask ask, Done done) {
+Caller::Handle Caller::call(CallRequest request, Done done) {
   auto call = std::make_shared<Call>();
-  call->ask = std::move(ask);
+  call->request = std::move(request);
   call->done = std::move(done);
-  call->until = runtime_.now() + call->ask.within;
+  call->deadline = runtime_.now() + call->request.totalTimeout;
   // All attempts of a call share one request id, because they repeat the same request.
   call->requestId = settings_.agent + "-" + std::to_string(random_() % 100000000) + "-" +
                     std::to_string(++lastId_);
-  call->ask.request.id = call->requestId;
-  call->ask.request.credential = settings_.credential;
-  open_.insert(call);
+  call->request.request.id = call->requestId;
+  call->request.request.credential = settings_.credential;
+  openCalls_.insert(call);
   ++counts_.calls;
   budget_.charge(runtime_.now(), -kRetriesPerCall);
   auto later = [this, weak = std::weak_ptr<int>(alive_)](std::function<void()> f) {
@@ -76,13 +76,13 @@
   };
   later([this, call] { attempt(call); });
   // This timer ends the call at its deadline even if the call is pausing before a retry.
-  runtime_.after(call->ask.within,
+  runtime_.after(call->request.totalTimeout,
                  [this, late = std::weak_ptr<Call>(call), weak = std::weak_ptr<int>(alive_)] {
                    auto call = late.lock();
-                   if (!weak.expired() && call) finish(call, outOfTime(*call));
+                   if (!weak.expired() && call) finish(call, timeoutError(*call));
                  });
   return [this, call, weak = std::weak_ptr<int>(alive_)] {
-    if (weak.expired() || call->over) return;
+    if (weak.expired() || call->hasEnded) return;
     runtime_.after(Duration{0}, [this, call, weak] {
       if (!weak.expired()) finish(call, errorOf(*call, ErrorKind::cancelled, "given up"));
     });
@@ -90,42 +90,45 @@
 }
 
 void Caller::attempt(const std::shared_ptr<Call>& call) {
-  if (call->over) return;
+  if (call->hasEnded) return;
   if (router_.size() == 0) {
     return finish(call, errorOf(*call, ErrorKind::unusable, "no server is known"));
   }
   Instant now = runtime_.now();
   if (call->tries > 0 && !budget_.take(now, 1)) {
-    return again(call, budget_.waitFor(now, 1));
+    return scheduleRetry(call, budget_.waitFor(now, 1));
   }
-  auto choice = router_.choose(now, call->inRow > 0 ? call->lastIndex : std::nullopt);
+  auto choice =
+      router_.choose(now, call->consecutiveFailures > 0 ? call->lastAddressIndex : std::nullopt);
   if (!choice.address) {
     if (call->tries > 0) budget_.charge(now, -1);
-    return again(call, choice.wait);
+    return scheduleRetry(call, choice.wait);
   }
   if (call->tries > 0) ++counts_.retries;
-  Duration usual = call->ask.oneTry.count() > 0 ? call->ask.oneTry
-                   : call->ask.changes          ? kChangeTry
-                                                : kReadTry;
-  Duration timeout = std::min(usual, call->until - now);
+  Duration attemptTimeout = call->request.attemptTimeout.count() > 0 ? call->request.attemptTimeout
+                            : call->request.isChange                 ? kChangeAttemptTimeout
+                                                                     : kReadAttemptTimeout;
+  Duration timeout = std::min(attemptTimeout, call->deadline - now);
   // The timer of the deadline ends the call.
   if (timeout.count() <= 0) return;
-  ++call->round;
-  call->open.clear();
+  ++call->attemptNumber;
+  call->pendingAddresses.clear();
   send(call, *choice.address, timeout);
-  bool hedged = settings_.hedgeReads && !call->ask.changes && !call->ask.held;
+  bool hedged = settings_.hedgeReads && !call->request.isChange && !call->request.mayBeDelayed;
   if (hedged) hedge(call, *choice.address, timeout);
 }
 
 // Sends a slow read to a second controller as well. Only reads are hedged, because a repeated read
 // changes no data.
 void Caller::hedge(const std::shared_ptr<Call>& call, std::size_t first, Duration timeout) {
-  Duration after = router_.slow();
+  Duration after = router_.slowThreshold();
   if (after >= timeout) return;
-  runtime_.after(after, [this, call, first, round = call->round, left = timeout - after,
-                         weak = std::weak_ptr<int>(alive_)] {
-    if (weak.expired() || call->over || call->round != round || call->inFlight != 1) return;
-    auto second = router_.other(first);
+  runtime_.after(after, [this, call, first, attemptNumber = call->attemptNumber,
+                         left = timeout - after, weak = std::weak_ptr<int>(alive_)] {
+    if (weak.expired() || call->hasEnded || call->attemptNumber != attemptNumber ||
+        call->inFlight != 1)
+      return;
+    auto second = router_.alternativeTo(first);
     if (!second || !budget_.take(runtime_.now(), 1)) return;
     ++counts_.hedges;
     send(call, *second, left);
@@ -137,14 +140,14 @@
   ++call->inFlight;
   ++counts_.requests;
   call->lastAddress = router_.name(address);
-  call->lastIndex = address;
-  call->open.push_back(address);
-  http_.send(router_.name(address), call->ask.request, timeout,
-             [this, call, address, round = call->round, sentAt = runtime_.now(),
+  call->lastAddressIndex = address;
+  call->pendingAddresses.push_back(address);
+  http_.send(router_.name(address), call->request.request, timeout,
+             [this, call, address, attemptNumber = call->attemptNumber, sentAt = runtime_.now(),
               weak = std::weak_ptr<int>(alive_)](std::optional<Response> r) {
                if (weak.expired()) return;
-               if (call->over || call->round != round) return;
-               std::erase(call->open, address);
+               if (call->hasEnded || call->attemptNumber != attemptNumber) return;
+               std::erase(call->pendingAddresses, address);
                --call->inFlight;
                onReply(call, address, sentAt, std::move(r));
              });
@@ -155,16 +158,16 @@
   Instant now = runtime_.now();
   call->lastAddress = router_.name(address);
   Json body = Json::object();
-  bool read = r && readable(*r, body);
-  call->garbled = r && !read;
+  bool read = r && parseBody(*r, body);
+  call->lastWasUnreadable = r && !read;
   call->lastStatus = r ? r->status : 0;
-  call->lastThrottled = r && r->status == 429;
+  call->lastWasThrottled = r && r->status == 429;
   call->lastWhy = read ? textField(body, "error").value_or("")
                   : r  ? "an answer that is no map"
                        : "";
-  auto served = [&] { router_.answered(address, now - sentAt); };
+  auto recordResponse = [&] { router_.recordResponse(address, now - sentAt); };
   auto end = [&](ErrorKind kind) {
-    served();
+    recordResponse();
     Error e = errorOf(*call, kind, call->lastWhy);
     e.version = countField(body, "version").value_or(0);
     finish(call, std::move(e));
@@ -173,7 +176,7 @@
     case 200:
     case 201:
       if (!read) break;
-      served();
+      recordResponse();
       return finish(call, Answer{call->lastStatus, std::move(body), call->tries == 1});
     case 400:
       return end(ErrorKind::malformed);
@@ -197,41 +200,42 @@
     default:
       return end(ErrorKind::protocolViolated);
   }
-  Duration rest = r && r->retryAfterS > 0 ? std::min(kMostComeBack, Duration{r->retryAfterS * 1000})
-                                          : Duration{0};
-  if (call->lastThrottled) {
+  Duration retryAfter = r && r->retryAfterS > 0
+                            ? std::min(kMaxRetryAfter, Duration{r->retryAfterS * 1000})
+                            : Duration{0};
+  if (call->lastWasThrottled) {
     // The status 429 is no failure of the controller: the rate limit of the client is the same at
     // all controllers.
-    served();
-    call->comeBack = std::max(rest, Duration{1000});
+    recordResponse();
+    call->retryAfter = std::max(retryAfter, Duration{1000});
   } else {
     // A controller also responds with 503 if it does not know whether it made the change.
-    call->ambiguous = call->ambiguous || call->ask.changes;
-    router_.failed(address, now, rest);
+    call->mayHaveChanged = call->mayHaveChanged || call->request.isChange;
+    router_.recordFailure(address, now, retryAfter);
   }
   // The response to the hedged request may still arrive.
   if (call->inFlight > 0) return;
-  ++call->inRow;
-  if (call->lastThrottled) {
-    call->inRow = 0;
-    return again(call, std::max(call->comeBack, call->backoff.next(router_)));
+  ++call->consecutiveFailures;
+  if (call->lastWasThrottled) {
+    call->consecutiveFailures = 0;
+    return scheduleRetry(call, std::max(call->retryAfter, call->backoff.next(router_)));
   }
-  if (call->inRow < router_.size()) return again(call, kOtherAddress);
-  call->inRow = 0;
-  again(call, std::max(Duration{500}, call->backoff.next(router_)));
+  if (call->consecutiveFailures < router_.size()) return scheduleRetry(call, kNextControllerDelay);
+  call->consecutiveFailures = 0;
+  scheduleRetry(call, std::max(Duration{500}, call->backoff.next(router_)));
 }
 
-void Caller::again(const std::shared_ptr<Call>& call, Duration pause) {
+void Caller::scheduleRetry(const std::shared_ptr<Call>& call, Duration pause) {
   runtime_.after(std::max(pause, Duration{1}), [this, call, weak = std::weak_ptr<int>(alive_)] {
     if (!weak.expired()) attempt(call);
   });
 }
 
 void Caller::finish(const std::shared_ptr<Call>& call, Result<Answer> result) {
-  if (call->over) return;
-  call->over = true;
-  open_.erase(call);
-  for (auto address : call->open) router_.dropped(address);
+  if (call->hasEnded) return;
+  call->hasEnded = true;
+  openCalls_.erase(call);
+  for (auto address : call->pendingAddresses) router_.recordCancellation(address);
   auto done = std::move(call->done);
   done(std::move(result));
 }
@@ -239,26 +243,26 @@
 Error Caller::errorOf(const Call& call, ErrorKind kind, const std::string& why) const {
   Error e;
   e.kind = kind;
-  e.tried = call.ask.tried;
+  e.tried = call.request.operation;
   e.where = call.lastAddress;
   e.tries = call.tries;
   e.status = call.lastStatus;
   e.why = why;
   e.requestId = call.requestId;
-  if (kind == ErrorKind::throttled) e.comeBack = call.comeBack;
+  if (kind == ErrorKind::throttled) e.comeBack = call.retryAfter;
   return e;
 }
 
-Error Caller::outOfTime(const Call& call) const {
+Error Caller::timeoutError(const Call& call) const {
   // The service may still make a change for which a response is pending.
-  bool mayBeDone = call.ambiguous || (call.ask.changes && call.inFlight > 0);
-  if (mayBeDone) {
+  bool mayHaveChanged = call.mayHaveChanged || (call.request.isChange && call.inFlight > 0);
+  if (mayHaveChanged) {
     return errorOf(call, ErrorKind::outcomeUnknown, "sent, and no answer says what came of it");
   }
-  if (call.lastThrottled) return errorOf(call, ErrorKind::throttled, "too much at once");
-  if (call.garbled) return errorOf(call, ErrorKind::protocolViolated, call.lastWhy);
-  bool learnt = call.tries - call.inFlight > 0;
-  if (!learnt) return errorOf(call, ErrorKind::deadlinePassed, "no answer in the time given");
+  if (call.lastWasThrottled) return errorOf(call, ErrorKind::throttled, "too much at once");
+  if (call.lastWasUnreadable) return errorOf(call, ErrorKind::protocolViolated, call.lastWhy);
+  bool anyResponse = call.tries - call.inFlight > 0;
+  if (!anyResponse) return errorOf(call, ErrorKind::deadlinePassed, "no answer in the time given");
   return errorOf(call, ErrorKind::unavailable,
                  call.lastWhy.empty() ? "no controller answers" : call.lastWhy);
 }
--- a/client/src/caller.hpp
+++ b/client/src/caller.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// Sends a request to the service and retries it until a response ends the call or the call times
-/// out. All requests of the client go through the class Caller, which routes them, limits their
-/// retries, hedges reads and maps responses to error kinds. Callbacks run on the event loop.
+/// Sends a request to the service and retries it until a response ends the call or the call
+/// times out. All requests of the client go through the class Caller, which routes them, limits
+/// their retries, hedges reads and maps responses to error kinds. Callbacks run on the event loop.
 #pragma once
 
 #include <functional>
@@ -30,19 +30,19 @@
 };
 
 /// Describes one call: its request, its timeouts, and whether it changes data.
-struct Ask {
+struct CallRequest {
   Request request;
   /// The name of the operation in error messages.
-  std::string tried;
+  std::string operation;
   /// The timeout of the whole call, including its retries.
-  Duration within{};
+  Duration totalTimeout{};
   /// Whether the request changes data. The outcome of such a request is unknown if there is no
   /// response.
-  bool changes{};
+  bool isChange{};
   /// The timeout of one attempt. If it is 0, the timeout of the protocol for users applies.
-  Duration oneTry{0};
+  Duration attemptTimeout{0};
   /// Whether the service may delay the response until there is news. Such a read is not hedged.
-  bool held{};
+  bool mayBeDelayed{};
 };
 
 /// Sends requests to the controllers of one service.
@@ -58,7 +58,7 @@
   /// Starts a call. `done` runs exactly once, after this function has returned. The returned handle
   /// cancels the call; `done` then receives the error kind `cancelled`.
   using Handle = std::function<void()>;
-  Handle call(Ask ask, Done done);
+  Handle call(CallRequest request, Done done);
 
   /// The totals of all calls since the construction.
   struct Counts {
@@ -75,10 +75,10 @@
   void hedge(const std::shared_ptr<Call>& call, std::size_t address, Duration timeout);
   void onReply(const std::shared_ptr<Call>& call, std::size_t address, Instant sentAt,
                std::optional<Response> reply);
-  void again(const std::shared_ptr<Call>& call, Duration pause);
+  void scheduleRetry(const std::shared_ptr<Call>& call, Duration pause);
   void finish(const std::shared_ptr<Call>& call, Result<Answer> result);
   /// Returns the error of a call that has timed out.
-  Error outOfTime(const Call& call) const;
+  Error timeoutError(const Call& call) const;
   Error errorOf(const Call& call, ErrorKind kind, const std::string& why) const;
 
   Runtime& runtime_;
@@ -89,7 +89,7 @@
   RateBudget budget_;
   Counts counts_;
   std::uint64_t lastId_ = 0;
-  std::set<std::shared_ptr<Call>> open_;  ///< The calls that have not ended.
+  std::set<std::shared_ptr<Call>> openCalls_;  ///< The calls that have not ended.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/client/src/caller_test.cpp
+++ b/client/src/caller_test.cpp
@@ -192,11 +192,11 @@
     if (i > 0) {
       EXPECT_FALSE(r.choose(now).address) << "a second probe";
     }
-    r.failed(*c.address, now);
+    r.recordFailure(*c.address, now);
   }
   now = now + Duration{9000};
   auto c = r.choose(now);
-  r.answered(*c.address, Duration{5});
+  r.recordResponse(*c.address, Duration{5});
   EXPECT_TRUE(r.choose(now).address);
   EXPECT_TRUE(r.choose(now).address);
 }
--- a/client/src/client.cpp
+++ b/client/src/client.cpp
@@ -15,8 +15,8 @@
 
 namespace kestrelhoist::client {
 namespace {
-constexpr std::size_t kAtATime = 8;
-constexpr std::size_t kConnections = 64;
+constexpr std::size_t kMaxConcurrentSubmissions = 8;
+constexpr std::size_t kMaxConnections = 64;
 
 std::uint64_t seed() {
   std::random_device random;
@@ -74,7 +74,7 @@
   explicit Inside(Settings s) : settings(std::move(s)) {
     thread = std::thread([this] { run(); });
     std::unique_lock lock(mutex);
-    begun.wait(lock, [this] { return running; });
+    started.wait(lock, [this] { return running; });
   }
 
   ~Inside() {
@@ -91,7 +91,7 @@
 
   void run() {
     EventLoop own;
-    EvHttpClient http(own, kConnections);
+    EvHttpClient http(own, kMaxConnections);
     std::string fault;
     try {
       for (const auto& server : settings.servers) {
@@ -117,7 +117,7 @@
       unusable = fault;
       running = true;
     }
-    begun.notify_all();
+    started.notify_all();
     own.run();
   }
 
@@ -125,8 +125,8 @@
   template <class T, class Begin>
   void start(const CallOptions& options, Done<T> done, Begin begin) {
     auto token = options.cancel ? options.cancel->state_ : nullptr;
-    Duration within = std::max(options.deadline, std::chrono::milliseconds(1));
-    loop->post([this, token, within, done = std::move(done), begin = std::move(begin)]() mutable {
+    Duration timeout = std::max(options.deadline, std::chrono::milliseconds(1));
+    loop->post([this, token, timeout, done = std::move(done), begin = std::move(begin)]() mutable {
       if (closing || !unusable.empty()) {
         Error e;
         e.kind = closing ? ErrorKind::cancelled : ErrorKind::unusable;
@@ -135,15 +135,15 @@
       }
       auto n = ++lastCall;
       auto listener = std::make_shared<std::uint64_t>(0);
-      StepsPtr steps = begin(
-          *calls, within, Done<T>([this, n, token, listener, done = std::move(done)](Result<T> r) {
+      PendingCallPtr call = begin(
+          *calls, timeout, Done<T>([this, n, token, listener, done = std::move(done)](Result<T> r) {
             open.erase(n);
             if (token && *listener != 0) token->forget(*listener);
             done(std::move(r));
           }));
-      open[n] = [steps] { steps->stop(); };
+      open[n] = [call] { call->stop(); };
       if (token) {
-        *listener = token->listen([this, steps] { loop->post([steps] { steps->stop(); }); });
+        *listener = token->listen([this, call] { loop->post([call] { call->stop(); }); });
       }
     });
   }
@@ -159,7 +159,7 @@
 
   Settings settings;
   std::mutex mutex;
-  std::condition_variable begun;
+  std::condition_variable started;
   bool running = false;
   EventLoop* loop = nullptr;
   JobCalls* calls = nullptr;
@@ -175,30 +175,30 @@
 Client::~Client() = default;
 
 namespace {
-auto submitting(const Job& job, const std::string& key, const std::string& id) {
-  return [job, key, id](JobCalls& c, Duration within, JobCalls::Done<JobState> done) {
-    return c.submit(job, key, id, within, std::move(done));
+auto submitCall(const Job& job, const std::string& key, const std::string& id) {
+  return [job, key, id](JobCalls& c, Duration timeout, JobCalls::Done<JobState> done) {
+    return c.submit(job, key, id, timeout, std::move(done));
   };
 }
-auto getting(const std::string& id) {
-  return [id](JobCalls& c, Duration within, JobCalls::Done<JobState> done) {
-    return c.get(id, within, std::move(done));
+auto getCall(const std::string& id) {
+  return [id](JobCalls& c, Duration timeout, JobCalls::Done<JobState> done) {
+    return c.get(id, timeout, std::move(done));
   };
 }
-auto cancelling(const std::string& id) {
-  return [id](JobCalls& c, Duration within, JobCalls::Done<JobState> done) {
-    return c.cancel(id, within, std::move(done));
+auto cancelCall(const std::string& id) {
+  return [id](JobCalls& c, Duration timeout, JobCalls::Done<JobState> done) {
+    return c.cancel(id, timeout, std::move(done));
   };
 }
-auto listing(const JobQuery& query) {
-  return [query](JobCalls& c, Duration within, JobCalls::Done<JobPage> done) {
-    return c.list(query, Duration{0}, within, std::move(done));
+auto listCall(const JobQuery& query) {
+  return [query](JobCalls& c, Duration timeout, JobCalls::Done<JobPage> done) {
+    return c.list(query, Duration{0}, timeout, std::move(done));
   };
 }
 
 // Returns a call that watches one job and ends when the job has ended.
-auto waiting(const std::string& id) {
-  return [id](JobCalls& c, Duration within, const JobCalls::Done<JobState>& plain) {
+auto waitCall(const std::string& id) {
+  return [id](JobCalls& c, Duration timeout, const JobCalls::Done<JobState>& plain) {
     struct Wait {
       std::shared_ptr<JobWatcher> watcher;
       std::optional<JobState> last;
@@ -219,53 +219,53 @@
       return e;
     };
     wait->watcher = std::make_shared<JobWatcher>(
-        c, std::vector{id}, "", [wait](const JobWatcher::Told& t) { wait->last = t.job; },
+        c, std::vector{id}, "", [wait](const JobWatcher::Update& t) { wait->last = t.job; },
         [wait, finish](std::optional<Error> e) {
           if (e) return finish(std::move(*e));
           finish(*wait->last);
         });
     wait->watcher->start();
-    c.caller().runtime().after(within, [wait, finish, errorOf] {
+    c.caller().runtime().after(timeout, [wait, finish, errorOf] {
       finish(errorOf(ErrorKind::deadlinePassed,
                      wait->last ? std::string("it is ") + wordOf(wait->last->phase)
                                 : "nothing was learnt of it"));
     });
-    auto steps = std::make_shared<Steps>();
-    steps->now([finish, errorOf] { finish(errorOf(ErrorKind::cancelled, "given up")); });
-    return steps;
+    auto call = std::make_shared<PendingCall>();
+    call->now([finish, errorOf] { finish(errorOf(ErrorKind::cancelled, "given up")); });
+    return call;
   };
 }
 }  // namespace
 
 Result<JobState> Client::submit(const Job& job, const SubmitOptions& o) {
-  return in_->await<JobState>(o.call, submitting(job, o.idempotencyKey, o.id));
+  return in_->await<JobState>(o.call, submitCall(job, o.idempotencyKey, o.id));
 }
 void Client::submit(const Job& job, const SubmitOptions& o, Done<JobState> done) {
-  in_->start<JobState>(o.call, std::move(done), submitting(job, o.idempotencyKey, o.id));
+  in_->start<JobState>(o.call, std::move(done), submitCall(job, o.idempotencyKey, o.id));
 }
 Result<JobState> Client::get(const std::string& id, const CallOptions& o) {
-  return in_->await<JobState>(o, getting(id));
+  return in_->await<JobState>(o, getCall(id));
 }
 void Client::get(const std::string& id, const CallOptions& o, Done<JobState> done) {
-  in_->start<JobState>(o, std::move(done), getting(id));
+  in_->start<JobState>(o, std::move(done), getCall(id));
 }
 Result<JobPage> Client::list(const JobQuery& query, const CallOptions& o) {
-  return in_->await<JobPage>(o, listing(query));
+  return in_->await<JobPage>(o, listCall(query));
 }
 void Client::list(const JobQuery& query, const CallOptions& o, Done<JobPage> done) {
-  in_->start<JobPage>(o, std::move(done), listing(query));
+  in_->start<JobPage>(o, std::move(done), listCall(query));
 }
 Result<JobState> Client::cancel(const std::string& id, const CallOptions& o) {
-  return in_->await<JobState>(o, cancelling(id));
+  return in_->await<JobState>(o, cancelCall(id));
 }
 void Client::cancel(const std::string& id, const CallOptions& o, Done<JobState> done) {
-  in_->start<JobState>(o, std::move(done), cancelling(id));
+  in_->start<JobState>(o, std::move(done), cancelCall(id));
 }
 Result<JobState> Client::wait(const std::string& id, const CallOptions& o) {
-  return in_->await<JobState>(o, waiting(id));
+  return in_->await<JobState>(o, waitCall(id));
 }
 void Client::wait(const std::string& id, const CallOptions& o, Done<JobState> done) {
-  in_->start<JobState>(o, std::move(done), waiting(id));
+  in_->start<JobState>(o, std::move(done), waitCall(id));
 }
 
 std::vector<Result<JobState>> Client::submitAll(const std::vector<Submission>& jobs,
@@ -278,7 +278,7 @@
   std::mutex mutex;
   std::condition_variable changed;
   std::size_t next = 0, ended = 0;
-  std::function<void()> one = [&] {
+  std::function<void()> submitNext = [&] {
     std::size_t i = next++;
     if (i >= jobs.size()) return;
     SubmitOptions o{jobs[i].idempotencyKey, jobs[i].id, options};
@@ -287,51 +287,51 @@
     submit(jobs[i].job, o, [&, i](Result<JobState> r) {
       std::lock_guard lock(mutex);
       results[i] = std::move(r);
-      one();
+      submitNext();
       if (++ended == jobs.size()) changed.notify_all();
     });
   };
   std::unique_lock lock(mutex);
-  for (std::size_t i = 0; i < std::min(kAtATime, jobs.size()); ++i) one();
+  for (std::size_t i = 0; i < std::min(kMaxConcurrentSubmissions, jobs.size()); ++i) submitNext();
   changed.wait(lock, [&] { return ended == jobs.size(); });
   return results;
 }
 
 Result<Identity> Client::whoAmI(const CallOptions& o) {
-  return in_->await<Identity>(o, [](JobCalls& c, Duration within, JobCalls::Done<Identity> done) {
-    return c.whoAmI(within, std::move(done));
+  return in_->await<Identity>(o, [](JobCalls& c, Duration timeout, JobCalls::Done<Identity> done) {
+    return c.whoAmI(timeout, std::move(done));
   });
 }
 Result<std::string> Client::idFor(const std::string& key, const CallOptions& o) {
   return in_->await<std::string>(
-      o, [key](JobCalls& c, Duration within, JobCalls::Done<std::string> done) {
-        return c.idFor(key, within, std::move(done));
+      o, [key](JobCalls& c, Duration timeout, JobCalls::Done<std::string> done) {
+        return c.idFor(key, timeout, std::move(done));
       });
 }
 Result<KeyInfo> Client::makeKey(const std::string& team, const std::string& member,
                                 const std::string& rights, const std::string& note,
                                 const CallOptions& o) {
-  return in_->await<KeyInfo>(o, [=](JobCalls& c, Duration within, JobCalls::Done<KeyInfo> done) {
-    return c.makeKey(team, member, rights, note, within, std::move(done));
+  return in_->await<KeyInfo>(o, [=](JobCalls& c, Duration timeout, JobCalls::Done<KeyInfo> done) {
+    return c.makeKey(team, member, rights, note, timeout, std::move(done));
   });
 }
 Result<std::vector<KeyInfo>> Client::keys(const std::string& team, const std::string& member,
                                           const CallOptions& o) {
   return in_->await<std::vector<KeyInfo>>(
-      o, [=](JobCalls& c, Duration within, JobCalls::Done<std::vector<KeyInfo>> done) {
-        return c.keys(team, member, within, std::move(done));
+      o, [=](JobCalls& c, Duration timeout, JobCalls::Done<std::vector<KeyInfo>> done) {
+        return c.keys(team, member, timeout, std::move(done));
       });
 }
 Result<KeyInfo> Client::revokeKey(const std::string& id, std::chrono::milliseconds after,
                                   const CallOptions& o) {
-  return in_->await<KeyInfo>(o, [=](JobCalls& c, Duration within, JobCalls::Done<KeyInfo> done) {
-    return c.revokeKey(id, after, within, std::move(done));
+  return in_->await<KeyInfo>(o, [=](JobCalls& c, Duration timeout, JobCalls::Done<KeyInfo> done) {
+    return c.revokeKey(id, after, timeout, std::move(done));
   });
 }
 Result<KeyInfo> Client::rotateKey(const std::string& id, std::chrono::milliseconds grace,
                                   const CallOptions& o) {
-  return in_->await<KeyInfo>(o, [=](JobCalls& c, Duration within, JobCalls::Done<KeyInfo> done) {
-    return c.rotateKey(id, grace, within, std::move(done));
+  return in_->await<KeyInfo>(o, [=](JobCalls& c, Duration timeout, JobCalls::Done<KeyInfo> done) {
+    return c.rotateKey(id, grace, timeout, std::move(done));
   });
 }
 
@@ -345,11 +345,11 @@
   std::optional<Error> why;
   // Stops the watch and may be called from any thread. It is null once the watch has ended.
   std::function<void()> stop;
-  std::function<void(const JobEvent&)> onTold;
-  std::function<void(std::optional<Error>)> onOver;
+  std::function<void(const JobEvent&)> onEvent;
+  std::function<void(std::optional<Error>)> onEnd;
 
-  void tell(JobEvent event) {
-    if (onTold) return onTold(event);
+  void report(JobEvent event) {
+    if (onEvent) return onEvent(event);
     std::lock_guard lock(mutex);
     // A new event replaces the queued event of the same job. This limits the queue of a slow reader
     // to one event per watched job.
@@ -364,7 +364,7 @@
     changed.notify_all();
   }
   void finish(std::optional<Error> e) {
-    if (onOver) onOver(e);
+    if (onEnd) onEnd(e);
     std::lock_guard lock(mutex);
     over = true;
     why = std::move(e);
@@ -391,15 +391,15 @@
 
 Result<std::optional<JobEvent>> Watch::next(std::chrono::milliseconds wait) {
   std::unique_lock lock(state_->mutex);
-  bool came = state_->changed.wait_for(lock, wait,
-                                       [this] { return !state_->events.empty() || state_->over; });
+  bool signalled = state_->changed.wait_for(
+      lock, wait, [this] { return !state_->events.empty() || state_->over; });
   if (!state_->events.empty()) {
     JobEvent event = std::move(state_->events.front());
     state_->events.pop_front();
     return std::optional(std::move(event));
   }
-  if (came && state_->why) return *state_->why;
-  if (came) return std::optional<JobEvent>();
+  if (signalled && state_->why) return *state_->why;
+  if (signalled) return std::optional<JobEvent>();
   Error e;
   e.kind = ErrorKind::deadlinePassed;
   e.tried = "watch";
@@ -409,48 +409,48 @@
 
 Watch Client::watch(const WatchOptions& options) { return watch(options, nullptr, nullptr); }
 
-Watch Client::watch(const WatchOptions& options, std::function<void(const JobEvent&)> told,
-                    std::function<void(std::optional<Error>)> over) {
+Watch Client::watch(const WatchOptions& options, std::function<void(const JobEvent&)> onEvent,
+                    std::function<void(std::optional<Error>)> onEnd) {
   auto state = std::make_shared<Watch::State>();
-  state->onTold = std::move(told);
-  state->onOver = std::move(over);
+  state->onEvent = std::move(onEvent);
+  state->onEnd = std::move(onEnd);
   auto token = options.cancel ? options.cancel->state_ : nullptr;
-  Inside* in = in_.get();
+  Inside* inside = in_.get();
   auto n = std::make_shared<std::uint64_t>(0);
   // finish() clears this function when the watch ends, so it never runs after the destruction of
   // the client.
-  state->stop = [in, n] {
-    in->loop->post([in, n] {
-      auto it = in->open.find(*n);
-      if (it == in->open.end()) return;
+  state->stop = [inside, n] {
+    inside->loop->post([inside, n] {
+      auto it = inside->open.find(*n);
+      if (it == inside->open.end()) return;
       auto stop = std::move(it->second);
-      in->open.erase(it);
+      inside->open.erase(it);
       stop();
     });
   };
-  in->loop->post([in, n, state, options, token] {
+  inside->loop->post([inside, n, state, options, token] {
     Error e;
-    e.kind = in->closing ? ErrorKind::cancelled : ErrorKind::unusable;
+    e.kind = inside->closing ? ErrorKind::cancelled : ErrorKind::unusable;
     e.tried = "watch";
-    e.why = in->closing ? "the client is closed" : in->unusable;
-    if (in->closing || !in->unusable.empty()) return state->finish(e);
+    e.why = inside->closing ? "the client is closed" : inside->unusable;
+    if (inside->closing || !inside->unusable.empty()) return state->finish(e);
     auto watcher = std::make_shared<JobWatcher>(
-        *in->calls, options.ids, options.since,
-        [state](const JobWatcher::Told& t) {
-          state->tell({t.job, t.cursor});
+        *inside->calls, options.ids, options.since,
+        [state](const JobWatcher::Update& t) {
+          state->report({t.job, t.cursor});
         },
-        [in, n, state](std::optional<Error> why) {
-          in->open.erase(*n);
+        [inside, n, state](std::optional<Error> why) {
+          inside->open.erase(*n);
           state->finish(std::move(why));
         });
-    *n = ++in->lastCall;
-    in->open[*n] = [watcher, state] {
+    *n = ++inside->lastCall;
+    inside->open[*n] = [watcher, state] {
       watcher->stop();
-      Error given;
-      given.kind = ErrorKind::cancelled;
-      given.tried = "watch";
-      given.why = "given up";
-      state->finish(given);
+      Error cancelled;
+      cancelled.kind = ErrorKind::cancelled;
+      cancelled.tried = "watch";
+      cancelled.why = "given up";
+      state->finish(cancelled);
     };
     watcher->start();
     if (token) {
--- a/client/src/error.cpp
+++ b/client/src/error.cpp
@@ -37,10 +37,10 @@
   if (!why.empty()) out += ": " + why;
   std::string more;
   auto add = [&](const std::string& part) { more += (more.empty() ? "" : ", ") + part; };
-  if (!where.empty()) add("last asked " + where);
+  if (!where.empty()) add("last controller " + where);
   if (tries > 1) add(std::to_string(tries) + " requests");
   if (status != 0) add("status " + std::to_string(status));
-  if (comeBack.count() > 0) add("come back in " + std::to_string(comeBack.count()) + " ms");
+  if (comeBack.count() > 0) add("retry after " + std::to_string(comeBack.count()) + " ms");
   if (!jobId.empty()) add("job " + jobId);
   if (!requestId.empty()) add("request " + requestId);
   return more.empty() ? out : out + " (" + more + ")";
--- a/client/src/flow_client.hpp
+++ b/client/src/flow_client.hpp
@@ -13,7 +13,7 @@
 namespace kestrelhoist {
 
 /// The owner of a flow and the options of its execution.
-struct FlowOrder {
+struct FlowSubmission {
   FlowId id;
   std::string team, member, name;
   std::string rank = "best_effort";
@@ -28,21 +28,21 @@
   using Done = client::Caller::Done;
   explicit FlowClient(client::Caller& caller) : caller_(caller) {}
 
-  /// Sends one request. `within` is the timeout of the call, including its retries.
-  void call(Request request, Duration within, Done done);
+  /// Sends one request. `timeout` is the timeout of the call, including its retries.
+  void call(Request request, Duration timeout, Done done);
   /// Uploads and commits a version of a flow. If `base` is 0, the version starts the flow;
-  /// otherwise it replaces the version `base`. `within` is the timeout of each request of the
+  /// otherwise it replaces the version `base`. `timeout` is the timeout of each request of the
   /// upload.
-  void submit(const FlowOrder& order, const rules::Bundle& bundle, std::uint64_t base,
-              Duration within, Done done);
-  void status(const FlowId& id, Duration within, Done done) {
-    get("/v2/flows/" + id.value, within, std::move(done));
+  void submit(const FlowSubmission& submission, const rules::Bundle& bundle, std::uint64_t base,
+              Duration timeout, Done done);
+  void status(const FlowId& id, Duration timeout, Done done) {
+    get("/v2/flows/" + id.value, timeout, std::move(done));
   }
-  void get(const std::string& path, Duration within, Done done) {
-    call({"GET", path, ""}, within, std::move(done));
+  void get(const std::string& path, Duration timeout, Done done) {
+    call({"GET", path, ""}, timeout, std::move(done));
   }
-  void cancel(const FlowId& id, Duration within, Done done) {
-    call({"POST", "/v2/flows/" + id.value + "/cancel", ""}, within, std::move(done));
+  void cancel(const FlowId& id, Duration timeout, Done done) {
+    call({"POST", "/v2/flows/" + id.value + "/cancel", ""}, timeout, std::move(done));
   }
   /// Returns a random flow id. It has 53 random bits, which makes duplicates very unlikely.
   FlowId drawId();
--- a/client/src/job_calls.cpp
+++ b/client/src/job_calls.cpp
@@ -4,92 +4,95 @@
 
 namespace kestrelhoist::client {
 namespace {
-constexpr int kMostDraws = 5;
+constexpr int kMaxRandomIds = 5;
 // The client waits this much longer for a delayed response than the service may delay it.
-constexpr Duration kHeldMargin{4000};
+constexpr Duration kDelayedResponseMargin{4000};
 
-Error violated(Error e, const std::string& why) {
+Error protocolViolation(Error e, const std::string& why) {
   e.kind = ErrorKind::protocolViolated;
   e.why = why;
   return e;
 }
 
-Error errorFor(ErrorKind kind, const std::string& tried, const std::string& why) {
+Error errorFor(ErrorKind kind, const std::string& operation, const std::string& why) {
   Error e;
   e.kind = kind;
-  e.tried = tried;
+  e.tried = operation;
   e.why = why;
   return e;
 }
 
 // Parses a response. Returns the error `protocolViolated` if the response lacks a required field.
 template <class T>
-Result<T> parsed(const Result<Answer>& r, const std::string& tried,
+Result<T> parsed(const Result<Answer>& r, const std::string& operation,
                  std::optional<T> (*parse)(const Json&)) {
   if (!r) return r.error();
   auto value = parse(r->body);
-  if (!value) return violated(errorFor({}, tried, ""), "the answer lacks what it must have");
+  if (!value)
+    return protocolViolation(errorFor({}, operation, ""), "the answer lacks what it must have");
   return *value;
 }
 }  // namespace
 
-struct JobCalls::Submitting {
+struct JobCalls::SubmissionState {
   Job job;
-  std::string id, digest, tried;
-  bool drawn = false;
-  int draws = 0;
-  Instant until{};
-  StepsPtr steps = std::make_shared<Steps>();
+  std::string id, digest, operation;
+  bool hasRandomId = false;
+  int triedIds = 0;
+  Instant deadline{};
+  PendingCallPtr pending = std::make_shared<PendingCall>();
   Done<JobState> done;
 };
 
-StepsPtr JobCalls::one(Request request, const std::string& tried, bool changes, Duration within,
-                       Done<JobState> done) {
-  auto steps = std::make_shared<Steps>();
-  steps->now(caller_.call({std::move(request), tried, within, changes},
-                          [tried, done = std::move(done)](Result<Answer> r) {
-                            done(parsed<JobState>(r, tried, jobStateFrom));
-                          }));
-  return steps;
+PendingCallPtr JobCalls::sendJobRequest(Request request, const std::string& operation, bool changes,
+                                        Duration timeout, Done<JobState> done) {
+  auto pending = std::make_shared<PendingCall>();
+  pending->now(caller_.call({std::move(request), operation, timeout, changes},
+                            [operation, done = std::move(done)](Result<Answer> r) {
+                              done(parsed<JobState>(r, operation, jobStateFrom));
+                            }));
+  return pending;
 }
 
-StepsPtr JobCalls::get(const std::string& id, Duration within, Done<JobState> done) {
-  return one({"GET", "/v2/runs/" + queryEscaped(id), ""}, "get " + id, false, within,
-             std::move(done));
+PendingCallPtr JobCalls::get(const std::string& id, Duration timeout, Done<JobState> done) {
+  return sendJobRequest({"GET", "/v2/runs/" + queryEscaped(id), ""}, "get " + id, false, timeout,
+                        std::move(done));
 }
 
-StepsPtr JobCalls::cancel(const std::string& id, Duration within, Done<JobState> done) {
-  return one({"POST", "/v2/runs/" + queryEscaped(id) + "/abort", ""}, "cancel " + id, true, within,
-             std::move(done));
+PendingCallPtr JobCalls::cancel(const std::string& id, Duration timeout, Done<JobState> done) {
+  return sendJobRequest({"POST", "/v2/runs/" + queryEscaped(id) + "/abort", ""}, "cancel " + id,
+                        true, timeout, std::move(done));
 }
 
-StepsPtr JobCalls::list(const JobQuery& query, Duration wait, Duration within, Done<JobPage> done) {
-  auto steps = std::make_shared<Steps>();
-  std::string tried = wait.count() > 0 ? "watch" : "list";
-  Ask ask{{"GET", "/v2/jobs" + queryOf(query, wait), ""}, tried, within, false};
+PendingCallPtr JobCalls::list(const JobQuery& query, Duration wait, Duration timeout,
+                              Done<JobPage> done) {
+  auto pending = std::make_shared<PendingCall>();
+  std::string operation = wait.count() > 0 ? "watch" : "list";
+  CallRequest request{{"GET", "/v2/jobs" + queryOf(query, wait), ""}, operation, timeout, false};
   if (wait.count() > 0) {
-    ask.oneTry = wait + kHeldMargin;
-    ask.held = true;
+    request.attemptTimeout = wait + kDelayedResponseMargin;
+    request.mayBeDelayed = true;
   }
-  steps->now(caller_.call(std::move(ask), [tried, done = std::move(done)](Result<Answer> r) {
-    done(parsed<JobPage>(r, tried, jobPageFrom));
-  }));
-  return steps;
+  pending->now(
+      caller_.call(std::move(request), [operation, done = std::move(done)](Result<Answer> r) {
+        done(parsed<JobPage>(r, operation, jobPageFrom));
+      }));
+  return pending;
 }
 
-StepsPtr JobCalls::whoAmI(Duration within, Done<Identity> done) {
-  auto steps = std::make_shared<Steps>();
-  steps->now(caller_.call({{"GET", "/v2/whoami", ""}, "who am I", within, false},
-                          [done = std::move(done)](Result<Answer> r) {
-                            done(parsed<Identity>(r, "who am I", identityFrom));
-                          }));
-  return steps;
+PendingCallPtr JobCalls::whoAmI(Duration timeout, Done<Identity> done) {
+  auto pending = std::make_shared<PendingCall>();
+  pending->now(caller_.call({{"GET", "/v2/whoami", ""}, "who am I", timeout, false},
+                            [done = std::move(done)](Result<Answer> r) {
+                              done(parsed<Identity>(r, "who am I", identityFrom));
+                            }));
+  return pending;
 }
 
-void JobCalls::identity(const StepsPtr& steps, Duration within, Done<Identity> done) {
+void JobCalls::identity(const PendingCallPtr& pending, Duration timeout, Done<Identity> done) {
   if (identity_) return done(*identity_);
   if (!hasMembers()) return done(Identity{"", team_, "", ""});
-  auto inner = whoAmI(within, [this, done = std::move(done)](Result<Identity> r) {
+  auto inner = whoAmI(timeout, [this, done = std::move(done)](Result<Identity> r) {
     if (r) {
       identity_ = *r;
     } else if (r.error().kind == ErrorKind::unknown) {
@@ -99,86 +102,89 @@
     }
     done(std::move(r));
   });
-  steps->now([inner] { inner->stop(); });
+  pending->now([inner] { inner->stop(); });
 }
 
-StepsPtr JobCalls::idFor(const std::string& key, Duration within, Done<std::string> done) {
-  auto steps = std::make_shared<Steps>();
-  identity(steps, within, [key, done = std::move(done)](Result<Identity> who) {
+PendingCallPtr JobCalls::idFor(const std::string& key, Duration timeout, Done<std::string> done) {
+  auto pending = std::make_shared<PendingCall>();
+  identity(pending, timeout, [key, done = std::move(done)](Result<Identity> who) {
     if (!who) return done(who.error());
     done(refFor({TeamId{who->team}, who->member}, key));
   });
-  return steps;
+  return pending;
 }
 
-StepsPtr JobCalls::submit(Job job, const std::string& key, const std::string& id, Duration within,
-                          Done<JobState> done) {
-  auto s = std::make_shared<Submitting>();
+PendingCallPtr JobCalls::submit(Job job, const std::string& key, const std::string& id,
+                                Duration timeout, Done<JobState> done) {
+  auto s = std::make_shared<SubmissionState>();
   s->job = std::move(job);
-  s->until = caller_.runtime().now() + within;
+  s->deadline = caller_.runtime().now() + timeout;
   s->done = std::move(done);
   s->id = id;
-  s->tried = "submit " + (id.empty() ? key : id);
+  s->operation = "submit " + (id.empty() ? key : id);
   bool known = !id.empty() && !s->job.team.empty();
   auto go = [this, s, key](const Result<Identity>& who) {
     if (!who) return s->done(who.error());
     if (s->job.team.empty()) s->job.team = who->team;
     if (s->job.team.empty()) {
-      return s->done(errorFor(ErrorKind::unusable, s->tried, "no team is named"));
+      return s->done(errorFor(ErrorKind::unusable, s->operation, "no team is named"));
     }
     if (s->id.empty()) {
-      s->drawn = key.empty();
-      s->id = s->drawn ? drawRef() : refFor({TeamId{who->team}, who->member}, key);
+      s->hasRandomId = key.empty();
+      s->id = s->hasRandomId ? drawRef() : refFor({TeamId{who->team}, who->member}, key);
     }
-    s->tried = "submit " + s->id;
+    s->operation = "submit " + s->id;
     s->digest = digestFor(s->job);
     send(s);
   };
   if (known) {
     go(Identity{});
   } else {
-    identity(s->steps, within, go);
+    identity(s->pending, timeout, go);
   }
-  return s->steps;
+  return s->pending;
 }
 
-void JobCalls::send(const std::shared_ptr<Submitting>& s) {
-  ++s->draws;
-  s->steps->now(caller_.call(
-      {{"POST", "/v2/runs", encodeBody(toBody(s->job, s->id))}, s->tried, left(s->until), true},
-      [this, s](Result<Answer> r) {
-        if (!r) {
-          Error e = r.error();
-          e.jobId = s->id;
-          return s->done(std::move(e));
-        }
-        auto state = jobStateFrom(r->body);
-        if (!state || state->id != s->id) {
-          Error e = violated(errorFor({}, s->tried, ""), "the answer is not about this job");
-          e.jobId = s->id;
-          return s->done(std::move(e));
-        }
-        accepted(s, *r, *state);
-      }));
+void JobCalls::send(const std::shared_ptr<SubmissionState>& s) {
+  ++s->triedIds;
+  s->pending->now(caller_.call({{"POST", "/v2/runs", encodeBody(toBody(s->job, s->id))},
+                                s->operation,
+                                remaining(s->deadline),
+                                true},
+                               [this, s](Result<Answer> r) {
+                                 if (!r) {
+                                   Error e = r.error();
+                                   e.jobId = s->id;
+                                   return s->done(std::move(e));
+                                 }
+                                 auto state = jobStateFrom(r->body);
+                                 if (!state || state->id != s->id) {
+                                   Error e = protocolViolation(errorFor({}, s->operation, ""),
+                                                               "the answer is not about this job");
+                                   e.jobId = s->id;
+                                   return s->done(std::move(e));
+                                 }
+                                 onAccepted(s, *r, *state);
+                               }));
 }
 
 // Handles the response to a submission. If the service already knew the id, either an earlier
 // submission of the same job created that job, or the id belongs to a different job.
-void JobCalls::accepted(const std::shared_ptr<Submitting>& s, const Answer& answer,
-                        const JobState& state) {
-  bool another = state.digest.empty()
-                     // Without a digest, the id belongs to a different job only if it is random and
-                     // the service knew it before the only request of this call.
-                     ? s->drawn && answer.status == 200 && answer.first
-                     : !s->digest.empty() && state.digest != s->digest;
-  if (!another) return s->done(state);
-  if (s->drawn && s->draws < kMostDraws) {
+void JobCalls::onAccepted(const std::shared_ptr<SubmissionState>& s, const Answer& answer,
+                          const JobState& state) {
+  bool isOtherJob = state.digest.empty()
+                        // Without a digest, the id belongs to a different job only if it is random
+                        // and the service knew it before the only request of this call.
+                        ? s->hasRandomId && answer.status == 200 && answer.first
+                        : !s->digest.empty() && state.digest != s->digest;
+  if (!isOtherJob) return s->done(state);
+  if (s->hasRandomId && s->triedIds < kMaxRandomIds) {
     s->id = drawRef();
-    s->tried = "submit " + s->id;
+    s->operation = "submit " + s->id;
     return send(s);
   }
   Error e =
-      errorFor(ErrorKind::conflict, s->tried, "this id is known, and with another description");
+      errorFor(ErrorKind::conflict, s->operation, "this id is known, and with another description");
   e.status = answer.status;
   e.jobId = s->id;
   s->done(std::move(e));
@@ -186,39 +192,39 @@
 
 // ---- keys ----
 
-StepsPtr JobCalls::makeKey(const std::string& team, const std::string& member,
-                           const std::string& rights, const std::string& note, Duration within,
-                           Done<KeyInfo> done) {
-  auto steps = std::make_shared<Steps>();
+PendingCallPtr JobCalls::makeKey(const std::string& team, const std::string& member,
+                                 const std::string& rights, const std::string& note,
+                                 Duration timeout, Done<KeyInfo> done) {
+  auto pending = std::make_shared<PendingCall>();
   Credential made = drawCredential();
   Json body = {{"key", made.id.value}, {"hash", hashOfSecret(made)}, {"team", team},
                {"member", member},     {"rights", rights},           {"note", note}};
-  std::string tried = "make a key";
-  steps->now(caller_.call({{"POST", "/v2/keys", encodeBody(body)}, tried, within, true},
-                          [tried, made, done = std::move(done)](Result<Answer> r) {
-                            auto info = parsed<KeyInfo>(r, tried, keyInfoFrom);
-                            if (info) info->secret = made.str();
-                            done(std::move(info));
-                          }));
-  return steps;
+  std::string operation = "make a key";
+  pending->now(caller_.call({{"POST", "/v2/keys", encodeBody(body)}, operation, timeout, true},
+                            [operation, made, done = std::move(done)](Result<Answer> r) {
+                              auto info = parsed<KeyInfo>(r, operation, keyInfoFrom);
+                              if (info) info->secret = made.str();
+                              done(std::move(info));
+                            }));
+  return pending;
 }
 
-StepsPtr JobCalls::keys(const std::string& team, const std::string& member, Duration within,
-                        Done<std::vector<KeyInfo>> done) {
-  auto steps = std::make_shared<Steps>();
-  keyPage(steps, team, member, std::make_shared<std::vector<KeyInfo>>(),
-          caller_.runtime().now() + within, std::move(done));
-  return steps;
+PendingCallPtr JobCalls::keys(const std::string& team, const std::string& member, Duration timeout,
+                              Done<std::vector<KeyInfo>> done) {
+  auto pending = std::make_shared<PendingCall>();
+  keyPage(pending, team, member, std::make_shared<std::vector<KeyInfo>>(),
+          caller_.runtime().now() + timeout, std::move(done));
+  return pending;
 }
 
-void JobCalls::keyPage(const StepsPtr& steps, const std::string& team, const std::string& member,
-                       std::shared_ptr<std::vector<KeyInfo>> found, Instant until,
-                       Done<std::vector<KeyInfo>> done) {
+void JobCalls::keyPage(const PendingCallPtr& pending, const std::string& team,
+                       const std::string& member, std::shared_ptr<std::vector<KeyInfo>> found,
+                       Instant deadline, Done<std::vector<KeyInfo>> done) {
   std::string path = "/v2/keys?team=" + queryEscaped(team) + "&member=" + queryEscaped(member) +
                      "&after=" + (found->empty() ? "" : found->back().id);
-  steps->now(caller_.call(
-      {{"GET", path, ""}, "list keys", left(until), false},
-      [this, steps, team, member, found, until, done = std::move(done)](Result<Answer> r) {
+  pending->now(caller_.call(
+      {{"GET", path, ""}, "list keys", remaining(deadline), false},
+      [this, pending, team, member, found, deadline, done = std::move(done)](Result<Answer> r) {
         if (!r) return done(r.error());
         const Json* list = field(r->body, "keys");
         for (std::size_t i = 0; list && list->is_array() && i < list->size(); ++i) {
@@ -226,32 +232,33 @@
         }
         bool more = boolField(r->body, "more").value_or(false) && list && !list->empty();
         if (!more) return done(std::move(*found));
-        keyPage(steps, team, member, found, until, done);
+        keyPage(pending, team, member, found, deadline, done);
       }));
 }
 
-StepsPtr JobCalls::revokeKey(const std::string& id, Duration after, Duration within,
-                             Done<KeyInfo> done) {
-  auto steps = std::make_shared<Steps>();
-  std::string tried = "revoke key " + id;
-  steps->now(caller_.call({{"POST", "/v2/keys/" + queryEscaped(id) + "/revoke",
-                            encodeBody({{"after_s", toSeconds(after)}})},
-                           tried,
-                           within,
-                           true},
-                          [tried, done = std::move(done)](Result<Answer> r) {
-                            done(parsed<KeyInfo>(r, tried, keyInfoFrom));
-                          }));
-  return steps;
+PendingCallPtr JobCalls::revokeKey(const std::string& id, Duration after, Duration timeout,
+                                   Done<KeyInfo> done) {
+  auto pending = std::make_shared<PendingCall>();
+  std::string operation = "revoke key " + id;
+  pending->now(caller_.call({{"POST", "/v2/keys/" + queryEscaped(id) + "/revoke",
+                              encodeBody({{"after_s", toSeconds(after)}})},
+                             operation,
+                             timeout,
+                             true},
+                            [operation, done = std::move(done)](Result<Answer> r) {
+                              done(parsed<KeyInfo>(r, operation, keyInfoFrom));
+                            }));
+  return pending;
 }
 
-StepsPtr JobCalls::rotateKey(const std::string& id, Duration grace, Duration within,
-                             Done<KeyInfo> done) {
-  auto steps = std::make_shared<Steps>();
-  Instant until = caller_.runtime().now() + within;
+PendingCallPtr JobCalls::rotateKey(const std::string& id, Duration grace, Duration timeout,
+                                   Done<KeyInfo> done) {
+  auto pending = std::make_shared<PendingCall>();
+  Instant deadline = caller_.runtime().now() + timeout;
   auto found = keys(
-      "", "", within,
-      [this, steps, id, grace, until, done = std::move(done)](Result<std::vector<KeyInfo>> all) {
+      "", "", timeout,
+      [this, pending, id, grace, deadline,
+       done = std::move(done)](Result<std::vector<KeyInfo>> all) {
         if (!all) return done(all.error());
         auto it =
             std::find_if(all->begin(), all->end(), [&](const KeyInfo& k) { return k.id == id; });
@@ -259,22 +266,22 @@
           return done(errorFor(ErrorKind::unknown, "rotate key " + id, "no such key"));
         }
         auto making =
-            makeKey(it->team, it->member, it->rights, it->note, left(until),
-                    [this, steps, id, grace, until, done](Result<KeyInfo> made) {
+            makeKey(it->team, it->member, it->rights, it->note, remaining(deadline),
+                    [this, pending, id, grace, deadline, done](Result<KeyInfo> made) {
                       if (!made) return done(made.error());
                       auto ending = revokeKey(
-                          id, grace, left(until), [done, made](const Result<KeyInfo>& old) {
+                          id, grace, remaining(deadline), [done, made](const Result<KeyInfo>& old) {
                             if (old) return done(made);
                             Error e = old.error();
                             e.why += "; the new key " + made->id + " was made: revoke it";
                             done(std::move(e));
                           });
-                      steps->now([ending] { ending->stop(); });
+                      pending->now([ending] { ending->stop(); });
                     });
-        steps->now([making] { making->stop(); });
+        pending->now([making] { making->stop(); });
       });
-  steps->now([found] { found->stop(); });
-  return steps;
+  pending->now([found] { found->stop(); });
+  return pending;
 }
 
 }  // namespace kestrelhoist::client
--- a/client/src/job_calls.hpp
+++ b/client/src/job_calls.hpp
@@ -11,7 +11,7 @@
 namespace kestrelhoist::client {
 
 /// A call that sends one or more requests in sequence and that can be cancelled.
-class Steps {
+class PendingCall {
  public:
   /// Sets the request that stop() cancels. Cancels it at once if the call is already stopped.
   void now(const Caller::Handle& handle) {
@@ -28,7 +28,7 @@
   Caller::Handle current_;
   bool stopped_ = false;
 };
-using StepsPtr = std::shared_ptr<Steps>;
+using PendingCallPtr = std::shared_ptr<PendingCall>;
 
 /// Implements the calls of the public client on top of a Caller.
 class JobCalls {
@@ -42,21 +42,24 @@
 
   /// Submits a job. `key` is the idempotency key, and `id` is a job id that the caller has chosen.
   /// If both are empty, the job gets a random id.
-  StepsPtr submit(Job job, const std::string& key, const std::string& id, Duration within,
-                  Done<JobState> done);
-  StepsPtr get(const std::string& id, Duration within, Done<JobState> done);
-  StepsPtr cancel(const std::string& id, Duration within, Done<JobState> done);
+  PendingCallPtr submit(Job job, const std::string& key, const std::string& id, Duration timeout,
+                        Done<JobState> done);
+  PendingCallPtr get(const std::string& id, Duration timeout, Done<JobState> done);
+  PendingCallPtr cancel(const std::string& id, Duration timeout, Done<JobState> done);
   /// Requests a page of jobs. The service may delay an empty response by `wait`.
-  StepsPtr list(const JobQuery& query, Duration wait, Duration within, Done<JobPage> done);
-  StepsPtr whoAmI(Duration within, Done<Identity> done);
-  StepsPtr idFor(const std::string& key, Duration within, Done<std::string> done);
+  PendingCallPtr list(const JobQuery& query, Duration wait, Duration timeout, Done<JobPage> done);
+  PendingCallPtr whoAmI(Duration timeout, Done<Identity> done);
+  PendingCallPtr idFor(const std::string& key, Duration timeout, Done<std::string> done);
 
-  StepsPtr makeKey(const std::string& team, const std::string& member, const std::string& rights,
-                   const std::string& note, Duration within, Done<KeyInfo> done);
-  StepsPtr keys(const std::string& team, const std::string& member, Duration within,
-                Done<std::vector<KeyInfo>> done);
-  StepsPtr revokeKey(const std::string& id, Duration after, Duration within, Done<KeyInfo> done);
-  StepsPtr rotateKey(const std::string& id, Duration grace, Duration within, Done<KeyInfo> done);
+  PendingCallPtr makeKey(const std::string& team, const std::string& member,
+                         const std::string& rights, const std::string& note, Duration timeout,
+                         Done<KeyInfo> done);
+  PendingCallPtr keys(const std::string& team, const std::string& member, Duration timeout,
+                      Done<std::vector<KeyInfo>> done);
+  PendingCallPtr revokeKey(const std::string& id, Duration after, Duration timeout,
+                           Done<KeyInfo> done);
+  PendingCallPtr rotateKey(const std::string& id, Duration grace, Duration timeout,
+                           Done<KeyInfo> done);
 
   /// Returns whether this client has a key and the service has members. Lists and watch requests
   /// need both.
@@ -64,18 +67,21 @@
   Caller& caller() { return caller_; }
 
  private:
-  struct Submitting;
+  struct SubmissionState;
   /// Determines the team and the member of this client. The service returns them once for the key;
   /// if it has no members, they come from the settings.
-  void identity(const StepsPtr& steps, Duration within, Done<Identity> done);
-  void send(const std::shared_ptr<Submitting>& s);
-  void accepted(const std::shared_ptr<Submitting>& s, const Answer& answer, const JobState& state);
-  StepsPtr one(Request request, const std::string& tried, bool changes, Duration within,
-               Done<JobState> done);
-  void keyPage(const StepsPtr& steps, const std::string& team, const std::string& member,
-               std::shared_ptr<std::vector<KeyInfo>> found, Instant until,
+  void identity(const PendingCallPtr& pending, Duration timeout, Done<Identity> done);
+  void send(const std::shared_ptr<SubmissionState>& s);
+  void onAccepted(const std::shared_ptr<SubmissionState>& s, const Answer& answer,
+                  const JobState& state);
+  PendingCallPtr sendJobRequest(Request request, const std::string& operation, bool changes,
+                                Duration timeout, Done<JobState> done);
+  void keyPage(const PendingCallPtr& pending, const std::string& team, const std::string& member,
+               std::shared_ptr<std::vector<KeyInfo>> found, Instant deadline,
                Done<std::vector<KeyInfo>> done);
-  Duration left(Instant until) { return std::max(Duration{1}, until - caller_.runtime().now()); }
+  Duration remaining(Instant deadline) {
+    return std::max(Duration{1}, deadline - caller_.runtime().now());
+  }
 
   Caller& caller_;
   std::string team_;
--- a/client/src/job_codec.cpp
+++ b/client/src/job_codec.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 template <class E, std::size_t N>
-std::optional<E> wordIn(const std::array<const char*, N>& words, const std::string& word) {
+std::optional<E> enumFromWord(const std::array<const char*, N>& words, const std::string& word) {
   for (std::size_t i = 0; i < N; ++i) {
     if (word == words[i]) return static_cast<E>(i);
   }
@@ -20,7 +20,7 @@
 constexpr std::array<const char*, 4> kPriorities{"best_effort", "standard", "high", "production"};
 constexpr std::array<const char*, 4> kPhases{"pending", "running", "done", "withdrawn"};
 
-std::int64_t whole(const Json& v, const char* name) {
+std::int64_t countOrZero(const Json& v, const char* name) {
   return static_cast<std::int64_t>(countField(v, name).value_or(0));
 }
 
@@ -29,11 +29,15 @@
 const char* wordOf(Shape shape) { return kShapes[static_cast<std::size_t>(shape)]; }
 const char* wordOf(Priority p) { return kPriorities[static_cast<std::size_t>(p)]; }
 const char* wordOf(Phase phase) { return kPhases[static_cast<std::size_t>(phase)]; }
-std::optional<Shape> shapeFrom(const std::string& word) { return wordIn<Shape>(kShapes, word); }
+std::optional<Shape> shapeFrom(const std::string& word) {
+  return enumFromWord<Shape>(kShapes, word);
+}
 std::optional<Priority> priorityFrom(const std::string& word) {
-  return wordIn<Priority>(kPriorities, word);
+  return enumFromWord<Priority>(kPriorities, word);
+}
+std::optional<Phase> phaseFrom(const std::string& word) {
+  return enumFromWord<Phase>(kPhases, word);
 }
-std::optional<Phase> phaseFrom(const std::string& word) { return wordIn<Phase>(kPhases, word); }
 
 Json toBody(const Job& job, const std::string& id) {
   Json v = {{"ref", id},
@@ -76,11 +80,11 @@
   JobState s;
   s.id = *id;
   s.phase = *phase;
-  s.tasks = static_cast<std::uint32_t>(whole(body, "tasks"));
-  s.done = static_cast<std::uint32_t>(whole(body, "done"));
-  s.running = static_cast<std::uint32_t>(whole(body, "running"));
+  s.tasks = static_cast<std::uint32_t>(countOrZero(body, "tasks"));
+  s.done = static_cast<std::uint32_t>(countOrZero(body, "done"));
+  s.running = static_cast<std::uint32_t>(countOrZero(body, "running"));
   s.jobClass = textField(body, "class").value_or("");
-  s.acceptedAtMs = whole(body, "at_ms");
+  s.acceptedAtMs = countOrZero(body, "at_ms");
   s.serviceName = textField(body, "job").value_or("");
   s.digest = textField(body, "digest").value_or("");
   return s;
@@ -116,8 +120,8 @@
                  who->member,
                  who->rights,
                  textField(body, "note").value_or(""),
-                 whole(body, "at_ms"),
-                 whole(body, "ends_ms"),
+                 countOrZero(body, "at_ms"),
+                 countOrZero(body, "ends_ms"),
                  boolField(body, "ended").value_or(false),
                  ""};
 }
--- a/client/src/job_watcher_test.cpp
+++ b/client/src/job_watcher_test.cpp
@@ -23,8 +23,8 @@
 // requests.
 struct Script {
   std::deque<Response> polls, lists;
-  std::vector<std::string> asked;
-  std::vector<JobWatcher::Told> told;
+  std::vector<std::string> requestPaths;
+  std::vector<JobWatcher::Update> told;
   std::optional<std::optional<Error>> over;
 
   void play(std::vector<std::string> ids, std::string since, bool hasKey = true) {
@@ -33,7 +33,7 @@
     sim::Network network(clock, random);
     sim::HostRuntime runtime(clock, network, "user", 1.0);
     network.listen("c:1", [this](const std::string&, const Request& q, const Respond& r) {
-      asked.push_back(q.path);
+      requestPaths.push_back(q.path);
       auto& next = q.path.starts_with("/v2/jobs") ? lists : polls;
       if (next.empty()) return;
       Response answer = next.front();
@@ -44,7 +44,7 @@
     JobCalls calls(caller, "team", hasKey);
     auto watcher = std::make_shared<JobWatcher>(
         calls, std::move(ids), std::move(since),
-        [this](const JobWatcher::Told& t) { told.push_back(t); },
+        [this](const JobWatcher::Update& t) { told.push_back(t); },
         [this](std::optional<Error> e) { over = std::move(e); });
     watcher->start();
     clock.runUntil(clock.now() + 60000);
--- a/client/src/router.hpp
+++ b/client/src/router.hpp
@@ -25,39 +25,41 @@
     Duration wait{};  ///< The time until the next call of choose(), if there is no address.
   };
   /// Returns the address for the next request. The caller must report the outcome of that request
-  /// to answered(), failed() or dropped(). The result differs from `avoid` if another controller
-  /// can receive the request.
+  /// to recordResponse(), recordFailure() or recordCancellation(). The result differs from `avoid`
+  /// if another controller can receive the request.
   Choice choose(Instant now, std::optional<std::size_t> avoid = std::nullopt);
-  /// Records a response of a working controller. `took` is the time between request and response.
-  void answered(std::size_t address, Duration took);
-  /// Records that a controller did not respond or could not process the request. `rest` is the
+  /// Records a response of a working controller. `responseTime` is the time between request and
+  /// response.
+  void recordResponse(std::size_t address, Duration responseTime);
+  /// Records that a controller did not respond or could not process the request. `minPause` is the
   /// shortest pause that the controller asked for.
-  void failed(std::size_t address, Instant now, Duration rest = Duration{0});
+  void recordFailure(std::size_t address, Instant now, Duration minPause = Duration{0});
   /// Records that the client cancelled the request before its outcome was certain.
-  void dropped(std::size_t address) { at(address).probing = false; }
-  /// Returns another address without recent failures, to which a hedged request can go.
-  std::optional<std::size_t> other(std::size_t than) const;
+  void recordCancellation(std::size_t address) { at(address).probing = false; }
+  /// Returns an address other than `first` without recent failures, to which a hedged request can
+  /// go.
+  std::optional<std::size_t> alternativeTo(std::size_t first) const;
 
   const std::string& name(std::size_t address) const { return addresses_[address].name; }
   std::size_t size() const { return addresses_.size(); }
   /// Returns the response time above which a read is hedged.
-  Duration slow() const;
+  Duration slowThreshold() const;
   /// Returns a random duration between `low` and `high`.
-  Duration between(Duration low, Duration high);
+  Duration randomBetween(Duration low, Duration high);
 
  private:
   struct Address {
     std::string name;
-    int failures = 0;  ///< The number of consecutive failures.
+    int consecutiveFailures = 0;
     bool probing = false;
     Duration pause{0};
-    Instant restsUntil{};
+    Instant pausedUntil{};
   };
   Address& at(std::size_t i) { return addresses_[i]; }
 
   std::vector<Address> addresses_;
-  std::size_t preferred_ = 0;  ///< The controller that responded last.
-  double usualMs_ = 50;        ///< The exponential moving average of the response times.
+  std::size_t preferred_ = 0;      ///< The controller that responded last.
+  double averageResponseMs_ = 50;  ///< The exponential moving average of the response times.
   std::mt19937_64 random_;
 };
 
--- a/client/src/settings.cpp
+++ b/client/src/settings.cpp
@@ -50,17 +50,17 @@
   s.member = value.value("member", s.member);
   s.files = value.value("files", s.files);
   s.key = value.value("key", s.key);
-  auto beside = [&](const std::string& name) {
+  auto resolvePath = [&](const std::string& name) {
     return (std::filesystem::path(file).parent_path() / name).string();
   };
   if (value.contains("key_file")) {
-    std::string name = beside(value["key_file"]);
+    std::string name = resolvePath(value["key_file"]);
     std::ifstream in(name);
     if (!(in >> s.key)) throw std::runtime_error(file + ": key_file: " + name + " holds no key");
   }
   if (value.contains("tls")) {
     s.tls = true;
-    if (value["tls"].contains("authority")) s.authority = beside(value["tls"]["authority"]);
+    if (value["tls"].contains("authority")) s.authority = resolvePath(value["tls"]["authority"]);
     s.serverName = value["tls"].value("server_name", s.serverName);
   }
   return s;
@@ -94,8 +94,8 @@
     return std::string(v ? v : "");
   };
   std::string file = !given.empty() ? given : env("HOIST_CONFIG");
-  bool must = !file.empty();
-  if (!must) {
+  bool isRequired = !file.empty();
+  if (!isRequired) {
     std::string home =
         env("XDG_CONFIG_HOME").empty() ? env("HOME") + "/.config" : env("XDG_CONFIG_HOME");
     file = home + "/hoist.json";
@@ -106,7 +106,7 @@
     std::ostringstream text;
     text << in.rdbuf();
     s = parseClientSettings(text.str(), file);
-  } else if (must) {
+  } else if (isRequired) {
     throw std::runtime_error(file + ": cannot be read");
   }
   if (auto v = env("HOIST_SERVERS"); !v.empty()) s.servers = splitList(v);
--- a/tests/client_world_test.cpp
+++ b/tests/client_world_test.cpp
@@ -41,7 +41,7 @@
     for (int i = 0; i < kJobs; ++i) ids.push_back(refFor(kAna, batch(i)));
     watcher = std::make_shared<client::JobWatcher>(
         *user.jobs, ids, "",
-        [this](const client::JobWatcher::Told& t) {
+        [this](const client::JobWatcher::Update& t) {
           if (t.job.hasEnded()) ++ends[t.job.id];
           auto& last = phases[t.job.id];
           if (t.job.phase < last) wrong.push_back(t.job.id + " went back");
@@ -66,7 +66,7 @@
     }
   }
   MemberUser user;
-  std::vector<client::StepsPtr> steps;
+  std::vector<client::PendingCallPtr> steps;
   std::shared_ptr<client::JobWatcher> watcher;
   std::set<int> accepted;
   std::map<std::string, int> ends;
@@ -171,7 +171,7 @@
   MemberUser user(w, "script", key, 3);
   w.state.outage(60000);
   int ended = 0;
-  std::vector<client::StepsPtr> steps;
+  std::vector<client::PendingCallPtr> steps;
   for (int i = 0; i < 200; ++i) {
     steps.push_back(user.jobs->get(
         "j-" + std::to_string(i), Duration{50000}, [&](client::Result<client::JobState> r) {
@@ -233,7 +233,7 @@
     MemberUser user(w, "watch-" + std::to_string(round), key, static_cast<unsigned>(round) + 10);
     auto watcher = std::make_shared<client::JobWatcher>(
         *user.jobs, std::vector<std::string>{}, cursor,
-        [&](const client::JobWatcher::Told& t) {
+        [&](const client::JobWatcher::Update& t) {
           ++told[t.job.id];
           if (!t.cursor.empty()) cursor = t.cursor;
         },
--- a/tests/member_user.hpp
+++ b/tests/member_user.hpp
@@ -22,7 +22,7 @@
 
   // Runs the world until the call has ended.
   template <class T>
-  client::Result<T> await(const std::function<client::StepsPtr(client::JobCalls::Done<T>)>& begin) {
+  client::Result<T> await(const std::function<client::PendingCallPtr(client::JobCalls::Done<T>)>& begin) {
     std::optional<client::Result<T>> result;
     auto steps = begin([&](client::Result<T> r) { result = std::move(r); });
     for (int i = 0; i < 6000 && !result; ++i) world_.runFor(0.1);
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -318,7 +318,7 @@
   /// One user's flow: its versions as handed over, and what its files are by now.
   struct UserFlow {
     FlowPlanSpec spec;
-    FlowOrder order;
+    FlowSubmission order;
     rules::FlowPlan plan;     ///< of the newest version that was accepted
     std::uint64_t version{};  ///< accepted
     bool sending{};
