--- a/cli/admin_main.cpp
+++ b/cli/admin_main.cpp
@@ -25,8 +25,7 @@
   app.add_option("--authority", common.authority,
                  "use TLS; PEM file with the trusted certificate authorities");
   app.add_flag("--json", common.json, "print responses as JSON, one value per line");
-  app.add_option("--timeout", common.timeoutS,
-                 "timeout of each request in seconds, including retries")
+  app.add_option("--timeout", common.timeoutS, "timeout of each call in seconds, including retries")
       ->check(CLI::Range(1.0, 86400.0));
   auto* key = app.add_subcommand("key", "manage keys");
   key->require_subcommand(1);
--- a/cli/commands.cpp
+++ b/cli/commands.cpp
@@ -17,7 +17,8 @@
 
 constexpr Duration kFollowInterval{1000};
 
-std::vector<std::pair<std::string, std::string>> settingsOf(const std::vector<std::string>& set) {
+std::vector<std::pair<std::string, std::string>> parseAssignments(
+    const std::vector<std::string>& set) {
   std::vector<std::pair<std::string, std::string>> out;
   for (const auto& s : set) {
     auto equals = s.find('=');
@@ -28,9 +29,9 @@
   return out;
 }
 
-PlannedFile planned(const Options& o) {
+PlannedFile planFromOptions(const Options& o) {
   RuleFile file = o.file;
-  file.config = settingsOf(o.set);
+  file.config = parseAssignments(o.set);
   return planFile(file);
 }
 
@@ -83,7 +84,7 @@
 }
 
 int plan(const Options& o) {
-  PlannedFile file = planned(o);
+  PlannedFile file = planFromOptions(o);
   if (o.dot) {
     std::cout << dotGraph(file.plan);
   } else if (o.json) {
@@ -249,7 +250,7 @@
 }
 
 int Session::submit(bool thenFollow) {
-  PlannedFile file = planned(options_);
+  PlannedFile file = planFromOptions(options_);
   addReplans(file);
   if (file.plan.instances.empty()) {
     print({{"instances", 0}}, "the plan contains no instances; no flow was submitted\n");
@@ -375,7 +376,7 @@
 }
 
 int Session::amend() {
-  PlannedFile file = planned(options_);
+  PlannedFile file = planFromOptions(options_);
   addReplans(file);
   FlowSubmission flow = submissionFor(file);
   flow.id = FlowId{options_.flow};
@@ -407,7 +408,7 @@
 
 namespace {
 // Formats the used resources as a table with one row for each entry of `list` and a row of totals.
-std::string useTable(const Json& v, const char* list, const char* name) {
+std::string formatUsage(const Json& v, const char* list, const char* name) {
   char line[256];
   std::snprintf(line, sizeof line, "%-24s %7s %7s %8s %10s %10s %10s %10s %10s\n", name, "tasks",
                 "failed", "attempts", "task s", "lost s", "CPU s", "GPU s", "GB s");
@@ -430,7 +431,7 @@
 int Session::report() {
   auto r = get("/v2/flows/" + options_.flow + "/report");
   if (int code = exitCodeOf(r)) return code;
-  print(r->body, useTable(r->body, "rules", "rule"));
+  print(r->body, formatUsage(r->body, "rules", "rule"));
   return kOk;
 }
 
@@ -439,7 +440,7 @@
     throw std::runtime_error("no team is set; use --team, HOIST_TEAM or the settings file");
   auto r = get("/v2/flows/account?owner=" + settings_.team);
   if (int code = exitCodeOf(r)) return code;
-  print(r->body, useTable(r->body, "members", "member"));
+  print(r->body, formatUsage(r->body, "members", "member"));
   return kOk;
 }
 
@@ -509,7 +510,7 @@
   options_.rank = textField(request, "rank").value_or("best_effort");
   options_.keepGoing = boolField(request, "keep_going").value_or(false);
   options_.flow = flow;
-  PlannedFile file = planned(options_);
+  PlannedFile file = planFromOptions(options_);
   addReplans(file);
   auto bundle = rules::bundle(file.plan);
   auto r = get("/v2/flows/" + options_.flow);
--- a/cli/job_main.cpp
+++ b/cli/job_main.cpp
@@ -6,7 +6,7 @@
   options_.job.jobClass = "";
   CLI::App* job = app.add_subcommand("job", "submit and manage jobs");
   job->require_subcommand(1);
-  auto ids = [&](CLI::App* c, const char* what) {
+  auto addIdsArgument = [&](CLI::App* c, const char* what) {
     return c->add_option("job", options_.ids, what);
   };
   submit_ = job->add_subcommand(
@@ -41,7 +41,7 @@
                       "command of each task (HOIST_TASK is the number of the task)");
   submit_->footer("Example: hoist job submit --batch drawer-12 --tasks 40 -- ./scan.sh");
   status_ = job->add_subcommand("status", "show the states of jobs");
-  ids(status_, "ids of jobs")->required();
+  addIdsArgument(status_, "ids of jobs")->required();
   list_ = job->add_subcommand("list", "list the member's jobs in the order of their last changes");
   list_
       ->add_option("--phase", options_.phase,
@@ -53,12 +53,12 @@
       ->check(CLI::Range(1, 200));
   list_->add_flag("--all", options_.all, "list all pages");
   watch_ = job->add_subcommand("watch", "print each change until the given jobs have ended");
-  ids(watch_, "ids of jobs (default: all jobs of the member)");
+  addIdsArgument(watch_, "ids of jobs (default: all jobs of the member)");
   watch_->add_option("--since", options_.since, "cursor; print all changes after it");
   cancel_ = job->add_subcommand("cancel", "cancel jobs");
-  ids(cancel_, "ids of jobs")->required();
+  addIdsArgument(cancel_, "ids of jobs")->required();
   logs_ = job->add_subcommand("logs", "print the output of a task");
-  ids(logs_, "id of the job")->required()->expected(1);
+  addIdsArgument(logs_, "id of the job")->required()->expected(1);
   logs_->add_option("--task", options_.task, "number of the task");
   logs_->add_flag("--follow", options_.follow, "print new output until the job has ended");
 }
--- a/cli/main.cpp
+++ b/cli/main.cpp
@@ -26,7 +26,7 @@
   app.add_option("--member", o.member, "member of the team who submits the request");
   app.add_option("--files", o.files, "root directory of the files that all machines share");
   app.add_flag("--json", o.json, "print responses as JSON, one value per line");
-  app.add_option("--timeout", o.timeoutS, "timeout of each request in seconds, including retries")
+  app.add_option("--timeout", o.timeoutS, "timeout of each call in seconds, including retries")
       ->check(CLI::Range(1.0, 86400.0));
 
   app.add_option("--key", o.key,
@@ -36,7 +36,7 @@
   hoist::JobCommands jobs(app);
   CLI::App* flow = app.add_subcommand("flow", "submit and manage rule files");
   flow->require_subcommand(1);
-  auto ruleFile = [&](CLI::App* c) {
+  auto addRuleFileOptions = [&](CLI::App* c) {
     c->add_option("file", o.file.path, "Snakefile or Makefile")->required();
     c->add_option("targets", o.file.targets,
                   "files or rules to build (default: the first rule of the file)");
@@ -50,7 +50,7 @@
     c->add_option("--image", o.file.image, "image of the rules that name no image");
     c->add_flag("!--no-spot", o.file.spot, "do not use spot machines");
   };
-  auto sending = [&](CLI::App* c) {
+  auto addSubmitOptions = [&](CLI::App* c) {
     c->add_option("--name", o.name, "name of the flow (default: the directory's name)");
     c->add_option("--rank", o.rank, "best_effort, standard or high")
         ->check(CLI::IsMember({"best_effort", "standard", "high"}));
@@ -59,47 +59,47 @@
         "if an instance fails permanently, skip the instances that depend on it instead of waiting "
         "for an amendment");
   };
-  auto newId = [&](CLI::App* c) {
+  auto addNewIdOption = [&](CLI::App* c) {
     c->add_option("--id", o.flow,
                   "flow id; a repeated command with the same id starts no second flow");
   };
-  auto flowId = [&](CLI::App* c) {
+  auto addFlowIdArgument = [&](CLI::App* c) {
     c->add_option("flow", o.flow, "the flow id that submit printed")->required();
   };
 
   auto* plan = flow->add_subcommand("plan", "show the instances that would run and the reasons");
-  ruleFile(plan);
+  addRuleFileOptions(plan);
   plan->add_flag("--dot", o.dot, "print a graph for Graphviz");
   plan->add_flag("--commands", o.commands, "also print the commands of the instances");
   plan->footer("Example: hoist flow plan Snakefile all --set sheets=12");
   auto* submit = flow->add_subcommand("submit", "submit a rule file and print the flow id");
-  ruleFile(submit);
-  sending(submit);
-  newId(submit);
+  addRuleFileOptions(submit);
+  addSubmitOptions(submit);
+  addNewIdOption(submit);
   submit->footer("Example: hoist flow submit Snakefile --name herbarium");
   auto* run = flow->add_subcommand("run", "submit a rule file and follow the flow to its end");
-  ruleFile(run);
-  sending(run);
-  newId(run);
+  addRuleFileOptions(run);
+  addSubmitOptions(run);
+  addNewIdOption(run);
   run->footer("Example: hoist flow run Makefile audit --keep-going");
   auto* status =
       flow->add_subcommand("status", "show the progress of a flow and its failed instances");
-  flowId(status);
+  addFlowIdArgument(status);
   auto* follow = flow->add_subcommand("follow", "follow a flow to its end");
-  flowId(follow);
+  addFlowIdArgument(follow);
   auto* amend =
       flow->add_subcommand("amend", "change the rule file of a flow; unchanged instances continue");
-  flowId(amend);
-  ruleFile(amend);
+  addFlowIdArgument(amend);
+  addRuleFileOptions(amend);
   amend->add_flag("--keep-going", o.keepGoing,
                   "from now on, skip the instances that depend on a failed one");
   amend->add_option("--base", o.base,
                     "the flow version that the amendment replaces (default: the current one)");
   amend->footer("Example: hoist flow amend w-1234 Snakefile");
   auto* cancel = flow->add_subcommand("cancel", "cancel a flow");
-  flowId(cancel);
+  addFlowIdArgument(cancel);
   auto* report = flow->add_subcommand("report", "show the resources that a flow has used, by rule");
-  flowId(report);
+  addFlowIdArgument(report);
   auto* account = flow->add_subcommand(
       "account", "show the resources that the team's flows have used, by member");
   auto* list = flow->add_subcommand("list", "list the member's open flows");
--- a/cli/policy_commands.cpp
+++ b/cli/policy_commands.cpp
@@ -10,9 +10,11 @@
 namespace kestrelhoist::hoist {
 namespace {
 
-std::uint64_t number(const Json& v, const char* name) { return countField(v, name).value_or(0); }
+std::uint64_t countOrZero(const Json& v, const char* name) {
+  return countField(v, name).value_or(0);
+}
 
-std::string timeText(std::int64_t ms) {
+std::string formatUtc(std::int64_t ms) {
   std::time_t s = ms / 1000;
   std::tm utc{};
   gmtime_r(&s, &utc);
@@ -45,14 +47,16 @@
   }
   if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
-  std::string text = "version " + std::to_string(number(v, "version")) + " is in force\n";
+  std::string text = "version " + std::to_string(countOrZero(v, "version")) + " is in force\n";
   if (const Json* effect = field(v, "effect")) {
-    text += std::to_string(number(*effect, "services_kept")) + " services would be protected\n";
+    text +=
+        std::to_string(countOrZero(*effect, "services_kept")) + " services would be protected\n";
     if (auto open = textField(*effect, "open")) text += *open + " would be open now\n";
     if (const Json* periods = field(*effect, "periods")) {
       for (const auto& [name, p] : periods->items()) {
-        text += name + ": " + std::to_string(number(p, "first")) + " jobs would get precedence, " +
-                std::to_string(number(p, "yield")) + " jobs would yield\n";
+        text += name + ": " + std::to_string(countOrZero(p, "first")) +
+                " jobs would get precedence, " + std::to_string(countOrZero(p, "yield")) +
+                " jobs would yield\n";
       }
     }
   }
@@ -65,8 +69,8 @@
   if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
   auto line = [](const Json& p) {
-    return "version " + std::to_string(number(p, "version")) + ", " +
-           timeText(static_cast<std::int64_t>(number(p, "at"))) + " UTC" +
+    return "version " + std::to_string(countOrZero(p, "version")) + ", " +
+           formatUtc(static_cast<std::int64_t>(countOrZero(p, "at"))) + " UTC" +
            (field(p, "document") ? "" : ", none") + "\n";
   };
   std::string text;
@@ -81,13 +85,15 @@
     text += open.empty()
                 ? "no period is open\n"
                 : open + " is open until " +
-                      timeText(static_cast<std::int64_t>(number(standing, "closes"))) + " UTC\n";
+                      formatUtc(static_cast<std::int64_t>(countOrZero(standing, "closes"))) +
+                      " UTC\n";
     if (const Json* storm = field(standing, "storm")) {
-      text += "mass failure since " + timeText(static_cast<std::int64_t>(number(*storm, "since"))) +
-              " UTC: " + std::to_string(number(*storm, "lost")) + " machines lost, " +
-              std::to_string(number(*storm, "missing")) + " protected replicas not running\n";
+      text += "mass failure since " +
+              formatUtc(static_cast<std::int64_t>(countOrZero(*storm, "since"))) +
+              " UTC: " + std::to_string(countOrZero(*storm, "lost")) + " machines lost, " +
+              std::to_string(countOrZero(*storm, "missing")) + " protected replicas not running\n";
     }
-    if (auto n = number(standing, "uncovered")) {
+    if (auto n = countOrZero(standing, "uncovered")) {
       text += std::to_string(n) +
               " protected replicas could not be placed after the worst failure that the policy "
               "covers\n";
@@ -103,7 +109,7 @@
   const Json pools = r->body.value("standing", Json::object()).value("pools", Json::object());
   std::string text;
   for (const auto& [image, held] : pools.items()) {
-    text += image + ": " + std::to_string(number(held, "wanted")) + " machines wanted, " +
+    text += image + ": " + std::to_string(countOrZero(held, "wanted")) + " machines wanted, " +
             std::to_string(held.value("on", Json::array()).size()) + " machines have the image\n";
   }
   print(pools, text);
@@ -118,13 +124,13 @@
   Json out = Json::array();
   for (auto [list, unit] : {std::pair{"days", 86400000LL}, std::pair{"hours", 3600000LL}}) {
     for (const auto& record : r->body.value(list, Json::array())) {
-      Json row = {{"from", number(record, "number") * static_cast<std::uint64_t>(unit)}};
+      Json row = {{"from", countOrZero(record, "number") * static_cast<std::uint64_t>(unit)}};
       for (const char* kind : {"used", "warm"}) {
         const Json teams = record.value(kind, Json::object());
         row[kind] = teams.contains(team) ? teams[team] : Json::array({0, 0});
       }
       std::snprintf(line, sizeof line, "%s %s: used %.1f s %.6f, warm %.1f s %.6f\n", list,
-                    timeText(row["from"].get<std::int64_t>()).c_str(),
+                    formatUtc(row["from"].get<std::int64_t>()).c_str(),
                     row["used"][0].get<double>() / 1000, row["used"][1].get<double>() / 1e6,
                     row["warm"][0].get<double>() / 1000, row["warm"][1].get<double>() / 1e6);
       text += line;
--- a/client/src/caller.hpp
+++ b/client/src/caller.hpp
@@ -26,7 +26,7 @@
 struct Answer {
   int status{};
   Json body = Json::object();
-  bool first{};  ///< Whether the call sent no other request.
+  bool first{};  ///< Whether this is the response to the only request of the call.
 };
 
 /// Describes one call: its request, its timeouts, and whether it changes data.
--- a/client/src/client.cpp
+++ b/client/src/client.cpp
@@ -231,7 +231,7 @@
                                 : "nothing was learnt of it"));
     });
     auto call = std::make_shared<PendingCall>();
-    call->now([finish, errorOf] { finish(errorOf(ErrorKind::cancelled, "given up")); });
+    call->setCurrent([finish, errorOf] { finish(errorOf(ErrorKind::cancelled, "given up")); });
     return call;
   };
 }
--- a/client/src/job_calls.cpp
+++ b/client/src/job_calls.cpp
@@ -47,10 +47,10 @@
 PendingCallPtr JobCalls::sendJobRequest(Request request, const std::string& operation, bool changes,
                                         Duration timeout, Done<JobState> done) {
   auto pending = std::make_shared<PendingCall>();
-  pending->now(caller_.call({std::move(request), operation, timeout, changes},
-                            [operation, done = std::move(done)](Result<Answer> r) {
-                              done(parsed<JobState>(r, operation, jobStateFrom));
-                            }));
+  pending->setCurrent(caller_.call({std::move(request), operation, timeout, changes},
+                                   [operation, done = std::move(done)](Result<Answer> r) {
+                                     done(parsed<JobState>(r, operation, jobStateFrom));
+                                   }));
   return pending;
 }
 
@@ -73,7 +73,7 @@
     request.attemptTimeout = wait + kDelayedResponseMargin;
     request.mayBeDelayed = true;
   }
-  pending->now(
+  pending->setCurrent(
       caller_.call(std::move(request), [operation, done = std::move(done)](Result<Answer> r) {
         done(parsed<JobPage>(r, operation, jobPageFrom));
       }));
@@ -82,10 +82,10 @@
 
 PendingCallPtr JobCalls::whoAmI(Duration timeout, Done<Identity> done) {
   auto pending = std::make_shared<PendingCall>();
-  pending->now(caller_.call({{"GET", "/v2/whoami", ""}, "who am I", timeout, false},
-                            [done = std::move(done)](Result<Answer> r) {
-                              done(parsed<Identity>(r, "who am I", identityFrom));
-                            }));
+  pending->setCurrent(caller_.call({{"GET", "/v2/whoami", ""}, "who am I", timeout, false},
+                                   [done = std::move(done)](Result<Answer> r) {
+                                     done(parsed<Identity>(r, "who am I", identityFrom));
+                                   }));
   return pending;
 }
 
@@ -102,7 +102,7 @@
     }
     done(std::move(r));
   });
-  pending->now([inner] { inner->stop(); });
+  pending->setCurrent([inner] { inner->stop(); });
 }
 
 PendingCallPtr JobCalls::idFor(const std::string& key, Duration timeout, Done<std::string> done) {
@@ -147,36 +147,38 @@
 
 void JobCalls::send(const std::shared_ptr<SubmissionState>& s) {
   ++s->triedIds;
-  s->pending->now(caller_.call({{"POST", "/v2/runs", encodeBody(toBody(s->job, s->id))},
-                                s->operation,
-                                remaining(s->deadline),
-                                true},
-                               [this, s](Result<Answer> r) {
-                                 if (!r) {
-                                   Error e = r.error();
-                                   e.jobId = s->id;
-                                   return s->done(std::move(e));
-                                 }
-                                 auto state = jobStateFrom(r->body);
-                                 if (!state || state->id != s->id) {
-                                   Error e = protocolViolation(errorFor({}, s->operation, ""),
-                                                               "the answer is not about this job");
-                                   e.jobId = s->id;
-                                   return s->done(std::move(e));
-                                 }
-                                 onAccepted(s, *r, *state);
-                               }));
+  s->pending->setCurrent(caller_.call({{"POST", "/v2/runs", encodeBody(toBody(s->job, s->id))},
+                                       s->operation,
+                                       remaining(s->deadline),
+                                       true},
+                                      [this, s](Result<Answer> r) {
+                                        if (!r) {
+                                          Error e = r.error();
+                                          e.jobId = s->id;
+                                          return s->done(std::move(e));
+                                        }
+                                        auto state = jobStateFrom(r->body);
+                                        if (!state || state->id != s->id) {
+                                          Error e =
+                                              protocolViolation(errorFor({}, s->operation, ""),
+                                                                "the answer is not about this job");
+                                          e.jobId = s->id;
+                                          return s->done(std::move(e));
+                                        }
+                                        onAccepted(s, *r, *state);
+                                      }));
 }
 
 // Handles the response to a submission. If the service already knew the id, either an earlier
 // submission of the same job created that job, or the id belongs to a different job.
 void JobCalls::onAccepted(const std::shared_ptr<SubmissionState>& s, const Answer& answer,
                           const JobState& state) {
-  bool isOtherJob = state.digest.empty()
-                        // Without a digest, the id belongs to a different job only if it is random
-                        // and the service knew it before the only request of this call.
-                        ? s->hasRandomId && answer.status == 200 && answer.first
-                        : !s->digest.empty() && state.digest != s->digest;
+  bool isOtherJob =
+      state.digest.empty()
+          // If the response has no digest, the id belongs to a different job only if it is random
+          // and the service knew it before the only request of this call.
+          ? s->hasRandomId && answer.status == 200 && answer.first
+          : !s->digest.empty() && state.digest != s->digest;
   if (!isOtherJob) return s->done(state);
   if (s->hasRandomId && s->triedIds < kMaxRandomIds) {
     s->id = drawRef();
@@ -200,12 +202,13 @@
   Json body = {{"key", made.id.value}, {"hash", hashOfSecret(made)}, {"team", team},
                {"member", member},     {"rights", rights},           {"note", note}};
   std::string operation = "make a key";
-  pending->now(caller_.call({{"POST", "/v2/keys", encodeBody(body)}, operation, timeout, true},
-                            [operation, made, done = std::move(done)](Result<Answer> r) {
-                              auto info = parsed<KeyInfo>(r, operation, keyInfoFrom);
-                              if (info) info->secret = made.str();
-                              done(std::move(info));
-                            }));
+  pending->setCurrent(
+      caller_.call({{"POST", "/v2/keys", encodeBody(body)}, operation, timeout, true},
+                   [operation, made, done = std::move(done)](Result<Answer> r) {
+                     auto info = parsed<KeyInfo>(r, operation, keyInfoFrom);
+                     if (info) info->secret = made.str();
+                     done(std::move(info));
+                   }));
   return pending;
 }
 
@@ -222,7 +225,7 @@
                        Instant deadline, Done<std::vector<KeyInfo>> done) {
   std::string path = "/v2/keys?team=" + queryEscaped(team) + "&member=" + queryEscaped(member) +
                      "&after=" + (found->empty() ? "" : found->back().id);
-  pending->now(caller_.call(
+  pending->setCurrent(caller_.call(
       {{"GET", path, ""}, "list keys", remaining(deadline), false},
       [this, pending, team, member, found, deadline, done = std::move(done)](Result<Answer> r) {
         if (!r) return done(r.error());
@@ -240,14 +243,14 @@
                                    Done<KeyInfo> done) {
   auto pending = std::make_shared<PendingCall>();
   std::string operation = "revoke key " + id;
-  pending->now(caller_.call({{"POST", "/v2/keys/" + queryEscaped(id) + "/revoke",
-                              encodeBody({{"after_s", toSeconds(after)}})},
-                             operation,
-                             timeout,
-                             true},
-                            [operation, done = std::move(done)](Result<Answer> r) {
-                              done(parsed<KeyInfo>(r, operation, keyInfoFrom));
-                            }));
+  pending->setCurrent(caller_.call({{"POST", "/v2/keys/" + queryEscaped(id) + "/revoke",
+                                     encodeBody({{"after_s", toSeconds(after)}})},
+                                    operation,
+                                    timeout,
+                                    true},
+                                   [operation, done = std::move(done)](Result<Answer> r) {
+                                     done(parsed<KeyInfo>(r, operation, keyInfoFrom));
+                                   }));
   return pending;
 }
 
@@ -276,11 +279,11 @@
                             e.why += "; the new key " + made->id + " was made: revoke it";
                             done(std::move(e));
                           });
-                      pending->now([ending] { ending->stop(); });
+                      pending->setCurrent([ending] { ending->stop(); });
                     });
-        pending->now([making] { making->stop(); });
+        pending->setCurrent([making] { making->stop(); });
       });
-  pending->now([found] { found->stop(); });
+  pending->setCurrent([found] { found->stop(); });
   return pending;
 }
 
--- a/client/src/job_calls.hpp
+++ b/client/src/job_calls.hpp
@@ -14,7 +14,7 @@
 class PendingCall {
  public:
   /// Sets the request that stop() cancels. Cancels it at once if the call is already stopped.
-  void now(const Caller::Handle& handle) {
+  void setCurrent(const Caller::Handle& handle) {
     current_ = handle;
     if (stopped_ && current_) current_();
   }
--- a/client/src/job_watcher_test.cpp
+++ b/client/src/job_watcher_test.cpp
@@ -24,7 +24,7 @@
 struct Script {
   std::deque<Response> polls, lists;
   std::vector<std::string> requestPaths;
-  std::vector<JobWatcher::Update> told;
+  std::vector<JobWatcher::Update> updates;
   std::optional<std::optional<Error>> over;
 
   void play(std::vector<std::string> ids, std::string since, bool hasKey = true) {
@@ -44,7 +44,7 @@
     JobCalls calls(caller, "team", hasKey);
     auto watcher = std::make_shared<JobWatcher>(
         calls, std::move(ids), std::move(since),
-        [this](const JobWatcher::Update& t) { told.push_back(t); },
+        [this](const JobWatcher::Update& t) { updates.push_back(t); },
         [this](std::optional<Error> e) { over = std::move(e); });
     watcher->start();
     clock.runUntil(clock.now() + 60000);
@@ -52,7 +52,7 @@
   }
   std::string phases() const {
     std::string out;
-    for (const auto& t : told) out += t.job.id + ":" + wordOf(t.job.phase) + " ";
+    for (const auto& t : updates) out += t.job.id + ":" + wordOf(t.job.phase) + " ";
     return out;
   }
 };
@@ -76,7 +76,7 @@
              page({job("j-1", "pending", 1)}, "c3"), page({job("j-1", "withdrawn", 1)}, "c4")};
   s.play({}, "c0");
   EXPECT_EQ(s.phases(), "j-1:running j-1:running j-1:withdrawn ");
-  EXPECT_EQ(s.told.back().cursor, "c4");
+  EXPECT_EQ(s.updates.back().cursor, "c4");
 }
 
 TEST(JobWatcher, StartsAgainWhereItsPlaceIsGoneAndRepeatsNothing) {
--- a/client/src/settings.hpp
+++ b/client/src/settings.hpp
@@ -18,7 +18,7 @@
   std::string files;  ///< The root directory of the files that all machines share.
   std::string key;    ///< The member key ("kh_..."), or empty if the service has no members.
   bool tls = false;
-  std::string authority, serverName;  ///< The fields of client::Settings with these names.
+  std::string authority, serverName;  ///< client::Settings describes these fields.
 };
 
 /// The JSON schema of the settings file.
