--- a/cli/commands.cpp
+++ b/cli/commands.cpp
@@ -15,9 +15,10 @@
 namespace fs = std::filesystem;
 namespace {
 
-constexpr Duration kFollowEvery{1000};
+constexpr Duration kFollowInterval{1000};
 
-std::vector<std::pair<std::string, std::string>> settingsOf(const std::vector<std::string>& set) {
+std::vector<std::pair<std::string, std::string>> parseAssignments(
+    const std::vector<std::string>& set) {
   std::vector<std::pair<std::string, std::string>> out;
   for (const auto& s : set) {
     auto equals = s.find('=');
@@ -28,9 +29,9 @@
   return out;
 }
 
-PlannedFile planned(const Options& o) {
+PlannedFile planFromOptions(const Options& o) {
   RuleFile file = o.file;
-  file.config = settingsOf(o.set);
+  file.config = parseAssignments(o.set);
   return planFile(file);
 }
 
@@ -56,7 +57,7 @@
 
 }  // namespace
 
-int told(const client::Error& e, bool json) {
+int printError(const client::Error& e, bool json) {
   std::fprintf(stderr, "hoist: %s\n", e.text().c_str());
   if (json) {
     Json v = {{"kind", client::wordOf(e.kind)}, {"status", e.status}, {"error", e.why}};
@@ -83,7 +84,7 @@
 }
 
 int plan(const Options& o) {
-  PlannedFile file = planned(o);
+  PlannedFile file = planFromOptions(o);
   if (o.dot) {
     std::cout << dotGraph(file.plan);
   } else if (o.json) {
@@ -136,7 +137,7 @@
   }
   if (s.servers.empty()) {
     throw std::runtime_error(
-        "no server is known: --server, HOIST_SERVERS or \"servers\" in the settings file");
+        "no server is known; set --server, HOIST_SERVERS or \"servers\" in the settings file");
   }
   return s;
 }
@@ -177,39 +178,40 @@
   }
 }
 
-int Session::ended(const FlowClient::Result& r) const {
-  return r ? kOk : told(r.error(), options_.json);
+int Session::exitCodeOf(const FlowClient::Result& r) const {
+  return r ? kOk : printError(r.error(), options_.json);
 }
 
 std::string Session::directoryOf(const FlowId& id) const {
   return settings_.files + "/" + settings_.team + "/" + settings_.member + "/" + id.value;
 }
 
-FlowOrder Session::order(const PlannedFile& file) const {
+FlowSubmission Session::submissionFor(const PlannedFile& file) const {
   if (settings_.team.empty() || settings_.member.empty() || settings_.files.empty()) {
     throw std::runtime_error(
-        "team, member and files are needed (--team, --member, --files, environment or settings "
-        "file)");
+        "team, member or files is not set; use --team, --member and --files, the environment or "
+        "the "
+        "settings file");
   }
   if (!isValidLabel(settings_.member))
     throw std::runtime_error("member " + settings_.member +
-                             " has other letters than A-Z a-z 0-9 . _ -");
-  FlowOrder order;
-  order.team = settings_.team;
-  order.member = settings_.member;
-  order.rank = options_.rank;
-  order.keepGoing = options_.keepGoing;
+                             " contains characters other than A-Z a-z 0-9 . _ -");
+  FlowSubmission submission;
+  submission.team = settings_.team;
+  submission.member = settings_.member;
+  submission.rank = options_.rank;
+  submission.keepGoing = options_.keepGoing;
   std::error_code error;
-  order.name = options_.name.empty()
-                   ? fs::weakly_canonical(file.directory, error).filename().string()
-                   : options_.name;
+  submission.name = options_.name.empty()
+                        ? fs::weakly_canonical(file.directory, error).filename().string()
+                        : options_.name;
   std::string clean;
-  for (char c : order.name)
+  for (char c : submission.name)
     clean +=
         std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_' || c == '.' ? c : '-';
   while (!clean.empty() && clean[0] == '.') clean.erase(0, 1);
-  order.name = clean.empty() ? "flow" : clean.substr(0, 64);
-  return order;
+  submission.name = clean.empty() ? "flow" : clean.substr(0, 64);
+  return submission;
 }
 
 void Session::stage(const PlannedFile& file, const FlowId& id, const Options& options) const {
@@ -219,7 +221,7 @@
     if (!rules::staysInside(name))
       throw std::runtime_error(name + " is not below the rule file's directory");
     fs::create_directories((to / name).parent_path(), error);
-    // In one step, so that a machine never sees half of it.
+    // The file is renamed into place, so that no machine reads an incomplete file.
     fs::path part = to / (name + ".part-" + std::to_string(getpid()));
     fs::copy_file(fs::path(file.directory) / name, part, fs::copy_options::overwrite_existing,
                   error);
@@ -230,7 +232,7 @@
   };
   for (const auto& name : file.plan.sources) copy(name);
   for (const auto& name : file.read) copy(name);
-  // What `replan` needs after a checkpoint.
+  // The request file contains the options that `hoist flow replan` needs after a checkpoint.
   fs::create_directories(to / ".hoist", error);
   Json request = {{"file", file.file},
                   {"targets", options.file.targets},
@@ -248,22 +250,22 @@
 }
 
 int Session::submit(bool thenFollow) {
-  PlannedFile file = planned(options_);
+  PlannedFile file = planFromOptions(options_);
   addReplans(file);
   if (file.plan.instances.empty()) {
-    print({{"instances", 0}}, "nothing is to be made\n");
+    print({{"instances", 0}}, "the plan contains no instances; no flow was submitted\n");
     return kOk;
   }
-  FlowOrder flow = order(file);
+  FlowSubmission flow = submissionFor(file);
   flow.id = options_.flow.empty() ? client_->drawId() : FlowId{options_.flow};
   if (!isValidFlowId(flow.id.value))
-    throw std::runtime_error("an id is w- and up to 18 digits, not " + flow.id.value);
+    throw std::runtime_error("a flow id is w- followed by up to 18 digits, not " + flow.id.value);
   stage(file, flow.id, options_);
   auto bundle = rules::bundle(file.plan);
   auto r = wait([&](FlowClient::Done done) {
     client_->submit(flow, bundle, 0, fromSeconds(options_.timeoutS), std::move(done));
   });
-  if (int code = ended(r)) {
+  if (int code = exitCodeOf(r)) {
     std::fprintf(stderr, "hoist: the flow's id is %s\n", flow.id.value.c_str());
     return code;
   }
@@ -286,7 +288,7 @@
     auto r = get("/v2/flows/" + id.value);
     if (!r) {
       if (terminal) std::cout << "\n";
-      return ended(r);
+      return exitCodeOf(r);
     }
     const Json& v = r->body;
     std::string phase = textField(v, "phase").value_or("");
@@ -298,7 +300,7 @@
                        std::to_string(count(v, "queued") + count(v, "waiting")) + " waiting, " +
                        std::to_string(count(v, "failed")) + " failed";
     if (count(v, "blocked") > 0)
-      line += ", " + std::to_string(count(v, "blocked")) + " need a failed one";
+      line += ", " + std::to_string(count(v, "blocked")) + " blocked by failures";
     if (terminal) {
       double passed = toSeconds(loop_.now() - began);
       std::string eta;
@@ -316,7 +318,7 @@
       if (terminal) std::cout << "\n";
       if (!options_.json)
         std::cout << id.value << " "
-                  << (stuck ? "waits for an amendment: hoist flow amend " + id.value + " FILE"
+                  << (stuck ? "waits for an amendment; run hoist flow amend " + id.value + " FILE"
                             : phase)
                   << std::endl;
       if (phase == "done") return kOk;
@@ -324,7 +326,7 @@
       return kFailed;
     }
     (void)wait([&](const FlowClient::Done& done2) {
-      loop_.after(kFollowEvery, [done2] { done2(client::Answer{}); });
+      loop_.after(kFollowInterval, [done2] { done2(client::Answer{}); });
     });
   }
 }
@@ -332,7 +334,7 @@
 int Session::status() {
   FlowId id{options_.flow};
   auto r = get("/v2/flows/" + id.value);
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   Json v = r->body;
   std::string text = id.value + " " + textField(v, "name").value_or("") + " of " +
                      textField(v, "member").value_or("") + ": " +
@@ -346,7 +348,7 @@
   }
   if (count(v, "failed") > 0) {
     auto failed = get("/v2/flows/" + id.value + "/failures");
-    if (int code = ended(failed)) return code;
+    if (int code = exitCodeOf(failed)) return code;
     Json names = Json::array();
     const Json* list = field(failed->body, "failed");
     std::map<std::uint64_t, std::vector<rules::PlannedInstance>> texts;
@@ -356,7 +358,7 @@
       if (!texts.contains(part)) {
         auto t = get("/v2/flows/" + id.value + "/texts/" +
                      textField(failed->body, "version").value_or("") + "/" + std::to_string(part));
-        if (int code = ended(t)) return code;
+        if (int code = exitCodeOf(t)) return code;
         auto data = textField(t->body, "data");
         texts[part] = data ? rules::instancesFrom(*data) : std::vector<rules::PlannedInstance>{};
       }
@@ -374,14 +376,14 @@
 }
 
 int Session::amend() {
-  PlannedFile file = planned(options_);
+  PlannedFile file = planFromOptions(options_);
   addReplans(file);
-  FlowOrder flow = order(file);
+  FlowSubmission flow = submissionFor(file);
   flow.id = FlowId{options_.flow};
   std::uint64_t base = options_.base;
   if (base == 0) {
     auto r = get("/v2/flows/" + options_.flow);
-    if (int code = ended(r)) return code;
+    if (int code = exitCodeOf(r)) return code;
     base = countField(r->body, "version").value_or(0);
   }
   stage(file, flow.id, options_);
@@ -389,7 +391,7 @@
   auto r = wait([&](FlowClient::Done done) {
     client_->submit(flow, bundle, base, fromSeconds(options_.timeoutS), std::move(done));
   });
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   print(r->body, flow.id.value + ": version " + std::to_string(count(r->body, "version")) + ", " +
                      std::to_string(bundle.instances) + " instances\n");
   return kOk;
@@ -399,14 +401,14 @@
   auto r = wait([&](FlowClient::Done done) {
     client_->cancel(FlowId{options_.flow}, fromSeconds(options_.timeoutS), std::move(done));
   });
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   print(r->body, options_.flow + ": " + textField(r->body, "phase").value_or("") + "\n");
   return kOk;
 }
 
 namespace {
-// A table of what was used, a row for each entry and one for all.
-std::string useTable(const Json& v, const char* list, const char* name) {
+// Formats the used resources as a table with one row for each entry of `list` and a row of totals.
+std::string formatUsage(const Json& v, const char* list, const char* name) {
   char line[256];
   std::snprintf(line, sizeof line, "%-24s %7s %7s %8s %10s %10s %10s %10s %10s\n", name, "tasks",
                 "failed", "attempts", "task s", "lost s", "CPU s", "GPU s", "GB s");
@@ -428,22 +430,23 @@
 
 int Session::report() {
   auto r = get("/v2/flows/" + options_.flow + "/report");
-  if (int code = ended(r)) return code;
-  print(r->body, useTable(r->body, "rules", "rule"));
+  if (int code = exitCodeOf(r)) return code;
+  print(r->body, formatUsage(r->body, "rules", "rule"));
   return kOk;
 }
 
 int Session::account() {
-  if (settings_.team.empty()) throw std::runtime_error("a team is needed");
+  if (settings_.team.empty())
+    throw std::runtime_error("no team is set; use --team, HOIST_TEAM or the settings file");
   auto r = get("/v2/flows/account?owner=" + settings_.team);
-  if (int code = ended(r)) return code;
-  print(r->body, useTable(r->body, "members", "member"));
+  if (int code = exitCodeOf(r)) return code;
+  print(r->body, formatUsage(r->body, "members", "member"));
   return kOk;
 }
 
 int Session::why(const std::string& job) {
   auto r = get("/v2/runs/" + job + "?why=1");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
   std::string text = job + " " + textField(v, "phase").value_or("?") + ", " +
                      std::to_string(count(v, "running")) + " on machines, " +
@@ -451,7 +454,7 @@
   const Json* why = field(v, "why");
   auto leader = why ? textField(*why, "leader") : std::nullopt;
   if (!leader) {
-    text += "no leader is known here\n";
+    text += "this controller knows no leader\n";
   } else {
     const Json* since = field(*why, "leads_s");
     text += *leader + " leads";
@@ -472,9 +475,10 @@
 
 int Session::list() {
   if (settings_.team.empty() || settings_.member.empty())
-    throw std::runtime_error("team and member are needed");
+    throw std::runtime_error(
+        "no team or member is set; use --team and --member, the environment or the settings file");
   auto r = get("/v2/flows?owner=" + settings_.team + "&member=" + settings_.member);
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   std::string text;
   if (const Json* flows = field(r->body, "flows"); flows && flows->is_array()) {
     for (const auto& f : *flows) {
@@ -487,15 +491,14 @@
   return kOk;
 }
 
-// In the flow's directory, after a checkpoint: the file is worked out again with the files that
-// are there now, and handed in if it comes to something else. Whoever amended first has had the
-// file worked out again, too.
+// Runs in the flow's directory after a checkpoint. Plans the rule file again with the files that
+// now exist, and amends the flow if the plan has changed.
 int Session::replan() {
   std::ifstream in(".hoist/request.json");
   Json request = Json::parse(in, nullptr, false);
   const char* flow = std::getenv("HOIST_FLOW");
   if (!request.is_object() || !flow)
-    throw std::runtime_error("replan runs in a flow's directory, as one of its tasks");
+    throw std::runtime_error("replan must run as a task of a flow, in the flow's directory");
   options_.file.path = textField(request, "file").value_or("");
   options_.file.directory = ".";
   options_.file.targets = request.value("targets", std::vector<std::string>{});
@@ -507,20 +510,21 @@
   options_.rank = textField(request, "rank").value_or("best_effort");
   options_.keepGoing = boolField(request, "keep_going").value_or(false);
   options_.flow = flow;
-  PlannedFile file = planned(options_);
+  PlannedFile file = planFromOptions(options_);
   addReplans(file);
   auto bundle = rules::bundle(file.plan);
   auto r = get("/v2/flows/" + options_.flow);
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   if (textField(r->body, "graph") == bundle.version.value) return kOk;
-  FlowOrder amended = order(file);
+  FlowSubmission amended = submissionFor(file);
   amended.id = FlowId{options_.flow};
   auto result = wait([&](FlowClient::Done done) {
     client_->submit(amended, bundle, countField(r->body, "version").value_or(0),
                     fromSeconds(options_.timeoutS), std::move(done));
   });
-  // Tried again from the version that was first.
-  return !result && result.error().kind == client::ErrorKind::conflict ? kConflict : ended(result);
+  // After a conflict the task fails, and its retry starts from the flow's new version.
+  return !result && result.error().kind == client::ErrorKind::conflict ? kConflict
+                                                                       : exitCodeOf(result);
 }
 
 }  // namespace kestrelhoist::hoist
--- a/cli/policy_commands.cpp
+++ b/cli/policy_commands.cpp
@@ -1,4 +1,4 @@
-// hoist-admin policy and pool.
+// Implements the subcommands `policy` and `pool` of hoist-admin.
 #include <ctime>
 #include <fstream>
 #include <iostream>
@@ -10,9 +10,11 @@
 namespace kestrelhoist::hoist {
 namespace {
 
-std::uint64_t number(const Json& v, const char* name) { return countField(v, name).value_or(0); }
+std::uint64_t countOrZero(const Json& v, const char* name) {
+  return countField(v, name).value_or(0);
+}
 
-std::string timeText(std::int64_t ms) {
+std::string formatUtc(std::int64_t ms) {
   std::time_t s = ms / 1000;
   std::tm utc{};
   gmtime_r(&s, &utc);
@@ -30,7 +32,8 @@
     std::stringstream text;
     text << in.rdbuf();
     document = parseJson(text.str());
-    parsePolicy(document);  // wrong ones are told here, with the pointer, and sent nowhere
+    // An invalid document throws here, with a JSON pointer to the fault, and is not sent.
+    parsePolicy(document);
   }
   Json body = {{"document", document}, {"check", check}, {"request", client_->drawId().value}};
   if (base) body["if"] = *base;
@@ -42,16 +45,18 @@
     std::cerr << r.error().why << "\n";
     return kUsage;
   }
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
-  std::string text = "version " + std::to_string(number(v, "version")) + " is in force\n";
+  std::string text = "version " + std::to_string(countOrZero(v, "version")) + " is in force\n";
   if (const Json* effect = field(v, "effect")) {
-    text += std::to_string(number(*effect, "services_kept")) + " services would be kept\n";
+    text +=
+        std::to_string(countOrZero(*effect, "services_kept")) + " services would be protected\n";
     if (auto open = textField(*effect, "open")) text += *open + " would be open now\n";
     if (const Json* periods = field(*effect, "periods")) {
       for (const auto& [name, p] : periods->items()) {
-        text += name + ": " + std::to_string(number(p, "first")) + " jobs would go first, " +
-                std::to_string(number(p, "yield")) + " would yield\n";
+        text += name + ": " + std::to_string(countOrZero(p, "first")) +
+                " jobs would get precedence, " + std::to_string(countOrZero(p, "yield")) +
+                " jobs would yield\n";
       }
     }
   }
@@ -61,11 +66,11 @@
 
 int Session::policyShow(bool history) {
   auto r = get("/mesh/policy");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json& v = r->body;
   auto line = [](const Json& p) {
-    return "version " + std::to_string(number(p, "version")) + ", " +
-           timeText(static_cast<std::int64_t>(number(p, "at"))) + " UTC" +
+    return "version " + std::to_string(countOrZero(p, "version")) + ", " +
+           formatUtc(static_cast<std::int64_t>(countOrZero(p, "at"))) + " UTC" +
            (field(p, "document") ? "" : ", none") + "\n";
   };
   std::string text;
@@ -80,48 +85,52 @@
     text += open.empty()
                 ? "no period is open\n"
                 : open + " is open until " +
-                      timeText(static_cast<std::int64_t>(number(standing, "closes"))) + " UTC\n";
+                      formatUtc(static_cast<std::int64_t>(countOrZero(standing, "closes"))) +
+                      " UTC\n";
     if (const Json* storm = field(standing, "storm")) {
-      text += "storm since " + timeText(static_cast<std::int64_t>(number(*storm, "since"))) +
-              " UTC: " + std::to_string(number(*storm, "lost")) + " machines lost, " +
-              std::to_string(number(*storm, "missing")) + " kept replicas not up\n";
+      text += "mass failure since " +
+              formatUtc(static_cast<std::int64_t>(countOrZero(*storm, "since"))) +
+              " UTC: " + std::to_string(countOrZero(*storm, "lost")) + " machines lost, " +
+              std::to_string(countOrZero(*storm, "missing")) + " protected replicas not running\n";
     }
-    if (auto n = number(standing, "uncovered")) {
-      text += std::to_string(n) + " kept replicas would find no place after the worst loss\n";
+    if (auto n = countOrZero(standing, "uncovered")) {
+      text += std::to_string(n) +
+              " protected replicas could not be placed after the worst failure that the policy "
+              "covers\n";
     }
   }
   print(v, text);
   return kOk;
 }
 
-int Session::pools() {
+int Session::showPools() {
   auto r = get("/mesh/policy");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   const Json pools = r->body.value("standing", Json::object()).value("pools", Json::object());
   std::string text;
   for (const auto& [image, held] : pools.items()) {
-    text += image + ": " + std::to_string(number(held, "wanted")) + " wanted, " +
-            std::to_string(held.value("on", Json::array()).size()) + " hold it\n";
+    text += image + ": " + std::to_string(countOrZero(held, "wanted")) + " machines wanted, " +
+            std::to_string(held.value("on", Json::array()).size()) + " machines have the image\n";
   }
   print(pools, text);
   return kOk;
 }
 
-int Session::paid(const std::string& team) {
+int Session::showCharges(const std::string& team) {
   auto r = get("/mesh/paid");
-  if (int code = ended(r)) return code;
+  if (int code = exitCodeOf(r)) return code;
   char line[160];
   std::string text;
   Json out = Json::array();
   for (auto [list, unit] : {std::pair{"days", 86400000LL}, std::pair{"hours", 3600000LL}}) {
     for (const auto& record : r->body.value(list, Json::array())) {
-      Json row = {{"from", number(record, "number") * static_cast<std::uint64_t>(unit)}};
+      Json row = {{"from", countOrZero(record, "number") * static_cast<std::uint64_t>(unit)}};
       for (const char* kind : {"used", "warm"}) {
         const Json teams = record.value(kind, Json::object());
         row[kind] = teams.contains(team) ? teams[team] : Json::array({0, 0});
       }
       std::snprintf(line, sizeof line, "%s %s: used %.1f s %.6f, warm %.1f s %.6f\n", list,
-                    timeText(row["from"].get<std::int64_t>()).c_str(),
+                    formatUtc(row["from"].get<std::int64_t>()).c_str(),
                     row["used"][0].get<double>() / 1000, row["used"][1].get<double>() / 1e6,
                     row["warm"][0].get<double>() / 1000, row["warm"][1].get<double>() / 1e6);
       text += line;
--- a/client/src/job_calls.hpp
+++ b/client/src/job_calls.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Calls of more than one request: who asks, submissions that can't become two jobs, keys. On one
-/// event loop; the public client runs them on its thread, tests in virtual time.
+/// The calls of the public client: jobs, idempotent submissions, identities and keys. A call may
+/// send several requests. All calls run on one event loop: the public client runs the loop on its
+/// own thread, and tests run it in virtual time.
 #pragma once
 
 #include "client/src/caller.hpp"
@@ -9,11 +10,11 @@
 
 namespace kestrelhoist::client {
 
-/// A call of several requests, one after the other, that can be given up.
-class Steps {
+/// A call that sends one or more requests in sequence and that can be cancelled.
+class PendingCall {
  public:
-  /// The request under way, or, once given up, none any more.
-  void now(const Caller::Handle& handle) {
+  /// Sets the request that stop() cancels. Cancels it at once if the call is already stopped.
+  void setCurrent(const Caller::Handle& handle) {
     current_ = handle;
     if (stopped_ && current_) current_();
   }
@@ -27,50 +28,60 @@
   Caller::Handle current_;
   bool stopped_ = false;
 };
-using StepsPtr = std::shared_ptr<Steps>;
+using PendingCallPtr = std::shared_ptr<PendingCall>;
 
+/// Implements the calls of the public client on top of a Caller.
 class JobCalls {
  public:
   template <class T>
   using Done = std::function<void(Result<T>)>;
 
-  /// `team`: of those who come without a key.
+  /// `team` is the default team of jobs if no member key determines the team.
   JobCalls(Caller& caller, std::string team, bool hasKey)
       : caller_(caller), team_(std::move(team)), hasKey_(hasKey) {}
 
-  /// `key`: of idempotency; `id`: chosen by the caller; both empty: drawn.
-  StepsPtr submit(Job job, const std::string& key, const std::string& id, Duration within,
-                  Done<JobState> done);
-  StepsPtr get(const std::string& id, Duration within, Done<JobState> done);
-  StepsPtr cancel(const std::string& id, Duration within, Done<JobState> done);
-  /// `wait`: how long the service may hold an empty answer open.
-  StepsPtr list(const JobQuery& query, Duration wait, Duration within, Done<JobPage> done);
-  StepsPtr whoAmI(Duration within, Done<Identity> done);
-  StepsPtr idFor(const std::string& key, Duration within, Done<std::string> done);
+  /// Submits a job. `key` is the idempotency key, and `id` is a job id that the caller has chosen.
+  /// If both are empty, the job gets a random id.
+  PendingCallPtr submit(Job job, const std::string& key, const std::string& id, Duration timeout,
+                        Done<JobState> done);
+  PendingCallPtr get(const std::string& id, Duration timeout, Done<JobState> done);
+  PendingCallPtr cancel(const std::string& id, Duration timeout, Done<JobState> done);
+  /// Requests a page of jobs. The service may delay an empty response by `wait`.
+  PendingCallPtr list(const JobQuery& query, Duration wait, Duration timeout, Done<JobPage> done);
+  PendingCallPtr whoAmI(Duration timeout, Done<Identity> done);
+  PendingCallPtr idFor(const std::string& key, Duration timeout, Done<std::string> done);
 
-  StepsPtr makeKey(const std::string& team, const std::string& member, const std::string& rights,
-                   const std::string& note, Duration within, Done<KeyInfo> done);
-  StepsPtr keys(const std::string& team, const std::string& member, Duration within,
-                Done<std::vector<KeyInfo>> done);
-  StepsPtr revokeKey(const std::string& id, Duration after, Duration within, Done<KeyInfo> done);
-  StepsPtr rotateKey(const std::string& id, Duration grace, Duration within, Done<KeyInfo> done);
+  PendingCallPtr makeKey(const std::string& team, const std::string& member,
+                         const std::string& rights, const std::string& note, Duration timeout,
+                         Done<KeyInfo> done);
+  PendingCallPtr keys(const std::string& team, const std::string& member, Duration timeout,
+                      Done<std::vector<KeyInfo>> done);
+  PendingCallPtr revokeKey(const std::string& id, Duration after, Duration timeout,
+                           Done<KeyInfo> done);
+  PendingCallPtr rotateKey(const std::string& id, Duration grace, Duration timeout,
+                           Done<KeyInfo> done);
 
-  /// Whether the service has members and this client a key: lists and watches are to be had.
+  /// Returns whether this client has a key and the service has members. Lists and watch requests
+  /// need both.
   bool hasMembers() const { return hasKey_ && !noMembers_; }
   Caller& caller() { return caller_; }
 
  private:
-  struct Submitting;
-  /// Who asks: told by the service once, or by the settings where it has no members.
-  void identity(const StepsPtr& steps, Duration within, Done<Identity> done);
-  void send(const std::shared_ptr<Submitting>& s);
-  void accepted(const std::shared_ptr<Submitting>& s, const Answer& answer, const JobState& state);
-  StepsPtr one(Request request, const std::string& tried, bool changes, Duration within,
-               Done<JobState> done);
-  void keyPage(const StepsPtr& steps, const std::string& team, const std::string& member,
-               std::shared_ptr<std::vector<KeyInfo>> found, Instant until,
+  struct SubmissionState;
+  /// Determines the team and the member of this client. The service returns them once for the key;
+  /// if it has no members, they come from the settings.
+  void identity(const PendingCallPtr& pending, Duration timeout, Done<Identity> done);
+  void send(const std::shared_ptr<SubmissionState>& s);
+  void onAccepted(const std::shared_ptr<SubmissionState>& s, const Answer& answer,
+                  const JobState& state);
+  PendingCallPtr sendJobRequest(Request request, const std::string& operation, bool changes,
+                                Duration timeout, Done<JobState> done);
+  void keyPage(const PendingCallPtr& pending, const std::string& team, const std::string& member,
+               std::shared_ptr<std::vector<KeyInfo>> found, Instant deadline,
                Done<std::vector<KeyInfo>> done);
-  Duration left(Instant until) { return std::max(Duration{1}, until - caller_.runtime().now()); }
+  Duration remaining(Instant deadline) {
+    return std::max(Duration{1}, deadline - caller_.runtime().now());
+  }
 
   Caller& caller_;
   std::string team_;
--- a/client/src/job_watcher.hpp
+++ b/client/src/job_watcher.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// Follows jobs and tells what changed, over restarts of controllers: by the service's watch where
-/// there is one, by polls otherwise. Tells each job when it is first seen and when it has changed,
-/// its end once; a job's phase never goes back.
+/// Follows jobs and reports their changes, also across restarts of controllers. The watcher uses
+/// the watch requests of a service with members, and polls otherwise.
 #pragma once
 
 #include <map>
@@ -11,53 +10,59 @@
 
 namespace kestrelhoist::client {
 
+/// Reports each job when the watcher first sees it and after each change, and reports the end of a
+/// job exactly once. The reported phase of a job never goes back to an earlier one.
 class JobWatcher : public std::enable_shared_from_this<JobWatcher> {
  public:
-  struct Told {
+  /// One reported change.
+  struct Update {
     JobState job;
-    std::string cursor;  ///< see JobEvent
+    std::string cursor;  ///< The cursor as in JobEvent::cursor.
   };
-  using OnTold = std::function<void(const Told&)>;
-  using OnOver = std::function<void(std::optional<Error>)>;
+  using OnUpdate = std::function<void(const Update&)>;
+  using OnEnd = std::function<void(std::optional<Error>)>;
 
-  /// `ids` empty: all of the member's, from `since` on.
-  JobWatcher(JobCalls& calls, std::vector<std::string> ids, std::string since, OnTold told,
-             OnOver over);
+  /// Watches the jobs in `ids`. If `ids` is empty, watches all jobs of the member, starting at the
+  /// cursor `since`.
+  JobWatcher(JobCalls& calls, std::vector<std::string> ids, std::string since, OnUpdate onUpdate,
+             OnEnd onEnd);
   void start();
-  /// Nothing is told any more, not even that it is over.
+  /// Stops the watcher. It runs no callback after this call, not even the one for the end.
   void stop();
 
  private:
-  void beginWatch();
-  void readNamed();
-  void readNext();
+  void fetchStartCursor();
+  void readSelectedJobs();
+  void readNextJob();
   void watch();
   void poll();
-  bool note(JobState state, const std::string& cursor);  ///< false: it is over now
-  void end(std::optional<Error> why);
-  /// After an error: true if the watch goes on, later.
-  bool goesOn(const Error& error, std::function<void()> next);
-  void later(Duration pause, std::function<void()> f);
-  bool named() const { return !ids_.empty(); }
+  /// Reports a job state if it is new. Returns false if the watch has ended.
+  bool reportIfChanged(JobState state, const std::string& cursor);
+  void endWatch(std::optional<Error> why);
+  /// Handles an error: schedules `next` after a pause and returns true if the error is temporary,
+  /// and ends the watch otherwise.
+  bool retryOrEnd(const Error& error, std::function<void()> next);
+  void schedule(Duration pause, std::function<void()> f);
+  bool hasSelectedJobs() const { return !ids_.empty(); }
 
   JobCalls& calls_;
   std::set<std::string> ids_;
   std::string cursor_;
-  OnTold told_;
-  OnOver over_;
+  OnUpdate onUpdate_;
+  OnEnd onEnd_;
   bool stopped_ = false;
   Backoff backoff_;
   Router random_;
-  struct Seen {
+  struct ReportedState {
     Phase phase;
     std::uint32_t done, running;
   };
-  std::map<std::string, Seen> seen_;
-  std::set<std::string> open_;  ///< named and not ended yet
-  std::vector<std::string> toRead_;
-  std::size_t reading_ = 0;
-  std::map<std::size_t, StepsPtr> steps_;
-  std::size_t nextStep_ = 0;
+  std::map<std::string, ReportedState> reportedStates_;
+  std::set<std::string> unfinishedIds_;  ///< The jobs of `ids_` that have not ended.
+  std::vector<std::string> idsToRead_;
+  std::size_t readsInFlight_ = 0;
+  std::map<std::size_t, PendingCallPtr> pendingCalls_;
+  std::size_t nextCallNumber_ = 0;
 };
 
 }  // namespace kestrelhoist::client
--- a/client/src/job_watcher_test.cpp
+++ b/client/src/job_watcher_test.cpp
@@ -1,5 +1,5 @@
-// What a watch tells, against a scripted service: ends once, phases forward only, a place that is
-// no longer good, and answers that can't be.
+// Tests the events of a watch against a scripted service: each end is reported once, phases never
+// go back, an expired cursor restarts the watch, and an invalid sequence of phases ends it.
 #include "client/src/job_watcher.hpp"
 
 #include <gtest/gtest.h>
@@ -19,11 +19,12 @@
 }
 Response one(const Json& v) { return {200, encodeBody(v), 0}; }
 
-// Answers of polls and of lists, in turn; after the last one: silence.
+// The responses to polls and to list requests, in order. The service does not respond to further
+// requests.
 struct Script {
   std::deque<Response> polls, lists;
-  std::vector<std::string> asked;
-  std::vector<JobWatcher::Told> told;
+  std::vector<std::string> requestPaths;
+  std::vector<JobWatcher::Update> updates;
   std::optional<std::optional<Error>> over;
 
   void play(std::vector<std::string> ids, std::string since, bool hasKey = true) {
@@ -32,7 +33,7 @@
     sim::Network network(clock, random);
     sim::HostRuntime runtime(clock, network, "user", 1.0);
     network.listen("c:1", [this](const std::string&, const Request& q, const Respond& r) {
-      asked.push_back(q.path);
+      requestPaths.push_back(q.path);
       auto& next = q.path.starts_with("/v2/jobs") ? lists : polls;
       if (next.empty()) return;
       Response answer = next.front();
@@ -43,7 +44,7 @@
     JobCalls calls(caller, "team", hasKey);
     auto watcher = std::make_shared<JobWatcher>(
         calls, std::move(ids), std::move(since),
-        [this](const JobWatcher::Told& t) { told.push_back(t); },
+        [this](const JobWatcher::Update& t) { updates.push_back(t); },
         [this](std::optional<Error> e) { over = std::move(e); });
     watcher->start();
     clock.runUntil(clock.now() + 60000);
@@ -51,12 +52,13 @@
   }
   std::string phases() const {
     std::string out;
-    for (const auto& t : told) out += t.job.id + ":" + wordOf(t.job.phase) + " ";
+    for (const auto& t : updates) out += t.job.id + ":" + wordOf(t.job.phase) + " ";
     return out;
   }
 };
 
-// What has changed between the cursor and the read of the jobs comes a second time.
+// Guards against a duplicate end: a change between the request for the cursor and the read of the
+// job arrives twice.
 TEST(JobWatcher, TellsAnEndOnceThoughItComesTwice) {
   Script s;
   s.lists = {page({}, "c1"), page({job("j-1", "done", 3), job("j-2", "running")}, "c2"),
@@ -74,7 +76,7 @@
              page({job("j-1", "pending", 1)}, "c3"), page({job("j-1", "withdrawn", 1)}, "c4")};
   s.play({}, "c0");
   EXPECT_EQ(s.phases(), "j-1:running j-1:running j-1:withdrawn ");
-  EXPECT_EQ(s.told.back().cursor, "c4");
+  EXPECT_EQ(s.updates.back().cursor, "c4");
 }
 
 TEST(JobWatcher, StartsAgainWhereItsPlaceIsGoneAndRepeatsNothing) {
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -397,7 +397,7 @@
   /// Holds the submitted versions of one user's flow and the state of its files.
   struct UserFlow {
     FlowPlanSpec spec;
-    FlowOrder order;
+    FlowSubmission order;
     /// This is the plan of the newest accepted version.
     rules::FlowPlan plan;
     /// This is the number of the newest accepted version, or 0 if none is accepted.
