--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -12,7 +12,7 @@
     SCOPED_TRACE(line.where());
     if (line.words[0] == "seeds" || line.words[0] == "each") continue;
     if (line.words[0] == "world") {
-      // It would be played with other settings than it says.
+      // The world has already been built, so this line's settings would have no effect.
       ASSERT_FALSE(world_) << line.where() << ": after a line that began the world";
       configure(line);
       continue;
@@ -24,8 +24,9 @@
   expectNoneUnderserved();
 }
 
-// Half of each class and each team, in every scenario that plays long enough to tell; the few that
-// take away what is needed name whom (`expect underserved`).
+// Checks in every scenario that lasts long enough that each job class and each team got at least
+// half of its share of the machines. The few scenarios that remove too much capacity name the class
+// or team that may get less (`starves`, `expect underserved`).
 void Scenario::expectNoneUnderserved() {
   auto under = world_->underserved(kLeastServed, kJudgedMs);
   for (const auto& [what, share] : under) {
@@ -103,7 +104,7 @@
   return steps;
 }
 
-// The base classes' verbs come first: `late_writes` with a writer is one of theirs.
+// The base classes handle their verbs first, because `late_writes` with a writer is one of theirs.
 void Scenario::step(const Line& line) {
   if (machineFaultsStep(line) || concurrentReadsStep(line.words) || lateMessagesStep(line.words))
     return;
--- a/tests/scenario_concurrent_reads.cpp
+++ b/tests/scenario_concurrent_reads.cpp
@@ -138,7 +138,8 @@
     }
     for (const auto& write : writes) {
       if (write.value("set", std::string()) != "kh/job/" + id) continue;
-      // Committed, and neither heard of nor read back by it.
+      // The cancellation is committed; from here the state service refuses this controller, so that
+      // it gets no answer to the commit and cannot read the record back.
       if (write["data"].value("phase", "") != "cancelled") continue;
       seen->cancelledAt = w.clock.now();
       w.state.refuse("node" + std::to_string(node), kCut + 5000);
@@ -146,9 +147,10 @@
   };
   w.clock.in(300 + drawn(1000), [&w, id, node] { w.abortThrough(id, node); });
   for (int i = 0; i < 250 && seen->cancelledAt < 0; ++i) w.runFor(kStep);
-  // Until the worker was told to forget the attempt.
+  // Waits until the worker has forgotten the earlier attempt.
   for (int i = 0; i < 100 && knows(id, seen->before); ++i) w.runFor(kStep);
-  // What the controller read last was answered so long before it could commit.
+  // The controller's last read was answered kSlow before it could commit, so the cancellation must
+  // come less than kSlow after the placement.
   bool met = seen->placedAt >= 0 && seen->placedAt > seen->cancelledAt - kSlow &&
              seen->placedAt <= seen->cancelledAt && !knows(id, seen->before);
   w.network.slowState = 0;
--- a/tests/scenario_expect_cluster.cpp
+++ b/tests/scenario_expect_cluster.cpp
@@ -5,20 +5,22 @@
 
 namespace kestrelhoist::sim {
 
-// expect leaderships most N: begun since `watch`
+// expect leaderships most N: checks that at most N leaderships began since `watch`.
 void ScenarioExpect::expectLeaderships(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->leaderships - leadershipsBefore_, std::stoi(words.at(3)));
 }
 
-// expect leader [unmarked]: somebody leads, and not whom `mark` named
+// expect leader [unmarked]: checks that a controller leads and, with `unmarked`, that it is not the
+// one that `mark` named.
 void ScenarioExpect::expectLeader(const Line& line) {
   const auto& words = line.words;
   EXPECT_GE(world_->leaderNode(), 0);
   EXPECT_TRUE(words.size() < 3 || world_->leaderNode() != marked_);  // expect leader unmarked
 }
 
-// expect versions all|none N: know that all tell format N
+// expect versions all|none N: checks that all controllers, or none, know that every controller
+// announces record format N.
 void ScenarioExpect::expectVersionsKnown(const Line& line) {
   const auto& words = line.words;
   auto format = static_cast<unsigned>(std::stoul(words.at(3)));
@@ -26,22 +28,23 @@
                                    : world_->noneKnowsFormat(format));
 }
 
-// expect resumed most SECONDS: after the newest leader began
+// expect resumed most SECONDS: checks how long after its beginning the newest leader resumed work.
 void ScenarioExpect::expectResumed(const Line& line) {
   const auto& words = line.words;
   std::cout << "resumed after " << world_->resumedAfter() << " s\n";
   EXPECT_LE(world_->resumedAfter(), std::stod(words.at(3)));
 }
 
-// expect gone MACHINE: it was given back
+// expect gone MACHINE: checks that the machine was released.
 void ScenarioExpect::expectMachineReleased(const Line& line) {
   const auto& words = line.words;
   EXPECT_FALSE(world_->region.isRented(words.at(2)));
 }
 
-// expect marked kept: no machine that `markzone` named was given back.
-// expect marked gone S: all were, when their leases were over (they were acknowledged until they
-// were marked); a leader that began after an end S later has its report round first.
+// expect marked kept: checks that no machine that `markzone` marked was released.
+// expect marked gone S: checks that all marked machines were released once their leases expired.
+// Their heartbeats were acknowledged until they were marked. If the leader crashed S seconds after
+// the marking, the next leader first completes its report round.
 void ScenarioExpect::expectMarkedMachines(const Line& line) {
   constexpr double kLeaderLeaseS = 3;
   constexpr double kElectCommitAndReleaseS = 5;
@@ -62,7 +65,7 @@
   }
 }
 
-// expect machines spot|ordinary most|least N
+// expect machines spot|ordinary most|least N: checks the number of rented machines of this market.
 void ScenarioExpect::expectMachineCount(const Line& line) {
   const auto& words = line.words;
   auto n = world_->region.machineCount(words.at(2) == "spot");
@@ -74,44 +77,45 @@
   }
 }
 
-// expect hires most N: rental calls so far
+// expect hires most N: checks that at most N rental calls were made so far.
 void ScenarioExpect::expectRentalCalls(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->region.hireCalls, std::stoul(words.at(3)));
 }
 
-// expect hired most N: machines rented so far
+// expect hired most N: checks that at most N machines were rented so far.
 void ScenarioExpect::expectRentedMachines(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->region.hired, std::stoul(words.at(3)));
 }
 
-// expect toolarge most N: transactions that got 400 for size
+// expect toolarge most N: checks that the state service rejected at most N transactions with 400
+// because of their size.
 void ScenarioExpect::expectTooLargeTransactions(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->state.tooLarge, std::stoul(words.at(3)));
   std::cout << "429: " << world_->state.tooMany << ", 400: " << world_->state.tooLarge << "\n";
 }
 
-// expect changesof KIND most N: committed, of such keys
+// expect changesof KIND most N: checks that at most N changes to keys of this kind were committed.
 void ScenarioExpect::expectChangesOfKind(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->changesByKind[words.at(2)], std::stoul(words.at(4)));
 }
 
-// expect writes most N: changes to the state service so far
+// expect writes most N: checks that the state service committed at most N changes so far.
 void ScenarioExpect::expectWrites(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->state.changes_made, std::stoul(words.at(3)));
 }
 
-// expect reads most N: of the state service so far
+// expect reads most N: checks that the state service answered at most N reads so far.
 void ScenarioExpect::expectReads(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->state.reads_made, std::stoul(words.at(3)));
 }
 
-// expect keys PREFIX most N
+// expect keys PREFIX most N: checks that the state service holds at most N keys with this prefix.
 void ScenarioExpect::expectKeyCount(const Line& line) {
   const auto& words = line.words;
   auto keys = world_->state.keysBelow(words.at(2));
--- a/tests/scenario_expect_flows.cpp
+++ b/tests/scenario_expect_flows.cpp
@@ -5,19 +5,20 @@
 
 namespace kestrelhoist::sim {
 
-// expect flow ID PHASE
+// expect flow ID PHASE: checks the phase of the flow.
 void ScenarioExpect::expectFlowPhase(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->flowPhase(words.at(2)), words.at(3)) << world_->flowStatus(words.at(2)).dump();
 }
 
-// expect refused ID STATUS
+// expect refused ID STATUS: checks the HTTP status with which the flow was refused.
 void ScenarioExpect::expectFlowRefused(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->flowRefusedWith(words.at(2)), std::stoi(words.at(3)));
 }
 
-// expect cost READS BYTES, an instance, of all that happened
+// expect cost READS BYTES: checks the reads and the bytes of the whole scenario for each flow
+// instance.
 void ScenarioExpect::expectCostPerInstance(const Line& line) {
   const auto& words = line.words;
   auto n = static_cast<double>(std::max<std::size_t>(1, world_->flowInstances()));
@@ -25,7 +26,7 @@
   EXPECT_LE(static_cast<double>(world_->state.bytes_written) / n, std::stod(words.at(3)));
 }
 
-// expect took ID most SECONDS: from its submission to its end
+// expect took ID most SECONDS: checks the time from the flow's submission to its end.
 void ScenarioExpect::expectFlowDuration(const Line& line) {
   const auto& words = line.words;
   double took = world_->flowTook(words.at(2));
@@ -34,27 +35,27 @@
   EXPECT_LE(took, std::stod(words.at(4)));
 }
 
-// expect count ID FIELD N: as last told
+// expect count ID FIELD N: checks a count in the newest status of the flow.
 void ScenarioExpect::expectFlowCount(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->flowStatus(words.at(2)).value(words.at(3), -1), std::stoi(words.at(4)))
       << world_->flowStatus(words.at(2)).dump();
 }
 
-// expect report ID FIELD N
+// expect report ID FIELD N: checks a field of the flow's report.
 void ScenarioExpect::expectFlowReport(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->flowReport(words.at(2)).value(words.at(3), -1.0), std::stod(words.at(4)))
       << world_->flowReport(words.at(2)).dump();
 }
 
-// expect account TEAM FIELD N: of all its flows
+// expect account TEAM FIELD N: checks a field of the team's account, which sums all its flows.
 void ScenarioExpect::expectTeamAccount(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->teamAccount(words.at(2)).value(words.at(3), -1.0), std::stod(words.at(4)));
 }
 
-// expect perinstance most N: changes to the state service for each instance so far
+// expect perinstance most N: checks the changes to the state service for each flow instance so far.
 void ScenarioExpect::expectChangesPerInstance(const Line& line) {
   const auto& words = line.words;
   std::size_t ofFlows = 0;
--- a/tests/scenario_expect_jobs.cpp
+++ b/tests/scenario_expect_jobs.cpp
@@ -5,25 +5,25 @@
 
 namespace kestrelhoist::sim {
 
-// expect phase ID PHASE
+// expect phase ID PHASE: checks the phase of the job.
 void ScenarioExpect::expectPhase(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->phaseOf(words.at(2)), words.at(3));
 }
 
-// expect replicas ID N: running now
+// expect replicas ID N: checks that N replicas of the service run now.
 void ScenarioExpect::expectReplicas(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->runningReplicas(words.at(2)), std::stoi(words.at(3)));
 }
 
-// expect fewest ID N: replicas at any moment since `watch`
+// expect fewest ID N: checks that at least N replicas ran at every moment since `watch`.
 void ScenarioExpect::expectFewestReplicas(const Line& line) {
   const auto& words = line.words;
   EXPECT_GE(world_->fewest(words.at(2)), std::stoi(words.at(3)));
 }
 
-// expect gap ID most S: the longest spell with replicas missing since `watch`
+// expect gap ID most S: checks the longest period with missing replicas since `watch`.
 void ScenarioExpect::expectReplicaGap(const Line& line) {
   const auto& words = line.words;
   const auto lengths = world_->gapsOf(words.at(2)).sortedLengthsMs();
@@ -32,13 +32,13 @@
       << "seconds with replicas of " << words.at(2) << " missing";
 }
 
-// expect served least SHARE, of every class and team
+// expect served least SHARE: checks that every class and every team got this part of its share.
 void ScenarioExpect::expectServed(const Line& line) {
   const auto& words = line.words;
   world_->expectServed(std::stod(words.at(3)));
 }
 
-// expect underserved class|team NAME
+// expect underserved class|team NAME: checks that this class or team got less than its share.
 void ScenarioExpect::expectUnderserved(const Line& line) {
   const auto& words = line.words;
   std::string whom = words.at(2) + " " + words.at(3);
@@ -46,44 +46,47 @@
   EXPECT_TRUE(world_->underserved(kLeastServed, kJudgedMs).contains(whom)) << whom << " is served";
 }
 
-// expect answered: 75 s after the last trouble, at the earliest
+// expect answered: checks that no job is left without an answer. The line must come at least 75 s
+// after the last fault.
 void ScenarioExpect::expectAnswered(const Line&) { world_->expectAnswered(kForgotten); }
 
-// expect unanswered ID: what the check above is for
+// expect unanswered ID: checks that `expect answered` would report this job.
 void ScenarioExpect::expectUnanswered(const Line& line) {
   const auto& words = line.words;
   EXPECT_TRUE(world_->unanswered(kForgotten).contains(words.at(2))) << "was answered";
 }
 
-// expect goneby most S: tasks of cancelled jobs, after the answer
+// expect goneby most S: checks that the tasks of cancelled jobs stopped within S seconds of the
+// answer to the cancellation.
 void ScenarioExpect::expectCancelledTasksGone(const Line& line) {
   const auto& words = line.words;
   std::cout << "gone by " << world_->goneBy() << " s of " << settings_.cancelS << " s\n";
   EXPECT_LE(world_->goneBy(), std::stod(words.at(3)));
 }
 
-// expect nowaiting: 90 s after the last trouble, at the earliest
+// expect nowaiting: checks that no job waits while a machine has capacity for it. The line must
+// come at least 90 s after the last fault.
 void ScenarioExpect::expectNoneWaiting(const Line&) { world_->expectNoWaiting(); }
 
-// expect waiting ID: what the check above is for
+// expect waiting ID: checks that `expect nowaiting` would report this job.
 void ScenarioExpect::expectWaiting(const Line& line) {
   const auto& words = line.words;
   EXPECT_TRUE(world_->waitingBesideRoom().contains(words.at(2))) << "does not wait beside room";
 }
 
-// expect unbegun ID S: it had no task started so long after
+// expect unbegun ID S: checks that the job had no task started within S seconds.
 void ScenarioExpect::expectNotStarted(const Line& line) {
   const auto& words = line.words;
   EXPECT_GT(world_->began(words.at(2)), std::stod(words.at(3)));
 }
 
-// expect began ID most S
+// expect began ID most S: checks that a task of the job started within S seconds.
 void ScenarioExpect::expectStarted(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->began(words.at(2)), std::stod(words.at(4)));
 }
 
-// expect startsof ID most|least N
+// expect startsof ID most|least N: checks the number of task starts of the job.
 void ScenarioExpect::expectStartsOfJob(const Line& line) {
   const auto& words = line.words;
   if (words.at(3) == "most") {
@@ -93,13 +96,13 @@
   }
 }
 
-// expect waits ID WORD: the first reason begins so
+// expect waits ID WORD: checks that the job's first pending reason begins with this word.
 void ScenarioExpect::expectPendingReason(const Line& line) {
   const auto& words = line.words;
   EXPECT_EQ(world_->whyWaits(words.at(2)).substr(0, words.at(3).size()), words.at(3));
 }
 
-// expect starts most N
+// expect starts most N: checks that at most N tasks were started so far.
 void ScenarioExpect::expectStarts(const Line& line) {
   const auto& words = line.words;
   EXPECT_LE(world_->starts, std::stoul(words.at(3)));
--- a/tests/scenario_expect_policy.cpp
+++ b/tests/scenario_expect_policy.cpp
@@ -3,14 +3,15 @@
 
 namespace kestrelhoist::sim {
 
-// expect policyversions N: so often the policy was changed
+// expect policyversions N: checks that the policy was changed N times.
 void ScenarioExpect::expectPolicyVersions(const Line& line) {
   const auto& words = line.words;
   ASSERT_NE(world_->policy(), nullptr);
   EXPECT_EQ(world_->policy()->version(), std::stoul(words.at(2)));
 }
 
-// expect period NAME|none opened N closed N
+// expect period NAME|none opened N closed N: checks which calendar period is open and how many
+// periods were opened and closed.
 void ScenarioExpect::expectPeriod(const Line& line) {
   const auto& words = line.words;
   ASSERT_NE(world_->policy(), nullptr);
@@ -20,21 +21,22 @@
   EXPECT_EQ(s.closed, std::stoul(words.at(6)));
 }
 
-// expect periods sound: as often closed as opened, or one open
+// expect periods sound: checks that as many calendar periods were closed as opened, or that one is
+// still open.
 void ScenarioExpect::expectSoundPeriods(const Line&) {
   ASSERT_NE(world_->policy(), nullptr);
   const auto& s = world_->policy()->state();
   EXPECT_EQ(s.opened, s.closed + (s.open.empty() ? 0 : 1));
 }
 
-// expect storm yes|no
+// expect storm yes|no: checks whether the policy state shows a mass failure.
 void ScenarioExpect::expectMassFailure(const Line& line) {
   const auto& words = line.words;
   ASSERT_NE(world_->policy(), nullptr);
   EXPECT_EQ(world_->policy()->massFailure(), words.at(2) == "yes");
 }
 
-// expect held IMAGE least|most N: machines chosen to hold it
+// expect held IMAGE least|most N: checks how many machines are chosen to hold the warm image.
 void ScenarioExpect::expectWarmMachines(const Line& line) {
   const auto& words = line.words;
   ASSERT_NE(world_->policy(), nullptr);
@@ -44,7 +46,8 @@
       << n;
 }
 
-// expect paid TEAM warm|used least S: machine seconds, all hours
+// expect paid TEAM warm|used least S: checks the machine seconds charged to the team over all
+// hours.
 void ScenarioExpect::expectCharged(const Line& line) {
   const auto& words = line.words;
   ASSERT_NE(world_->policy(), nullptr);
--- a/tests/scenario_fault_combinations.cpp
+++ b/tests/scenario_fault_combinations.cpp
@@ -8,7 +8,9 @@
     std::int64_t refused = 200 + pick(13800), outage = cancel / 2 + pick(cancel * 3 / 2);
     refuseThenAll(refused, outage);
     for (int n = 0; n < 4; ++n) {
-      cancelThroughOthers(pick(2) ? pick(refused) : refused - pick(100) - 1);  // in the last moment
+      cancelThroughOthers(pick(2) ? pick(refused)
+                                  : refused - pick(100) -
+                                        1);  // The cancellation comes in the last 100 ms.
     }
     if (pick(2)) {
       std::int64_t at = std::max<std::int64_t>(0, refused + pick(3000) - 1500);
@@ -16,7 +18,7 @@
       crashAt(at, who, pick(500));
     }
     if (pick(2)) hangOne(refused + pick(cancel));
-    bool early = pick(4) == 0;  // the next begins before this one is over
+    bool early = pick(4) == 0;  // The next round begins before this outage is over.
     world_->runFor(static_cast<double>(refused + (early ? outage / 2 : outage + pick(30000))) /
                    1000);
     if (!world_->broken.empty()) return;
@@ -25,7 +27,7 @@
 
 void ScenarioFaultCombinations::meet(const std::string& what, std::int64_t ms) {
   World& w = *world_;
-  if (what == "apart") {  // jobs of two or three tasks end far apart while leaders end
+  if (what == "apart") {  // Tasks of one job end far apart while leaders crash.
     for (int i = 0; i < 6; ++i) {
       JobPlan p;
       p.id = "j-70000" + std::to_string(i);
@@ -37,23 +39,24 @@
       w.submit(p);
     }
     for (int i = 0; i < 3; ++i) crashAt(pick(ms), "leader", pick(2) ? pick(900) : kRestartMs);
-  } else if (what == "late_writes") {  // without an answer, and done after newer ones
+  } else if (what == "late_writes") {  // Writes get no answer and are applied after newer writes.
     w.network.lateWrites = 0.3;
     w.clock.in(ms, [&w] { w.network.lateWrites = 0; });
     for (int i = 0; i < 4; ++i) submitAt(pick(ms));
     for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
     if (pick(2)) crashAt(pick(ms), "leader", pick(900));
-  } else if (what == "alone") {  // the leader has neither state service nor peers, but workers
+  } else if (what == "alone") {  // The leader reaches only the workers.
     alone("leader", pick(2) ? "hold" : "reset", ms);
     for (int i = 0; i < 3; ++i) cancelThroughOthers(pick(ms));
-  } else if (what == "over") {  // hand over and back, all end, one returns, also within a second
+  } else if (what ==
+             "over") {  // Leaders crash, then all controllers do; one restarts within 0.9 s.
     for (int i = 0; i < 3; ++i) crashAt(pick(ms), "leader", pick(1000));
     w.clock.in(pick(ms), [this, first = pick(settings_.nodes), back = pick(900)] {
       for (int n = 0; n < settings_.nodes; ++n) world_->crash(n, n == first ? back : kRestartMs);
     });
     cancelThroughOthers(pick(ms));
-  } else if (what ==
-             "unreached") {  // machines with tasks are out of reach or deaf; the leader ends
+  } else if (what == "unreached") {  // Machines with tasks lose messages both ways or inbound; the
+                                     // leader crashes.
     auto busy = w.machinesWithTasks();
     for (const auto& host : busy) {
       if (pick(3) != 0) continue;
@@ -61,27 +64,27 @@
     }
     crashAt(pick(ms / 2), "leader", pick(2) ? pick(900) : kRestartMs);
     cancelThroughOthers(pick(ms));
-  } else if (what == "held") {  // commands and answers are held up, and machines go on after that
+  } else if (what == "held") {  // Commands and answers are delayed while machines hang and resume.
     w.network.held = {0.3, 200, 8000};
     w.clock.in(ms, [&w] { w.network.held = {}; });
     for (int i = 0; i < 3; ++i) w.clock.in(pick(ms), [this] { hangOne(1000 + pick(12000)); });
     for (int i = 0; i < 3; ++i) submitAt(pick(ms));
     for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
-  } else if (what == "refused") {  // slowly, then the leader alone, then nobody, for over cancel_s
+  } else if (what == "refused") {  // The state service is slow, refuses the leader, then fails for
+                                   // over cancel_s.
     w.network.slowState = 300 + pick(1500);
     w.clock.in(ms, [&w] { w.network.slowState = 0; });
     std::int64_t refused = 200 + pick(13800);
     refuseThenAll(refused, static_cast<std::int64_t>(settings_.cancelS * 1000) + pick(10000));
     for (int i = 0; i < 3; ++i) cancelThroughOthers(pick(refused));
-  } else if (what == "old") {  // old reports after newer ones, of earlier sessions and attempts
+  } else if (what == "old") {  // Reports of earlier sessions and attempts arrive after newer ones.
     w.network.copies = {0.5, 1000, 60000};
     w.clock.in(ms, [&w] { w.network.copies = {}; });
     deafZone(settings_.zones[static_cast<std::size_t>(pick(2))], CutMode::hold,
              static_cast<std::int64_t>(settings_.leaseS * 1000) + pick(8000));
     cancelThroughOthers(pick(ms));
     if (pick(2)) crashAt(pick(ms), "leader", pick(900));
-  } else if (what ==
-             "launch") {  // with the next placement: its direct launches are held up on the way
+  } else if (what == "launch") {  // The direct launches of the next placement are delayed.
     w.state.onCommit = [this, &w, ms, before = w.state.onCommit,
                         begun = false](const Json& writes) mutable {
       before(writes);
--- a/tests/scenario_faults.cpp
+++ b/tests/scenario_faults.cpp
@@ -106,7 +106,7 @@
 void ScenarioFaults::configure(const Line& line) {
   for (const auto& [key, value] : options(line, 1)) {
     double v = std::stod(value);
-    if (key == "pace") {  // the three that the deployments have: 1, 3, 8
+    if (key == "pace") {  // The deployments use report intervals of 1, 3 and 8 s.
       settings_.reportS = v;
       settings_.leaseS = v <= 1 ? 11 : v <= 3 ? 17.5 : 36;
       settings_.cancelS = v <= 1 ? 41 : v <= 3 ? 47.5 : 61;
@@ -120,15 +120,15 @@
       settings_.bootS = v;
     else if (key == "bootfail")
       settings_.bootFail = v;
-    else if (key == "soon")  // share of machines that are up within 0.2 to 2 s
+    else if (key == "soon")  // This is the share of machines that boot within 0.2 to 2 s.
       settings_.soon = v;
-    else if (key == "failed")  // seconds until a machine that has died is listed so
+    else if (key == "failed")  // The cloud lists a dead machine as failed after this time.
       settings_.failedAfterS = v;
-    else if (key == "pagerows")  // of the state service
+    else if (key == "pagerows")  // This is the page size of the state service in rows.
       settings_.pageRows = static_cast<std::size_t>(v);
     else if (key == "gpusmax")
       settings_.gpusMax = v;
-    else if (key == "fetch")  // seconds until a machine has an image
+    else if (key == "fetch")  // A machine needs this time to fetch an image.
       settings_.fetchS = v;
     else if (key == "report")
       settings_.reportS = v;
@@ -148,7 +148,7 @@
       settings_.nextOps = static_cast<int>(v);
     else if (key == "nextwrites")
       settings_.nextWrites = v;
-    else if (key == "old")  // controllers are of the version before until `upgrade`
+    else if (key == "old")  // Controllers run the earlier version until `upgrade`.
       settings_.old = v > 0;
     else if (key == "flows")
       settings_.flows = v > 0;
@@ -185,7 +185,7 @@
   if (word == "peers") {
     for (int i = 0; i < settings_.nodes; ++i) out.insert("node" + std::to_string(i));
   }
-  return out;  // "all": empty
+  return out;  // The set stays empty for "all".
 }
 
 JobPlan ScenarioFaults::jobFrom(const std::string& id,
@@ -203,7 +203,7 @@
       job.ram = std::stod(value);
     else if (key == "cpus")
       job.cpus = std::stod(value);
-    else if (key == "stagger")  // task 1 runs so much longer than task 0, and so on
+    else if (key == "stagger")  // Each task runs this much longer than the task before it.
       job.staggerS = std::stod(value);
     else if (key == "run")
       job.runS = std::stod(value);
@@ -219,7 +219,7 @@
       job.spot = value == "yes";
     else if (key == "checkpoint")
       job.checkpointS = std::stod(value);
-    else if (key == "wrong")  // submitted with a mistake: each task ends in error after this
+    else if (key == "wrong")  // Each task fails after this time because of a mistake in the job.
       job.errsAfterS = std::stod(value);
     else if (key == "class")
       job.jobClass = value;
@@ -335,7 +335,8 @@
     fault.busy = w.machinesWithTasks();
     fault.durationMs = static_cast<std::int64_t>(2000 + drawBelow(38000));
     fault.mode = static_cast<CutMode>(drawBelow(3));
-    // Each of the two functions has cases of its own; what is left is a new job.
+    // Kinds 0 to 17 are divided between controller faults and machine faults; kinds 18 to 20 submit
+    // a new job.
     auto kind = drawBelow(21);
     if (kind > 17) {
       submitDrawnJob();
--- a/tests/scenario_machine_faults.cpp
+++ b/tests/scenario_machine_faults.cpp
@@ -20,7 +20,7 @@
     outOfReach(words.at(1), ms(2));
   } else if (words[0] == "disturb") {  // disturb nothing|held|late SECONDS
     disturb(words.at(1), ms(2));
-  } else if (words[0] == "calm") {  // all troubles are over
+  } else if (words[0] == "calm") {  // This line ends all faults.
     w.calm();
   } else {
     return false;
--- a/tests/scenario_pipelines.cpp
+++ b/tests/scenario_pipelines.cpp
@@ -4,10 +4,10 @@
 
 bool ScenarioPipelines::pipelineOption(JobPlan& job, const std::string& key,
                                        const std::string& value) {
-  if (key == "awaits") {  // j-1,j-2 or j-1..j-100
+  if (key == "awaits") {  // The value is a list (j-1,j-2) or a range (j-1..j-100) of job ids.
     std::istringstream in(value);
     for (std::string id; std::getline(in, id, ',');) addAwaited(job, id);
-  } else if (key == "awaitstext") {  // JSON without blanks, whatever it is
+  } else if (key == "awaitstext") {  // The value is any JSON without blanks, valid or not.
     job.awaitsText = value;
   } else if (key == "due") {
     job.dueS = std::stod(value);
@@ -29,12 +29,14 @@
   if (words[0] == "pipeline") {
     auto chosen = options(line, 2);
     submitPipeline(words.at(1), chosen);
-  } else if (words[0] == "pipelines") {  // pipelines COUNT SECONDS: drawn, over that time
+  } else if (words[0] ==
+             "pipelines") {  // `pipelines COUNT SECONDS` submits drawn pipelines over that time.
     auto within = static_cast<std::int64_t>(std::stod(words.at(2)) * 1000);
     for (int i = 0; i < std::stoi(words.at(1)); ++i) {
       w.clock.in(draw(within), [this, i] { submitDrawn(firstDrawn_ + 100 * i); });
     }
-  } else if (words[0] == "ask") {  // ask EVERY SECONDS: all jobs of pipelines, at drawn nodes
+  } else if (words[0] ==
+             "ask") {  // `ask EVERY SECONDS` reads all pipeline jobs at drawn controllers.
     w.askAllOfPipelines(static_cast<std::int64_t>(std::stod(words.at(1)) * 1000),
                         static_cast<std::int64_t>(std::stod(words.at(2)) * 1000));
   } else {
@@ -46,7 +48,8 @@
 bool ScenarioPipelines::expectPipeline(const Line& line) {
   World& w = *world_;
   const auto& words = line.words;
-  if (words.at(1) == "settled") {  // expect settled: users know the end of each job of a pipeline
+  if (words.at(1) ==
+      "settled") {  // `expect settled` checks that users know each pipeline job's end.
     std::string open;
     for (const auto& id : w.unsettled()) open += " " + id + " (" + w.phaseOf(id) + ")";
     EXPECT_EQ(open, "");
@@ -87,7 +90,7 @@
   int cancelled = cancel == "none"    ? -1
                   : cancel == "drawn" ? static_cast<int>(draw(count))
                                       : std::stoi(cancel);
-  std::string after = take("after", "");  // seconds from its acceptance
+  std::string after = take("after", "");  // This is the time in seconds after the job is accepted.
   int first = std::stoi(id.substr(2));
   for (int i = 0; i < count; ++i) {
     JobPlan job = jobFrom(jobId(first + i), chosen);
@@ -113,7 +116,7 @@
                                             {"team", draw(3) == 0 ? "rival" : "team"},
                                             {"class", "stage"}};
   if (draw(4) == 0) chosen["checkpoint"] = "2";
-  // Some need a job of an earlier pipeline, whatever became of it.
+  // One in five pipelines depends on a job of an earlier pipeline, in whatever phase that job is.
   if (!drawnIds_.empty() && draw(5) == 0) {
     chosen["awaits"] =
         drawnIds_[static_cast<std::size_t>(draw(static_cast<std::int64_t>(drawnIds_.size())))];
--- a/tests/scenario_steps_jobs.cpp
+++ b/tests/scenario_steps_jobs.cpp
@@ -3,13 +3,14 @@
 
 namespace kestrelhoist::sim {
 
-// submit ID KEY VALUE ...
+// submit ID KEY VALUE ...: submits a job with these options.
 void Scenario::submitJob(const Line& line) {
   world_->submit(jobFrom(line.words.at(1), options(line, 2)));
   named_.push_back(line.words.at(1));
 }
 
-// stream FROM-ID EVERY SECONDS for SECONDS KEY VALUE ...
+// stream FROM-ID EVERY SECONDS for SECONDS KEY VALUE ...: submits jobs at regular intervals, with
+// ids that count up from FROM-ID.
 void Scenario::streamJobs(const Line& line) {
   JobPlan job = jobFrom(line.words.at(1), options(line, 6));
   int number = std::stoi(job.id.substr(2));
@@ -22,21 +23,22 @@
   }
 }
 
-// abort ID [through NODE]: asks this one first
+// abort ID [through NODE]: cancels the job; the user asks this controller first.
 void Scenario::abortJob(const Line& line) {
   const auto& words = line.words;
   world_->abortThrough(words.at(1), words.size() > 3 ? nodeOf(words.at(3)) : -1);
 }
 
-// mend ID: the mistake that it was submitted with no longer shows
+// mend ID: makes the job's tasks succeed from now on, in spite of its mistake.
 void Scenario::repairJob(const Line& line) { world_->mend(line.words.at(1)); }
 
-// faulty MACHINE SECONDS: every task ends in error after this
+// faulty MACHINE SECONDS: makes every task on the machine fail after this time.
 void Scenario::makeMachineFaulty(const Line& line) {
   world_->makeFaulty(busyMachine(line.words.at(1)), std::stod(line.words.at(2)));
 }
 
-// oncall mistaken|guest|singles|polls: what on-call met, beside the rest
+// oncall mistaken|guest|singles|polls: adds a load that caused incidents in production, beside the
+// other jobs of the scenario.
 void Scenario::submitOnCallJobs(const Line& line) {
   const std::string& kind = line.words.at(1);
   if (kind == "polls") {
@@ -45,7 +47,7 @@
     return;
   }
   bool guest = kind == "guest";
-  bool singles = kind == "singles";  // of a guest, too
+  bool singles = kind == "singles";  // The single jobs are a guest's, too.
   for (int i = 0; i < (singles ? 150 : guest ? 1 : 3); ++i) {
     JobPlan job;
     job.id = "j-900" + std::to_string(100 + i);
@@ -61,7 +63,7 @@
   }
 }
 
-// flow ID KEY VALUE ...
+// flow ID KEY VALUE ...: submits a flow with these options.
 void Scenario::submitFlow(const Line& line) {
   FlowPlanSpec& spec = flows_[line.words.at(1)];
   spec.id = line.words.at(1);
@@ -69,7 +71,7 @@
   world_->submitFlow(spec);
 }
 
-// amend ID KEY VALUE ...: what is not said stays as it was
+// amend ID KEY VALUE ...: amends the flow; options that are not given keep their values.
 void Scenario::amendFlow(const Line& line) {
   FlowPlanSpec& spec = flows_[line.words.at(1)];
   spec.id = line.words.at(1);
@@ -77,22 +79,23 @@
   world_->amendFlow(spec);
 }
 
-// cancelflow ID
+// cancelflow ID: cancels the flow.
 void Scenario::cancelFlow(const Line& line) { world_->cancelFlow(line.words.at(1)); }
 
-// crashcommit N|seed: the leader ends at the N-th commit of flows from now on
+// crashcommit N|seed: crashes the leader at the N-th commit of flows from now on. `seed` takes the
+// world's seed as N.
 void Scenario::crashAtFlowCommit(const Line& line) {
   const std::string& word = line.words.at(1);
   auto commits = word == "seed" ? settings_.seed : std::stoull(word);
   world_->crashAtFlowCommit = world_->flowCommits + commits;
 }
 
-// policy JSON without blanks
+// policy JSON: sets the policy document, which is written without blanks.
 void Scenario::setPolicy(const Line& line) {
   world_->setPolicy(Json::parse(line.words.at(1)), "set-" + std::to_string(line.number));
 }
 
-// calendar none|hours: as tests/measure uses it
+// calendar none|hours: sets the policy with calendar periods that tests/measure uses, or none.
 void Scenario::setCalendar(const Line& line) {
   if (line.words.at(1) != "hours") return;
   world_->setPolicy(
@@ -107,22 +110,23 @@
       "calendar");
 }
 
-// keepviewer none|viewer
+// keepviewer none|viewer: sets a policy that protects the services of the class viewer, or none.
 void Scenario::protectViewer(const Line& line) {
   if (line.words.at(1) != "viewer") return;
   world_->setPolicy({{"continuity", {{"services", {{{"class", "viewer"}}}}, {"machines", 50}}}},
                     "viewer");
 }
 
-// policies drawn: `chaos` sets some, and steps clocks
+// policies drawn: makes `chaos` also set drawn policies and step clocks.
 void Scenario::drawPolicies(const Line&) { policies_ = true; }
 
-// starves class|team NAME: may get less than half, see there why
+// starves class|team NAME: allows this class or team to get less than half of its share. The
+// scenario's comment gives the reason.
 void Scenario::mayBeUnderserved(const Line& line) {
   mayStarve_.insert(line.words.at(1) + " " + line.words.at(2));
 }
 
-// polls FACTOR SECONDS: users ask so many times as often
+// polls FACTOR SECONDS: multiplies the rate of users' status requests by FACTOR.
 void Scenario::setPollRate(const Line& line) {
   world_->pollFactor = std::stod(line.words.at(1));
   world_->clock.in(toMilliseconds(line.words.at(2)),
--- a/tests/scenario_steps_machines.cpp
+++ b/tests/scenario_steps_machines.cpp
@@ -3,26 +3,27 @@
 
 namespace kestrelhoist::sim {
 
-// cut NODE from GROUP MODE SECONDS
+// cut NODE from GROUP MODE SECONDS: cuts the controller's links to the group in both directions.
 void Scenario::cutController(const Line& line) {
   const auto& words = line.words;
   world_->network.cut("node" + std::to_string(world_->nodeFrom(words.at(1))), group(words.at(3)),
                       mode(words.at(4)), toMilliseconds(words.at(5)));
 }
 
-// link NODE to GROUP HOW SECONDS
+// link NODE to GROUP HOW SECONDS: disturbs the controller's links to the group as HOW says.
 void Scenario::cutLink(const Line& line) {
   const auto& words = line.words;
   ASSERT_EQ(words.at(2), "to");
   link(nodeOf(words.at(1)), words.at(3), words.at(4), toMilliseconds(words.at(5)));
 }
 
-// slowness SECONDS: what links in mode slow add, there and back
+// slowness SECONDS: sets the round-trip delay that links in mode `slow` add.
 void Scenario::setSlowness(const Line& line) {
   world_->network.slowMs = toMilliseconds(line.words.at(1)) / 2;
 }
 
-// flap NODE to GROUP MODE EVERY DOWN TIMES: who it is then
+// flap NODE to GROUP MODE EVERY DOWN TIMES: cuts the links repeatedly; NODE is resolved anew before
+// each cut.
 void Scenario::flapLink(const Line& line) {
   const auto& words = line.words;
   for (int i = 0; i < std::stoi(words.at(7)); ++i) {
@@ -32,14 +33,15 @@
   }
 }
 
-// cutzone leader|other MODE SECONDS: from everything outside
+// cutzone leader|other MODE SECONDS: cuts the controller's zone off from everything outside it.
 void Scenario::cutZoneOff(const Line& line) {
   int node = world_->nodeFrom("leader");
   if (line.words.at(1) == "other") node = (node + 1) % settings_.nodes;
   cutZone(node, mode(line.words.at(2)), toMilliseconds(line.words.at(3)));
 }
 
-// cutmachine WHICH MODE SECONDS; mode `in`: it sends, nothing gets there
+// cutmachine WHICH MODE SECONDS: cuts the machine off. In mode `in` its messages arrive, but no
+// message reaches it.
 void Scenario::cutMachine(const Line& line) {
   const auto& words = line.words;
   CutWay way = words.at(2) == "in" ? CutWay::in : CutWay::both;
@@ -47,21 +49,21 @@
                       way);
 }
 
-// deafzone ZONE|all hold|drop SECONDS: nothing reaches its machines
+// deafzone ZONE|all hold|drop SECONDS: keeps all messages from reaching the zone's machines.
 void Scenario::cutInboundOfZone(const Line& line) {
   const auto& words = line.words;
   deafZone(words.at(1), mode(words.at(2)), toMilliseconds(words.at(3)));
 }
 
-// lose answers|late SHARE
+// lose answers|late SHARE: loses this share of all answers, or delays this share of all requests.
 void Scenario::loseMessages(const Line& line) {
   auto& network = world_->network;
   (line.words.at(1) == "answers" ? network.lossOfAnswers : network.lateRequests) =
       std::stod(line.words.at(2));
 }
 
-// lose_answers WHICH to|of|both SECONDS: one machine's reports and the direct commands to it
-// arrive, the answers to its reports (`to`), to the commands (`of`) or all are lost
+// lose_answers WHICH to|of|both SECONDS: loses the answers to one machine's reports (`to`), its
+// answers to direct commands (`of`), or both. The reports and the commands themselves arrive.
 void Scenario::loseAnswersOfMachine(const Line& line) {
   const auto& words = line.words;
   const std::string host = busyMachine(words.at(1));
@@ -72,33 +74,34 @@
   if (words.at(2) != "to") network.ownAnswersLostUntil[host] = until;
 }
 
-// late_writes SHARE SECONDS: carried out 2 to 12 s later
+// late_writes SHARE SECONDS: applies this share of the transactions 2 to 12 s late.
 void Scenario::delayWrites(const Line& line) {
   world_->network.lateWrites = std::stod(line.words.at(1));
   world_->clock.in(toMilliseconds(line.words.at(2)),
                    [world = world_.get()] { world->network.lateWrites = 0; });
 }
 
-// held SHARE FROM TO: direct commands, and answers to workers
+// held SHARE FROM TO: delays this share of direct commands and of answers to workers by FROM to TO
+// seconds.
 void Scenario::delayCommands(const Line& line) {
   const auto& words = line.words;
   world_->network.held = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
                           toMilliseconds(words.at(3))};
 }
 
-// copies SHARE FROM TO: of reports, seconds later
+// copies SHARE FROM TO: delivers a copy of this share of reports FROM to TO seconds later.
 void Scenario::duplicateReports(const Line& line) {
   const auto& words = line.words;
   world_->network.copies = {std::stod(words.at(1)), toMilliseconds(words.at(2)),
                             toMilliseconds(words.at(3))};
 }
 
-// capacity spot|ordinary PER_ZONE
+// capacity spot|ordinary PER_ZONE: sets how many machines of this market each zone can provide.
 void Scenario::setCapacity(const Line& line) {
   world_->region.setCapacity(line.words.at(1) == "spot", std::stoi(line.words.at(2)));
 }
 
-// dieshare SHARE: of the machines that are up, at once
+// dieshare SHARE: makes this share of the running machines fail at once.
 void Scenario::endShareOfMachines(const Line& line) {
   std::vector<simulator::Worker*> up;
   for (const auto& [host, worker] : world_->workers) {
@@ -110,21 +113,21 @@
   for (auto* worker : up) worker->die();
 }
 
-// die MACHINE
+// die MACHINE: makes the machine fail.
 void Scenario::endMachine(const Line& line) {
   auto host = busyMachine(line.words.at(1));
   ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
   world_->workers[host]->die();
 }
 
-// hang MACHINE SECONDS
+// hang MACHINE SECONDS: suspends the machine for that time.
 void Scenario::hangMachine(const Line& line) {
   auto host = busyMachine(line.words.at(1));
   ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
   world_->workers[host]->hang(toMilliseconds(line.words.at(2)));
 }
 
-// notice MACHINE SECONDS: of its termination
+// notice MACHINE SECONDS: gives the machine notice that it terminates in that time.
 void Scenario::giveTerminationNotice(const Line& line) {
   auto host = busyMachine(line.words.at(1));
   ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
--- a/tests/scenario_steps_moments.cpp
+++ b/tests/scenario_steps_moments.cpp
@@ -4,7 +4,8 @@
 namespace kestrelhoist::sim {
 namespace {
 
-// The report of this machine in a body: a report, or a batch of forwarded ones.
+// Returns this machine's report in a request body, which is one report or a batch of forwarded
+// reports.
 const Json* reportOf(const std::string& host, const Json& body) {
   if (body.is_array()) {
     for (const auto& report : body) {
@@ -17,8 +18,8 @@
 
 }  // namespace
 
-// at MACHINE before|after|known SECONDS STEP: the step is played once, so long before the machine's
-// lease ends, after it has ended, or after the leader could first know of the new session
+// at MACHINE before|after|known SECONDS STEP: plays the step once, SECONDS before the machine's
+// lease expires, after it has expired, or after the leader could first know of the new session.
 void Scenario::playAtMoment(const Line& line) {
   constexpr std::size_t kStepFrom = 4;
   const auto& words = line.words;
@@ -26,7 +27,7 @@
   ASSERT_TRUE(world_->workers.contains(host)) << "no such machine";
   Line inner{line.file, line.number, {words.begin() + kStepFrom, words.end()}};
   for (auto& word : inner.words) {
-    if (word == words[1]) word = host;  // whichever has tasks by then
+    if (word == words[1]) word = host;  // The step gets the machine that has tasks at that moment.
   }
   auto play = [this, inner] {
     SCOPED_TRACE(inner.where());
@@ -55,7 +56,8 @@
   world_->clock.in(kMomentStep, [=, this] { playAfterLeaseEnds(host, session, ms, play); });
 }
 
-// A message of the new session is known to a leader once it was answered, or has come in answer.
+// A leader knows the new session once it has answered a report of that session, or has received one
+// as the answer to a request.
 void Scenario::playWhenSessionKnown(const std::string& host, std::int64_t ms,
                                     const std::function<void()>& play) {
   auto& network = world_->network;
--- a/tests/scenario_steps_output.cpp
+++ b/tests/scenario_steps_output.cpp
@@ -6,17 +6,17 @@
 
 namespace kestrelhoist::sim {
 
-// run SECONDS
+// run SECONDS: lets this much virtual time pass.
 void Scenario::runWorld(const Line& line) { world_->runFor(std::stod(line.words.at(1))); }
 
-// running CLASS: replicas now
+// running CLASS: prints how many replicas of the class run now.
 void Scenario::printRunning(const Line& line) {
   const std::string& jobClass = line.words.at(1);
   std::cout << "  " << jobClass << " at " << world_->now() << " s: " << world_->runningOf(jobClass)
             << " running, leader " << world_->leaderNode() << "\n";
 }
 
-// tell WHAT: waits by class, what was used, so far
+// tell WHAT: prints the waiting times by class and the machine time used so far.
 void Scenario::printSummary(const Line& line) {
   World& world = *world_;
   std::cout << line.words.at(1) << " at " << world.now() << " s, " << world.region.machineSeconds()
@@ -30,7 +30,7 @@
   }
 }
 
-// traffic WHAT: between controllers since the line before, a second
+// traffic WHAT: prints the traffic between controllers per second since the last `traffic` line.
 void Scenario::printTraffic(const Line& line) {
   World& world = *world_;
   std::cout << line.words.at(1) << " at " << world.now() << " s, " << world.workers.size()
@@ -48,10 +48,10 @@
   trafficAt_ = world.now();
 }
 
-// mark NODE: for `expect leader unmarked`
+// mark NODE: remembers the controller for `expect leader unmarked`.
 void Scenario::markController(const Line& line) { marked_ = nodeOf(line.words.at(1)); }
 
-// markzone ZONE N: its machines that have tasks, N of them, for `expect marked`
+// markzone ZONE N: remembers N machines of the zone that have tasks, for `expect marked`.
 void Scenario::markMachinesOfZone(const Line& line) {
   markedMachines_.clear();
   machinesMarkedAt_ = world_->clock.now();
@@ -61,13 +61,13 @@
   EXPECT_EQ(markedMachines_.size(), std::stoul(line.words.at(2)));
 }
 
-// watch ID: for `expect fewest`
+// watch ID: starts to record the service's replicas, for `expect fewest`.
 void Scenario::watchJob(const Line& line) {
   world_->watch(line.words.at(1));
   leadershipsBefore_ = world_->leaderships;
 }
 
-// gaps ID: spells in which replicas were missing since `watch`
+// gaps ID: prints the periods in which replicas were missing since `watch`.
 void Scenario::printGaps(const Line& line) {
   const ReplicaGaps& gaps = world_->gapsOf(line.words.at(1));
   std::cout << "  gaps of " << line.words.at(1) << ": " << gaps.missingMs()
@@ -76,7 +76,7 @@
   std::cout << "\n";
 }
 
-// recover ID N most S: time passes until N replicas run, at most S seconds
+// recover ID N most S: lets time pass until N replicas run, and fails after S seconds.
 void Scenario::awaitRecovery(const Line& line) {
   constexpr double kStepS = 0.1;
   const std::string& id = line.words.at(1);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -9,7 +9,7 @@
 struct Case {
   std::string name, file;
   std::uint64_t seed{};
-  std::map<std::string, std::string> chosen;  // of the lines `each`
+  std::map<std::string, std::string> chosen;  // These are the values chosen for the `each` lines.
 };
 
 void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
@@ -27,7 +27,7 @@
   return out;
 }
 
-// The lines with what was chosen put in.
+// Returns the lines of the file with the chosen values put in for their variables.
 std::vector<Line> linesOf(const std::string& file,
                           const std::map<std::string, std::string>& chosen) {
   auto lines = linesOf(file);
@@ -40,8 +40,8 @@
   return lines;
 }
 
-// An impossible number, or a name for which nothing was chosen, ends everything with one line,
-// before anything is played.
+// Exits with a one-line message before any scenario is played if a line has an impossible number or
+// a variable without a chosen value.
 void check(const std::string& file, const std::map<std::string, std::string>& chosen) {
   for (const auto& line : linesOf(file, chosen)) {
     auto unknown = std::find_if(line.words.begin(), line.words.end(),
@@ -57,7 +57,8 @@
 std::vector<Case> cases() {
   std::vector<Case> out;
   std::vector<std::filesystem::path> files;
-  // Long ones, for the figures in docs/, or a directory of one's own: only when asked for.
+  // KESTRELHOIST_MEASURE selects the long scenarios that produce the figures in docs/, or another
+  // directory of scenarios.
   const char* measure = std::getenv("KESTRELHOIST_MEASURE");
   for (const auto& entry :
        std::filesystem::directory_iterator(!measure                      ? SCENARIO_DIR
@@ -75,7 +76,7 @@
         seeds.push_back(s);
       }
     }
-    // Every combination of what the lines `each NAME VALUE ...` offer.
+    // Collects every combination of the values that the lines `each NAME VALUE ...` offer.
     std::vector<std::pair<std::string, std::map<std::string, std::string>>> choices{{"", {}}};
     for (const auto& line : linesOf(f)) {
       if (line.words[0] != "each") continue;
