--- a/tests/scenario.hpp
+++ b/tests/scenario.hpp
@@ -1,4 +1,4 @@
-/// The runner of the scenario language (docs/testing.md).
+/// Declares the runner of the scenario language, which docs/testing.md describes.
 #pragma once
 
 #include "scenario_expect.hpp"
@@ -6,13 +6,13 @@
 namespace kestrelhoist::sim {
 
 /// Plays the lines of one scenario file in one simulated world. Each verb of the language has one
-/// step, a member function that gets the whole line.
+/// step function, which gets the whole line.
 class Scenario : public ScenarioExpect {
  public:
   Scenario(std::vector<Line> lines, std::uint64_t seed);
 
-  /// Plays every line in its order, until the world breaks a rule. Afterwards checks that each
-  /// class and each team got its share of the machines.
+  /// Plays the lines in order and stops if the world breaks a rule. Then checks that each job class
+  /// and each team got at least half of its share of the machines.
   void run();
 
  private:
@@ -22,7 +22,7 @@
   void step(const Line& line);
   void expectNoneUnderserved();
 
-  // Jobs, flows and policies (scenario_steps_jobs.cpp).
+  // These steps concern jobs, flows and policies (scenario_steps_jobs.cpp).
   void submitJob(const Line& line);
   void streamJobs(const Line& line);
   void abortJob(const Line& line);
@@ -40,7 +40,8 @@
   void mayBeUnderserved(const Line& line);
   void setPollRate(const Line& line);
 
-  // Controllers and the services that they need (scenario_steps_controllers.cpp).
+  // These steps disturb controllers and the services that they need
+  // (scenario_steps_controllers.cpp).
   void upgradeControllers(const Line& line);
   void isolateController(const Line& line);
   void stepClock(const Line& line);
@@ -58,7 +59,7 @@
   void refuseThenOutage(const Line& line);
   void combineFaults(const Line& line);
 
-  // The network and the machines (scenario_steps_machines.cpp).
+  // These steps disturb the network and the machines (scenario_steps_machines.cpp).
   void cutController(const Line& line);
   void cutLink(const Line& line);
   void setSlowness(const Line& line);
@@ -77,8 +78,8 @@
   void hangMachine(const Line& line);
   void giveTerminationNotice(const Line& line);
 
-  // At a moment of a machine's lease (scenario_steps_moments.cpp).
-  static constexpr std::int64_t kMomentStep = 1;  // ms between two looks at a lease
+  // These functions play a step at a moment of a machine's lease (scenario_steps_moments.cpp).
+  static constexpr std::int64_t kMomentStep = 1;  // The lease is checked once per millisecond.
   void playAtMoment(const Line& line);
   void playBeforeLeaseEnds(const std::string& host, std::int64_t leftMs,
                            const std::function<void()>& play);
@@ -87,7 +88,7 @@
   void playWhenSessionKnown(const std::string& host, std::int64_t ms,
                             const std::function<void()>& play);
 
-  // Time, and what the scenario prints or remembers (scenario_steps_output.cpp).
+  // These steps let time pass, print figures or remember state (scenario_steps_output.cpp).
   void runWorld(const Line& line);
   void printRunning(const Line& line);
   void printSummary(const Line& line);
--- a/tests/scenario_concurrent_reads.hpp
+++ b/tests/scenario_concurrent_reads.hpp
@@ -1,6 +1,6 @@
-/// Users that ask several controllers at a time: reads within milliseconds, cancellations that meet
-/// a job's end, malformed requests, many small jobs. What is drawn is decided by the seed of the
-/// world.
+/// Declares the steps in which users send requests to several controllers at a time: reads within
+/// milliseconds, cancellations close to a job's end, malformed requests and many small jobs. The
+/// seed of the world decides everything drawn.
 #pragma once
 
 #include "concurrent_reads.hpp"
@@ -8,9 +8,10 @@
 
 namespace kestrelhoist::sim {
 
+/// Plays concurrent requests of users.
 class ScenarioConcurrentReads : public ScenarioLateMessages {
  protected:
-  /// Plays the line if its verb is one of this file; false if not.
+  /// Plays the line and returns true if this class implements its verb.
   bool concurrentReadsStep(const std::vector<std::string>& words);
 
  private:
@@ -32,43 +33,45 @@
     return p;
   }
 
-  // close_looks SECONDS: whenever somebody is told that a job is accepted, done or withdrawn, users
-  // ask at every controller and hand the job in again, 0 to 50 ms later; some cancel at once. Every
-  // third job is handed in at one controller and cancelled at another in the same millisecond.
+  // close_looks SECONDS: whenever an answer says that a job is accepted, done or withdrawn, users
+  // read the job at every controller and submit it again 0 to 50 ms later; some cancel it at once.
+  // One job in three is submitted to one controller and cancelled at another in the same
+  // millisecond.
   void closeLooks(std::int64_t ms);
 
-  // cancel_at_end SHARE SECONDS: that share of the jobs is cancelled through two controllers from
-  // 50 ms before its last task's end until 2.5 s after it, while others ask and hand it in again;
-  // a fourth of these also in the moment at which its end is committed.
+  // cancel_at_end SHARE SECONDS: cancels this share of the jobs through two controllers, between 50
+  // ms before and 2.5 s after the end of the job's last task, while other users read the job and
+  // submit it again. A fourth of all jobs are also cancelled when their end is committed.
   void cancelAtEnd(double share, std::int64_t ms);
 
-  // odd_requests SECONDS: at every controller, again and again: what is malformed, what can never
-  // run, what is handed in or cancelled when it is long over. See OddRequests.
+  // odd_requests SECONDS: repeatedly sends every controller malformed requests, jobs that can never
+  // run, and submissions and cancellations of jobs that ended long ago. OddRequests implements it.
   void oddRequests(std::int64_t ms) {
     odd_ = std::make_unique<OddRequests>(*world_, settings_.nodes);
     odd_->begin(ms);
   }
 
-  // singles_cancelled SECONDS: jobs of one task, four a second; a quarter is cancelled, at any age.
-  // The state service refuses what is above its rate of changes.
+  // singles_cancelled SECONDS: submits four one-task jobs per second and cancels a quarter of them
+  // at any age. The state service refuses changes above its rate limit.
   void singlesCancelled(std::int64_t ms);
-  // A user cancels what it was told is accepted.
+  // Cancels the job as soon as its user has the answer that it is accepted.
   void cancelOnceTold(const std::string& id) {
     if (world_->isAccepted(id)) return world_->abort(id);
     world_->clock.in(100, [this, id] { cancelOnceTold(id); });
   }
 
-  // own_abort TIMES: a controller commits a cancellation between a read and a placement that it has
-  // not read, reaches nobody any more, and is the only one that the workers reach: its records show
-  // the attempt before, which the worker has forgotten. Tried until it came about so often.
+  // own_abort TIMES: a controller commits a cancellation without having read the newest placement
+  // of the job. It is then cut off from the state service and its peers, and workers reach only
+  // this controller. Its replica still shows the earlier task attempt, which the worker has
+  // forgotten. The step is repeated until this situation has occurred TIMES times.
   void ownAbort(int times);
-  // What happened to the job of one try.
+  // Records the events of one repetition of `own_abort`.
   struct OwnAbort {
-    std::uint64_t before = 0, placed = 0;  // attempts: when the task ended, and the next one
+    std::uint64_t before = 0, placed = 0;  // These are the ended attempt and the newest placed one.
     std::int64_t placedAt = -1, cancelledAt = -1;
   };
   bool ownAbortOf(const std::string& id);
-  // Workers reach no other controller than this one, which hears none of the others.
+  // Makes this controller the only one that workers reach, and holds its links to its peers.
   void onlyReaches(int node, std::int64_t ms) {
     link(node, "peers", "hold", ms);
     std::set<std::string> rest;
@@ -79,7 +82,7 @@
       world_->network.cut(host, rest, CutMode::reset, ms);
     }
   }
-  // Until the task has ended on its machine.
+  // Lets time pass until the job's newest task attempt has ended on its machine.
   void waitForEnd(const std::string& id) {
     for (int i = 0; i < 6000; ++i) {
       for (const auto& [host, worker] : world_->workers) {
@@ -99,8 +102,9 @@
     return false;
   }
 
-  // alongside none|back|away|answers|late SECONDS: leaders that end and are back after 0.2 or 4 s,
-  // answers that are lost, transactions without an answer that are carried out later.
+  // alongside none|back|away|answers|late SECONDS: adds faults at the same time. Leaders crash and
+  // restart after 0.2 s (`back`) or 4 s (`away`), answers are lost (`answers`), or transactions get
+  // no answer and are applied late (`late`).
   void alongside(const std::string& what, std::int64_t ms);
 
   std::unique_ptr<ConcurrentReads> reads_;
--- a/tests/scenario_expect.hpp
+++ b/tests/scenario_expect.hpp
@@ -1,16 +1,17 @@
-/// What a scenario expects of its world, and the made-up flows of its lines.
+/// Declares the expectations of the scenario language and the parser of its flow options.
 #pragma once
 
 #include "scenario_pipelines.hpp"
 
 namespace kestrelhoist::sim {
 
-/// The verb `expect`: each expectation of the language has one member function, which gets the
-/// whole line.
+/// Implements the verb `expect`. Each expectation of the language has one member function, which
+/// gets the whole line.
 class ScenarioExpect : public ScenarioPipelines {
  protected:
   void expect(const Line& line);
-  /// Sets what the options of a line say of a made-up flow; the rest stays as it was.
+  /// Applies the options of a line to the description of a generated flow. Fields without an option
+  /// keep their values.
   void shape(FlowPlanSpec& spec, const std::map<std::string, std::string>& options);
 
  private:
@@ -18,7 +19,7 @@
 
   static const std::map<std::string, Expectation>& expectations();
 
-  // On jobs and what their users see (scenario_expect_jobs.cpp).
+  // These check jobs and the answers that their users get (scenario_expect_jobs.cpp).
   void expectPhase(const Line& line);
   void expectReplicas(const Line& line);
   void expectFewestReplicas(const Line& line);
@@ -36,7 +37,7 @@
   void expectPendingReason(const Line& line);
   void expectStarts(const Line& line);
 
-  // On policies, periods and charges (scenario_expect_policy.cpp).
+  // These check policies, calendar periods and charges (scenario_expect_policy.cpp).
   void expectPolicyVersions(const Line& line);
   void expectPeriod(const Line& line);
   void expectSoundPeriods(const Line& line);
@@ -44,7 +45,7 @@
   void expectWarmMachines(const Line& line);
   void expectCharged(const Line& line);
 
-  // On flows (scenario_expect_flows.cpp).
+  // These check flows (scenario_expect_flows.cpp).
   void expectFlowPhase(const Line& line);
   void expectFlowRefused(const Line& line);
   void expectCostPerInstance(const Line& line);
@@ -54,7 +55,7 @@
   void expectTeamAccount(const Line& line);
   void expectChangesPerInstance(const Line& line);
 
-  // On controllers, machines and the state service (scenario_expect_cluster.cpp).
+  // These check controllers, machines and the state service (scenario_expect_cluster.cpp).
   void expectLeaderships(const Line& line);
   void expectLeader(const Line& line);
   void expectVersionsKnown(const Line& line);
--- a/tests/scenario_expect_cluster.cpp
+++ b/tests/scenario_expect_cluster.cpp
@@ -1,4 +1,4 @@
-/// Expectations of scenarios on controllers, machines and the state service.
+/// Implements the expectations on controllers, machines and the state service.
 #include <iostream>
 
 #include "scenario_expect.hpp"
@@ -28,7 +28,8 @@
                                    : world_->noneKnowsFormat(format));
 }
 
-// expect resumed most SECONDS: checks how long after its beginning the newest leader resumed work.
+// expect resumed most SECONDS: checks the time from the beginning of the newest leadership to the
+// first start of a flow's task under this leader.
 void ScenarioExpect::expectResumed(const Line& line) {
   const auto& words = line.words;
   std::cout << "resumed after " << world_->resumedAfter() << " s\n";
--- a/tests/scenario_expect_flows.cpp
+++ b/tests/scenario_expect_flows.cpp
@@ -1,4 +1,4 @@
-/// Expectations of scenarios on flows.
+/// Implements the expectations on flows.
 #include <iostream>
 
 #include "scenario_expect.hpp"
--- a/tests/scenario_expect_jobs.cpp
+++ b/tests/scenario_expect_jobs.cpp
@@ -1,4 +1,4 @@
-/// Expectations of scenarios on jobs and what their users see.
+/// Implements the expectations on jobs and on the answers that their users get.
 #include <iostream>
 
 #include "scenario_expect.hpp"
--- a/tests/scenario_expect_policy.cpp
+++ b/tests/scenario_expect_policy.cpp
@@ -1,4 +1,4 @@
-/// Expectations of scenarios on policies, periods and charges.
+/// Implements the expectations on policies, calendar periods and charges.
 #include "scenario_expect.hpp"
 
 namespace kestrelhoist::sim {
--- a/tests/scenario_fault_combinations.cpp
+++ b/tests/scenario_fault_combinations.cpp
@@ -8,9 +8,8 @@
     std::int64_t refused = 200 + pick(13800), outage = cancel / 2 + pick(cancel * 3 / 2);
     refuseThenAll(refused, outage);
     for (int n = 0; n < 4; ++n) {
-      cancelThroughOthers(pick(2) ? pick(refused)
-                                  : refused - pick(100) -
-                                        1);  // The cancellation comes in the last 100 ms.
+      // Half of the cancellations come in the last 100 ms before the outage.
+      cancelThroughOthers(pick(2) ? pick(refused) : refused - pick(100) - 1);
     }
     if (pick(2)) {
       std::int64_t at = std::max<std::int64_t>(0, refused + pick(3000) - 1500);
@@ -48,15 +47,15 @@
   } else if (what == "alone") {  // The leader reaches only the workers.
     alone("leader", pick(2) ? "hold" : "reset", ms);
     for (int i = 0; i < 3; ++i) cancelThroughOthers(pick(ms));
-  } else if (what ==
-             "over") {  // Leaders crash, then all controllers do; one restarts within 0.9 s.
+  } else if (what == "over") {
+    // Leaders crash, and at a drawn moment all controllers do; one of them restarts within 0.9 s.
     for (int i = 0; i < 3; ++i) crashAt(pick(ms), "leader", pick(1000));
     w.clock.in(pick(ms), [this, first = pick(settings_.nodes), back = pick(900)] {
       for (int n = 0; n < settings_.nodes; ++n) world_->crash(n, n == first ? back : kRestartMs);
     });
     cancelThroughOthers(pick(ms));
-  } else if (what == "unreached") {  // Machines with tasks lose messages both ways or inbound; the
-                                     // leader crashes.
+  } else if (what == "unreached") {
+    // Some machines with tasks are cut off, inbound or in both directions, and the leader crashes.
     auto busy = w.machinesWithTasks();
     for (const auto& host : busy) {
       if (pick(3) != 0) continue;
@@ -70,8 +69,9 @@
     for (int i = 0; i < 3; ++i) w.clock.in(pick(ms), [this] { hangOne(1000 + pick(12000)); });
     for (int i = 0; i < 3; ++i) submitAt(pick(ms));
     for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
-  } else if (what == "refused") {  // The state service is slow, refuses the leader, then fails for
-                                   // over cancel_s.
+  } else if (what == "refused") {
+    // The state service is slow, then refuses the leader alone, then fails for longer than
+    // cancel_s.
     w.network.slowState = 300 + pick(1500);
     w.clock.in(ms, [&w] { w.network.slowState = 0; });
     std::int64_t refused = 200 + pick(13800);
--- a/tests/scenario_fault_combinations.hpp
+++ b/tests/scenario_fault_combinations.hpp
@@ -1,21 +1,22 @@
-/// Combinations of faults that the users named, and what each does to a world. What is drawn is
-/// decided by the seed of the world.
+/// Declares the steps that play named combinations of faults. The seed of the world decides
+/// everything drawn.
 #pragma once
 
 #include "scenario_faults.hpp"
 
 namespace kestrelhoist::sim {
 
+/// Plays named combinations of faults.
 class ScenarioFaultCombinations : public ScenarioFaults {
  protected:
-  // gap TIMES: the state service refuses the leader alone (0.2 to 14 s); others confirm
-  // cancellations, up to the last 100 ms; then it is down for all for half to twice `cancel_s`,
-  // while the workers report as ever. With it, drawn: which jobs, through whom, a machine that
-  // hangs, a controller that ends and is back within 500 ms, a second refusal before the outage is
-  // over.
+  // gap TIMES: the state service first refuses the leader alone for 0.2 to 14 s, while peers
+  // confirm cancellations up to the last 100 ms. Then the state service is down for all controllers
+  // for half of `cancel_s` to twice `cancel_s`, while workers keep sending reports. The seed draws
+  // the cancelled jobs, the controllers that cancel them, a machine that hangs, a controller that
+  // restarts within 500 ms, and whether the next refusal begins before the outage is over.
   void gap(int times);
 
-  // meet WHAT SECONDS: begins now, and what it takes away is back after so long.
+  // meet WHAT SECONDS: plays the combination WHAT now; its faults last for SECONDS.
   void meet(const std::string& what, std::int64_t ms);
 
  private:
@@ -25,8 +26,9 @@
   void crashAt(std::int64_t at, const std::string& who, std::int64_t downMs) {
     world_->clock.in(at, [this, who, downMs] { crash(who, downMs); });
   }
-  // A job that was submitted by a line, never the first one, is cancelled through a controller that
-  // does not lead then; each once.
+  // Cancels the next job that a line of the scenario submitted, through a controller that does not
+  // lead at that moment. The first submitted job is never cancelled, and each other job at most
+  // once.
   void cancelThroughOthers(std::int64_t at) {
     if (cancelled_ + 1 >= named_.size()) return;
     std::string id = named_[++cancelled_];
@@ -55,7 +57,7 @@
     world_->clock.in(refused, [this, outage] { world_->state.outage(outage); });
   }
 
-  std::size_t cancelled_ = 0;  // of the jobs that lines submitted, in their order
+  std::size_t cancelled_ = 0;  // This is the index in named_ of the last cancelled job.
 };
 
 }  // namespace kestrelhoist::sim
--- a/tests/scenario_faults.cpp
+++ b/tests/scenario_faults.cpp
@@ -3,6 +3,7 @@
 namespace kestrelhoist::sim {
 
 std::string wrongNumber(const Line& line) {
+  // Maps each verb to the positions of its numbers; the verb has position 0.
   static const std::map<std::string, std::vector<int>> kPlaces{{"seeds", {1, 2}},
                                                                {"run", {1}},
                                                                {"chaos", {1}},
@@ -335,8 +336,8 @@
     fault.busy = w.machinesWithTasks();
     fault.durationMs = static_cast<std::int64_t>(2000 + drawBelow(38000));
     fault.mode = static_cast<CutMode>(drawBelow(3));
-    // Kinds 0 to 17 are divided between controller faults and machine faults; kinds 18 to 20 submit
-    // a new job.
+    // Kind 10 cancels a job, and kinds 18 to 20 submit one. Each other kind is a case in only one
+    // of the two functions below.
     auto kind = drawBelow(21);
     if (kind > 17) {
       submitDrawnJob();
--- a/tests/scenario_faults.hpp
+++ b/tests/scenario_faults.hpp
@@ -1,5 +1,5 @@
-/// The base of the scenario runner: settings of the world, faults of controllers, network and
-/// machines, and drawn mixtures of them.
+/// Declares the base class of the scenario runner, which holds the settings of the world, plays
+/// faults of controllers, network and machines, and draws random mixtures of them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,6 +14,7 @@
 
 namespace kestrelhoist::sim {
 
+/// Describes one line of a scenario file, split into words.
 struct Line {
   std::string file;
   int number{};
@@ -21,7 +22,7 @@
   std::string where() const { return file + ":" + std::to_string(number); }
 };
 
-// "key value" pairs after `from`.
+// Returns the "key value" pairs of the line from word `from` on.
 inline std::map<std::string, std::string> options(const Line& line, std::size_t from) {
   std::map<std::string, std::string> out;
   for (std::size_t i = from; i + 1 < line.words.size(); i += 2)
@@ -29,17 +30,17 @@
   return out;
 }
 
-// Milliseconds of a word that tells seconds.
+// Converts a word that gives seconds to milliseconds.
 inline std::int64_t toMilliseconds(const std::string& seconds) {
   return static_cast<std::int64_t>(std::stod(seconds) * 1000);
 }
 
-constexpr std::int64_t kRestartMs = 4000;  // until a process that ended is back
+constexpr std::int64_t kRestartMs = 4000;  // A crashed process restarts after this time by default.
 
-// What is wrong with a line, if anything: numbers that are none, or that can't be. In words at
-// these places, counted from the verb.
+// Returns why a number in the line is malformed or impossible, or an empty text if all are valid.
 std::string wrongNumber(const Line& line);
 
+/// Plays faults in the world of one scenario. The seed of the world decides everything drawn.
 class ScenarioFaults {
  public:
   virtual ~ScenarioFaults() = default;
@@ -55,7 +56,8 @@
 
   std::set<std::string> group(const std::string& word);
 
-  // "leader", "other" (the next after it), "third" or a number.
+  // Returns the index of a controller that is given as "leader", "other" (the next after the
+  // leader), "third" (the second after the leader) or a number.
   int nodeOf(const std::string& word) {
     int leader = world_->nodeFrom("leader");
     if (word == "other") return (leader + 1) % settings_.nodes;
@@ -63,7 +65,8 @@
     return world_->nodeFrom(word);
   }
 
-  // One, in "turn", "all", or the "rest": all but the one that `alone` names.
+  // Crashes one controller, the next one in order ("turn"), "all" controllers, or the "rest", which
+  // is every controller but the one that `alone` isolated.
   void crash(std::string who, std::int64_t downMs) {
     for (int i = 0; who == "rest" && i < settings_.nodes; ++i) {
       if (i != alone_) world_->crash(i, downMs);
@@ -74,15 +77,15 @@
     for (int i = 0; i < settings_.nodes; ++i) world_->crash(i, downMs);
   }
 
-  // link NODE to GROUP up|hold|drop|reset|refuse|slow|in|out SECONDS; in, out: only this way is
-  // held.
+  // link NODE to GROUP up|hold|drop|reset|refuse|slow|in|out SECONDS: disturbs these links. `in`
+  // and `out` hold the messages of one direction only.
   void link(int node, const std::string& to, const std::string& how, std::int64_t ms) {
     if (how == "up") return;
     CutWay way = how == "in" ? CutWay::in : how == "out" ? CutWay::out : CutWay::both;
     world_->network.cut("node" + std::to_string(node), group(to), mode(how), ms, way);
   }
 
-  // The zone of this controller, from everything outside.
+  // Cuts the zone of this controller off from everything outside it.
   void cutZone(int node, CutMode how, std::int64_t ms) {
     const auto& zones = settings_.zones;
     const auto& zone = zones[static_cast<std::size_t>(node) % zones.size()];
@@ -93,44 +96,50 @@
     world_->network.cutOff(inside, how, ms);
   }
 
+  // Returns the machine that a word names: a host, the first (`busy`) or second machine with tasks,
+  // or a spot machine. Returns an empty text if there is no first or second machine with tasks.
   std::string busyMachine(const std::string& word) {
     auto busy = world_->machinesWithTasks();
     if (word == "busy") return busy.empty() ? "" : busy.front();
-    if (word == "second") return busy.size() < 2 ? "" : busy[1];  // of those with tasks
+    if (word == "second") return busy.size() < 2 ? "" : busy[1];
     for (const auto& [host, w] : world_->workers) {
       if (word == "spot" && w->spot && !w->gone) return host;
     }
     return word;
   }
 
-  // Of a job that awaits others: see ScenarioPipelines.
+  // Applies an option of a job that depends on others, and returns false for any other option.
+  // ScenarioPipelines implements it.
   virtual bool pipelineOption(JobPlan& job, const std::string& key, const std::string& value) = 0;
 
   JobPlan jobFrom(const std::string& id, const std::map<std::string, std::string>& chosen);
 
-  // Neither state service nor other controllers; its workers reach it.
+  // Cuts a controller off from the state service and its peers; workers still reach it.
   void alone(const std::string& who, const std::string& how, std::int64_t ms) {
     alone_ = nodeOf(who);
     link(alone_, "state", how, ms);
     link(alone_, "peers", how, ms);
   }
 
-  // beside WHAT SECONDS: another trouble at the same time.
+  // beside WHAT SECONDS: adds another fault at the same time.
   void beside(const std::string& what, std::int64_t ms);
 
-  // catch STEP WHO DOWN TIMES: at this step of an election the candidate (`one`), it and another
-  // (`two`) or `all` end, and are back after so long; so many times.
+  // catch STEP WHO DOWN TIMES: crashes controllers at this step of an election, TIMES times. WHO is
+  // the candidate (`one`), the candidate and one other (`two`) or `all`. The processes restart
+  // after DOWN seconds.
   struct Catch {
     std::string step, who;
     std::int64_t downMs{};
     int left{};
   };
   void caught(const std::string& step, const std::string& member);
-  // lease: granted, no token yet; token: won, no report yet; round: reports come in; commit: the
-  // first change is written, and not heard of.
+  // Installs the hooks that detect the steps of an election. At `lease` the candidate has the lease
+  // of the leader key but no fencing token; at `token` it has the token but no report; at `round`
+  // reports arrive; at `commit` its first change is committed but not yet answered.
   void watchElection();
 
-  // These machines' reports arrive, but neither answers nor commands reach them.
+  // Holds or drops all messages to the zone's machines: their reports arrive, but neither answers
+  // nor commands reach them.
   void deafZone(const std::string& zone, CutMode how, std::int64_t ms) {
     for (const auto& [host, worker] : world_->workers) {
       if (zone == "all" || worker->zone == zone) {
@@ -139,20 +148,21 @@
     }
   }
 
-  // Any of its parts, with a period that opens within three minutes and closes within five.
+  // Draws a policy of any combination of parts. Its calendar period, if any, opens within three
+  // minutes and closes within five.
   Json drawnPolicy();
 
-  // Random faults, jobs and cancellations for a while; the seed decides.
+  // Plays random faults, jobs and cancellations for this time; the seed decides which.
   void chaos(double seconds);
-  // What the faults of one step of `chaos` have in common; not every one uses all of it.
+  // Holds the drawn parameters of one fault of `chaos`. Not every fault uses all of them.
   struct DrawnFault {
     int node{};
-    std::vector<std::string> busy;  // machines with tasks
+    std::vector<std::string> busy;  // These are the machines with tasks.
     std::int64_t durationMs{};
     CutMode mode{};
   };
   void drawPolicyChange();
-  // Nothing, if the kind is none of controllers and services, or none of machines.
+  // These two do nothing if the kind belongs to the other function.
   void drawControllerFault(std::uint64_t kind, const DrawnFault& fault);
   void drawMachineFault(std::uint64_t kind, const DrawnFault& fault);
   void submitDrawnJob();
@@ -160,14 +170,14 @@
 
   static constexpr double kLeastServed = 0.5;
   static constexpr std::int64_t kForgotten = 75000;
-  // Less is too short to tell: one machine that ended would be all.
+  // Over a shorter time the loss of one machine alone could explain a small share.
   static constexpr std::int64_t kJudgedMs = 40000;
   std::set<std::string> mayStarve_;
   std::vector<Line> lines_;
   WorldSettings settings_;
   std::unique_ptr<World> world_;
   std::vector<std::string> submitted_;
-  std::vector<std::string> named_;  // submitted by lines
+  std::vector<std::string> named_;  // Lines of the scenario submitted these jobs by id.
   int nextJob_ = 500000;
   int turn_ = 0;
   int leadershipsBefore_ = 0;
--- a/tests/scenario_late_messages.hpp
+++ b/tests/scenario_late_messages.hpp
@@ -1,5 +1,5 @@
-/// Late, lost and repeated messages between controllers, state service and workers: which of them a
-/// scenario takes out of the world's traffic, and what it looks for in the records at the end.
+/// Declares the steps that delay, lose or repeat messages between controllers, state service and
+/// workers, and the check of the records at the end of such a scenario.
 #pragma once
 
 #include <deque>
@@ -17,9 +17,9 @@
   return out;
 }
 
-// Who writes a transaction, told by its keys and conditions: submission, abort, claim, placement
-// (and ends of tasks), end (of a job), rental (and releases), windows, policy, ledger, flow,
-// member.
+// Returns the kind of writer of a transaction, derived from its keys and conditions. The kinds are
+// submission, abort, claim, placement (also ends of tasks), end (of a job), rental (also releases),
+// windows (the forecast), policy, ledger (charges), flow, member and other.
 inline std::string writerOf(const Json& transaction) {
   bool byLeader = false, isNew = false;
   for (const auto& condition : transaction.at("when")) {
@@ -42,14 +42,16 @@
   return writes(keys::kTasks) ? "placement" : "other";
 }
 
+/// Plays late, lost and repeated messages.
 class ScenarioLateMessages : public ScenarioFaultCombinations {
  protected:
-  /// Plays the line if its verb is one of this file; false if not.
+  /// Plays the line and returns true if this class implements its verb.
   bool lateMessagesStep(const std::vector<std::string>& words);
 
-  // expect books: within a minute each rented machine is on exactly one rental's record, each
-  // rental is answered, each release that was begun is over, and the windows' record is the present
-  // leader's.
+  // expect books: checks that the records become consistent within a minute. Each rented machine
+  // must be in exactly one rental record, each rental must have its answer, no release may be
+  // unfinished, and the forecast record must be at most 30 s old, so that the present leader wrote
+  // it.
   void expectBooks() {
     constexpr int kSteps = 120;
     std::string why = unsound();
@@ -64,10 +66,11 @@
   struct Trouble {
     double share = 0;
     std::int64_t until = 0;
-    std::string form;            // late or at_once
-    std::string writer;          // or any
-    std::string ends = "stays";  // what the author does: seconds until it is back, or `deposed`
-    std::int64_t noticeMs = 0;   // of a spot machine that a launch was on its way to
+    std::string form;    // This is `late` or `at_once`.
+    std::string writer;  // This is a kind from writerOf() or `any`.
+    std::string ends =
+        "stays";  // The author stays, is `deposed`, or restarts after so many seconds.
+    std::int64_t noticeMs = 0;  // A spot machine with a launch under way gets this much notice.
   };
 
   std::int64_t draw(std::int64_t from, std::int64_t to) {
@@ -79,34 +82,38 @@
   static std::int64_t millis(const std::string& seconds) {
     return static_cast<std::int64_t>(std::stod(seconds) * 1000);
   }
-  // The words after the second, in pairs; `late`, `at_once` and `for_next` stand alone.
+  // Parses the words of a line. After the second word come "key value" pairs; `late`, `at_once` and
+  // `for_next` have no value.
   Trouble troubleFrom(const std::vector<std::string>& words);
 
-  // late_writes SHARE SECONDS at_once|late [of WRITER] [ends stays|deposed|SECONDS]: that share of
-  // a writer's transactions gets no answer, and is carried out at once or 2 to 12 s later, after
-  // newer ones; its author ends just after it was sent.
+  // late_writes SHARE SECONDS at_once|late [of WRITER] [ends stays|deposed|SECONDS]: loses the
+  // answers to this share of a writer's transactions. The state service applies them at once, or 2
+  // to 12 s later and thus after newer ones. With `ends` the sender is deposed or crashes right
+  // after sending.
   void lateWrites(const std::vector<std::string>& words) {
     if (words[3] == "none") return listen();
     writes_ = troubleFrom(words);
     listen();
   }
-  // late_commands SHARE SECONDS [ends stays|deposed|SECONDS] [notices SECONDS]: direct commands
-  // without an answer, carried out once 2 to 16 s later, if token and session still match. With
-  // notices, some spot machines get theirs while a launch is on its way to them.
+  // late_commands SHARE SECONDS [ends stays|deposed|SECONDS] [notices SECONDS]: delivers this share
+  // of direct commands 2 to 16 s late and loses the answers. The worker executes a command only if
+  // the fencing token and the worker session still match. With `notices`, some spot machines get
+  // their termination notice while a launch is under way to them.
   void lateCommands(const std::vector<std::string>& words) {
     commands_ = troubleFrom(words);
     listen();
   }
   Network::Fate fateOf(const std::string& from, const Request& request);
   void noticeAtLaunch(const Request& request);
-  // What becomes of the author, once the message is under way; seldom enough that somebody leads
-  // in between.
+  // Deposes or crashes the sender once its message is under way, at most once every 5 s, so that a
+  // controller can lead in between.
   void befalls(const Trouble& t, const std::string& author);
 
-  // late_reports SHARE SECONDS [for_next STEP]: of that share of reports a copy comes 1 to 60 s
-  // later; or the copies are kept, and come to every controller when the next leader begins
-  // (`token`), in its report round (`round`), or after its first `launch`, `stop`, `clear` or
-  // `release`: the newest and the oldest of a machine, of earlier sessions and attempts too.
+  // late_reports SHARE SECONDS [for_next STEP]: delivers a copy of this share of reports 1 to 60 s
+  // later. With `for_next` the copies are kept and delivered to every controller when the next
+  // leader begins (`token`), in its report round (`round`), or after its first `launch`, `stop`,
+  // `clear` or `release`. The oldest and newest reports of each machine are kept, so that some
+  // belong to earlier sessions and attempts.
   void lateReports(const std::vector<std::string>& words);
   void keep(const std::string& from, const Request& request) {
     if (request.path != "/agent/beat" || !falls(reports_)) return;
@@ -115,7 +122,8 @@
     kept.push_back(request);
     if (kept.size() > kKept) kept.erase(kept.begin() + kOldest);
   }
-  // Several moments, since nobody knows when exactly the new leader's part begins.
+  // Delivers the kept reports at several drawn moments within 600 ms, because the moment at which
+  // the new leader evaluates reports is not known exactly.
   void deliverKept();
   void reached(const std::string& step) {
     if (step != step_ || !awaiting_) return;
@@ -128,7 +136,7 @@
     for (const auto& order : *orders) reached(order.at("verb").get<std::string>());
   }
 
-  // aborts FIRST-ID COUNT every S after S: jobs of a stream are cancelled, one after the other.
+  // aborts FIRST-ID COUNT every S after S: cancels the jobs of a stream one after the other.
   void aborts(const std::vector<std::string>& words) {
     constexpr std::int64_t kSpread = 1500;
     int number = std::stoi(words.at(1).substr(2));
@@ -140,14 +148,15 @@
     }
   }
 
-  // crowd N: so many jobs are on record that are over long since.
+  // crowd N: stores the records of N jobs that ended long ago.
   void crowd(int n);
 
-  // What of the records does not agree with the region; empty: nothing.
+  // Returns the first inconsistency between the records and the rented machines, or an empty text.
   std::string unsound();
 
   void listen();
-  // A rental's name stands for one rental, whoever asks.
+  // Checks that two rental calls with the same rental id ask for the same machines, whichever
+  // controller sends them.
   void watchRentals(const Request& q) {
     if (q.path != "/hosts" || q.method != "POST") return;
     Json wanted = *decodeBody(q.body);
@@ -156,7 +165,7 @@
   }
 
   Trouble writes_, commands_, reports_;
-  int readsToLose_ = 0;  // the answers to that many of the leader's next reads of changes
+  int readsToLose_ = 0;  // The leader's next reads of the change feed lose their answers.
   std::string step_;
   bool awaiting_ = false, listening_ = false;
   std::int64_t nextEnd_ = 0;
--- a/tests/scenario_machine_faults.hpp
+++ b/tests/scenario_machine_faults.hpp
@@ -1,13 +1,14 @@
-/// Cancellations while machines, network and leaders fail.
+/// Declares the steps that cancel jobs while machines, network and leaders fail.
 #pragma once
 
 #include "scenario_concurrent_reads.hpp"
 
 namespace kestrelhoist::sim {
 
+/// Plays cancellations, unreachable machines and delayed messages.
 class ScenarioMachineFaults : public ScenarioConcurrentReads {
  protected:
-  /// Plays the line if its verb is one of this file; false if not.
+  /// Plays the line and returns true if this class implements its verb.
   bool machineFaultsStep(const Line& line);
 
  private:
@@ -18,32 +19,34 @@
     return static_cast<std::int64_t>(world_->random() % static_cast<std::uint64_t>(n));
   }
 
-  // That many of the jobs with long to go, drawn.
+  // Draws up to `count` of the jobs that would run for at least 30 s more.
   std::vector<std::string> someRunning(int count) {
     auto ids = world_->runningFor(kLongToGo);
-    // Those of the class `kept` are never cancelled.
+    // The caller cancels the drawn jobs, and jobs of the class `kept` must not be cancelled.
     std::erase_if(ids, [this](const auto& id) { return world_->plan(id)->jobClass == "kept"; });
     std::shuffle(ids.begin(), ids.end(), world_->random);
     if (ids.size() > static_cast<std::size_t>(count)) ids.resize(static_cast<std::size_t>(count));
     return ids;
   }
 
-  // Users call off that many running jobs with long to go within a fifth of a second; up to eight
-  // of their machines hang so long.
+  // Cancels up to `count` jobs that would run for at least 30 s more, all within 200 ms. Up to
+  // eight of their machines hang for this time.
   void cancelNow(int count, std::int64_t hangMs);
 
-  // With each of the next claims of the leader key: that many jobs are cancelled at drawn moments
-  // up to the end of the report round, each through another node.
+  // At each of the next `times` claims of the leader key, cancels `count` jobs at drawn moments up
+  // to the end of the report round. The controllers take the cancellations in rotation.
   void cancelAtClaim(int count, int times);
 
-  // Jobs are cancelled at the very moment at which the state service refuses the leader alone
-  // (100 ms before to 100 ms after); a second later it is down for all, longer than cancel_s.
+  // Cancels jobs within 100 ms of the moment at which the state service begins to refuse the leader
+  // alone. One second later the state service fails for all controllers, for longer than cancel_s.
   void cancelEdge();
 
-  // A third of the machines with tasks hang, are cut off or deaf.
+  // Makes a third of the machines with tasks hang (`hang`), cuts them off in both directions
+  // (`cut`) or for messages to them only (`deaf`).
   void outOfReach(const std::string& how, std::int64_t ms);
 
-  // Commands and answers are held up, or requests come late, for a while.
+  // Delays a fifth of commands and answers (`held`) or applies a tenth of the transactions late
+  // (`late`) for this time.
   void disturb(const std::string& how, std::int64_t ms) {
     World& w = *world_;
     if (how == "held") w.network.held = {0.2, 200, 8000};
@@ -54,7 +57,8 @@
     });
   }
 
-  // Workers open no connections to controllers: one machine, a share of all, a zone's, all.
+  // Keeps workers from opening connections to controllers. The word selects one machine, a share of
+  // all machines, those of a zone, or all.
   void mute(const std::string& which, std::int64_t ms);
 };
 
--- a/tests/scenario_pipelines.hpp
+++ b/tests/scenario_pipelines.hpp
@@ -1,22 +1,24 @@
-/// Pipelines of jobs in scenarios: made-up ones by shape, drawn ones that arrive over time, and
-/// what is expected of them.
+/// Declares the steps that submit pipelines of dependent jobs, either of a given shape or drawn and
+/// spread over time, and the expectations on them.
 #pragma once
 
 #include "scenario_machine_faults.hpp"
 
 namespace kestrelhoist::sim {
 
+/// Plays pipelines of dependent jobs.
 class ScenarioPipelines : public ScenarioMachineFaults {
  protected:
   bool pipelineOption(JobPlan& job, const std::string& key, const std::string& value) override;
 
-  /// Plays the line if its verb concerns pipelines; false if not.
+  /// Plays the line and returns true if its verb concerns pipelines.
   bool pipelineStep(const Line& line);
 
-  /// Checks the expectation if it concerns pipelines; false if not.
+  /// Checks the expectation and returns true if it concerns pipelines.
   bool expectPipeline(const Line& line);
 
  private:
+  // Adds a job id, or each id of a range FIRST..LAST, to the dependencies of the job.
   static void addAwaited(JobPlan& job, const std::string& word) {
     auto dots = word.find("..");
     if (dots == std::string::npos) return job.awaits.push_back(word);
@@ -32,15 +34,17 @@
     return id;
   }
 
-  // Which earlier stages each stage awaits.
+  // Lists for each stage the earlier stages that it depends on.
   using Stages = std::vector<std::vector<int>>;
   Stages stagesOf(const std::string& shape);
 
-  // pipeline ID shape chain|fan|diamond|drawn [late yes] [cancel STAGE|drawn|none] and options of
-  // jobs; what is not said about tasks and run times is drawn.
+  // pipeline ID shape chain|fan|diamond|drawn [late yes] [cancel STAGE|drawn|none] KEY VALUE ...:
+  // submits a pipeline whose jobs get these options. Task counts and run times that are not given
+  // are drawn.
   void submitPipeline(const std::string& id, std::map<std::string, std::string> chosen);
 
-  // Within milliseconds, before it begins, while it runs, or about when it ends.
+  // Returns a drawn time in seconds after the job's acceptance. The four ranges are meant to fall
+  // within milliseconds, before the job begins, while it runs, or about when it ends.
   double drawnMoment() {
     constexpr std::int64_t kSpans[] = {10, 1000, 20000, 60000};
     return static_cast<double>(draw(kSpans[draw(std::size(kSpans))])) / 1000;
--- a/tests/scenario_steps_controllers.cpp
+++ b/tests/scenario_steps_controllers.cpp
@@ -1,4 +1,4 @@
-/// Steps of scenarios that disturb controllers and the services that they need.
+/// Implements the scenario steps that disturb controllers and the services that they need.
 #include "scenario.hpp"
 
 namespace kestrelhoist::sim {
--- a/tests/scenario_steps_jobs.cpp
+++ b/tests/scenario_steps_jobs.cpp
@@ -1,4 +1,4 @@
-/// Steps of scenarios that concern jobs, flows and policies.
+/// Implements the scenario steps that concern jobs, flows and policies.
 #include "scenario.hpp"
 
 namespace kestrelhoist::sim {
@@ -37,8 +37,8 @@
   world_->makeFaulty(busyMachine(line.words.at(1)), std::stod(line.words.at(2)));
 }
 
-// oncall mistaken|guest|singles|polls: adds a load that caused incidents in production, beside the
-// other jobs of the scenario.
+// oncall mistaken|guest|singles|polls: submits a load that on-call operators have met in
+// production, beside the other jobs of the scenario.
 void Scenario::submitOnCallJobs(const Line& line) {
   const std::string& kind = line.words.at(1);
   if (kind == "polls") {
--- a/tests/scenario_steps_machines.cpp
+++ b/tests/scenario_steps_machines.cpp
@@ -1,4 +1,4 @@
-/// Steps of scenarios that disturb the network and the machines.
+/// Implements the scenario steps that disturb the network and the machines.
 #include "scenario.hpp"
 
 namespace kestrelhoist::sim {
--- a/tests/scenario_steps_moments.cpp
+++ b/tests/scenario_steps_moments.cpp
@@ -1,4 +1,5 @@
-/// Steps of scenarios that come at a moment of a machine's lease, not at a time of the world.
+/// Implements the scenario step `at`, whose inner step is played at a moment of a machine's lease
+/// instead of a time of the world.
 #include "scenario.hpp"
 
 namespace kestrelhoist::sim {
--- a/tests/scenario_steps_output.cpp
+++ b/tests/scenario_steps_output.cpp
@@ -1,5 +1,5 @@
-/// Steps of scenarios that let time pass, print what the world shows, or remember it for later
-/// expectations.
+/// Implements the scenario steps that let time pass, print figures of the world, or remember its
+/// state for later expectations.
 #include <iostream>
 
 #include "scenario.hpp"
