--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -28,9 +28,9 @@
 // half of its share of the machines. The few scenarios that remove too much capacity name the class
 // or team that may get less (`starves`, `expect underserved`).
 void Scenario::expectNoneUnderserved() {
-  auto under = world_->underserved(kLeastServed, kJudgedMs);
+  auto under = world_->underserved(kMinServedShare, kMinJudgedMs);
   for (const auto& [what, share] : under) {
-    EXPECT_TRUE(mayStarve_.contains(what)) << "underserved: " << what << " got " << share;
+    EXPECT_TRUE(mayBeUnderserved_.contains(what)) << "underserved: " << what << " got " << share;
   }
 }
 
--- a/tests/scenario_concurrent_reads.cpp
+++ b/tests/scenario_concurrent_reads.cpp
@@ -100,7 +100,7 @@
     w.clock.in(at, [&w, p] { w.submit(p); });
     if (drawn(4) != 0) continue;
     const std::int64_t ages[] = {0, drawn(50), drawn(1000), drawn(5000), drawn(25000)};
-    w.clock.in(at + ages[drawn(std::size(ages))], [this, id = p.id] { cancelOnceTold(id); });
+    w.clock.in(at + ages[drawn(std::size(ages))], [this, id = p.id] { cancelOnceAccepted(id); });
   }
 }
 
@@ -148,13 +148,13 @@
   w.clock.in(300 + drawn(1000), [&w, id, node] { w.abortThrough(id, node); });
   for (int i = 0; i < 250 && seen->cancelledAt < 0; ++i) w.runFor(kStep);
   // Waits until the worker has forgotten the earlier attempt.
-  for (int i = 0; i < 100 && knows(id, seen->before); ++i) w.runFor(kStep);
+  for (int i = 0; i < 100 && isKnownToWorkers(id, seen->before); ++i) w.runFor(kStep);
   // The controller's last read was answered kSlow before it could commit, so the cancellation must
   // come less than kSlow after the placement.
   bool met = seen->placedAt >= 0 && seen->placedAt > seen->cancelledAt - kSlow &&
-             seen->placedAt <= seen->cancelledAt && !knows(id, seen->before);
+             seen->placedAt <= seen->cancelledAt && !isKnownToWorkers(id, seen->before);
   w.network.slowState = 0;
-  onlyReaches(node, kCut);
+  letWorkersReachOnly(node, kCut);
   w.runFor(60);
   w.state.onCommit = hook;
   return met;
--- a/tests/scenario_concurrent_reads.hpp
+++ b/tests/scenario_concurrent_reads.hpp
@@ -55,9 +55,9 @@
   // at any age. The state service refuses changes above its rate limit.
   void singlesCancelled(std::int64_t ms);
   // Cancels the job as soon as its user has the answer that it is accepted.
-  void cancelOnceTold(const std::string& id) {
+  void cancelOnceAccepted(const std::string& id) {
     if (world_->isAccepted(id)) return world_->abort(id);
-    world_->clock.in(100, [this, id] { cancelOnceTold(id); });
+    world_->clock.in(100, [this, id] { cancelOnceAccepted(id); });
   }
 
   // own_abort TIMES: a controller commits a cancellation without having read the newest placement
@@ -72,7 +72,7 @@
   };
   bool ownAbortOf(const std::string& id);
   // Makes this controller the only one that workers reach, and holds its links to its peers.
-  void onlyReaches(int node, std::int64_t ms) {
+  void letWorkersReachOnly(int node, std::int64_t ms) {
     link(node, "peers", "hold", ms);
     std::set<std::string> rest;
     for (int n = 0; n < settings_.nodes; ++n) {
@@ -93,7 +93,7 @@
       world_->runFor(0.01);
     }
   }
-  bool knows(const std::string& id, std::uint64_t attempt) const {
+  bool isKnownToWorkers(const std::string& id, std::uint64_t attempt) const {
     for (const auto& [host, worker] : world_->workers) {
       for (const auto& t : worker->tasks) {
         if (t.job == id && t.attempt == attempt) return true;
--- a/tests/scenario_expect_jobs.cpp
+++ b/tests/scenario_expect_jobs.cpp
@@ -42,18 +42,19 @@
 void ScenarioExpect::expectUnderserved(const Line& line) {
   const auto& words = line.words;
   std::string whom = words.at(2) + " " + words.at(3);
-  mayStarve_.insert(whom);
-  EXPECT_TRUE(world_->underserved(kLeastServed, kJudgedMs).contains(whom)) << whom << " is served";
+  mayBeUnderserved_.insert(whom);
+  EXPECT_TRUE(world_->underserved(kMinServedShare, kMinJudgedMs).contains(whom))
+      << whom << " is served";
 }
 
 // expect answered: checks that no job is left without an answer. The line must come at least 75 s
 // after the last fault.
-void ScenarioExpect::expectAnswered(const Line&) { world_->expectAnswered(kForgotten); }
+void ScenarioExpect::expectAnswered(const Line&) { world_->expectAnswered(kAnswerBoundMs); }
 
 // expect unanswered ID: checks that `expect answered` would report this job.
 void ScenarioExpect::expectUnanswered(const Line& line) {
   const auto& words = line.words;
-  EXPECT_TRUE(world_->unanswered(kForgotten).contains(words.at(2))) << "was answered";
+  EXPECT_TRUE(world_->unanswered(kAnswerBoundMs).contains(words.at(2))) << "was answered";
 }
 
 // expect goneby most S: checks that the tasks of cancelled jobs stopped within S seconds of the
--- a/tests/scenario_fault_combinations.cpp
+++ b/tests/scenario_fault_combinations.cpp
@@ -45,7 +45,7 @@
     for (int i = 0; i < 2; ++i) cancelThroughOthers(pick(ms));
     if (pick(2)) crashAt(pick(ms), "leader", pick(900));
   } else if (what == "alone") {  // The leader reaches only the workers.
-    alone("leader", pick(2) ? "hold" : "reset", ms);
+    isolate("leader", pick(2) ? "hold" : "reset", ms);
     for (int i = 0; i < 3; ++i) cancelThroughOthers(pick(ms));
   } else if (what == "over") {
     // Leaders crash, and at a drawn moment all controllers do; one of them restarts within 0.9 s.
@@ -80,8 +80,8 @@
   } else if (what == "old") {  // Reports of earlier sessions and attempts arrive after newer ones.
     w.network.copies = {0.5, 1000, 60000};
     w.clock.in(ms, [&w] { w.network.copies = {}; });
-    deafZone(settings_.zones[static_cast<std::size_t>(pick(2))], CutMode::hold,
-             static_cast<std::int64_t>(settings_.leaseS * 1000) + pick(8000));
+    blockMessagesToZone(settings_.zones[static_cast<std::size_t>(pick(2))], CutMode::hold,
+                        static_cast<std::int64_t>(settings_.leaseS * 1000) + pick(8000));
     cancelThroughOthers(pick(ms));
     if (pick(2)) crashAt(pick(ms), "leader", pick(900));
   } else if (what == "launch") {  // The direct launches of the next placement are delayed.
--- a/tests/scenario_fault_combinations.hpp
+++ b/tests/scenario_fault_combinations.hpp
@@ -30,8 +30,8 @@
   // lead at that moment. The first submitted job is never cancelled, and each other job at most
   // once.
   void cancelThroughOthers(std::int64_t at) {
-    if (cancelled_ + 1 >= named_.size()) return;
-    std::string id = named_[++cancelled_];
+    if (cancelled_ + 1 >= jobsOfLines_.size()) return;
+    std::string id = jobsOfLines_[++cancelled_];
     world_->clock.in(at,
                      [this, id] { world_->abortThrough(id, nodeOf(pick(2) ? "other" : "third")); });
   }
@@ -57,7 +57,7 @@
     world_->clock.in(refused, [this, outage] { world_->state.outage(outage); });
   }
 
-  std::size_t cancelled_ = 0;  // This is the index in named_ of the last cancelled job.
+  std::size_t cancelled_ = 0;  // This is the index in jobsOfLines_ of the last cancelled job.
 };
 
 }  // namespace kestrelhoist::sim
--- a/tests/scenario_faults.cpp
+++ b/tests/scenario_faults.cpp
@@ -2,7 +2,7 @@
 
 namespace kestrelhoist::sim {
 
-std::string wrongNumber(const Line& line) {
+std::string numberError(const Line& line) {
   // Maps each verb to the positions of its numbers; the verb has position 0.
   static const std::map<std::string, std::vector<int>> kPlaces{{"seeds", {1, 2}},
                                                                {"run", {1}},
@@ -78,7 +78,7 @@
     constexpr std::size_t kStepFrom = 4;
     if (words.size() <= kStepFrom) return "at needs a step";
     if (auto why = bad(words[kStepFrom - 1]); !why.empty()) return why;
-    return wrongNumber({line.file, line.number, {words.begin() + kStepFrom, words.end()}});
+    return numberError({line.file, line.number, {words.begin() + kStepFrom, words.end()}});
   }
   auto at = kPlaces.find(words[0]);
   if (at != kPlaces.end()) {
@@ -238,7 +238,7 @@
   return job;
 }
 
-void ScenarioFaults::beside(const std::string& what, std::int64_t ms) {
+void ScenarioFaults::addFault(const std::string& what, std::int64_t ms) {
   World& w = *world_;
   if (what == "crash" || what == "leader") crash("leader", kRestartMs);
   if (what == "all") crash("all", kRestartMs);
@@ -248,13 +248,13 @@
     if (auto host = busyMachine("spot"); w.workers.contains(host)) w.workers[host]->notice(ms);
   }
   if (what == "abort") w.abort("j-000005");
-  if (what == "deaf") deafZone("b", CutMode::hold, ms);
-  if (what == "lone") alone("other", "hold", ms);
+  if (what == "deaf") blockMessagesToZone("b", CutMode::hold, ms);
+  if (what == "lone") isolate("other", "hold", ms);
 }
 
-void ScenarioFaults::caught(const std::string& step, const std::string& member) {
+void ScenarioFaults::crashAtElectionStep(const std::string& step, const std::string& member) {
   World& w = *world_;
-  for (auto& c : catches_) {
+  for (auto& c : electionCrashes_) {
     if (c.step != step || c.left <= 0) continue;
     --c.left;
     w.clock.in(0, [this, member, c] {
@@ -267,9 +267,9 @@
 }
 
 void ScenarioFaults::watchElection() {
-  if (catches_.size() > 1) return;
+  if (electionCrashes_.size() > 1) return;
   World& w = *world_;
-  w.state.onLease = [this](const std::string& host) { caught("lease", host); };
+  w.state.onLease = [this](const std::string& host) { crashAtElectionStep("lease", host); };
   w.state.onCommit = [this, &w, before = w.state.onCommit,
                       newest = std::string()](const Json& writes) mutable {
     before(writes);
@@ -277,11 +277,11 @@
       auto key = write.value("set", std::string());
       if (key == "kh/leader") {
         newest = write["data"].at("member").get<std::string>();
-        caught("token", newest);
-        w.clock.in(300, [this, newest] { caught("round", newest); });
+        crashAtElectionStep("token", newest);
+        w.clock.in(300, [this, newest] { crashAtElectionStep("round", newest); });
       } else if (!newest.empty() && (key.starts_with("kh/tasks/") || key == "kh/forecast" ||
                                      key.starts_with("kh/rental/"))) {
-        caught("commit", std::exchange(newest, ""));
+        crashAtElectionStep("commit", std::exchange(newest, ""));
       }
     }
   };
@@ -402,7 +402,7 @@
       break;
     }
     case 16:
-      beside("lone", fault.durationMs);
+      addFault("lone", fault.durationMs);
       break;
     default:
       break;
@@ -425,7 +425,8 @@
       break;
     case 17:
       if (drawBelow(2)) {
-        deafZone(settings_.zones[drawBelow(settings_.zones.size())], fault.mode, fault.durationMs);
+        blockMessagesToZone(settings_.zones[drawBelow(settings_.zones.size())], fault.mode,
+                            fault.durationMs);
       } else if (!fault.busy.empty()) {
         w.network.cut(fault.busy[drawBelow(fault.busy.size())], {}, CutMode::hold, fault.durationMs,
                       CutWay::in);
--- a/tests/scenario_faults.hpp
+++ b/tests/scenario_faults.hpp
@@ -38,7 +38,7 @@
 constexpr std::int64_t kRestartMs = 4000;  // A crashed process restarts after this time by default.
 
 // Returns why a number in the line is malformed or impossible, or an empty text if all are valid.
-std::string wrongNumber(const Line& line);
+std::string numberError(const Line& line);
 
 /// Plays faults in the world of one scenario. The seed of the world decides everything drawn.
 class ScenarioFaults {
@@ -69,10 +69,10 @@
   // is every controller but the one that `alone` isolated.
   void crash(std::string who, std::int64_t downMs) {
     for (int i = 0; who == "rest" && i < settings_.nodes; ++i) {
-      if (i != alone_) world_->crash(i, downMs);
+      if (i != isolatedNode_) world_->crash(i, downMs);
     }
     if (who == "rest") return;
-    if (who == "turn") who = std::to_string(turn_++ % settings_.nodes);
+    if (who == "turn") who = std::to_string(nextNodeToCrash_++ % settings_.nodes);
     if (who != "all") return world_->crash(nodeOf(who), downMs);
     for (int i = 0; i < settings_.nodes; ++i) world_->crash(i, downMs);
   }
@@ -115,24 +115,24 @@
   JobPlan jobFrom(const std::string& id, const std::map<std::string, std::string>& chosen);
 
   // Cuts a controller off from the state service and its peers; workers still reach it.
-  void alone(const std::string& who, const std::string& how, std::int64_t ms) {
-    alone_ = nodeOf(who);
-    link(alone_, "state", how, ms);
-    link(alone_, "peers", how, ms);
+  void isolate(const std::string& who, const std::string& how, std::int64_t ms) {
+    isolatedNode_ = nodeOf(who);
+    link(isolatedNode_, "state", how, ms);
+    link(isolatedNode_, "peers", how, ms);
   }
 
   // beside WHAT SECONDS: adds another fault at the same time.
-  void beside(const std::string& what, std::int64_t ms);
+  void addFault(const std::string& what, std::int64_t ms);
 
   // catch STEP WHO DOWN TIMES: crashes controllers at this step of an election, TIMES times. WHO is
   // the candidate (`one`), the candidate and one other (`two`) or `all`. The processes restart
   // after DOWN seconds.
-  struct Catch {
+  struct ElectionCrash {
     std::string step, who;
     std::int64_t downMs{};
     int left{};
   };
-  void caught(const std::string& step, const std::string& member);
+  void crashAtElectionStep(const std::string& step, const std::string& member);
   // Installs the hooks that detect the steps of an election. At `lease` the candidate has the lease
   // of the leader key but no fencing token; at `token` it has the token but no report; at `round`
   // reports arrive; at `commit` its first change is committed but not yet answered.
@@ -140,7 +140,7 @@
 
   // Holds or drops all messages to the zone's machines: their reports arrive, but neither answers
   // nor commands reach them.
-  void deafZone(const std::string& zone, CutMode how, std::int64_t ms) {
+  void blockMessagesToZone(const std::string& zone, CutMode how, std::int64_t ms) {
     for (const auto& [host, worker] : world_->workers) {
       if (zone == "all" || worker->zone == zone) {
         world_->network.cut(host, {}, how, ms, CutWay::in);
@@ -168,21 +168,21 @@
   void submitDrawnJob();
   std::uint64_t drawBelow(std::uint64_t bound);
 
-  static constexpr double kLeastServed = 0.5;
-  static constexpr std::int64_t kForgotten = 75000;
+  static constexpr double kMinServedShare = 0.5;
+  static constexpr std::int64_t kAnswerBoundMs = 75000;
   // Over a shorter time the loss of one machine alone could explain a small share.
-  static constexpr std::int64_t kJudgedMs = 40000;
-  std::set<std::string> mayStarve_;
+  static constexpr std::int64_t kMinJudgedMs = 40000;
+  std::set<std::string> mayBeUnderserved_;
   std::vector<Line> lines_;
   WorldSettings settings_;
   std::unique_ptr<World> world_;
   std::vector<std::string> submitted_;
-  std::vector<std::string> named_;  // Lines of the scenario submitted these jobs by id.
+  std::vector<std::string> jobsOfLines_;  // Lines of the scenario submitted these jobs by id.
   int nextJob_ = 500000;
-  int turn_ = 0;
+  int nextNodeToCrash_ = 0;
   int leadershipsBefore_ = 0;
-  std::vector<Catch> catches_;
-  int alone_ = -1, marked_ = -1;
+  std::vector<ElectionCrash> electionCrashes_;
+  int isolatedNode_ = -1, marked_ = -1;
   std::set<std::string> markedMachines_;
   std::int64_t machinesMarkedAt_ = 0;
   bool policies_ = false;
--- a/tests/scenario_late_messages.cpp
+++ b/tests/scenario_late_messages.cpp
@@ -12,20 +12,20 @@
     lateCommands(words);
   } else if (verb == "lose_reads") {  // lose_reads TIMES
     readsToLose_ = std::stoi(words.at(1));
-    listen();
+    installHooks();
   } else if (verb == "aborts") {
-    aborts(words);
+    cancelStream(words);
   } else if (verb == "crowd") {
-    crowd(std::stoi(words.at(1)));
+    storeEndedJobs(std::stoi(words.at(1)));
   } else {
     return false;
   }
   return true;
 }
 
-ScenarioLateMessages::Trouble ScenarioLateMessages::troubleFrom(
+ScenarioLateMessages::MessageFault ScenarioLateMessages::messageFaultFrom(
     const std::vector<std::string>& words) {
-  Trouble t;
+  MessageFault t;
   t.share = std::stod(words.at(1));
   t.until = world_->clock.now() + millis(words.at(2));
   for (std::size_t i = 3; i < words.size(); ++i) {
@@ -50,15 +50,15 @@
     --readsToLose_;
     return {0, true};
   }
-  if (request.path == "/commands" && falls(commands_)) {
-    befalls(commands_, from);
+  if (request.path == "/commands" && drawsFault(commands_)) {
+    failSender(commands_, from);
     if (commands_.noticeMs > 0) noticeAtLaunch(request);
     return {draw(kCommandFrom, kCommandTo), true};
   }
   if (request.path != "/commit" || world_->clock.now() >= writes_.until) return {};
   if (writes_.writer != "any" && writerOf(*decodeBody(request.body)) != writes_.writer) return {};
-  if (!falls(writes_)) return {};
-  befalls(writes_, from);
+  if (!drawsFault(writes_)) return {};
+  failSender(writes_, from);
   return {writes_.form == "at_once" ? 0 : draw(kWriteFrom, kWriteTo), true};
 }
 
@@ -67,7 +67,7 @@
   World& w = *world_;
   const Json body = *decodeBody(request.body);
   for (const auto& order : body.at("orders")) {
-    if (order.at("verb") != "launch" || notices_ >= kMost || draw(1, kOneIn) != 1) continue;
+    if (order.at("verb") != "launch" || noticeCount_ >= kMost || draw(1, kOneIn) != 1) continue;
     auto task = order.at("shard").get<std::string>();
     auto slash = task.find('/');
     auto index = static_cast<std::uint32_t>(std::stoul(task.substr(slash + 1)));
@@ -77,7 +77,7 @@
       if (placed == record->placed.end()) continue;
       auto worker = w.workers.find(placed->second.machine.value);
       if (worker == w.workers.end() || worker->second->gone || !worker->second->spot) continue;
-      ++notices_;
+      ++noticeCount_;
       w.clock.in(draw(1, 300), [this, target = worker->second.get()] {
         if (!target->gone) target->notice(commands_.noticeMs);
       });
@@ -85,11 +85,11 @@
   }
 }
 
-void ScenarioLateMessages::befalls(const Trouble& t, const std::string& author) {
+void ScenarioLateMessages::failSender(const MessageFault& t, const std::string& author) {
   constexpr std::int64_t kUnderWay = 6, kPause = 5000, kDeposed = 8000;
   if (t.ends == "stays" || !author.starts_with("node")) return;
-  if (world_->clock.now() < nextEnd_) return;
-  nextEnd_ = world_->clock.now() + kPause;
+  if (world_->clock.now() < nextSenderFailureAt_) return;
+  nextSenderFailureAt_ = world_->clock.now() + kPause;
   int node = std::stoi(author.substr(4));
   world_->clock.in(kUnderWay, [this, node, author, ends = t.ends] {
     if (ends == "deposed") return world_->state.refuse(author, kDeposed);
@@ -104,16 +104,16 @@
     world_->clock.in(millis(words.at(2)), [this] { world_->network.copies = {}; });
     return;
   }
-  reports_ = troubleFrom({words.begin(), words.begin() + 4});
-  step_ = words.at(4);
-  listen();
+  reports_ = messageFaultFrom({words.begin(), words.begin() + 4});
+  deliveryStep_ = words.at(4);
+  installHooks();
 }
 
 void ScenarioLateMessages::deliverKept() {
   if (world_->clock.now() >= reports_.until) return;
   constexpr std::int64_t kWithin = 600;
   constexpr int kOfEach = 4;
-  for (const auto& [host, kept] : kept_) {
+  for (const auto& [host, kept] : keptReports_) {
     for (int i = 0; i < kOfEach && !kept.empty(); ++i) {
       const Request& copy =
           kept[static_cast<std::size_t>(draw(0, static_cast<std::int64_t>(kept.size()) - 1))];
@@ -124,7 +124,7 @@
   }
 }
 
-void ScenarioLateMessages::crowd(int n) {
+void ScenarioLateMessages::storeEndedJobs(int n) {
   Json spec = {{"ref", ""},          {"lane", "any"},     {"owner", "team"}, {"shape", "batch"},
                {"rank", "standard"}, {"shards", 1},       {"cpus", 1.0},     {"gpus", 0.0},
                {"ram_gb", 1.0},      {"bundle", "img-1"}, {"size_gb", 1.0},  {"rigs", nullptr},
@@ -146,7 +146,7 @@
   }
 }
 
-std::string ScenarioLateMessages::unsound() {
+std::string ScenarioLateMessages::recordInconsistency() {
   World& w = *world_;
   std::map<std::string, int> onRecord;
   for (const auto& key : w.state.keysBelow(keys::kRental)) {
@@ -175,30 +175,30 @@
   return w.leaderNode() < 0 ? "nobody leads" : "";
 }
 
-void ScenarioLateMessages::listen() {
-  if (std::exchange(listening_, true)) return;
+void ScenarioLateMessages::installHooks() {
+  if (std::exchange(hooksInstalled_, true)) return;
   World& w = *world_;
   w.network.fateOf = [this](const std::string& from, const Request& q) { return fateOf(from, q); };
   w.network.onSent = [this](const std::string& from, const Request& q) {
-    keep(from, q);
+    keepReport(from, q);
     watchRentals(q);
-    if (!awaiting_) return;
-    if (q.path == "/hosts/release") reached("release");
-    if (q.path == "/commands") watchOrders(*decodeBody(q.body));
+    if (!awaitingStep_) return;
+    if (q.path == "/hosts/release") onLeaderStep("release");
+    if (q.path == "/commands") watchCommands(*decodeBody(q.body));
   };
   w.network.onAnswered = [this, before = w.network.onAnswered](const Request& q,
                                                                const Response& r) {
     if (before) before(q, r);
-    if (!awaiting_ || q.path != "/agent/beat" || r.status != 200) return;
-    if (auto body = decodeBody(r.body)) watchOrders(*body);
+    if (!awaitingStep_ || q.path != "/agent/beat" || r.status != 200) return;
+    if (auto body = decodeBody(r.body)) watchCommands(*body);
   };
   w.state.onCommit = [this, &w, before = w.state.onCommit](const Json& writes) {
     before(writes);
     for (const auto& write : writes) {
       if (write.value("set", std::string()) != keys::kLeader) continue;
-      awaiting_ = true;
-      reached("token");
-      w.clock.in(300, [this] { reached("round"); });
+      awaitingStep_ = true;
+      onLeaderStep("token");
+      w.clock.in(300, [this] { onLeaderStep("round"); });
     }
   };
 }
--- a/tests/scenario_late_messages.hpp
+++ b/tests/scenario_late_messages.hpp
@@ -54,16 +54,16 @@
   // it.
   void expectBooks() {
     constexpr int kSteps = 120;
-    std::string why = unsound();
+    std::string why = recordInconsistency();
     for (int i = 0; i < kSteps && !why.empty(); ++i) {
       world_->runFor(0.5);
-      why = unsound();
+      why = recordInconsistency();
     }
     EXPECT_EQ(why, "");
   }
 
  private:
-  struct Trouble {
+  struct MessageFault {
     double share = 0;
     std::int64_t until = 0;
     std::string form;    // This is `late` or `at_once`.
@@ -76,7 +76,7 @@
   std::int64_t draw(std::int64_t from, std::int64_t to) {
     return std::uniform_int_distribution<std::int64_t>(from, to)(world_->random);
   }
-  bool falls(const Trouble& t) {
+  bool drawsFault(const MessageFault& t) {
     return world_->clock.now() < t.until && std::bernoulli_distribution(t.share)(world_->random);
   }
   static std::int64_t millis(const std::string& seconds) {
@@ -84,30 +84,30 @@
   }
   // Parses the words of a line. After the second word come "key value" pairs; `late`, `at_once` and
   // `for_next` have no value.
-  Trouble troubleFrom(const std::vector<std::string>& words);
+  MessageFault messageFaultFrom(const std::vector<std::string>& words);
 
   // late_writes SHARE SECONDS at_once|late [of WRITER] [ends stays|deposed|SECONDS]: loses the
   // answers to this share of a writer's transactions. The state service applies them at once, or 2
   // to 12 s later and thus after newer ones. With `ends` the sender is deposed or crashes right
   // after sending.
   void lateWrites(const std::vector<std::string>& words) {
-    if (words[3] == "none") return listen();
-    writes_ = troubleFrom(words);
-    listen();
+    if (words[3] == "none") return installHooks();
+    writes_ = messageFaultFrom(words);
+    installHooks();
   }
   // late_commands SHARE SECONDS [ends stays|deposed|SECONDS] [notices SECONDS]: delivers this share
   // of direct commands 2 to 16 s late and loses the answers. The worker executes a command only if
   // the fencing token and the worker session still match. With `notices`, some spot machines get
   // their termination notice while a launch is under way to them.
   void lateCommands(const std::vector<std::string>& words) {
-    commands_ = troubleFrom(words);
-    listen();
+    commands_ = messageFaultFrom(words);
+    installHooks();
   }
   Network::Fate fateOf(const std::string& from, const Request& request);
   void noticeAtLaunch(const Request& request);
   // Deposes or crashes the sender once its message is under way, at most once every 5 s, so that a
   // controller can lead in between.
-  void befalls(const Trouble& t, const std::string& author);
+  void failSender(const MessageFault& t, const std::string& author);
 
   // late_reports SHARE SECONDS [for_next STEP]: delivers a copy of this share of reports 1 to 60 s
   // later. With `for_next` the copies are kept and delivered to every controller when the next
@@ -115,29 +115,29 @@
   // `clear` or `release`. The oldest and newest reports of each machine are kept, so that some
   // belong to earlier sessions and attempts.
   void lateReports(const std::vector<std::string>& words);
-  void keep(const std::string& from, const Request& request) {
-    if (request.path != "/agent/beat" || !falls(reports_)) return;
+  void keepReport(const std::string& from, const Request& request) {
+    if (request.path != "/agent/beat" || !drawsFault(reports_)) return;
     constexpr std::size_t kKept = 24, kOldest = 8;
-    auto& kept = kept_[from];
+    auto& kept = keptReports_[from];
     kept.push_back(request);
     if (kept.size() > kKept) kept.erase(kept.begin() + kOldest);
   }
   // Delivers the kept reports at several drawn moments within 600 ms, because the moment at which
   // the new leader evaluates reports is not known exactly.
   void deliverKept();
-  void reached(const std::string& step) {
-    if (step != step_ || !awaiting_) return;
-    awaiting_ = false;
+  void onLeaderStep(const std::string& step) {
+    if (step != deliveryStep_ || !awaitingStep_) return;
+    awaitingStep_ = false;
     deliverKept();
   }
-  void watchOrders(const Json& body) {
-    const Json* orders = awaiting_ ? field(body, "orders") : nullptr;
+  void watchCommands(const Json& body) {
+    const Json* orders = awaitingStep_ ? field(body, "orders") : nullptr;
     if (!orders) return;
-    for (const auto& order : *orders) reached(order.at("verb").get<std::string>());
+    for (const auto& order : *orders) onLeaderStep(order.at("verb").get<std::string>());
   }
 
   // aborts FIRST-ID COUNT every S after S: cancels the jobs of a stream one after the other.
-  void aborts(const std::vector<std::string>& words) {
+  void cancelStream(const std::vector<std::string>& words) {
     constexpr std::int64_t kSpread = 1500;
     int number = std::stoi(words.at(1).substr(2));
     for (int i = 0; i < std::stoi(words.at(2)); ++i) {
@@ -149,12 +149,12 @@
   }
 
   // crowd N: stores the records of N jobs that ended long ago.
-  void crowd(int n);
+  void storeEndedJobs(int n);
 
   // Returns the first inconsistency between the records and the rented machines, or an empty text.
-  std::string unsound();
+  std::string recordInconsistency();
 
-  void listen();
+  void installHooks();
   // Checks that two rental calls with the same rental id ask for the same machines, whichever
   // controller sends them.
   void watchRentals(const Request& q) {
@@ -164,13 +164,13 @@
     if (!isNew && it->second != wanted) world_->breaks("rental_twice", wanted.dump());
   }
 
-  Trouble writes_, commands_, reports_;
+  MessageFault writes_, commands_, reports_;
   int readsToLose_ = 0;  // The leader's next reads of the change feed lose their answers.
-  std::string step_;
-  bool awaiting_ = false, listening_ = false;
-  std::int64_t nextEnd_ = 0;
-  int notices_ = 0;
-  std::map<std::string, std::deque<Request>> kept_;
+  std::string deliveryStep_;
+  bool awaitingStep_ = false, hooksInstalled_ = false;
+  std::int64_t nextSenderFailureAt_ = 0;
+  int noticeCount_ = 0;
+  std::map<std::string, std::deque<Request>> keptReports_;
   std::map<std::string, Json> rentals_;
 };
 
--- a/tests/scenario_machine_faults.cpp
+++ b/tests/scenario_machine_faults.cpp
@@ -15,9 +15,9 @@
   } else if (words[0] == "cancel_edge") {  // cancel_edge TIMES
     for (int i = 0; i < std::stoi(words.at(1)) && w.broken.empty(); ++i) cancelEdge();
   } else if (words[0] == "machine_mute") {  // machine_mute busy|HOST|SHARE|ZONE|all SECONDS
-    mute(words.at(1), ms(2));
+    blockConnections(words.at(1), ms(2));
   } else if (words[0] == "reach") {  // reach hang|cut|deaf SECONDS
-    outOfReach(words.at(1), ms(2));
+    makeUnreachable(words.at(1), ms(2));
   } else if (words[0] == "disturb") {  // disturb nothing|held|late SECONDS
     disturb(words.at(1), ms(2));
   } else if (words[0] == "calm") {  // This line ends all faults.
@@ -31,13 +31,13 @@
 void ScenarioMachineFaults::cancelNow(int count, std::int64_t hangMs) {
   World& w = *world_;
   std::vector<std::string> hosts;
-  for (const auto& id : someRunning(count)) {
+  for (const auto& id : drawRunningJobs(count)) {
     w.clock.in(draw(200), [&w, id] { w.abort(id); });
     for (const auto& host : w.machinesOf(id)) hosts.push_back(host);
   }
   if (hangMs == 0) return;
   std::shuffle(hosts.begin(), hosts.end(), w.random);
-  if (hosts.size() > kMostHang) hosts.resize(kMostHang);
+  if (hosts.size() > kMaxHungMachines) hosts.resize(kMaxHungMachines);
   for (const auto& host : hosts) {
     w.clock.in(draw(200), [&w, host, hangMs] { w.workers[host]->hang(hangMs); });
   }
@@ -55,7 +55,7 @@
     auto round = static_cast<std::int64_t>(settings_.reportS * 1250) + 500;
     for (int i = 0; i < count; ++i) {
       w.clock.in(draw(round), [this, &w, node = i % settings_.nodes] {
-        for (const auto& id : someRunning(1)) w.abortThrough(id, node);
+        for (const auto& id : drawRunningJobs(1)) w.abortThrough(id, node);
       });
     }
   };
@@ -70,14 +70,14 @@
     w.state.refuse("node" + std::to_string(leader), kThenAll + outage);
   });
   w.clock.in(kEdge + kThenAll, [&w, outage] { w.state.outage(outage); });
-  for (const auto& id : someRunning(4)) {
+  for (const auto& id : drawRunningJobs(4)) {
     w.clock.in(draw(2 * kEdge),
                [this, &w, id] { w.abortThrough(id, static_cast<int>(draw(settings_.nodes))); });
   }
   w.runFor(static_cast<double>(kEdge + kThenAll + outage + kUntilOver) / 1000);
 }
 
-void ScenarioMachineFaults::outOfReach(const std::string& how, std::int64_t ms) {
+void ScenarioMachineFaults::makeUnreachable(const std::string& how, std::int64_t ms) {
   World& w = *world_;
   for (const auto& host : w.machinesWithTasks()) {
     if (draw(3) != 0) continue;
@@ -89,7 +89,7 @@
   }
 }
 
-void ScenarioMachineFaults::mute(const std::string& which, std::int64_t ms) {
+void ScenarioMachineFaults::blockConnections(const std::string& which, std::int64_t ms) {
   World& w = *world_;
   bool share = which.find('.') != std::string::npos;
   auto one = busyMachine(which);
--- a/tests/scenario_machine_faults.hpp
+++ b/tests/scenario_machine_faults.hpp
@@ -12,16 +12,16 @@
   bool machineFaultsStep(const Line& line);
 
  private:
-  static constexpr double kLongToGo = 30;
-  static constexpr std::size_t kMostHang = 8;
+  static constexpr double kMinRemainingS = 30;
+  static constexpr std::size_t kMaxHungMachines = 8;
 
   std::int64_t draw(std::int64_t n) {
     return static_cast<std::int64_t>(world_->random() % static_cast<std::uint64_t>(n));
   }
 
   // Draws up to `count` of the jobs that would run for at least 30 s more.
-  std::vector<std::string> someRunning(int count) {
-    auto ids = world_->runningFor(kLongToGo);
+  std::vector<std::string> drawRunningJobs(int count) {
+    auto ids = world_->runningFor(kMinRemainingS);
     // The caller cancels the drawn jobs, and jobs of the class `kept` must not be cancelled.
     std::erase_if(ids, [this](const auto& id) { return world_->plan(id)->jobClass == "kept"; });
     std::shuffle(ids.begin(), ids.end(), world_->random);
@@ -43,7 +43,7 @@
 
   // Makes a third of the machines with tasks hang (`hang`), cuts them off in both directions
   // (`cut`) or for messages to them only (`deaf`).
-  void outOfReach(const std::string& how, std::int64_t ms);
+  void makeUnreachable(const std::string& how, std::int64_t ms);
 
   // Delays a fifth of commands and answers (`held`) or applies a tenth of the transactions late
   // (`late`) for this time.
@@ -59,7 +59,7 @@
 
   // Keeps workers from opening connections to controllers. The word selects one machine, a share of
   // all machines, those of a zone, or all.
-  void mute(const std::string& which, std::int64_t ms);
+  void blockConnections(const std::string& which, std::int64_t ms);
 };
 
 }  // namespace kestrelhoist::sim
--- a/tests/scenario_steps_controllers.cpp
+++ b/tests/scenario_steps_controllers.cpp
@@ -13,7 +13,7 @@
 
 // alone NODE MODE SECONDS: cuts the controller off from the state service and from its peers.
 void Scenario::isolateController(const Line& line) {
-  alone(line.words.at(1), line.words.at(2), toMilliseconds(line.words.at(3)));
+  isolate(line.words.at(1), line.words.at(2), toMilliseconds(line.words.at(3)));
 }
 
 // clock NODE off SECONDS: steps the controller's time of day forward, or back if SECONDS is
@@ -40,7 +40,7 @@
 // catch STEP WHO DOWN TIMES: crashes these controllers at that step of an election.
 void Scenario::crashInElection(const Line& line) {
   const auto& words = line.words;
-  catches_.push_back(
+  electionCrashes_.push_back(
       {words.at(1), words.at(2), toMilliseconds(words.at(3)), std::stoi(words.at(4))});
   watchElection();
 }
@@ -99,7 +99,7 @@
 
 // beside WHAT SECONDS: adds another fault at the same time.
 void Scenario::faultBeside(const Line& line) {
-  beside(line.words.at(1), toMilliseconds(line.words.at(2)));
+  addFault(line.words.at(1), toMilliseconds(line.words.at(2)));
 }
 
 // gap TIMES: plays the combination that ScenarioFaultCombinations::gap describes.
--- a/tests/scenario_steps_jobs.cpp
+++ b/tests/scenario_steps_jobs.cpp
@@ -6,7 +6,7 @@
 // submit ID KEY VALUE ...: submits a job with these options.
 void Scenario::submitJob(const Line& line) {
   world_->submit(jobFrom(line.words.at(1), options(line, 2)));
-  named_.push_back(line.words.at(1));
+  jobsOfLines_.push_back(line.words.at(1));
 }
 
 // stream FROM-ID EVERY SECONDS for SECONDS KEY VALUE ...: submits jobs at regular intervals, with
@@ -123,7 +123,7 @@
 // starves class|team NAME: allows this class or team to get less than half of its share. The
 // scenario's comment gives the reason.
 void Scenario::mayBeUnderserved(const Line& line) {
-  mayStarve_.insert(line.words.at(1) + " " + line.words.at(2));
+  mayBeUnderserved_.insert(line.words.at(1) + " " + line.words.at(2));
 }
 
 // polls FACTOR SECONDS: multiplies the rate of users' status requests by FACTOR.
--- a/tests/scenario_steps_machines.cpp
+++ b/tests/scenario_steps_machines.cpp
@@ -52,7 +52,7 @@
 // deafzone ZONE|all hold|drop SECONDS: keeps all messages from reaching the zone's machines.
 void Scenario::cutInboundOfZone(const Line& line) {
   const auto& words = line.words;
-  deafZone(words.at(1), mode(words.at(2)), toMilliseconds(words.at(3)));
+  blockMessagesToZone(words.at(1), mode(words.at(2)), toMilliseconds(words.at(3)));
 }
 
 // lose answers|late SHARE: loses this share of all answers, or delays this share of all requests.
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -47,7 +47,7 @@
     auto unknown = std::find_if(line.words.begin(), line.words.end(),
                                 [](const std::string& word) { return word[0] == '$'; });
     std::string why =
-        unknown != line.words.end() ? "nothing is chosen for " + *unknown : wrongNumber(line);
+        unknown != line.words.end() ? "nothing is chosen for " + *unknown : numberError(line);
     if (why.empty()) continue;
     std::cerr << line.where() << ": " << why << "\n";
     std::exit(2);
