--- a/src/rules/execute.hpp
+++ b/src/rules/execute.hpp
@@ -1,20 +1,24 @@
 /// \file
-/// What stands around a command on the machine that runs it: directories before, outputs after.
+/// Prepares the working directory before the command of an instance runs, and checks the outputs of
+/// the command after it has ended.
 #pragma once
 
 #include "rules/plan.hpp"
 
 namespace kestrelhoist::rules {
 
-/// Makes the directories of outputs and log. Empty: fine; otherwise why not.
+/// Creates the parent directories of the outputs and of the log file, and removes outputs that an
+/// earlier attempt left behind. Returns an empty string on success, otherwise the error message.
 std::string prepare(const std::string& directory, const PlannedInstance& instance);
-/// After the command has ended: checks, touches, protects or removes outputs. Empty: the attempt
-/// has made what it should; otherwise why it counts as failed.
+/// Checks, touches, write-protects or removes the outputs after the command has ended. Returns an
+/// empty string if the attempt succeeded, otherwise the reason why the attempt counts as failed.
 std::string conclude(const std::string& directory, const PlannedInstance& instance, bool succeeded,
                      double seconds);
-/// A file's name below the directory: not absolute, no "..".
+/// Returns whether the file name is a relative path without ".." components, so that the file lies
+/// below the directory of the flow.
 bool staysInside(const std::string& name);
-/// Files below a directory, relative and sorted, hidden ones left out; at most `most`.
+/// Returns the sorted relative paths of the regular files below a directory. Hidden files and
+/// hidden directories are left out, and at most `most` files are returned.
 std::vector<std::string> filesBelow(const std::string& directory, std::size_t most);
 
 }  // namespace kestrelhoist::rules
--- a/src/rules/groups.hpp
+++ b/src/rules/groups.hpp
@@ -1,13 +1,15 @@
 /// \file
-/// Groups of rules (Snakemake): what of one group needs one another runs as one instance.
+/// Merges Snakemake rule groups: instances of one group that depend on one another directly are
+/// merged and run as one instance.
 #pragma once
 
 #include "rules/plan.hpp"
 
 namespace kestrelhoist::rules {
 
-/// `groupOf`: by rule, empty for none. Tells which instances stand for several now. Throws
-/// RuleError.
+/// Merges the instances of each group. `groupOf` holds the group name of each rule and is empty for
+/// a rule without a group. Returns for each instance of the new plan whether it was merged from
+/// several instances. Throws RuleError if the merged instances would form a dependency cycle.
 std::vector<bool> mergeGroups(FlowPlan& plan, const std::vector<std::string>& groupOf);
 
 }  // namespace kestrelhoist::rules
--- a/src/rules/snake.hpp
+++ b/src/rules/snake.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Snakemake rule files: read into rules, then resolved for targets into a plan.
+/// Reads Snakefiles into rules and resolves the rules for the requested targets into a flow plan.
 #pragma once
 
 #include <functional>
@@ -10,28 +10,38 @@
 
 namespace kestrelhoist::rules {
 
-/// Reads a file that a rule file names (relative to the first one); empty: there is none.
+/// Reads a file that a rule file refers to. The name is relative to the directory of the main rule
+/// file. Returns nothing if the file does not exist.
 using ReadFile = std::function<std::optional<std::string>(const std::string& name)>;
 
-/// What is asked for, whichever language the file is in.
+/// Describes what to plan. The request is the same for Makefiles and Snakefiles.
 struct PlanRequest {
-  std::string file;  ///< its name
+  /// This is the name of the main rule file.
+  std::string file;
   ReadFile read;
-  std::vector<std::string> targets;  ///< files or rules; none: the file's first
-  std::vector<std::string> sources;  ///< files that are there
-  std::vector<std::pair<std::string, std::string>> config;  ///< set from outside, in order
-  std::string image = "default";                            ///< of rules that name none
+  /// Targets are names of files or rules. The default target of the file is used if this is empty.
+  std::vector<std::string> targets;
+  /// Sources are the files that already exist.
+  std::vector<std::string> sources;
+  /// These settings override the configuration in the rule file. Later entries win.
+  std::vector<std::pair<std::string, std::string>> config;
+  /// The image, its size and the spot setting apply to rules that do not set their own.
+  std::string image = "default";
   double imageGb = 0;
-  bool spot = true;  ///< of rules that do not say
+  bool spot = true;
   Limits limits;
 };
 
-struct SnakeFiles {  // a list of files, some of which have names
+/// Holds the files of an input, output or log directive. Some of the files have names.
+struct SnakeFiles {
   std::vector<Value> files;
-  std::vector<std::pair<std::string, std::pair<std::size_t, std::size_t>>> names;  ///< first, count
-  std::vector<Place> places;                                                       ///< as files
+  /// Each name is paired with the index of its first file and the number of its files.
+  std::vector<std::pair<std::string, std::pair<std::size_t, std::size_t>>> names;
+  /// The positions are in the same order as `files`.
+  std::vector<Place> places;
 };
 
+/// Describes one rule or checkpoint of a Snakefile.
 struct SnakeRule {
   std::string name;
   Place place;
@@ -47,16 +57,22 @@
   bool defaultTarget{};
 };
 
+/// Holds the contents of a Snakefile and of the files that it includes.
 struct SnakeFile {
   std::vector<SnakeRule> rules;
-  std::vector<std::vector<std::string>> order;  ///< ruleorder: earlier ones first
+  /// Each element is one ruleorder statement, whose rules are listed by descending precedence.
+  std::vector<std::vector<std::string>> order;
   std::map<std::string, std::string> constraints;
   std::vector<std::string> localRules;
-  std::vector<std::string> read;  ///< files that were read: the first, includes, configuration
+  /// These are the names of all files that were read: the main file, included files and
+  /// configuration files.
+  std::vector<std::string> read;
   Value config;
 };
 
+/// Reads the Snakefile of the request. Throws RuleError.
 SnakeFile readSnakefile(const PlanRequest& request);
+/// Resolves the requested targets into a plan. Throws RuleError.
 FlowPlan planSnakefile(const SnakeFile& file, const PlanRequest& request);
 
 }  // namespace kestrelhoist::rules
--- a/src/rules/snake_expr.hpp
+++ b/src/rules/snake_expr.hpp
@@ -1,6 +1,7 @@
 /// \file
-/// Expressions of Snakemake files, as far as they are data: literals, concatenation, names,
-/// configuration, and the documented functions. Anything that needs Python is refused by name.
+/// Evaluates the expressions of Snakefiles that need no Python interpreter: literals,
+/// concatenations, variables, configuration values and the supported functions. An expression that
+/// needs Python is rejected with an error that names the construct.
 #pragma once
 
 #include <functional>
@@ -10,29 +11,34 @@
 
 namespace kestrelhoist::rules {
 
-/// Where an argument list stands in a file.
+/// Holds the name and the text of a rule file, and converts offsets in the text to positions.
 struct Source {
   std::string file;
-  std::string_view text;  ///< of the whole file
+  /// This is the text of the whole file.
+  std::string_view text;
   Place at(std::size_t offset) const;
 };
 
+/// Holds the variables, the configuration and the resource usage of an evaluation.
 class SnakeEnv {
  public:
   std::map<std::string, Value> names;
   Value config = Value::dict();
-  std::vector<std::string> files;  ///< sources, for glob_wildcards
+  /// These are the source files that glob_wildcards matches.
+  std::vector<std::string> files;
   const Limits* limits = nullptr;
-  std::size_t steps = 0;  ///< spent so far
+  /// `steps` and `bytes` count the work that the evaluation has done so far.
+  std::size_t steps = 0;
   std::size_t bytes = 0;
 
-  /// Counts work; throws RuleError beyond the limits.
+  /// Counts evaluation steps and bytes. Throws RuleError if a limit is exceeded.
   void spend(std::size_t steps, std::size_t bytes, const Place& place);
 };
 
-/// Arguments at [begin, end) of the source: `"a", "b", name="c"`.
+/// Parses and evaluates the arguments at [begin, end) of the source, such as `"a", "b", name="c"`.
+/// Throws RuleError.
 Args parseArgs(const Source& source, std::size_t begin, std::size_t end, SnakeEnv& env);
-/// One expression.
+/// Parses and evaluates the expression at [begin, end) of the source. Throws RuleError.
 Value parseExpr(const Source& source, std::size_t begin, std::size_t end, SnakeEnv& env);
 
 }  // namespace kestrelhoist::rules
--- a/src/rules/snake_functions.hpp
+++ b/src/rules/snake_functions.hpp
@@ -1,26 +1,28 @@
 /// \file
-/// The functions of Snakemake files that are data: expand and its kin.
+/// Implements the Snakemake functions that need no Python interpreter, such as expand, multiext and
+/// glob_wildcards.
 #pragma once
 
 #include "rules/snake_expr.hpp"
 
 namespace kestrelhoist::rules {
 
-/// "X is not supported: it needs Python", or another reason.
+/// Throws a RuleError whose message consists of the construct and the reason.
 [[noreturn]] void refuse(const Place& place, const std::string& construct,
                          const std::string& why = "is not supported: it needs Python");
 
-/// Replaces each {field} by what `field` says of it; {{ and }} are braces.
+/// Replaces each {name} in a text by the result of `field` for that name. {{ and }} are escaped
+/// braces.
 std::string fillBraces(const std::string& text, const Place& place,
                        const std::function<std::string(const std::string&)>& field);
 
-/// temp, protected, directory, touch, ancient.
+/// Evaluates temp, protected, directory, touch and ancient, which set flags on files.
 Value flagged(const std::string& name, const Args& a, const Place& at, SnakeEnv& env);
 Value expand(const Args& a, const Place& at, SnakeEnv& env);
 Value multiext(const Args& a, const Place& at, SnakeEnv& env);
 Value globWildcards(const Args& a, const Place& at, SnakeEnv& env);
 Value range(const Args& a, const Place& at, SnakeEnv& env);
-/// "...".format(...)
+/// Evaluates the string method format, as in "{}.txt".format("a").
 std::string format(const std::string& text, const Args& a, const Place& at, SnakeEnv& env);
 
 }  // namespace kestrelhoist::rules
--- a/src/rules/snake_grammar.hpp
+++ b/src/rules/snake_grammar.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The grammar of expressions in Snakemake files; only snake_expr.cpp includes it.
+/// Defines the grammar of expressions in Snakefiles. Only snake_expr.cpp includes this header.
 #pragma once
 
 #include <tao/pegtl.hpp>
@@ -10,7 +10,7 @@
 namespace peg = tao::pegtl;
 
 namespace g {
-using namespace tao::pegtl;  ///< NOLINT: a grammar reads as such
+using namespace tao::pegtl;  // NOLINT: the directive keeps the grammar readable.
 struct comment : seq<one<'#'>, star<not_one<'\n'>>> {};
 struct ws : star<sor<one<' ', '\t', '\r', '\n'>, comment, seq<one<'\\'>, eol>>> {};
 template <char Q>
--- a/src/rules/value.hpp
+++ b/src/rules/value.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Values of rule files: what literals, configuration files and the supported functions give.
+/// Defines the values that literals, configuration files and the supported functions of rule files
+/// evaluate to.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +11,7 @@
 
 namespace kestrelhoist::rules {
 
+/// Holds a value of one of the supported kinds.
 struct Value {
   enum class Kind { none, boolean, integer, real, text, list, dict };
   Kind kind = Kind::none;
@@ -17,9 +19,11 @@
   std::int64_t n{};
   double d{};
   std::string s;
-  OutputFlags flags;  ///< of a text that names a file
+  /// The flags apply if the value is a text that names a file.
+  OutputFlags flags;
   std::vector<Value> items;
-  std::vector<std::pair<std::string, Value>> fields;  ///< in their order
+  /// The fields of a dictionary are kept in insertion order.
+  std::vector<std::pair<std::string, Value>> fields;
 
   static Value of(std::string text) {
     Value v;
@@ -71,19 +75,21 @@
     }
     fields.emplace_back(name, std::move(value));
   }
-  /// As it stands in a text; lists separated by blanks.
+  /// Formats the value for use in a text. The items of a list are separated by spaces.
   std::string str() const;
   const char* kindName() const;
 };
 
-/// Positional and named arguments.
+/// Holds the positional and named arguments of a call or directive.
 struct Args {
   std::vector<Value> positional;
   std::vector<std::pair<std::string, Value>> named;
-  std::vector<Place> places;  ///< of the positional ones, then of the named ones
+  /// The positions of the positional arguments come before those of the named arguments.
+  std::vector<Place> places;
 };
 
-/// Reads a YAML file's text; throws RuleError.
+/// Parses the text of a YAML file, which must be a map. An empty file gives an empty dictionary.
+/// Throws RuleError.
 Value valueFromYaml(const std::string& text, const std::string& file, const Limits& limits);
 
 }  // namespace kestrelhoist::rules
