--- a/src/rules/bundle.cpp
+++ b/src/rules/bundle.cpp
@@ -8,12 +8,13 @@
 namespace kestrelhoist::rules {
 namespace {
 
-// BLAKE2b of a sequence of texts and numbers, 64 bits of it.
+// Hashes a sequence of texts and numbers with BLAKE2b and returns the first 64 bits.
 class Hash {
  public:
   Hash() { crypto_generichash_init(&state_, nullptr, 0, 16); }
   Hash& add(std::string_view text) {
-    number(text.size());  // no two sequences have the same bytes
+    // The length prefix ensures that different sequences never hash the same bytes.
+    number(text.size());
     crypto_generichash_update(&state_, reinterpret_cast<const unsigned char*>(text.data()),
                               text.size());
     return *this;
@@ -46,7 +47,7 @@
   std::string out(sodium_base64_encoded_len(n, sodium_base64_VARIANT_ORIGINAL), '\0');
   sodium_bin2base64(out.data(), out.size(), reinterpret_cast<const unsigned char*>(packed.data()),
                     n, sodium_base64_VARIANT_ORIGINAL);
-  out.resize(out.size() - 1);  // its terminating zero
+  out.resize(out.size() - 1);  // This removes the terminating zero.
   return out;
 }
 
@@ -94,13 +95,15 @@
 std::uint64_t hashOf(const std::string& name) { return Hash().add(name).done(); }
 
 namespace {
-// What needs very many is told of them in steps, so that no part of the graph is too large: an
-// instance that runs nothing stands for some hundreds of them.
+// Splits the dependencies of an instance that has very many of them, because the instance would not
+// fit into one part of the graph. Inserts join instances, which run nothing and depend on some
+// hundreds of the original dependencies each.
 void joinInSteps(FlowPlan& plan) {
   constexpr std::size_t kMost = 400;
   auto wide = [](const PlannedInstance& p) { return p.deps.size() > kMost; };
   if (std::none_of(plan.instances.begin(), plan.instances.end(), wide)) return;
-  std::map<std::uint32_t, std::uint32_t> joins;  // the joining rule beside each rule
+  // Maps the number of a rule to the number of the join rule that is derived from it.
+  std::map<std::uint32_t, std::uint32_t> joins;
   std::vector<PlannedInstance> out;
   std::vector<Instance> number(plan.instances.size());
   for (std::size_t i = 0; i < plan.instances.size(); ++i) {
@@ -137,8 +140,8 @@
   plan.instances = std::move(out);
 }
 
-// Layer by layer and rule by rule: instances that become ready together have numbers together, so
-// that few values of the state service change with them.
+// Sorts the instances by dependency level and then by rule. Instances that become ready together
+// get adjacent numbers, so that few values of the state service change when they do.
 void arrange(FlowPlan& plan) {
   std::size_t n = plan.instances.size();
   std::vector<std::uint32_t> level(n, 0);
@@ -163,8 +166,9 @@
 }
 }  // namespace
 
-// A file that is removed after its use is made again when something that needs it is another than
-// before: so whoever makes it is told apart by what needs it, too.
+// A temporary file is removed after use and must be made again when an instance that depends on it
+// changes. The fingerprint of the instance that makes the file therefore also covers the
+// fingerprints of the instances that depend on it.
 void seal(FlowPlan& plan) {
   joinInSteps(plan);
   arrange(plan);
@@ -200,7 +204,8 @@
   Bundle out;
   out.instances = static_cast<std::uint32_t>(plan.instances.size());
 
-  // The graph, cut where a part is full; new rules come with the first part that needs them.
+  // The graph is split where a part is full. A rule is written into the first part that refers to
+  // it.
   Json part;
   std::size_t bytes = 0;
   std::string print, outh;
@@ -263,7 +268,7 @@
   }
   close();
 
-  // Texts: as many instances together as fit, since they compress well together.
+  // Each text part holds as many instances as fit, because they compress better together.
   std::vector<Json> all;
   for (const auto& p : plan.instances) all.push_back(textOf(p, plan.rules[p.rule].name));
   for (std::uint32_t per = 512;; per /= 2) {
@@ -303,7 +308,8 @@
   p.outputs = texts("o");
   p.log = textField(v, "l").value_or("");
   p.benchmark = textField(v, "b").value_or("");
-  p.why = textField(v, "r").value_or("");  // the rule's name
+  // The text part stores the name of the rule instead of the reason.
+  p.why = textField(v, "r").value_or("");
   if (const Json* w = field(v, "w"); w && w->is_object()) {
     for (const auto& [name, value] : w->items()) {
       if (value.is_string()) p.wildcards[name] = value.get<std::string>();
--- a/src/rules/execute.cpp
+++ b/src/rules/execute.cpp
@@ -26,7 +26,8 @@
   };
   for (std::size_t i = 0; i < instance.outputs.size(); ++i) {
     if (auto why = parentOf(instance.outputs[i]); !why.empty()) return why;
-    // What an earlier attempt left behind, read-only perhaps, is not this one's.
+    // An output of an earlier attempt is removed, because it may be read-only and must not count as
+    // an output of this attempt.
     if (!instance.flags[i].touch && !instance.lenient)
       fs::remove_all(root / instance.outputs[i], error);
     if (instance.flags[i].directory) fs::create_directories(root / instance.outputs[i], error);
--- a/src/rules/groups.cpp
+++ b/src/rules/groups.cpp
@@ -1,4 +1,5 @@
-// Rules of one group: instances that need one another directly run as one, in their order.
+// Merges instances of one group that depend on one another directly. A merged instance runs the
+// original commands in dependency order.
 #include "rules/groups.hpp"
 
 #include <algorithm>
@@ -27,10 +28,11 @@
   }
   if (!any) return std::vector<bool>(n);
 
-  // The members of each, in an order in which each comes after what it needs.
+  // The members of each merged instance are listed after the members that they depend on.
   std::vector<std::vector<Instance>> members(n);
   for (Instance i = 0; i < n; ++i) members[find(i)].push_back(i);
-  // What is between two members and no member itself would have to run in the midst of them.
+  // Sorts the merged instances topologically. The sort fails if an instance outside of a group
+  // would have to run between two members of the group.
   std::vector<std::vector<Instance>> after(n);
   std::vector<std::uint32_t> missing(n, 0);
   for (Instance i = 0; i < n; ++i) {
@@ -50,7 +52,7 @@
     }
   }
   if (std::any_of(missing.begin(), missing.end(), [](auto m) { return m > 0; })) {
-    // Groups alone can close a circle: the plan had none.
+    // The plan had no dependency cycle before the merge, so merging a group must have caused it.
     for (Instance i = 0; i < n; ++i) {
       if (missing[i] == 0 || members[i].size() < 2) continue;
       throw RuleError({}, "group " + group(i) + " can't run as one: something that is not in it " +
--- a/src/rules/make_expr.cpp
+++ b/src/rules/make_expr.cpp
@@ -12,9 +12,10 @@
 
 namespace peg = tao::pegtl;
 
-// $(...), ${...}, $x and $$ in a text; commas are marked where they separate arguments.
+// Defines the grammar of $(...), ${...}, $x and $$ in a text. Commas that separate arguments are
+// separate nodes of the parse tree.
 namespace m {
-using namespace tao::pegtl;  // NOLINT: a grammar reads as such
+using namespace tao::pegtl;  // NOLINT: the directive keeps the grammar readable.
 struct dollars : string<'$', '$'> {};
 struct ref;
 struct text : plus<not_one<'$'>> {};
@@ -27,7 +28,8 @@
 struct group;
 struct open : one<'(', '{'> {};
 struct close : one<')', '}'> {};
-// Arguments: brackets of the same kind are balanced, and commas inside them separate nothing.
+// Brackets of the same kind must be balanced in arguments, and commas inside of them do not
+// separate arguments.
 struct rawComma : one<','> {};
 template <char Open, char Close>
 struct group
@@ -104,7 +106,7 @@
   return p == std::string::npos ? pattern : pattern.substr(0, p) + stem + pattern.substr(p + 1);
 }
 
-// One expansion: the tree of a text under a scope.
+// Expands one text with the variables of one scope.
 class MakeCall {
  public:
   MakeCall(MakeExpander& e, const MakeScope& scope, const Place& place)
@@ -120,7 +122,7 @@
       ~Depth() { --d; }
     } depth{e_.depth_};
     if (++e_.depth_ > e_.limits_.depth) fail("a variable needs itself, or is nested too deeply");
-    // Nesting is what makes the parser recurse.
+    // The parser recurses once per nesting level, so the nesting is limited before parsing.
     std::size_t nest = 0;
     for (char c : in) {
       if (c == '(' || c == '{') ++nest;
@@ -174,7 +176,7 @@
   std::string reference(const Node& n) {
     const Children& c = n.children;
     if (c.empty()) return "";
-    // A function's name is the first word of what stands there literally.
+    // The name of a function is the first word of the literal text after the opening bracket.
     const Node& first = *c[0];
     bool literal = first.is_type<m::inText<'(', ')'>>() || first.is_type<m::inText<'{', '}'>>();
     if (literal) {
@@ -190,7 +192,7 @@
       }
     }
     std::string name = pieces(c, 0, c.size());
-    // $(name:a=b)
+    // This handles the substitution reference $(name:a=b).
     auto colon = name.find(':');
     auto equals = colon == std::string::npos ? colon : name.find('=', colon);
     if (equals != std::string::npos) {
@@ -219,11 +221,14 @@
     return names.contains(name);
   }
 
-  // Where the arguments stand; the last of `most` takes the commas that are left.
+  // Describes one argument: its leading literal text and the range of its remaining parse tree
+  // nodes.
   struct Arg {
-    std::string lead;  // literal text before the pieces
+    std::string lead;
     std::size_t from, to;
   };
+  // Splits the nodes at commas into at most `most` arguments. The last argument keeps further
+  // commas.
   std::vector<Arg> split(const std::string& lead, const Children& c, std::size_t most) {
     std::vector<Arg> out{{lead, 1, 1}};
     for (std::size_t i = 1; i < c.size(); ++i) {
--- a/src/rules/make_file.cpp
+++ b/src/rules/make_file.cpp
@@ -1,4 +1,4 @@
-// The lines of a Makefile: assignments, conditionals, includes, definitions, rules.
+// Reads the lines of a Makefile: assignments, conditionals, includes, definitions and rules.
 #include <algorithm>
 
 #include "rules/make.hpp"
@@ -8,7 +8,8 @@
 
 constexpr const char* kBlank = " \t\r\n";
 
-// Position of a character outside of references and not escaped.
+// Returns the position of the first of the given characters that is not escaped and lies outside of
+// variable references, or npos if there is none.
 std::size_t findPlain(const std::string& s, const std::string& chars, std::size_t from = 0) {
   int depth = 0;
   for (std::size_t i = from; i < s.size(); ++i) {
@@ -32,7 +33,8 @@
   std::string name, op, text;
 };
 
-// NAME = text, with the operators; nothing if the line is something else.
+// Parses an assignment such as NAME = text or NAME += text. Returns nothing if the line is not an
+// assignment.
 std::optional<Assignment> assignmentIn(const std::string& line) {
   auto equals = findPlain(line, "=");
   if (equals == std::string::npos) return std::nullopt;
@@ -53,7 +55,7 @@
     op = ":=";
     start = equals - 1;
   }
-  if (colon != std::string::npos && colon < start) return std::nullopt;  // a rule
+  if (colon != std::string::npos && colon < start) return std::nullopt;  // The line is a rule.
   std::string name = makeStrip(line.substr(0, start));
   if (name.empty() || name.find_first_of(" \t") != std::string::npos) return std::nullopt;
   auto text = line.substr(equals + 1);
@@ -90,7 +92,8 @@
   }
 
  private:
-  // Physical lines, joined where one ends in a backslash; recipe lines keep theirs.
+  // Iterates over logical lines. Physical lines that end in a backslash are joined, and recipe
+  // lines keep the backslash and the newline.
   struct Lines {
     std::string file;
     const std::string& text;
@@ -157,7 +160,8 @@
       return;
     }
     text = uncommented(text);
-    // A value keeps the blanks after it.
+    // Only leading white space is removed, because the value of an assignment keeps trailing
+    // spaces.
     text.erase(0, std::min(text.find_first_not_of(kBlank), text.size()));
     if (text.empty()) return;
     std::string word = text.substr(0, text.find_first_of(" \t("));
@@ -205,7 +209,7 @@
     makeAssign(*out_.globals, name, a.op, a.text, e_, place);
   }
 
-  // ifeq and its kin; true if the line was one of them.
+  // Handles ifeq, ifneq, ifdef, ifndef, else and endif. Returns false if the line is none of them.
   bool condition(const std::string& word, const std::string& rest, const Place& place) {
     auto begin = [&](bool holds) { conditions_.push_back({holds, holds}); };
     if (word == "endif") {
@@ -300,7 +304,7 @@
     current_.clear();
     auto colon = findPlain(text, ":");
     if (colon == std::string::npos) {
-      // A call whose value is nothing may stand alone.
+      // A line that expands to nothing, such as a call of $(info), is allowed.
       if (makeStrip(expand(text, place)).empty()) return;
       throw RuleError(place, "a rule or an assignment is expected", "statement");
     }
@@ -310,7 +314,7 @@
     bool twice = text.compare(colon, 2, "::") == 0;
     std::string rest = text.substr(colon + (twice ? 2 : 1));
     auto targets = makeWords(expand(head, place));
-    // target: NAME = value
+    // This handles a target-specific variable, as in "target: NAME = value".
     if (auto a = assignmentIn(rest)) {
       if (a->op == "!=")
         throw RuleError(place, "operator '!=' is not supported: it runs a shell", "!=");
@@ -406,17 +410,19 @@
     } else if (target == ".ONESHELL") {
       out_.oneShell = true;
     } else if (target == ".SUFFIXES" && inputs.empty()) {
-      return true;  // there are no suffix rules
+      return true;  // An empty .SUFFIXES has no effect, because suffix rules are not supported.
     } else if (target == ".SECONDARY" || target == ".PRECIOUS" || target == ".INTERMEDIATE" ||
                target == ".SILENT" || target == ".POSIX") {
-      return true;  // files in between are kept, commands are not shown
+      // These targets have no effect, because intermediate files are always kept and commands are
+      // never echoed.
+      return true;
     } else if (target.find('/') == std::string::npos &&
                std::all_of(target.begin() + 1, target.end(), [](char c) {
                  return std::isupper(static_cast<unsigned char>(c)) || c == '_';
                })) {
       throw RuleError(place, "'" + target + "' is not supported", target);
     } else {
-      // .c.o
+      // This rejects suffix rules such as .c.o.
       auto dot = target.find('.', 1);
       if (dot != std::string::npos && target.find('/') == std::string::npos &&
           target.find('%') == std::string::npos) {
@@ -437,7 +443,8 @@
   MakeFile& out_;
   MakeExpander& e_;
   std::vector<Condition> conditions_;
-  std::vector<std::size_t> current_;  // rules that recipe lines belong to
+  // Recipe lines are added to the rules with these indices.
+  std::vector<std::size_t> current_;
 };
 
 }  // namespace
--- a/src/rules/make_plan.cpp
+++ b/src/rules/make_plan.cpp
@@ -1,4 +1,4 @@
-// Which rule of a Makefile makes which file, and the recipes of its instances.
+// Selects the Makefile rule that makes each file and expands the recipes of the planned instances.
 #include <algorithm>
 #include <unordered_set>
 
@@ -23,7 +23,8 @@
       } else {
         for (const auto& t : rule.targets) byTarget_[t].push_back(r);
       }
-      // Whatever a rule mentions "ought to exist": a pattern rule may count on it.
+      // GNU Make treats every file that is a target of an explicit rule as one that "ought to
+      // exist", so a pattern rule may use it as a prerequisite.
       if (!rule.pattern) mentioned_.insert(rule.targets.begin(), rule.targets.end());
     }
     builder_.maker = [this](const std::string& name) { return maker(name); };
@@ -50,10 +51,12 @@
  private:
   using Scope = std::shared_ptr<const MakeScope>;
 
-  // Variables of a target: its own over those of the target that first needs it.
+  // Returns the variable scope of a target. Its target-specific variables override those of the
+  // target that first required it.
   Scope scopeOf(const std::string& target) {
     if (auto it = scopes_.find(target); it != scopes_.end()) return it->second;
-    // Upward without recursion, then down again.
+    // The chain of parent targets is collected first, and then the scopes are built from the
+    // outermost parent inwards. This avoids recursion, because a chain can be long.
     std::vector<std::string> chain{target};
     while (true) {
       auto parent = parents_.find(chain.back());
@@ -80,8 +83,9 @@
     return outer;
   }
 
-  // The pattern rule for a file: applicable if what it needs is there or can be made; the shortest
-  // stem, then the first. A rule is not used twice in a chain.
+  // Selects the pattern rule for a file. A pattern rule applies if all of its prerequisites exist
+  // or can be made. The rule with the shortest stem wins, and then the first one in the file. A
+  // rule is used at most once in a chain of pattern rules.
   std::optional<std::size_t> patternFor(const std::string& name, std::size_t depth,
                                         std::string* stem) {
     if (depth > request_.limits.depth) return std::nullopt;
@@ -105,7 +109,8 @@
         if (can) best = {r, s};
       }
     }
-    // What was found inside a chain holds only there.
+    // A result found inside a chain is not cached, because the rules of the chain were excluded
+    // from the search.
     if (inChain_.empty()) chosen_[name] = best;
     if (!best) return std::nullopt;
     *stem = best->second;
@@ -118,8 +123,8 @@
     return patternFor(name, depth, &stem).has_value();
   }
 
-  // A pattern without a directory is matched with the file's own name; the directory goes before
-  // the stem again.
+  // Matches a file against a target pattern. A pattern without a directory is matched against the
+  // file name without its directory, and the directory is then prepended to the stem.
   static bool matchFile(const std::string& pattern, const std::string& name, std::string* stem) {
     if (pattern.find('/') != std::string::npos || name.find('/') == std::string::npos) {
       return makeMatch(pattern, name, stem) && !(stem->empty());
@@ -188,7 +193,8 @@
       }
     }
     if (recipes.empty() || (file_.rules[recipes[0]].recipe.empty())) {
-      made->nothing = true;  // only stands for what it needs
+      // A target without a recipe is an alias for its prerequisites.
+      made->nothing = true;
       p.outputs = {name};
       return made;
     }
@@ -221,7 +227,9 @@
     set("<", all.empty() ? all : std::vector<std::string>{all[0]});
     set("^", unique);
     set("+", all);
-    set("?", unique);  // in a directory of its own everything is new
+    // $? lists the prerequisites that are newer than the target. The instance is planned as if the
+    // target did not exist, so all prerequisites are newer.
+    set("?", unique);
     set("|", made->orderOnly);
     set("*", {stem});
     p.command = commandOf(recipes, automatic);
@@ -233,7 +241,8 @@
     } else {
       p.outputs = outputs;
       p.flags.assign(outputs.size(), {});
-      p.lenient = true;  // whether a recipe makes its target is its own affair
+      // Make does not require that a recipe creates its target.
+      p.lenient = true;
     }
     if (p.command.empty()) {
       made->nothing = true;
@@ -242,7 +251,9 @@
     return made;
   }
 
-  // Each line in a shell of its own, up to the first that fails; or all in one.
+  // Returns the shell command of an instance. Each recipe line runs in its own shell and the
+  // command stops at the first line that fails. With .ONESHELL, all lines of a recipe run in one
+  // shell.
   std::string commandOf(const std::vector<std::size_t>& rules, const MakeScope& scope) {
     std::string shell = file_.expander->expand("$(SHELL)", scope, {request_.file});
     std::string out;
@@ -260,7 +271,7 @@
       std::string together;
       for (std::size_t i = 0; i < rule.recipe.size(); ++i) {
         std::string expanded = file_.expander->expand(rule.recipe[i], scope, rule.recipePlaces[i]);
-        // A variable of several lines is several lines of the recipe.
+        // A variable whose value has several lines expands to several recipe lines.
         for (const auto& line : linesOf(expanded)) {
           auto at = line.find_first_not_of("@-+ \t");
           std::string prefix = line.substr(0, at == std::string::npos ? line.size() : at);
@@ -299,7 +310,8 @@
     return out;
   }
 
-  // Rules of a Makefile with the same name and resources are one rule of the flow.
+  // Returns the number of the flow rule for a Makefile rule. Makefile rules with the same name and
+  // resources share one flow rule.
   std::uint32_t ruleFor(const MakeRule& rule, const std::string& target, const MakeScope& scope) {
     auto text = [&](const char* name) {
       return scope.find(name)
--- a/src/rules/patterns.cpp
+++ b/src/rules/patterns.cpp
@@ -9,7 +9,8 @@
 
 bool wordChar(char c) { return std::isalnum(static_cast<unsigned char>(c)) || c == '_'; }
 
-// Finds the end of "{name" or "{name,regex}" at `at`; braces inside the regex are balanced.
+// Returns the position of the brace that closes "{name}" or "{name,regex}" at `at`, or npos if
+// there is none. Braces inside the regex must be balanced.
 std::size_t closing(const std::string& text, std::size_t at) {
   int depth = 0;
   for (std::size_t i = at; i < text.size(); ++i) {
@@ -87,7 +88,7 @@
   for (std::size_t i = 0; i < groups_.size(); ++i) {
     const auto& part = parts[static_cast<std::size_t>(named.at("w" + std::to_string(i)))];
     std::string value(part.data(), part.size());
-    // A wildcard that stands twice means the same both times.
+    // A wildcard that occurs more than once must have the same value each time.
     auto [it, isNew] = out.emplace(groups_[i], value);
     if (!isNew && it->second != value) return std::nullopt;
   }
--- a/src/rules/plan_build.cpp
+++ b/src/rules/plan_build.cpp
@@ -33,7 +33,7 @@
   deps.erase(std::unique(deps.begin(), deps.end()), deps.end());
   std::vector<std::string> outputs = made->instance.outputs;
   if (made->nothing) {
-    // Stands for what it needs.
+    // The file is an alias for its prerequisites, so it maps to the instances that make them.
     edges_ += deps.size();
     if (edges_ > limits_.edges) {
       throw RuleError(made->place, "more than " + std::to_string(limits_.edges) + " dependencies");
@@ -58,7 +58,7 @@
   struct Frame {
     std::string file, why;
     std::shared_ptr<Made> made;
-    std::size_t next = 0;  // input to look at
+    std::size_t next = 0;  // This is the index of the prerequisite to visit next.
   };
   std::vector<Frame> stack;
   auto open = [&](const std::string& name, const std::string& reason, const Place& from) {
--- a/src/rules/snake_expr.cpp
+++ b/src/rules/snake_expr.cpp
@@ -12,7 +12,8 @@
 namespace peg = tao::pegtl;
 using Node = peg::parse_tree::node;
 
-// What stands where the grammar ended, in the words of the language.
+// Returns the name of the Python construct at the start of the text that the grammar did not
+// accept.
 std::string constructAt(std::string_view rest) {
   auto word = [&] {
     std::size_t n = 0;
@@ -39,8 +40,8 @@
   Eval(const Source& source, std::size_t base, SnakeEnv& env)
       : source_(source), base_(base), env_(env) {}
 
-  // Not n.begin(): that builds a position with the source's name, of which a node keeps only a view
-  // into the input, and the input has ended with treeOf.
+  // n.begin() must not be called, because it builds a position with the source name. The node keeps
+  // only a view of that name into the parser input, and the input is destroyed when treeOf returns.
   Place place(const Node& n) const { return source_.at(base_ + n.m_begin.byte); }
 
   [[noreturn]] void refuse(const Node& n, const std::string& construct,
@@ -144,7 +145,7 @@
       return v;
     }
     if (n.is_type<g::tuple>()) {
-      // One in parentheses is that one.
+      // A single expression in parentheses is not a tuple.
       if (n.children.size() == 1) return expr(*n.children[0]);
       Value v = Value::list();
       for (const auto& item : n.children) v.items.push_back(expr(*item));
@@ -170,7 +171,7 @@
     if (called) {
       const Node& call = *n.children[at++];
       Value v = function(name, call, atom);
-      // The names of what glob_wildcards found are its attributes.
+      // The result of glob_wildcards has one attribute per wildcard name.
       if (name == "glob_wildcards" && at < n.children.size() &&
           n.children[at]->is_type<g::attribute>()) {
         std::string which = attributeName(*n.children[at]);
@@ -214,7 +215,7 @@
     refuse(n, "method '" + method + "'");
   }
 
-  // A literal with its prefix, quotes and escapes.
+  // Returns the value of a string literal after handling its prefix, quotes and escapes.
   std::string stringOf(const Node& n) {
     std::string text = n.string();
     std::size_t q = text.find_first_of("\"'");
@@ -262,7 +263,7 @@
     return out;
   }
 
-  // {expression} in an f-string; {{ and }} are braces.
+  // Replaces each {expression} of an f-string by its value. {{ and }} are escaped braces.
   std::string interpolated(const std::string& body, const Node& n) {
     std::string out = fillBraces(body, place(n), [&](const std::string& inner) {
       if (inner.find('{') != std::string::npos || inner.find('!') != std::string::npos) {
@@ -296,8 +297,9 @@
   SnakeEnv& env_;
 };
 
-// The grammar gives up where the outermost thing began that it does not know: what it is stands
-// further on, or is the word just before.
+// Returns the offset of the construct that the grammar did not accept. The grammar stops at the
+// start of the outermost expression that it can't parse. The unsupported keyword or operator
+// follows that position or is the word just before it.
 std::size_t culprit(std::string_view text, std::size_t stopped) {
   static const std::set<std::string_view> keywords{"lambda", "for", "if", "else",  "and",  "or",
                                                    "not",    "in",  "is", "await", "yield"};
@@ -334,7 +336,7 @@
 std::unique_ptr<Node> treeOf(const Source& source, std::size_t begin, std::size_t end,
                              SnakeEnv& env) {
   std::string_view text = source.text.substr(begin, end - begin);
-  // Nesting is what makes the parser recurse.
+  // The parser recurses once per nesting level, so the nesting is limited before parsing.
   std::size_t depth = 0;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] == '(' || text[i] == '[' || text[i] == '{') {
@@ -349,7 +351,8 @@
   auto root = peg::parse_tree::parse<Rule, g::keep>(in);
   std::size_t stopped = root ? in.byte() : 0;
   if (!root) {
-    // Nothing matched: the text begins with something that is no expression.
+    // The grammar matched nothing, so the error is reported at the first character that is not
+    // white space.
     while (stopped < text.size() && std::isspace(static_cast<unsigned char>(text[stopped])))
       ++stopped;
   }
--- a/src/rules/snake_file.cpp
+++ b/src/rules/snake_file.cpp
@@ -1,5 +1,5 @@
-// The statements of a Snakemake file. Lines and indentation are found here, what stands in them is
-// parsed by snake_expr.
+// Reads the statements of a Snakefile. This module splits the file into lines by indentation, and
+// snake_expr parses the expressions in them.
 #include <algorithm>
 #include <set>
 
@@ -10,9 +10,12 @@
 
 bool nameChar(char c) { return std::isalnum(static_cast<unsigned char>(c)) || c == '_'; }
 
-// One statement, which may go over several lines inside brackets, quotes or after a backslash.
+// Describes one logical line. A logical line continues over several physical lines inside brackets
+// and quotes and after a backslash.
 struct Line {
-  std::size_t indent{}, begin{}, end{};  // offsets of its text, without the newline
+  std::size_t indent{};
+  // These are the offsets of the text without indentation and newline.
+  std::size_t begin{}, end{};
 };
 
 class Reader {
@@ -20,7 +23,8 @@
   Reader(const PlanRequest& request, SnakeFile& out) : request_(request), out_(out) {
     env_.limits = &request.limits;
     env_.files = request.sources;
-    env_.names["zip"] = Value::of(std::string("zip"));  // expand's other way
+    // expand accepts the function zip as an argument, so zip is defined as a variable.
+    env_.names["zip"] = Value::of(std::string("zip"));
   }
 
   void file(const std::string& name, const Place& from, std::size_t depth) {
@@ -123,14 +127,16 @@
     return at;
   }
 
-  // The lines that belong to the one at `i`: those further in.
+  // Returns the index after the block of line `i`. The block consists of the following lines that
+  // are indented more deeply.
   static std::size_t blockEnd(const std::vector<Line>& lines, std::size_t i) {
     std::size_t k = i + 1;
     while (k < lines.size() && lines[k].indent > lines[i].indent) ++k;
     return k;
   }
 
-  // Text of a directive: after its colon to the end of its block.
+  // Holds the text range of a directive, from its colon to the end of its block, and the index of
+  // the line after the block.
   struct Body {
     std::size_t begin, end, next;
   };
@@ -174,12 +180,13 @@
       return body.next;
     }
     if (s.text[line.begin] == '"' || s.text[line.begin] == '\'')
-      return i + 1;  // a text for readers
+      return i + 1;  // A string statement serves as a comment.
     assignment(s, line, place);
     return i + 1;
   }
 
-  // NAME = expression; NAME, NAME = expression; CONFIG["name"] is refused.
+  // Handles "NAME = expression" and "NAME, NAME = expression". An assignment to an element such as
+  // config["name"] is rejected.
   void assignment(const Source& s, const Line& line, const Place& place) {
     std::vector<std::string> names;
     std::size_t at = line.begin;
@@ -202,7 +209,7 @@
       env_.names[names[0]] = std::move(v);
       return;
     }
-    // What glob_wildcards gives has its lists in order.
+    // The result of glob_wildcards is a dictionary whose lists are in the order of the wildcards.
     std::vector<Value> values = v.items;
     if (v.kind == Value::Kind::dict) {
       for (auto& [name, value] : v.fields) values.push_back(std::move(value));
@@ -228,7 +235,7 @@
     out_.read.push_back(name);
     Value v = valueFromYaml(*text, name, request_.limits);
     for (auto& [key, value] : v.fields) env_.config.put(key, std::move(value));
-    // What is set from outside goes before.
+    // Settings of the plan request override the configuration file.
     for (const auto& [key, value] : request_.config) env_.config.put(key, outside(value));
   }
 
@@ -301,7 +308,7 @@
     const Line& line = lines[k];
     Place place = s.at(line.begin);
     if (s.text[line.begin] == '"' || s.text[line.begin] == '\'')
-      return k + 1;  // a text for readers
+      return k + 1;  // A string statement serves as a comment.
     std::string word = wordAt(s, line.begin);
     std::size_t colon = skipBlank(s, line.begin + word.size(), line.end);
     if (word.empty() || colon >= line.end || s.text[colon] != ':')
--- a/src/rules/snake_functions.cpp
+++ b/src/rules/snake_functions.cpp
@@ -67,7 +67,8 @@
   return v;
 }
 
-// Every combination of the named lists, the last one fastest; `zip` pairs them instead.
+// Expands the patterns with every combination of the values in the named lists. The last list
+// varies fastest. With `zip`, the lists are paired element by element instead.
 Value expand(const Args& a, const Place& at, SnakeEnv& env) {
   if (a.positional.empty()) throw RuleError(at, "expand needs a pattern");
   bool keepUnknown = false;
@@ -95,7 +96,9 @@
     } else {
       count *= list.size();
     }
-    env.spend(count, 0, at);  // refused before it is built
+    // The number of combinations is counted before they are built, so that too many are rejected
+    // early.
+    env.spend(count, 0, at);
   }
   Value out = Value::list();
   for (const auto& pattern : asList(a.positional[0])) {
--- a/src/rules/snake_plan.cpp
+++ b/src/rules/snake_plan.cpp
@@ -1,4 +1,5 @@
-// Which rule makes which file, and the commands of its instances.
+// Selects the Snakefile rule that makes each file and formats the commands of the planned
+// instances.
 #include <algorithm>
 #include <unordered_set>
 
@@ -11,8 +12,9 @@
 namespace kestrelhoist::rules {
 namespace {
 
-// {input}, {output[0]}, {params.x}, {wildcards.x}, {threads}, {resources.mem_mb}, {log},
-// {benchmark}, {rule}, {config[x]} in commands; ":q" quotes for the shell.
+// Replaces the fields of a command: {input}, {output[0]}, {params.x}, {wildcards.x}, {threads},
+// {resources.mem_mb}, {log}, {benchmark}, {rule} and {config[x]}. The suffix ":q" quotes a value
+// for the shell.
 class CommandText {
  public:
   CommandText(const SnakeFile& file, const SnakeRule& rule, const PlannedInstance& instance,
@@ -53,7 +55,7 @@
       text.resize(text.size() - 2);
     }
     if (text.find(':') != std::string::npos || text.find('!') != std::string::npos) unknown(whole);
-    // name, then .key or [key]
+    // A field consists of a name and an optional .key or [key].
     auto at = text.find_first_of(".[");
     std::string name = text.substr(0, at), key;
     if (at != std::string::npos) {
@@ -66,7 +68,8 @@
     auto one = [&](const std::string& s) { return quote ? quoted(s) : s; };
     if (name == "input") return files(rule_.inputs, instance_.inputs, key, quote, whole);
     if (name == "output") {
-      // A benchmark's file is made by whoever runs the command.
+      // The benchmark file is written by the worker and not by the command, so it is not part of
+      // {output}.
       std::vector<std::string> own = instance_.outputs;
       own.resize(rule_.outputs.files.size());
       return files(rule_.outputs, own, key, quote, whole);
@@ -177,7 +180,8 @@
   }
 
  private:
-  // A rule without outputs is wanted by this name, which no file can have.
+  // Returns the name under which a rule without outputs is requested. The newline keeps the name
+  // different from all file names.
   static std::string standIn(const SnakeRule& r) { return "\n" + r.name; }
 
   void prepare(std::size_t n) {
@@ -249,7 +253,8 @@
     return f;
   }
 
-  // Which of two rules goes first, if ruleorder says.
+  // Compares two rules by ruleorder. Returns -1 if `a` takes precedence, 1 if `b` does, and 0 if
+  // ruleorder does not mention both.
   int before(const std::string& a, const std::string& b) const {
     for (const auto& order : file_.order) {
       auto ia = std::find(order.begin(), order.end(), a),
@@ -274,7 +279,7 @@
     if (auto it = byName_.find(name); it != byName_.end()) {
       for (const auto& [rule, i] : it->second) add(rule, {});
     }
-    // Patterns are looked up by their first directory.
+    // Patterns are indexed by the first directory of their literal prefix.
     std::vector<std::string> starts{""};
     if (auto slash = name.find('/'); slash != std::string::npos)
       starts.push_back(name.substr(0, slash + 1));
@@ -286,7 +291,7 @@
       }
     }
     if (found.empty()) {
-      // In a directory that some rule makes as a whole.
+      // The file may lie in a directory that is itself the output of a rule.
       for (auto slash = name.rfind('/'); slash != std::string::npos && slash > 0;
            slash = name.rfind('/', slash - 1)) {
         std::string directory = name.substr(0, slash);
@@ -356,7 +361,7 @@
     if (p.outputs.empty() && !r.shell) {
       made->nothing = true;
     } else if (p.outputs.empty()) {
-      // Has a command and makes no file: a name of its own keeps it apart.
+      // The rule has a command but no outputs, so its instance gets a marker file as its output.
       p.outputs.push_back(".done/" + r.name);
       p.flags.push_back({false, false, false, true});
     }
@@ -368,7 +373,8 @@
     if (steps_ > request_.limits.steps) throw RuleError(place, "the file asks for too much");
   }
 
-  // temp(): removed by an instance of its own once all that need it are done.
+  // Adds for each instance with temp() outputs another instance that removes these outputs after
+  // all dependent instances are done.
   void removeTemporaries(const std::vector<bool>& merged) {
     std::vector<std::vector<Instance>> users(plan_.instances.size());
     std::vector<Instance> made;
@@ -380,8 +386,10 @@
     }
     std::uint32_t rule = 0;
     for (Instance i : made) {
-      if (users[i].empty() && !merged[i]) continue;  // nobody needs it: asked for itself
-      if (users[i].empty()) users[i] = {i};          // needed inside its group alone
+      // The file is a requested target if no instance depends on it, so it is kept.
+      if (users[i].empty() && !merged[i]) continue;
+      // A file that is used only inside of its merged instance is removed after that instance.
+      if (users[i].empty()) users[i] = {i};
       if (rule == 0) {
         FlowRule f;
         f.name = "(temp)";
@@ -412,7 +420,8 @@
   std::unordered_set<std::string> sources_;
   FlowPlan plan_;
   PlanBuilder builder_;
-  std::vector<std::vector<Pattern>> outputs_;  // by rule
+  // Element r holds the output patterns of rule r.
+  std::vector<std::vector<Pattern>> outputs_;
   std::unordered_map<std::string, std::vector<std::pair<std::size_t, std::size_t>>> byName_,
       byPrefix_;
   std::size_t steps_ = 0;
--- a/src/rules/value.cpp
+++ b/src/rules/value.cpp
@@ -63,7 +63,8 @@
     Place place{file_, static_cast<std::size_t>(node.Mark().line + 1),
                 static_cast<std::size_t>(node.Mark().column + 1)};
     if (depth > limits_.depth) throw RuleError(place, "is nested too deeply");
-    // Aliases repeat what they name: counted each time, so that a small file stays small.
+    // A YAML alias is counted each time it is expanded, so that a small file can't expand to a huge
+    // value.
     if (++steps_ > limits_.steps / 100) throw RuleError(place, "the file says too much");
     if (node.IsMap()) {
       Value v = Value::dict();
@@ -79,7 +80,7 @@
     }
     if (!node.IsScalar()) return {};
     const std::string& text = node.Scalar();
-    if (node.Tag() == "!") return Value::of(text);  // quoted
+    if (node.Tag() == "!") return Value::of(text);  // A quoted scalar is always a text.
     if (text == "true" || text == "True") return Value::truth(true);
     if (text == "false" || text == "False") return Value::truth(false);
     if (text == "~" || text == "null" || text.empty()) return {};
@@ -104,7 +105,8 @@
 }  // namespace
 
 Value valueFromYaml(const std::string& text, const std::string& file, const Limits& limits) {
-  // The library's own recursion is bounded by the nesting that a line's brackets can make.
+  // The YAML library parses recursively. The nesting of brackets within a line is limited before
+  // parsing to limit the recursion depth.
   std::size_t depth = 0;
   for (char c : text) {
     if (c == '[' || c == '{') ++depth;
