--- a/src/rules/snake_plan.cpp
+++ b/src/rules/snake_plan.cpp
@@ -68,7 +68,7 @@
     auto one = [&](const std::string& s) { return quote ? quoted(s) : s; };
     if (name == "input") return files(rule_.inputs, instance_.inputs, key, quote, whole);
     if (name == "output") {
-      // The benchmark file is written by the worker and not by the command, so it is not part of
+      // conclude() writes the benchmark file after the command, so the file is not part of
       // {output}.
       std::vector<std::string> own = instance_.outputs;
       own.resize(rule_.outputs.files.size());
