--- a/src/rules/bundle.cpp
+++ b/src/rules/bundle.cpp
@@ -52,7 +52,7 @@
 }
 
 std::string unpack(const std::string& text) {
-  constexpr std::size_t kMost = 32 << 20;
+  constexpr std::size_t kMaxTextBytes = 32 << 20;
   std::string packed(text.size(), '\0');
   std::size_t n = 0;
   if (sodium_base642bin(reinterpret_cast<unsigned char*>(packed.data()), packed.size(), text.data(),
@@ -60,7 +60,7 @@
     throw std::runtime_error("a text part can't be read");
   }
   auto size = ZSTD_getFrameContentSize(packed.data(), n);
-  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMost) {
+  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMaxTextBytes) {
     throw std::runtime_error("a text part can't be read");
   }
   std::string out(size, '\0');
@@ -99,9 +99,9 @@
 // fit into one part of the graph. Inserts join instances, which run nothing and depend on some
 // hundreds of the original dependencies each.
 void joinInSteps(FlowPlan& plan) {
-  constexpr std::size_t kMost = 400;
-  auto wide = [](const PlannedInstance& p) { return p.deps.size() > kMost; };
-  if (std::none_of(plan.instances.begin(), plan.instances.end(), wide)) return;
+  constexpr std::size_t kMaxDeps = 400;
+  auto hasTooManyDeps = [](const PlannedInstance& p) { return p.deps.size() > kMaxDeps; };
+  if (std::none_of(plan.instances.begin(), plan.instances.end(), hasTooManyDeps)) return;
   // Maps the number of a rule to the number of the join rule that is derived from it.
   std::map<std::uint32_t, std::uint32_t> joins;
   std::vector<PlannedInstance> out;
@@ -109,7 +109,7 @@
   for (std::size_t i = 0; i < plan.instances.size(); ++i) {
     PlannedInstance p = std::move(plan.instances[i]);
     for (Instance& d : p.deps) d = number[d];
-    if (wide(p)) {
+    if (hasTooManyDeps(p)) {
       auto [rule, isNew] = joins.emplace(p.rule, static_cast<std::uint32_t>(plan.rules.size()));
       if (isNew) {
         FlowRule f = plan.rules[p.rule];
@@ -119,14 +119,14 @@
         plan.rules.push_back(f);
       }
       std::vector<Instance> deps;
-      for (std::size_t from = 0; from < p.deps.size(); from += kMost) {
+      for (std::size_t from = 0; from < p.deps.size(); from += kMaxDeps) {
         PlannedInstance join;
         join.rule = rule->second;
         auto first = p.deps.begin() + static_cast<std::ptrdiff_t>(from);
         join.deps.assign(first, p.deps.begin() + static_cast<std::ptrdiff_t>(
-                                                     std::min(p.deps.size(), from + kMost)));
+                                                     std::min(p.deps.size(), from + kMaxDeps)));
         join.outputs = {".done/join/" + hex16(hashOf(p.outputs[0])) + "-" +
-                        std::to_string(from / kMost)};
+                        std::to_string(from / kMaxDeps)};
         join.flags = {{false, false, false, true}};
         join.why = "for " + p.outputs[0];
         deps.push_back(static_cast<Instance>(out.size()));
@@ -209,7 +209,7 @@
   Json part;
   std::size_t bytes = 0;
   std::string print, outh;
-  std::vector<bool> told(plan.rules.size());
+  std::vector<bool> isRuleWritten(plan.rules.size());
   std::vector<std::uint32_t> number(plan.rules.size());
   std::uint32_t rules = 0;
   auto open = [&] {
@@ -236,7 +236,7 @@
   for (Instance i = 0; i < plan.instances.size(); ++i) {
     const PlannedInstance& p = plan.instances[i];
     std::size_t size = 16 + 16 * p.outputs.size() + 12 * p.deps.size() + 24;
-    if (!told[p.rule]) size += toJson(plan.rules[p.rule]).dump().size();
+    if (!isRuleWritten[p.rule]) size += toJson(plan.rules[p.rule]).dump().size();
     if (size > kPartBytes) {
       throw std::runtime_error("an instance of rule " + plan.rules[p.rule].name +
                                " has too many inputs from others or outputs (" +
@@ -248,8 +248,8 @@
       open();
     }
     bytes += size;
-    if (!told[p.rule]) {
-      told[p.rule] = true;
+    if (!isRuleWritten[p.rule]) {
+      isRuleWritten[p.rule] = true;
       number[p.rule] = rules++;
       part["rules"].push_back(toJson(plan.rules[p.rule]));
     }
--- a/src/rules/make_file.cpp
+++ b/src/rules/make_file.cpp
@@ -248,12 +248,12 @@
       begin((v && !v->text.empty()) == (word == "ifdef"));
       return true;
     }
-    auto [a, b] = two(rest, place);
+    auto [a, b] = comparedValues(rest, place);
     begin((expand(a, place) == expand(b, place)) == (word == "ifeq"));
     return true;
   }
 
-  std::pair<std::string, std::string> two(const std::string& rest, const Place& place) {
+  std::pair<std::string, std::string> comparedValues(const std::string& rest, const Place& place) {
     if (!rest.empty() && rest[0] == '(' && rest.back() == ')') {
       std::string inside = rest.substr(1, rest.size() - 2);
       auto comma = findPlain(inside, ",");
--- a/src/rules/make_plan.cpp
+++ b/src/rules/make_plan.cpp
@@ -194,7 +194,7 @@
     }
     if (recipes.empty() || (file_.rules[recipes[0]].recipe.empty())) {
       // A target without a recipe is an alias for its prerequisites.
-      made->nothing = true;
+      made->isAlias = true;
       p.outputs = {name};
       return made;
     }
@@ -245,7 +245,7 @@
       p.lenient = true;
     }
     if (p.command.empty()) {
-      made->nothing = true;
+      made->isAlias = true;
       p.outputs = {name};
     }
     return made;
--- a/src/rules/plan_build.cpp
+++ b/src/rules/plan_build.cpp
@@ -32,7 +32,7 @@
   std::sort(deps.begin(), deps.end());
   deps.erase(std::unique(deps.begin(), deps.end()), deps.end());
   std::vector<std::string> outputs = made->instance.outputs;
-  if (made->nothing) {
+  if (made->isAlias) {
     // The file is an alias for its prerequisites, so it maps to the instances that make them.
     edges_ += deps.size();
     if (edges_ > limits_.edges) {
--- a/src/rules/plan_build.hpp
+++ b/src/rules/plan_build.hpp
@@ -24,7 +24,7 @@
     /// This is the position of the rule.
     Place place;
     /// No instance is created if this is set: the file is an alias for its prerequisites.
-    bool nothing = false;
+    bool isAlias = false;
   };
   /// Returns how this file is made, or nullptr if no rule makes it.
   std::function<std::shared_ptr<Made>(const std::string& file)> maker;
--- a/src/rules/snake_expr.cpp
+++ b/src/rules/snake_expr.cpp
@@ -300,7 +300,7 @@
 // Returns the offset of the construct that the grammar did not accept. The grammar stops at the
 // start of the outermost expression that it can't parse. The unsupported keyword or operator
 // follows that position or is the word just before it.
-std::size_t culprit(std::string_view text, std::size_t stopped) {
+std::size_t findUnsupported(std::string_view text, std::size_t stopped) {
   static const std::set<std::string_view> keywords{"lambda", "for", "if", "else",  "and",  "or",
                                                    "not",    "in",  "is", "await", "yield"};
   auto isWord = [](char c) { return std::isalnum(static_cast<unsigned char>(c)) || c == '_'; };
@@ -357,7 +357,7 @@
       ++stopped;
   }
   if (!root || stopped < text.size()) {
-    stopped = culprit(text, stopped);
+    stopped = findUnsupported(text, stopped);
     std::string construct = constructAt(text.substr(stopped));
     throw RuleError(source.at(begin + stopped), construct + " is not supported here", construct);
   }
--- a/src/rules/snake_file.cpp
+++ b/src/rules/snake_file.cpp
@@ -164,7 +164,7 @@
       Body body = bodyOf(s, lines, i, after);
       if (word == "include") {
         for (const auto& v : parseArgs(s, body.begin, body.end, env_).positional)
-          file(beside(s.file, v.str()), place, depth + 1);
+          file(relativeTo(s.file, v.str()), place, depth + 1);
       } else if (word == "configfile") {
         for (const auto& v : parseArgs(s, body.begin, body.end, env_).positional)
           configFile(v.str(), place);
@@ -221,7 +221,7 @@
     for (std::size_t k = 0; k < names.size(); ++k) env_.names[names[k]] = values[k];
   }
 
-  static std::string beside(const std::string& file, const std::string& name) {
+  static std::string relativeTo(const std::string& file, const std::string& name) {
     if (name.starts_with("/")) return name;
     auto slash = file.rfind('/');
     return slash == std::string::npos ? name : file.substr(0, slash + 1) + name;
@@ -236,11 +236,11 @@
     Value v = valueFromYaml(*text, name, request_.limits);
     for (auto& [key, value] : v.fields) env_.config.put(key, std::move(value));
     // Settings of the plan request override the configuration file.
-    for (const auto& [key, value] : request_.config) env_.config.put(key, outside(value));
+    for (const auto& [key, value] : request_.config) env_.config.put(key, configValue(value));
   }
 
  public:
-  static Value outside(const std::string& text) {
+  static Value configValue(const std::string& text) {
     std::int64_t n = 0;
     if (!text.empty() && text.size() < 18 &&
         text.find_first_not_of("0123456789") == std::string::npos) {
@@ -412,7 +412,7 @@
   SnakeFile out;
   Reader reader(request, out);
   for (const auto& [key, value] : request.config)
-    reader.env().config.put(key, Reader::outside(value));
+    reader.env().config.put(key, Reader::configValue(value));
   reader.file(request.file, {request.file}, 0);
   if (out.rules.empty()) throw RuleError({request.file}, "has no rules");
   out.config = reader.env().config;
--- a/src/rules/snake_plan.cpp
+++ b/src/rules/snake_plan.cpp
@@ -169,7 +169,7 @@
         throw RuleError(rule->place,
                         "rule " + target + " has wildcards: ask for a file that it makes");
       }
-      builder_.want(outputs_[r].empty() ? standIn(*rule) : outputs_[r][0].text(),
+      builder_.want(outputs_[r].empty() ? requestName(*rule) : outputs_[r][0].text(),
                     "rule " + target + " asked for");
     }
     std::vector<std::string> groups;
@@ -182,7 +182,7 @@
  private:
   // Returns the name under which a rule without outputs is requested. The newline keeps the name
   // different from all file names.
-  static std::string standIn(const SnakeRule& r) { return "\n" + r.name; }
+  static std::string requestName(const SnakeRule& r) { return "\n" + r.name; }
 
   void prepare(std::size_t n) {
     const SnakeRule& r = file_.rules[n];
@@ -211,7 +211,7 @@
             n, i);
       }
     }
-    if (patterns.empty()) byName_[standIn(r)].emplace_back(n, 0);
+    if (patterns.empty()) byName_[requestName(r)].emplace_back(n, 0);
     outputs_.push_back(std::move(patterns));
     plan_.rules.push_back(ruleOf(r));
   }
@@ -301,7 +301,7 @@
         if (!file_.rules[rule].outputs.files[i].flags.directory) continue;
         auto made = std::make_shared<PlanBuilder::Made>();
         made->place = file_.rules[rule].place;
-        made->nothing = true;
+        made->isAlias = true;
         made->instance.inputs = {directory};
         made->instance.outputs = {name};
         return made;
@@ -359,7 +359,7 @@
       spend(p.command.size() / 64, r.place);
     }
     if (p.outputs.empty() && !r.shell) {
-      made->nothing = true;
+      made->isAlias = true;
     } else if (p.outputs.empty()) {
       // The rule has a command but no outputs, so its instance gets a marker file as its output.
       p.outputs.push_back(".done/" + r.name);
