--- a/src/rules/snake_file.cpp
+++ b/src/rules/snake_file.cpp
@@ -382,7 +382,7 @@
     auto add = [&](const Value& v, const Place& at, const auto& self, std::size_t depth) -> void {
       if (depth > 20) throw RuleError(at, "is nested too deeply");
       if (v.kind == Value::Kind::text) {
-        if (v.s.empty()) throw RuleError(at, "an empty name of a file");
+        if (v.s.empty()) throw RuleError(at, "a file name is empty");
         out.files.push_back(v);
         out.places.push_back(at);
       } else if (v.kind == Value::Kind::list) {
--- a/src/rules/snake_functions.cpp
+++ b/src/rules/snake_functions.cpp
@@ -157,7 +157,7 @@
     to = a.positional[1].n;
   }
   if (a.positional.size() == 3) step = a.positional[2].n;
-  if (step <= 0) refuse(at, "range", "with such a step");
+  if (step <= 0) refuse(at, "range", "needs a positive step");
   Value out = Value::list();
   for (std::int64_t i = from; i < to; i += step) {
     env.spend(1, 8, at);
