--- a/tests/certificates.hpp
+++ b/tests/certificates.hpp
@@ -1,3 +1,5 @@
+/// \file
+/// Creates TLS certificates for tests with the openssl command (Certificates).
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +11,7 @@
 
 namespace kestrelhoist {
 
-// Certificates made by openssl in a directory of the test's own.
+/// Certificate authorities and certificates in a temporary directory, which the destructor removes.
 class Certificates {
  public:
   Certificates() {
@@ -30,7 +32,7 @@
     std::ofstream(directory + "/ext") << "subjectAltName=" << names << "\n";
     run("openssl req -newkey ec -pkeyopt ec_paramgen_curve:P-256 -nodes -subj /CN=" + name +
         " -keyout " + key(name) + " -out " + directory + "/req");
-    // Expired: its time ended in the past.
+    // A validity of -1 days yields a certificate that has already expired.
     std::string time = days > 0 ? "-days " + std::to_string(days) : "-days -1";
     run("openssl x509 -req -in " + directory + "/req -CA " + pem(by) + " -CAkey " + key(by) +
         " -CAcreateserial " + time + " -extfile " + directory + "/ext -out " + pem(name));
--- a/tests/client_loopback_test.cpp
+++ b/tests/client_loopback_test.cpp
@@ -1,6 +1,7 @@
-// The client library with real processes on loopback, while controllers are killed at drawn times:
-// no job twice, none lost, each end told once. Short here; KESTRELHOIST_KILLS=300 plays the long
-// form (docs/client.md has its figures). Bounded by counts of kills and jobs.
+// These tests run the client library against real processes on loopback while controllers are
+// killed at random times. They guard against jobs that run twice or get lost, and against job ends
+// that are reported more than once. KESTRELHOIST_KILLS=300 runs the long form; docs/client.md has
+// its results.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -24,17 +25,17 @@
          kind == ErrorKind::deadlinePassed || kind == ErrorKind::outcomeUnknown;
 }
 
-// One script: submits a batch, is "killed" (its client goes) and started again now and then, and
-// follows all jobs to their ends.
+// A user script that submits a batch of jobs and watches them until they end. The script is
+// restarted from time to time: its client is destroyed and a new one is created.
 struct Batch {
   std::string name;
   int jobs = 0;
   std::vector<std::string> wrong;
   std::set<std::string> ids;
 
-  // What the workers are to run, where they look for it.
-  // Each task holds a lock of its own while it runs, which ends with its process: a second process
-  // of the same task at the same time leaves a line in "twice".
+  // Writes the command of each task to the place where workers read it. Each task holds its own
+  // file lock while its process runs. If a second process of the same task runs at the same time,
+  // it appends a line to the file "twice".
   void describe(const std::string& files, const std::string& key) const {
     Owner owner{TeamId{"herbarium"}, "ana"};
     std::string job = memberJob(owner, refFor(owner, key)).value;
@@ -52,7 +53,8 @@
     job.spot = true;
     for (int life = 0; life < 2; ++life) {
       Client c(settings);
-      // The first life gives up halfway; the second submits everything again.
+      // The first run of the script stops after half of the jobs; the second submits all jobs
+      // again.
       int upTo = life == 0 ? jobs / 2 : jobs;
       for (int i = 0; i < upTo; ++i) {
         SubmitOptions o;
@@ -93,7 +95,8 @@
   }
 };
 
-// Batches until what `trouble` counts is over; then everything must be there, once, and done.
+// Runs batches until all faults that `trouble` counts have happened. Then every submitted job must
+// exist exactly once and be done.
 void playBatches(const std::vector<std::string>& region, int count,
                  int (RegionProcess::*trouble)()) {
   Members m(region);
@@ -125,7 +128,8 @@
     witnesses += entry.path().extension() == ".lock" ? 1 : 0;
   }
   EXPECT_EQ(witnesses, submitted);
-  // As the service has it: each batch once, all of them done, and nothing of others.
+  // The member's job list contains each job of the batches once, all are done, and it contains no
+  // other jobs.
   Client c(m.settings(ana));
   JobQuery q;
   std::size_t listed = 0;
@@ -162,8 +166,8 @@
               kills, &RegionProcess::killed);
 }
 
-// The same with each back at once: its port, its name on the leader key and its peers' and workers'
-// connections are still those of the earlier life.
+// Each killed controller restarts immediately, so its port, its name on the leader key and the
+// connections of its peers and workers still date from the killed process.
 TEST(ClientLoopback, ControllersThatAreKilledAreBackAtOnce) {
   int kills = countFrom("KESTRELHOIST_KILLS", 8);
   playBatches({"--kill-controllers", std::to_string(kills), "--kill-every-ms", "400", "--back-ms",
@@ -171,8 +175,9 @@
               kills, &RegionProcess::killed);
 }
 
-// Single links of controllers (to the state service, the cloud, the workers, one another) are held
-// or reset for up to 4.5 s, several at a time; KESTRELHOIST_CUTS=300 plays the long form.
+// Single links of controllers (to the state service, the cloud, the workers or other controllers)
+// are stalled or reset for up to 4.5 s, several at a time. KESTRELHOIST_CUTS=300 runs the long
+// form.
 TEST(ClientLoopback, LinksAreCutWhileAClientIsAtWork) {
   int cuts = countFrom("KESTRELHOIST_CUTS", 12);
   playBatches(
@@ -180,7 +185,7 @@
       &RegionProcess::cut);
 }
 
-// Rule files with keys on: a member's flows are its own.
+// With member keys enabled, another member can't see or cancel a member's flows.
 TEST(ClientLoopback, FlowsBelongToTheirMember) {
   Members m({}, R"({"members": {"enabled": true, "root_key_file": "root.key"},
                     "flows": {"enabled": true}})");
@@ -207,7 +212,8 @@
   EXPECT_EQ(hoist("", "ana", "flow status w-5"), 4);
 }
 
-// "Nobody could say who held them": any controller tells, whoever leads; a member's own jobs only.
+// This test guards against an operator who can't find out why a job waits. Every controller reports
+// the reason, whether or not it leads; a member sees it only for its own jobs.
 TEST(ClientLoopback, AnOperatorLearnsWhyAJobWaits) {
   Members m({}, R"({"members": {"enabled": true, "root_key_file": "root.key"}})");
   ASSERT_FALSE(m.process->servers.empty()) << m.directory;
@@ -222,7 +228,7 @@
   };
   Job job;
   job.tasks = 3;
-  job.cpus = 1e6;  // accepted by nobody: never runs
+  job.cpus = 1e6;  // No machine type can hold this job, so it is rejected.
   auto never = Client(m.settings(ana)).submit(job);
   EXPECT_FALSE(never);
   job.cpus = job.ramGb = 0.1;
@@ -231,7 +237,7 @@
   int code = -1;
   for (const auto& server : m.process->servers) {
     std::string told;
-    // Jobs are accepted before there is a first leader.
+    // The loop retries because controllers accept jobs before the first leader is elected.
     for (int tries = 0; tries < 100 && told.find(" leads, for ") == std::string::npos; ++tries) {
       if (tries > 0) usleep(100000);
       told = why(ana, server, accepted->id, &code);
@@ -249,7 +255,8 @@
   EXPECT_EQ(code, 7);
 }
 
-// Users over TLS, controllers among themselves with a certificate each, exchanged while they run.
+// Users connect over TLS, and controllers authenticate each other with their own certificates. The
+// certificates are replaced while the controllers run.
 TEST(ClientLoopback, OverTlsWithCertificatesThatAreExchanged) {
   Certificates c;
   for (int i = 0; i < 3; ++i) {
@@ -283,7 +290,8 @@
     alone.servers = {server};
     EXPECT_TRUE(Client(alone).get(first->id)) << server;
   }
-  // Without TLS there is nothing for members; who is not believed is told nothing.
+  // The controllers' plain port rejects members' requests, and a client that does not trust the
+  // server's certificate gets no answer.
   Settings plain = s;
   plain.tls = false;
   plain.servers = m.process->servers;
@@ -293,8 +301,8 @@
   CallOptions soon;
   soon.deadline = std::chrono::seconds(2);
   EXPECT_EQ(Client(mistrusting).get(first->id, soon).error().kind, ErrorKind::unavailable);
-  // A leader was elected and heard of, so the mesh works, or the job could not be cancelled and
-  // seen elsewhere.
+  // Cancelling a job and reading the result at other controllers needs a leader that all
+  // controllers know, so success shows that the TLS connections between controllers work.
   EXPECT_TRUE(Client(s).cancel(first->id));
   for (int i = 0; i < 3; ++i) {
     c.issue("users-node" + std::to_string(i), "stranger", "IP:127.0.0.1", 30);
@@ -324,7 +332,7 @@
   std::thread giving([&] { cancel.request(); });
   EXPECT_EQ(c.get("j-1", o).error().kind, ErrorKind::cancelled);
   giving.join();
-  // A call that is open when its client goes ends with it.
+  // An open call ends when its client is destroyed.
   std::optional<ErrorKind> how;
   {
     Client going(bad);
--- a/tests/client_world_test.cpp
+++ b/tests/client_world_test.cpp
@@ -1,7 +1,7 @@
-// The client's core against whole controllers in virtual time, while controllers end, are cut off
-// or refused, the state service is away, requests come late and answers get lost, and while the
-// client itself ends and is started again: no job twice, none lost, each end told once, no error of
-// the wrong kind.
+// These tests run the client core against complete controllers in virtual time. Controllers crash
+// or become unreachable, the state service fails, requests are delayed, responses get lost, and the
+// client restarts. The tests guard against duplicate jobs, lost jobs, job ends that are reported
+// twice, and errors of the wrong kind.
 #include "base/log.hpp"
 #include "member_user.hpp"
 
@@ -15,7 +15,8 @@
 
 std::string batch(int i) { return "drawer-" + std::to_string(i); }
 
-// One life of a script that submits its batches and follows them to their ends.
+// One run of a user script, from its start to its restart or end. The script submits its batch of
+// jobs and watches them until they end.
 struct Script {
   Script(World& world, const std::string& key, int life, std::uint64_t seed)
       : user(world, "script-" + std::to_string(life), key, seed) {
@@ -28,13 +29,13 @@
   }
   void submit(int i) {
     client::Job job = jobOf(3);
-    steps.push_back(user.jobs->submit(job, batch(i), "", Duration{60000},
-                                      [this, i](client::Result<client::JobState> r) {
-                                        note(r ? std::nullopt : std::optional(r.error()));
-                                        if (!r) return submit(i);  // settles what is unknown
-                                        accepted.insert(i);
-                                        if (accepted.size() == kJobs) watch();
-                                      }));
+    steps.push_back(user.jobs->submit(
+        job, batch(i), "", Duration{60000}, [this, i](client::Result<client::JobState> r) {
+          note(r ? std::nullopt : std::optional(r.error()));
+          if (!r) return submit(i);  // The retry resolves an unknown outcome.
+          accepted.insert(i);
+          if (accepted.size() == kJobs) watch();
+        }));
   }
   void watch() {
     std::vector<std::string> ids;
@@ -151,7 +152,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, ClientWorld, testing::Range<std::uint64_t>(1, 25));
 
-// Thousands of seeds, by hand: KESTRELHOIST_SEEDS=FIRST-LAST.
+// This test runs only by hand, with KESTRELHOIST_SEEDS=FIRST-LAST for a range of thousands of
+// seeds.
 TEST(ClientWorldLong, ManySeeds) {
   const char* range = std::getenv("KESTRELHOIST_SEEDS");
   unsigned first = 0, last = 0;
@@ -160,7 +162,8 @@
   for (unsigned seed = first; seed <= last; ++seed) play(seed);
 }
 
-// A service that is down is not multiplied by those who wait for it.
+// This test guards against a retry storm: while the state service is down, all calls of a client
+// share one retry budget.
 TEST(ClientWorld, RetriesStayWithinTheirBudget) {
   spdlog::set_level(spdlog::level::off);
   WorldSettings settings;
@@ -183,8 +186,8 @@
   w.runFor(60);
   EXPECT_EQ(ended, 200);
   const auto& c = user.caller->counts();
-  // 2 a second for 50 s, a burst of 20, a tenth of each call: of 200 calls that each would ask
-  // again every few seconds.
+  // The retry budget is 2 per second over 50 s, a burst of 20 and 0.1 per call. Without a budget,
+  // each of the 200 calls would retry every few seconds.
   EXPECT_LE(c.requests - c.calls, 160U);
 }
 
@@ -215,12 +218,14 @@
   EXPECT_FALSE(told);
 }
 
-// A watch of all goes on from its cursor on another controller, without gap or repetition.
+// A watch of all jobs resumes from its cursor at another controller and neither misses nor repeats
+// an event.
 TEST(ClientWorld, AWatchGoesOnFromItsCursorElsewhere) {
   spdlog::set_level(spdlog::level::off);
   WorldSettings settings;
   settings.members = true;
-  settings.ordinaryPerZone = settings.spotPerZone = 0;  // nothing runs: each job is told once
+  settings.ordinaryPerZone = settings.spotPerZone =
+      0;  // No task can run, so each job has one event.
   World w(settings);
   w.runFor(10);
   std::string key = makeKey(w, "team", "ana");
@@ -229,7 +234,7 @@
   std::string cursor;
   int submitted = 0;
   for (int round = 0; round < 6; ++round) {
-    // Begins at another controller each time, as drawn by its seed.
+    // The seed of each round selects the controller at which the watch starts.
     MemberUser user(w, "watch-" + std::to_string(round), key, static_cast<unsigned>(round) + 10);
     auto watcher = std::make_shared<client::JobWatcher>(
         *user.jobs, std::vector<std::string>{}, cursor,
--- a/tests/concurrent_reads.cpp
+++ b/tests/concurrent_reads.cpp
@@ -156,11 +156,11 @@
     case 4:
       body["site"] = "nowhere";
       break;
-    case 5:  // over the team's limit: all tasks of a service
+    case 5:  // All replicas of a service together exceed the team's limit.
       body["shape"] = "daemon";
       body["shards"] = static_cast<int>(world_.settings.gpusMax) + 1;
       break;
-    default:  // one task of an array
+    default:  // One task of a job array alone exceeds the team's limit.
       body["gpus"] = world_.settings.gpusMax + 1;
   }
   refusedFor(node, id, body);
--- a/tests/concurrent_reads.hpp
+++ b/tests/concurrent_reads.hpp
@@ -1,26 +1,30 @@
-/// Users that read at all controllers within milliseconds (ConcurrentReads), and users that send
-/// malformed requests (OddRequests). What they were told is compared in the order in which requests
-/// were sent and answers came.
+/// \file
+/// Simulates users that read the same job at all controllers within milliseconds (ConcurrentReads),
+/// and users that send invalid requests (OddRequests). A response fails the world if it contradicts
+/// a response that arrived before its request was sent.
 #pragma once
 
 #include "sim/world.hpp"
 
 namespace kestrelhoist::sim {
 
+/// Sends polls, repeated submissions and cancellations of the same jobs to all controllers at
+/// nearly the same time, and checks that no response contradicts an earlier one.
 class ConcurrentReads {
  public:
   enum class Kind { poll, submit, abort };
 
   ConcurrentReads(World& world, int nodes) : world_(world), nodes_(nodes) {}
 
-  // From now on, after each first word of a job, with so large a share cancelled at once.
+  // Starts the requests: each time a user learns that a job is accepted or over, a burst of
+  // requests for this job follows. The given share of the jobs is cancelled right after acceptance.
   void begin(double cancelledAtOnce) {
     cancelledAtOnce_ = cancelledAtOnce;
     world_.onTold = [this](const std::string& id, const std::string& what) { told(id, what); };
   }
 
-  // Each controller is asked and handed the job again, 0 to 50 ms from now; what nobody submitted
-  // is asked for as well.
+  // Polls the job twice and submits it again at each controller, at random times within 50 ms. One
+  // random controller also receives a poll for a job id that no user has submitted.
   void burst(const std::string& id) {
     for (int node = 0; node < nodes_; ++node) {
       for (Kind kind : {Kind::poll, Kind::poll, Kind::submit}) soon(kind, id, node);
@@ -30,15 +34,16 @@
 
   void ask(Kind kind, const std::string& id, int node, int follow = kFollow);
 
-  // Asks every controller for every job until each has answered: all tell the same, and of every
-  // job that it is over.
+  // Polls every accepted job at every controller, in several rounds. The world fails if a
+  // controller never answers, if two controllers report different phases, or if a job is not over.
   void expectAgreement();
 
  private:
   static constexpr std::int64_t kClose = 51;  // ms
-  static constexpr int kFollow = 2;           // looks that follow an answer, one after the other
+  static constexpr int kFollow = 2;           // the number of successive requests after a response
 
-  // Orders in which things happened; none: not yet.
+  // The positions of a job's acceptance and end in the order of all sent requests and received
+  // responses. A position is empty until the event has happened.
   struct Job {
     std::optional<std::uint64_t> accepted, ended;
     std::string end;
@@ -87,8 +92,9 @@
   std::map<std::string, Job> jobs_;
 };
 
-// Requests that PROTOCOL answers with 400, 422 or 200 whatever happens, at every controller. 429,
-// 503 and no answer at all are always allowed.
+/// Sends requests whose status is fixed by the protocol (400, 422, 404 or 200) at every controller,
+/// whichever faults occur, and checks the status. Status 429, status 503 and a missing response are
+/// always allowed.
 class OddRequests {
  public:
   OddRequests(World& world, int nodes) : world_(world), nodes_(nodes) {}
@@ -105,7 +111,7 @@
   }
 
  private:
-  static constexpr const char* kSound = "j-860000";  // is accepted, and done some time
+  static constexpr const char* kSound = "j-860000";  // a valid job that is accepted and completes
 
   std::int64_t drawn(std::int64_t below) {
     return static_cast<std::int64_t>(world_.random() % static_cast<std::uint64_t>(below));
@@ -132,10 +138,12 @@
 
   std::string freshId() { return "j-861" + std::to_string(10000 + next_++); }
 
-  // A field is missing or of a kind that it can't be; or it is no map, or cut off.
+  // Submits a job with a missing field, a field of a wrong type or value, or a truncated body, and
+  // expects status 400.
   void malformed(int node);
 
-  // Well-formed, and never to be run: 422, or 503 while nobody knows the machine types.
+  // Submits a well-formed job that no machine type or team limit permits. The expected status is
+  // 422, or 503 while no machine types are stored.
   void neverRuns(int node);
 
   void refusedFor(int node, const std::string& id, const Json& body) {
@@ -149,14 +157,15 @@
                         });
   }
 
-  // A sound one while the types may not be known: then 503.
+  // Submits a valid job if no machine types are stored yet, and expects status 503 while none are.
   void early(int node);
 
-  // The job that was accepted, handed in again: as it was, incomplete, or as it could never run;
-  // and cancelled once it is done.
+  // Submits the accepted job kSound again, either unchanged, incomplete or with a shape that can't
+  // run, and expects status 200. After the job is done, it also cancels and polls the job.
   void againOddly(int node);
 
-  // Neither asked for nor cancelled: nobody has accepted it.
+  // Checks that a rejected job id gets 404 for a poll and for a cancellation, and that the state
+  // service stores no job of this id.
   void isNobodys(int node, const std::string& id) {
     world_.clock.in(drawn(3000), [this, node, id] {
       expect((node + 1) % nodes_, {"GET", "/v2/runs/" + id, ""}, {404}, id + " asked for");
--- a/tests/member_user.hpp
+++ b/tests/member_user.hpp
@@ -1,4 +1,6 @@
-// A member's process in the simulated world: the client's core on a host of its own.
+/// \file
+/// Simulates a member's process: MemberUser runs the core of the client library on its own
+/// simulated host. makeKey() creates member keys, and jobOf() describes a small job.
 #pragma once
 
 #include "client/src/job_codec.hpp"
@@ -7,6 +9,7 @@
 
 namespace kestrelhoist::sim {
 
+/// A member with its own client library instance on a simulated host.
 class MemberUser {
  public:
   MemberUser(World& world, const std::string& host, const std::string& key, std::uint64_t seed,
@@ -20,7 +23,7 @@
     jobs = std::make_unique<client::JobCalls>(*caller, "team", !key.empty());
   }
 
-  // Runs the world until the call has ended.
+  // Starts a client call and runs the simulated world until the call completes.
   template <class T>
   client::Result<T> await(const std::function<client::StepsPtr(client::JobCalls::Done<T>)>& begin) {
     std::optional<client::Result<T>> result;
@@ -28,7 +31,7 @@
     for (int i = 0; i < 6000 && !result; ++i) world_.runFor(0.1);
     return *result;
   }
-  // One request as it is, without retries; status 0: no answer.
+  // Sends one request without retries and returns its response; the status is 0 if none arrives.
   Response raw(Request request, int node = 0) {
     Response out;
     bool over = false;
@@ -50,7 +53,7 @@
   HostRuntime runtime_;
 };
 
-// A key made by the operator.
+// Creates a member key with the operator's root key and returns its secret.
 inline std::string makeKey(World& world, const std::string& team, const std::string& member,
                            const std::string& rights = "submit,read,cancel",
                            Duration patience = Duration{60000}) {
--- a/tests/members_simulator.hpp
+++ b/tests/members_simulator.hpp
@@ -1,4 +1,5 @@
-// A region on loopback whose controllers have members.
+/// \file
+/// Starts a simulated region on loopback whose controllers authenticate members by keys (Members).
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,6 +12,7 @@
 
 namespace kestrelhoist {
 
+/// Runs a shell command and returns its standard output without trailing newlines.
 inline std::string outputOf(const std::string& command) {
   std::string out;
   FILE* p = popen(command.c_str(), "r");
@@ -20,6 +22,8 @@
   return out;
 }
 
+/// A region process with a root key and settings for clients; its directory is removed at the end
+/// unless the test has failed.
 struct Members {
   explicit Members(const std::vector<std::string>& region, const std::string& settings = "") {
     char name[] = "/tmp/kestrelhoist-client-XXXXXX";
@@ -58,7 +62,7 @@
   }
   std::string directory, root;
   std::unique_ptr<RegionProcess> process;
-  int offset = 0;  // of the port that members use
+  int offset = 0;  // the difference between the members' port and the controller's port
   client::Settings like;
 };
 
--- a/tests/simulator_process.hpp
+++ b/tests/simulator_process.hpp
@@ -1,4 +1,6 @@
-// hoist-region with controllers as a process of its own, ended with the test.
+/// \file
+/// Runs the region simulator hoist-region, which starts the controllers, as a child process
+/// (RegionProcess).
 #pragma once
 
 #include <signal.h>
@@ -12,6 +14,7 @@
 
 namespace kestrelhoist {
 
+/// A running hoist-region process; the destructor terminates it.
 class RegionProcess {
  public:
   RegionProcess(const std::string& directory, const std::string& operatorFile,
@@ -50,13 +53,14 @@
   RegionProcess(const RegionProcess&) = delete;
   RegionProcess& operator=(const RegionProcess&) = delete;
 
-  // Waits until all kills at drawn times are done; how many.
+  // Waits until the simulator has killed all controllers that it kills at random times, and returns
+  // the number of kills.
   int killed() {
     int n = 0;
     return std::fscanf(in_, " killed %d", &n) == 1 ? n : 0;
   }
 
-  // Likewise all cuts of links.
+  // Waits until the simulator has finished all its random link failures, and returns their number.
   int cut() {
     int n = 0;
     return std::fscanf(in_, " cut %d", &n) == 1 ? n : 0;
