--- a/tests/flow_property_test.cpp
+++ b/tests/flow_property_test.cpp
@@ -1,6 +1,6 @@
-// Drawn graphs, faults and amendments, played by whole controllers in virtual time, against a
-// serial executor: in the end each wanted file is what running the final version alone, one
-// instance after the other, would have made.
+// This property test runs random flow graphs, faults and amendments on complete controllers in
+// virtual time. It guards against stale or missing outputs: at the end, each target file must equal
+// the file that a serial execution of the final flow version alone would produce.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -25,7 +25,7 @@
   spdlog::set_level(spdlog::level::off);
   int round = 0;
   EXPECT_TRUE(rc::check([&] {
-    if (++round > 60) return;  // a few seconds of work
+    if (++round > 60) return;  // This limit keeps the test to a few seconds.
     WorldSettings settings;
     settings.seed = static_cast<std::uint64_t>(*rc::gen::inRange(1, 1000000));
     World w(settings);
--- a/tests/hoist_test.cpp
+++ b/tests/hoist_test.cpp
@@ -1,5 +1,5 @@
-// hoist as its users call it, where no service is needed: answers, refusals and exit codes. And
-// what the service says to bodies that are none.
+// These tests check the output and exit codes of the hoist command where it needs no controller.
+// Another test sends malformed request bodies to the flow service.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -41,7 +41,8 @@
   EXPECT_EQ(json.code, 0);
   Json v = Json::parse(json.out, nullptr, false);
   ASSERT_TRUE(v.is_object()) << json.out;
-  EXPECT_EQ(v["instances"].size(), 2u);  // until the checkpoint has shown what there is
+  EXPECT_EQ(v["instances"].size(),
+            2u);  // Further instances are planned only after the checkpoint has run.
   auto dot = hoist("flow plan --dot " + kExamples + "audit/Makefile");
   EXPECT_EQ(dot.out.rfind("digraph flow {", 0), 0u);
 }
@@ -57,7 +58,7 @@
   auto missing = hoist("flow plan /nonexistent/Snakefile");
   EXPECT_EQ(missing.code, 3);
   EXPECT_NE(missing.out.find("there is no file"), std::string::npos) << missing.out;
-  // Nobody answers there.
+  // No server listens at this address.
   EXPECT_EQ(hoist("--server 127.0.0.1:1 --timeout 1 flow status w-1").code, 7);
   EXPECT_EQ(hoist("--config /nonexistent.json flow status w-1").code, 2);
 }
@@ -88,8 +89,8 @@
   EXPECT_THROW(parseOperatorSettings(R"({"flows": {"enabled": 1}})", "f"), std::runtime_error);
 }
 
-// Drawn requests to the paths of flows: refused at once with 4xx or told to come again, never
-// taken for a flow, and the controllers go on.
+// Random malformed requests to the flow paths get a 4xx status, a 503 or a regular answer, and
+// never stop a controller or affect the open flow.
 TEST(FlowService, SurvivesMalformedRequests) {
   spdlog::set_level(spdlog::level::off);
   sim::WorldSettings settings;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -1,6 +1,6 @@
-// The examples on loopback with real processes, as flows and again job by job, while controllers
-// and machines are killed at drawn starts of tasks: the files and the accounts must be the same.
-// Bounded by counts of questions asked, not by clocks.
+// These tests run the examples with real processes on loopback, first as flows and then as separate
+// jobs, while controllers and machines are killed at randomly chosen task starts. Both runs must
+// produce the same files and resource accounts. Counts of polls, not clocks, limit the run time.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -22,12 +22,13 @@
 namespace fs = std::filesystem;
 
 struct CommitOutcome {
-  std::map<std::string, std::string> files;  // name and content
+  std::map<std::string, std::string> files;  // the content of each file by its name
   std::map<std::string, std::pair<double, std::string>>
-      rules;  // completed tasks, and what one takes
+      rules;  // the number of completed tasks and the resources of one task, by rule
 };
 
-// Without what differs by nature: times, logs of attempts, marks.
+// Returns the content of all files below the directory, without the .tsv files, whose measured
+// times differ between runs.
 std::map<std::string, std::string> filesIn(const std::string& directory) {
   std::map<std::string, std::string> out;
   for (const auto& name : rules::filesBelow(directory, 1000)) {
@@ -54,7 +55,7 @@
         caller_(loop_, http_, region.servers, 7),
         client_(caller_) {}
 
-  // The answer's body; empty if there was none.
+  // Sends a request and returns the body of the response, which is empty if the request fails.
   Json call(Request request) {
     Json result = Json::object();
     client_.call(std::move(request), Duration{120000}, [&](FlowClient::Result r) {
@@ -79,7 +80,7 @@
     setenv("HOIST_SERVERS", servers.c_str(), 1);
     std::string command =
         std::string(CLI_PATH) + " flow submit " + file + " --id " + id + " > /dev/null";
-    // A repeated call with the same id begins nothing twice.
+    // The second submission with the same id must not start a second flow.
     EXPECT_EQ(std::system(command.c_str()), 0);
     EXPECT_EQ(std::system(command.c_str()), 0);
     std::string phase;
@@ -95,7 +96,7 @@
     auto report = call({"GET", "/v2/flows/" + id + "/report", ""});
     for (const auto& r : report.value("rules", Json::array())) {
       std::string name = r["rule"];
-      if (name == "(checkpoint)") continue;  // the driver's own work below
+      if (name == "(checkpoint)") continue;  // jobByJob() reports no checkpoints.
       double tasks = r["tasks"].get<double>(), seconds = std::max(1e-9, r["task_s"].get<double>());
       auto each = [&](const char* f) {
         return std::round(r[f].get<double>() / seconds * 100) / 100;
@@ -105,8 +106,8 @@
     return out;
   }
 
-  // The same work by hand: each instance a job of one task, once what it needs is done; the file
-  // is read again after a checkpoint.
+  // Runs the rule file without a flow. Each instance becomes a job with one task as soon as its
+  // dependencies are done, and the rule file is planned again after a checkpoint.
   CommitOutcome jobByJob(const std::string& team, const std::string& file,
                          const std::string& name) {
     std::string relative = team + "/ana/" + name, directory = region_.files + "/" + relative;
--- a/tests/member_key_faults_test.cpp
+++ b/tests/member_key_faults_test.cpp
@@ -1,5 +1,6 @@
-// Keys of members while the transactions that write them get no answer: a key is made once, ends
-// once and for good, and each attempt is told so in the end.
+// These tests lose the responses to the transactions that create and revoke member keys. They guard
+// against keys that are created twice or stay valid after a revocation, and against calls that
+// never get a final answer.
 #include "base/log.hpp"
 #include "member_user.hpp"
 #include "scenario_late_messages.hpp"
@@ -9,7 +10,9 @@
 
 class KeysLate : public testing::TestWithParam<std::tuple<bool, int, std::uint64_t>> {};
 
-// At once or 2 to 12 s later; the author stays (-1) or ends and is back after so many ms.
+// The parameters are: whether a transaction without a response arrives 2 to 12 s late instead of
+// immediately, the downtime in ms of the controller that sent it (-1 if it doesn't crash), and the
+// seed.
 TEST_P(KeysLate, AreMadeAndEndedOnce) {
   spdlog::set_level(spdlog::level::off);
   auto [late, downMs, seed] = GetParam();
@@ -31,7 +34,8 @@
     std::int64_t later = late ? 2000 + static_cast<std::int64_t>(world.random() % 10000) : 0;
     return {later, true};
   };
-  // Six tries in ten are lost and end the controller: within 60 s a client may rightly give up.
+  // With 60% of the transactions unanswered and crashes of the controllers, a client may correctly
+  // exceed its default deadline of 60 s, so this test uses a longer one.
   constexpr Duration kPatience{170000};
   constexpr int kKeys = 4;
   std::vector<std::string> keys;
@@ -41,12 +45,13 @@
   }
   ASSERT_EQ(world.state.keysBelow(keys::kKey).size(), static_cast<std::size_t>(kKeys));
   MemberUser root(world, "operator", rootCredential().str(), 5);
-  // The newest: copies of the request that made it are still under way.
+  // The test revokes the newest key because delayed copies of its creation request may still
+  // arrive.
   std::string id = credentialFrom(keys.back())->id.value;
   auto ended = root.await<client::KeyInfo>(
       [&](auto done) { return root.jobs->revokeKey(id, Duration{0}, kPatience, done); });
   ASSERT_TRUE(ended) << ended.error().text();
-  // Whatever is still under way has arrived.
+  // All delayed requests arrive within this time.
   world.runFor(30);
   for (int i = 0; i < kKeys; ++i) {
     MemberUser member(world, "member", keys[static_cast<std::size_t>(i)], 7);
--- a/tests/member_load_test.cpp
+++ b/tests/member_load_test.cpp
@@ -1,6 +1,7 @@
-// By hand: KESTRELHOIST_MEASURE=1 ... --gtest_filter='MemberLoad*'. What one member waits on
-// loopback, with real processes, alone and while another floods; bounded in count. Quantiles by
-// prometheus-cpp's summaries (there is no package of HdrHistogram for C++).
+// This measurement runs only by hand, with KESTRELHOIST_MEASURE=1 and --gtest_filter='MemberLoad*'.
+// It measures the response times of one member on loopback with real processes, alone and while
+// another member floods the controllers. prometheus-cpp summaries compute the quantiles because no
+// package of HdrHistogram exists for C++.
 #include <gtest/gtest.h>
 #include <prometheus/summary.h>
 
@@ -30,7 +31,8 @@
   }
 };
 
-// `rate` a second for `seconds`, half submissions and half polls, over all controllers.
+// Sends `rate` requests per second for `seconds` to all controllers in turn. Submissions and polls
+// alternate.
 void load(EventLoop& loop, EvHttpClient& http, const std::vector<std::string>& servers,
           const std::string& key, int rate, int seconds, int firstId, Times& times, int& open) {
   client::Job job;
--- a/tests/member_measure_test.cpp
+++ b/tests/member_measure_test.cpp
@@ -1,6 +1,6 @@
-// Measurements of the members' part, by hand: KESTRELHOIST_MEASURE=1 ...
-// --gtest_filter='MemberMeasure*'. Processor time of whole controllers in virtual time, on and off
-// in one run; docs/members.md has the figures.
+// These measurements run only by hand, with KESTRELHOIST_MEASURE=1 and
+// --gtest_filter='MemberMeasure*'. They measure the processor time of complete controllers in
+// virtual time, with and without member keys in the same run. docs/members.md has the results.
 #include <malloc.h>
 
 #include <ctime>
@@ -30,7 +30,8 @@
   return s;
 }
 
-// Processor time of `count` requests, in microseconds each, what the world itself costs included.
+// Returns the average processor time of a request in microseconds over `count` requests. The time
+// includes the cost of the simulation itself.
 double costOf(World& w, MemberUser& user, int count, const std::function<Request(int)>& request) {
   int open = 0;
   double before = cpuMs();
@@ -41,7 +42,7 @@
                           EXPECT_TRUE(r && r->status < 300) << (r ? r->status : 0);
                           --open;
                         });
-    if (i % 10 == 9) w.runFor(0.25);  // 40 a second: within a member's rates
+    if (i % 10 == 9) w.runFor(0.25);  // 40 requests per second stay below a member's rate limit.
   }
   w.runFor(6);
   EXPECT_EQ(open, 0);
@@ -51,7 +52,7 @@
 TEST_F(MemberMeasure, CostOfARequestWithKeysAndWithout) {
   constexpr int kCount = 4000;
   double cost[2][2];
-  for (int round = 0; round < 2; ++round) {  // the first warms up
+  for (int round = 0; round < 2; ++round) {  // The first round is a warm-up.
     for (bool members : {false, true}) {
       World w(one(members));
       w.runFor(10);
@@ -76,7 +77,7 @@
   }
 }
 
-// A page of a list, by how many jobs the member has.
+// Measures the processor time of one page of a job list for several numbers of jobs of the member.
 TEST_F(MemberMeasure, CostOfAPage) {
   for (int jobs : {1000, 10000, 100000}) {
     Replica replica;
@@ -106,7 +107,8 @@
   }
 }
 
-// Pages of a list as the service answers them, by how many jobs the member has.
+// Measures the memory for each job and the processor time for each page of a job list, for members
+// with 1,000 and with 100,000 jobs.
 TEST_F(MemberMeasure, ListOfAMemberWithManyJobs) {
   for (int jobs : {1000, 100000}) {
     WorldSettings settings = one(true);
@@ -152,8 +154,8 @@
   }
 }
 
-// Held watches over three controllers: what they cost while nothing changes, and one change for
-// each member.
+// Measures the cost of held watches at three controllers, first without changes and then with one
+// change for each member.
 TEST_F(MemberMeasure, HeldWatches) {
   struct Case {
     int members, each, sockets;
--- a/tests/member_service_test.cpp
+++ b/tests/member_service_test.cpp
@@ -1,6 +1,6 @@
-// The service with keys on, whole controllers in virtual time: what a member learns of others, what
-// bad keys get, how soon a revoked one ends, what a flood costs the others, and what malformed
-// requests come to.
+// These tests run complete controllers with member keys in virtual time. They check the isolation
+// between members, the answers to invalid and revoked keys, the delays that a flood of requests by
+// one member causes for others, and the handling of malformed requests.
 #include <rapidcheck.h>
 
 #include "base/log.hpp"
@@ -14,7 +14,7 @@
   WorldSettings s;
   s.seed = seed;
   s.members = true;
-  s.ordinaryPerZone = s.spotPerZone = 0;  // nothing ever runs
+  s.ordinaryPerZone = s.spotPerZone = 0;  // No machine can be rented, so no task runs.
   return s;
 }
 
@@ -25,11 +25,9 @@
 
 Json submission(const std::string& ref, int tasks = 1) { return client::toBody(jobOf(tasks), ref); }
 
-// ---- isolation ----
-
 struct MemberCall {
   int what, ref, tasks, limit;
-  bool other;  // by the rival, in the one world that has it
+  bool other;  // Whether the rival member makes this call, in the world that has a rival.
 };
 
 Request requestOf(const MemberCall& c, const std::string& key, const std::string& team,
@@ -56,11 +54,12 @@
   }
 }
 
-// What the member is told, without the cursor's sealed text and the time of day.
+// Returns the responses to the member's calls without cursors and times of day, which differ
+// between two runs of the same calls.
 std::vector<std::string> told(const std::vector<MemberCall>& calls, bool withRival, bool sameTeam) {
   World w(quiet());
   w.runFor(10);
-  // In both worlds, so that the keys on record are the same.
+  // Both worlds create both members' keys, so that their stored keys are the same.
   std::string ana = makeKey(w, "team", "ana");
   std::string rivalTeam = sameTeam ? "team" : "rival";
   std::string rival = makeKey(w, rivalTeam, "rob");
@@ -120,19 +119,20 @@
     EXPECT_EQ(known.status, 404);
     EXPECT_EQ(known.body, none.body);
   }
-  // Not by the name that workers see, either; nor for a user without a key.
+  // Another member can't reach the job by its internal id, which workers receive, and a user
+  // without a key can reach it by neither id.
   std::string inner = memberJob({TeamId{"team"}, "ana"}, "j-7").value;
   EXPECT_EQ(user.raw(with(rob, "GET", "/v2/runs/" + inner)).status, 404);
   EXPECT_EQ(user.raw(with("", "GET", "/v2/runs/j-7")).status, 404);
   EXPECT_EQ(user.raw(with("", "GET", "/v2/runs/" + inner)).status, 404);
-  // The same id is another job for each.
+  // The same job id denotes a separate job for each member and for users without a key.
   Json theirs = submission("j-7", 2);
   theirs["owner"] = "rival";
   EXPECT_EQ(user.raw(with(rob, "POST", "/v2/runs", theirs)).status, 201);
   EXPECT_EQ(user.raw(with("", "POST", "/v2/runs", submission("j-7"))).status, 201);
-  // A team's name in the body is no right to it.
+  // A member can't submit a job for another team by naming this team in the body.
   EXPECT_EQ(user.raw(with(rob, "POST", "/v2/runs", submission("j-9"))).status, 403);
-  // A cursor of another member is no cursor.
+  // A cursor that was issued to another member is rejected.
   auto page = decodeBody(user.raw(with(ana, "GET", "/v2/jobs")).body);
   ASSERT_TRUE(page);
   EXPECT_EQ((*page)["jobs"].size(), 1U);
@@ -141,8 +141,6 @@
       410);
 }
 
-// ---- keys ----
-
 TEST(MemberService, BadKeysAreAllAnsweredAlike) {
   World w(quiet());
   w.runFor(10);
@@ -164,7 +162,7 @@
   EXPECT_EQ(user.raw(with(ana, "POST", "/v2/runs", submission("j-1"))).status, 403);
   EXPECT_EQ(user.raw(with(ana, "POST", "/v2/runs/j-1/abort")).status, 403);
   EXPECT_EQ(user.raw(with(ana, "GET", "/v2/keys")).status, 403);
-  // The operator's key makes keys and sees no jobs.
+  // The operator's root key may create keys but may not read jobs.
   EXPECT_EQ(user.raw(with(rootCredential().str(), "GET", "/v2/runs/j-1")).status, 403);
 }
 
@@ -191,7 +189,7 @@
       [&](auto done) { return eve.jobs->keys("", "", Duration{60000}, done); });
   ASSERT_TRUE(all);
   EXPECT_EQ(all->size(), 2U);
-  // Rotated: the old one goes on for its grace, then ends.
+  // After a rotation, the old key stays valid for its grace period only.
   std::string old = made->secret;
   auto next = eve.await<client::KeyInfo>([&](auto done) {
     return eve.jobs->rotateKey(made->id, Duration{20000}, Duration{60000}, done);
@@ -206,8 +204,8 @@
   }
 }
 
-// From a revocation on, no answer under the key after the stated 10 s, whatever a controller can
-// hear of it; with the state service in reach, after a second.
+// A revoked key is rejected by every controller after 10 s at the latest, even by a controller that
+// can't learn of the revocation. A controller that reaches the state service rejects it after 1 s.
 TEST(MemberService, ARevokedKeyEndsInTheTimeStated) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     World w(quiet(seed));
@@ -217,7 +215,8 @@
     ASSERT_EQ(user.raw(with(ana, "POST", "/v2/runs", submission("j-1"))).status, 201);
     ASSERT_EQ(user.raw(with(ana, "POST", "/v2/runs/j-1/abort")).status, 200);
     bool cut = seed % 2 == 0;
-    // Cut off from the state service and the others: it goes on with what it knows.
+    // In every second world, node2 is disconnected from the state service and its peers, so it
+    // still has the old state of the key.
     if (cut) w.network.cut("node2", {"state", "node0", "node1"}, CutMode::drop, 60000);
     auto ended = root.await<client::KeyInfo>([&](auto done) {
       return root.jobs->revokeKey(credentialFrom(ana)->id.value, Duration{0}, Duration{60000},
@@ -240,7 +239,7 @@
   }
 }
 
-// Repeating a request, of whoever it was, does nothing a second time.
+// A repeated submission or cancellation has no further effect at any controller.
 TEST(MemberService, ReplayedRequestsChangeNothing) {
   World w(quiet());
   w.runFor(10);
@@ -259,9 +258,7 @@
   EXPECT_EQ(w.state.keysBelow("kh/job/m-").size(), 1U);
 }
 
-// ---- limits ----
-
-// Times in ms from question to answer, for a member that asks every half second.
+// Returns the sorted response times in ms of a member that submits a job every 500 ms.
 std::vector<double> timesOf(bool flood) {
   World w(quiet(3));
   w.runFor(10);
@@ -304,8 +301,9 @@
   return times;
 }
 
-// 400 submissions a second by one member, where the state service takes 25 changes: the other's are
-// all accepted, and what it waits stays a matter of turns.
+// One member sends 400 submissions per second, and the state service accepts 25 transactions per
+// second. All submissions of another member are still accepted, and fair scheduling between members
+// bounds their delay.
 TEST(MemberService, AFloodCostsTheOthersNoMoreThanATurn) {
   auto calm = timesOf(false), flooded = timesOf(true);
   ASSERT_EQ(calm.size(), flooded.size());
@@ -316,8 +314,6 @@
   EXPECT_LT(p99(flooded), p99(calm) + 1500);
 }
 
-// ---- malformed ----
-
 TEST(MemberService, MutatedRequestsGetTheirStatusAndHarmNobody) {
   World w(quiet());
   w.runFor(10);
@@ -357,10 +353,10 @@
     ++seen[r.status];
     EXPECT_NE(r.status, 0);
     EXPECT_NE(r.status, 500) << q.method << " " << q.path;
-    if (i % 100 == 0) w.runFor(20);  // the member's rates
+    if (i % 100 == 0) w.runFor(20);  // The pause keeps the member below its rate limit.
   }
   EXPECT_GT(seen[400], 300);
-  // Queries, too.
+  // Unusual query parameters must get status 200, 400 or 410.
   for (const char* query : {"limit=0", "limit=x", "limit=99999999999999999999", "wait_ms=-1",
                             "phase=no", "since=%00", "since=AAAA", "limit=1&limit=2", "&&&=&"}) {
     auto r = user.raw(with(ana, "GET", std::string("/v2/jobs?") + query));
@@ -369,8 +365,6 @@
   EXPECT_EQ(user.raw(with(ana, "GET", "/v2/whoami")).status, 200);
 }
 
-// ---- watches ----
-
 TEST(MemberService, WatchesAreBoundedAndAnsweredAtTheirInterval) {
   World w(quiet());
   w.runFor(10);
@@ -391,9 +385,9 @@
   };
   for (int i = 0; i < 100; ++i) watch(20000);
   w.runFor(5);
-  // 64 of one member are held; the others are refused at once.
+  // At most 64 watches of one member are held; the other 36 are rejected immediately.
   EXPECT_EQ(statuses, (std::map<int, int>{{429, 36}}));
-  // Another member's jobs wake nobody.
+  // A new job of another member doesn't complete the held watches.
   Json theirs = submission("j-1");
   theirs["owner"] = "rival";
   EXPECT_EQ(user.raw(with(rob, "POST", "/v2/runs", theirs), 1).status, 201);
@@ -403,7 +397,7 @@
   w.runFor(2);
   EXPECT_EQ(statuses[200], 64);
   EXPECT_EQ(jobsTold, 64U);
-  // With nothing to tell, at the interval.
+  // A watch without changes is answered after its wait_ms.
   cursor = textField(*decodeBody(user.raw(with(ana, "GET", "/v2/jobs?since=now")).body), "cursor")
                .value();
   statuses.clear();
--- a/tests/pipeline_checks_test.cpp
+++ b/tests/pipeline_checks_test.cpp
@@ -1,4 +1,5 @@
-// The checker of pipelines finds what it is for: each rule broken once, and kept once beside it.
+// These tests check that PipelineChecks detects violations of the rules for job dependencies. Each
+// rule is broken in one test, and a similar test that keeps the rule must report nothing.
 #include <gtest/gtest.h>
 
 #include "base/log.hpp"
@@ -11,7 +12,7 @@
 
 class PipelineChecksTest : public testing::Test {
  protected:
-  // a, then b, then c.
+  // Submits three jobs, where b depends on a, and c depends on b.
   void chain() {
     submit("a");
     submit("b", {"a"});
@@ -118,7 +119,7 @@
 
 TEST_F(PipelineChecksTest, CancelledThoughNobodyAskedIsAStepBack) {
   chain();
-  checks.cancelAsked("c");  // which is after it
+  checks.cancelAsked("c");  // Job c depends on b, so this cancellation doesn't affect b.
   checks.told("b", "withdrawn", 500);
   EXPECT_EQ(count("went_back"), 1u);
 }
@@ -165,7 +166,7 @@
   checks.sent("b", {1, {"a"}});
   bool hadTo = checks.hasToBeAccepted("b");
   EXPECT_FALSE(hadTo);
-  checks.accepted("a");  // while the answer is under way
+  checks.accepted("a");  // Job a is accepted before the answer to b arrives.
   checks.refused("b", 422, hadTo);
   checks.accepted("b");
   EXPECT_TRUE(broken.empty());
@@ -207,7 +208,8 @@
   EXPECT_EQ(checks.unsettled(), (std::vector<std::string>{"b", "c"}));
 }
 
-// Whole controllers that are not told of `awaits`, as if they did not heed it: the worlds find it.
+// The simulation removes the field `awaits` from submissions, so complete controllers ignore the
+// dependencies of jobs. The checks of the world must detect this.
 class UnheededAwaits : public testing::Test {
  protected:
   UnheededAwaits() {
@@ -255,7 +257,8 @@
   EXPECT_TRUE(found("misjudged"));
 }
 
-// Nothing can be placed: of three short jobs only the one that needs no other is owed its tasks.
+// No task can be placed. Of three short jobs, only the one without dependencies counts as
+// underserved; a job that waits for another job or whose dependency was cancelled doesn't.
 TEST(PipelineServed, HeldJobsAndThoseAfterACancelledOneAreOwedNothing) {
   spdlog::set_level(spdlog::level::off);
   WorldSettings settings;
--- a/tests/policy_loopback_test.cpp
+++ b/tests/policy_loopback_test.cpp
@@ -1,4 +1,5 @@
-// hoist-admin policy and pool against three controllers as processes, while controllers are killed.
+// This test runs the commands `hoist-admin policy` and `hoist-admin pool` against three controller
+// processes while controllers are killed.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -26,7 +27,8 @@
     std::ofstream(directory + "/" + name) << text;
     return directory + "/" + name;
   }
-  // At the addresses at which controllers speak to each other, as their settings name them.
+  // Runs hoist-admin against the controllers' peer addresses, which it reads from their settings
+  // files, and returns the output.
   std::string admin(const std::string& words, int* code) {
     std::string servers;
     for (std::size_t i = 0; i < region.servers.size(); ++i) {
@@ -64,7 +66,7 @@
   EXPECT_EQ(code, 2) << told;
   EXPECT_NE(told.find("/calendar/periods/0"), std::string::npos) << told;
   EXPECT_EQ(std::count(told.begin(), told.end(), '\n'), 1) << told;
-  region.killed();  // all kills are over
+  region.killed();  // This call waits until the simulator has finished all kills.
   EXPECT_NE(admin("policy show", &code).find("members-hours"), std::string::npos);
   admin("policy clear --if 1", &code);
   EXPECT_EQ(code, 0);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,6 +1,6 @@
-// The one runner of tests/rules/*.txt: rule files, what is there, and the plan or the refusal that
-// must come of it. Cases begin with "#### name"; sections with "## file NAME", "## sources",
-// "## targets", "## set", "## plan", "## commands" or "## error".
+// This file runs the cases in tests/rules/*.txt. Each case has rule files, the existing source
+// files, and the expected plan or error. A case begins with "#### name"; its sections begin with
+// "## file NAME", "## sources", "## targets", "## set", "## plan", "## commands" or "## error".
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -17,7 +17,7 @@
 struct Case {
   std::string group, name;
   std::map<std::string, std::string> files;
-  std::string first;  // file
+  std::string first;  // the name of the first rule file, which is planned
   std::string sources, targets, set, plan, commands, error;
   bool hasPlan = false, hasCommands = false;
 };
@@ -93,7 +93,7 @@
   return rules::planSnakefile(rules::readSnakefile(request), request);
 }
 
-// "rule: outputs <- inputs", a line each, in order; the rest of the listing is for people.
+// Returns one line "rule: outputs <- inputs" for each flow instance, in the order of the plan.
 std::string shortPlan(const rules::FlowPlan& plan) {
   std::string out;
   for (const auto& p : plan.instances) {
@@ -155,7 +155,7 @@
   if (c.hasCommands) {
     EXPECT_EQ(trimmed(commands(plan)), trimmed(c.commands));
   }
-  // Whatever it is, it can be handed over and read back.
+  // Every valid plan can be bundled for an upload and parsed again without loss.
   auto bundle = rules::bundle(plan);
   FlowGraph graph;
   for (const auto& part : bundle.graph) EXPECT_EQ(graph.add(part).value_or(""), "");
@@ -172,7 +172,8 @@
   }
 }
 
-// Files with bytes changed, dropped and doubled: read or refused, with bounded work, never a crash.
+// Rule files with randomly changed, deleted and repeated bytes are either planned or rejected. The
+// planner must not crash or exceed its limits.
 TEST_P(RulesTest, SurvivesMutation) {
   const Case& c = GetParam();
   std::mt19937_64 random(std::hash<std::string>{}(c.name));
@@ -204,7 +205,7 @@
       auto plan = planOf(mutated.first, request);
       rules::bundle(plan);
     } catch (const std::runtime_error&) {
-      // Refused: fine.
+      // A rejected file is a valid result.
     }
   }
 }
@@ -217,7 +218,7 @@
   return name;
 });
 
-// Files made to cost: each is refused, and the work spent on it is bounded.
+// Rule files that would need excessive time or memory are rejected after a bounded amount of work.
 TEST(HostileRules, AreRefused) {
   auto refused = [](const std::string& file, const std::string& text, const std::string& with) {
     Case c;
@@ -268,14 +269,15 @@
       "nothing makes");
 }
 
-// A pattern of alternations that takes a backtracking matcher exponential time.
+// A backtracking matcher would need exponential time for this pattern with nested alternations.
 TEST(HostileRules, AlternationsMatchInLinearTime) {
   rules::Pattern p("{x,(a|a|aa|aaa)*}b", {}, {});
   EXPECT_FALSE(p.match(std::string(20000, 'a')));
   EXPECT_TRUE(p.match(std::string(2000, 'a') + "b"));
 }
 
-// What needs thousands of files is planned in steps, so that no part of the graph is too large.
+// An instance with thousands of inputs depends on intermediate join instances, so that no part of
+// the uploaded flow graph becomes too large.
 TEST(RulesSize, ManyInputsAreJoinedInSteps) {
   Case c;
   c.first = "Snakefile";
@@ -296,7 +298,7 @@
   EXPECT_EQ(graph.size(), plan.instances.size());
 }
 
-// 100,000 instances: planned, and refused beyond.
+// A file with more instances than the limit is rejected, and a file within the limit is planned.
 TEST(HostileRules, SizeIsBounded) {
   Case c;
   c.first = "Makefile";
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -1,6 +1,8 @@
-/// Records and messages of the version f8097a8 (tests/data), as a controller of the present version
-/// meets them after an upgrade, and while both versions serve side by side: the present parsers
-/// read each of them, and where the present code writes the form it writes the same bytes.
+/// \file
+/// These tests guard the compatibility with the stored records and messages of version f8097a8
+/// (tests/data), which a controller of the current version reads after an upgrade and while both
+/// versions run together. The current parsers must read each record and message, and the current
+/// writers must produce the same bytes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -56,7 +58,8 @@
   auto text = record.get<std::string>();
   auto states = unpackPage(text);
   if (!states) return std::nullopt;
-  return packPage(*states, text.starts_with('~'));  // a sign that only dense pages begin with
+  return packPage(*states,
+                  text.starts_with('~'));  // Only pages in the dense encoding begin with '~'.
 }
 
 std::optional<Json> rewriteDependencies(const Json& record) {
@@ -65,8 +68,9 @@
   return jobs ? std::optional(Json{{"jobs", jobIdsToJson(*jobs)}}) : std::nullopt;
 }
 
-/// The series of each machine type, written back into the record that they came from; its other
-/// fields have no parser of their own (ForecastLoop and Fleet read them as they take over).
+/// Parses the demand series of each machine type in a forecast record and writes them back into a
+/// copy of the record. The other fields have no separate parser; ForecastLoop and Fleet read them
+/// when their controller becomes leader.
 std::optional<Json> rewriteForecast(const Json& record) {
   if (!countField(record, "at")) return std::nullopt;
   Json out = record;
@@ -80,13 +84,14 @@
   return out;
 }
 
-/// One form of record that the present code both reads and writes.
+/// A type of stored record that the current code both reads and writes.
 struct RecordForm {
-  std::string prefix;  // of its keys
+  std::string prefix;  // the common prefix of the record keys
   std::function<std::optional<Json>(const std::string& name, const Json& record)> rewrite;
 };
 
-// A key belongs to the first form that has its prefix.
+// Returns the record types that the current code writes. A key belongs to the first type whose
+// prefix matches.
 const std::vector<RecordForm>& writtenForms() {
   static const std::vector<RecordForm> forms{
       {keys::kJob,
@@ -116,7 +121,8 @@
   return forms;
 }
 
-// The forms that have no writer of their own; each has a test below.
+// Returns the key prefixes of the record types without a separate writer function. Each of these
+// types has its own test below.
 const std::vector<std::string>& readForms() {
   static const std::vector<std::string> prefixes{keys::kGraph, keys::kOpenFlows, keys::kVersion,
                                                  keys::kCursorKey};
@@ -172,8 +178,8 @@
   }
 }
 
-/// Whether any record with this prefix has this field; the parser skips fields that it does not
-/// know, so a form is only guarded while a record has it.
+/// Returns whether any stored record with this prefix has the field. Parsers skip unknown fields,
+/// so the tests cover a field only if at least one record contains it.
 bool anyRecordHas(const std::string& prefix, const char* name) {
   auto records = recordsWith(prefix);
   return std::any_of(records.begin(), records.end(),
@@ -191,8 +197,8 @@
   EXPECT_TRUE(anyRecordHas(keys::kPolicyState, "storm"));
 }
 
-// What a record says that has a parsed field: a parser that reads nothing would pass where the
-// writer copies unknown fields.
+// Compares each parsed field with the stored record. Without this test, a parser that reads no
+// field would pass where the writer copies unknown fields.
 TEST(StoredRecords, of_jobs_and_their_tasks_are_read_field_by_field) {
   for (const auto& entry : recordsWith(keys::kJob)) {
     const Json& record = entry.at("value");
@@ -216,7 +222,8 @@
   }
 }
 
-// A job whose list of dependencies is in parts is held until each part is read.
+// A job whose dependency list is stored in several records is not placed until all of them are
+// read.
 TEST(StoredRecords, of_dependencies_in_parts_are_read_whole) {
   for (const auto& entry : recordsWith(keys::kJob)) {
     const Json& record = entry.at("value");
@@ -259,7 +266,8 @@
 
 TEST(StoredRecords, of_flow_graphs_are_read) {
   for (const auto& entry : recordsWith(keys::kGraph)) {
-    // Later parts count on the rules and instances of the ones before.
+    // Later parts of a flow graph refer to rules and instances of earlier parts, so reading starts
+    // at the first part.
     if (!keyOf(entry).ends_with("/000000")) continue;
     FlowGraph graph;
     auto fault = graph.add(entry.at("value"));
@@ -347,7 +355,8 @@
   }
 }
 
-/// The commands of a stored message. Workers read these, controllers only write them.
+/// Parses the worker commands of a stored message. The controller code has no such parser because
+/// it only writes these messages.
 std::vector<WorkerCommand> commandsIn(const Json& message) {
   std::vector<WorkerCommand> out;
   for (const auto& order : message.at("orders")) {
--- a/tests/tls_test.cpp
+++ b/tests/tls_test.cpp
@@ -1,5 +1,6 @@
-// TLS over loopback sockets: who is believed, certificates exchanged while it runs; and what a
-// server bears from slow and partial requests.
+// These tests check TLS over loopback sockets, which covers certificate verification and the
+// replacement of certificates at run time. They also check the HTTP server's limits for slow
+// requests and for open sockets.
 #include "base/tls.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   return {200, encodeBody({{"path", q.path}, {"key", q.credential}}), 0};
 }
 
-// The status of one request; 0: no answer.
+// Sends one request and returns the status of the response, or 0 if none arrives.
 int ask(EventLoop& loop, const std::string& address, std::shared_ptr<TlsClient> tls,
         const std::string& name = "", EvHttpClient* keep = nullptr) {
   EvHttpClient own(loop, 4);
@@ -68,7 +69,7 @@
   EXPECT_EQ(ask(loop, at(server), nullptr), 0) << "without TLS";
   HttpServer plain(loop, "127.0.0.1:0", handler);
   EXPECT_EQ(ask(loop, at(plain), believing("ca")), 0) << "TLS to a server without";
-  // Several requests on one connection.
+  // Several requests use the same connection.
   EvHttpClient client(loop, 4);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(ask(loop, at(server), believing("ca"), "", &client), 200);
   EXPECT_THROW(TlsServer("/nonexistent", "/nonexistent"), std::runtime_error);
@@ -107,14 +108,12 @@
   c.issue("mine", "stranger", "IP:127.0.0.1", 30);
   EXPECT_TRUE(tls->reload());
   EXPECT_EQ(ask(loop, at(server), stranger), 200);
-  // What is no good is not taken, and the old one stays.
+  // The server rejects an invalid certificate file and keeps its current certificate.
   std::ofstream(c.pem("mine")) << "no certificate";
   EXPECT_FALSE(tls->reload());
   EXPECT_EQ(ask(loop, at(server), stranger), 200);
 }
 
-// ---- slow and partial requests ----
-
 int connectTo(int port) {
   int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in to{};
@@ -137,7 +136,8 @@
   int answered = 0;
   bool closed = false;
   EvHttpClient client(loop, 4);
-  // A byte a turn, until the server has hung up; bounded by the request's length.
+  // Sends one byte of the slow request after each regular request, until the server closes the
+  // connection or all bytes are sent.
   std::function<void()> drip = [&] {
     if (sent < request.size() && send(fd, &request[sent], 1, MSG_NOSIGNAL) == 1) ++sent;
     char byte = 0;
@@ -160,7 +160,7 @@
   EventLoop loop;
   ServerLimits limits;
   limits.slowest = Duration{5000};
-  limits.highestSocket = 1;  // none is that low
+  limits.highestSocket = 1;  // The descriptor of every accepted socket exceeds this limit.
   HttpServer server(
       loop, "127.0.0.1:0", [](const Request& q, const Respond& r) { r(echo(q)); }, nullptr, limits);
   EvHttpClient client(loop, 4);
