--- a/tests/concurrent_reads.cpp
+++ b/tests/concurrent_reads.cpp
@@ -58,14 +58,14 @@
 void ConcurrentReads::told(const std::string& id, const std::string& what) {
   Job& job = jobs_[id];
   if (!job.accepted) job.accepted = ++order_;
-  if (what != "accepted") noteEnd(id, what);
+  if (what != "accepted") recordEnd(id, what);
   burst(id);
   bool over = what != "accepted";
   if (!over && static_cast<double>(drawn(1000)) >= cancelledAtOnce_ * 1000) return;
-  auto at = drawn(kClose);
+  auto at = drawn(kDelayBoundMs);
   int node = drawnNode(), count = over ? nodes_ : 1 + static_cast<int>(drawn(2));
   for (int n = 0; n < count; ++n) {
-    world_.clock.in(over ? drawn(kClose) : at,
+    world_.clock.in(over ? drawn(kDelayBoundMs) : at,
                     [this, id, to = (node + n) % nodes_] { ask(Kind::abort, id, to); });
   }
 }
@@ -94,14 +94,14 @@
   if (!over && kind == Kind::abort) return world_.fail("malformed", where + " not cancelled");
   if (!job.accepted) job.accepted = ++order_;
   world_.note(id, r, at);
-  if (over) noteEnd(id, *phase);
+  if (over) recordEnd(id, *phase);
   if (follow == 0) return;
   soon(drawn(2) ? Kind::poll : Kind::submit, id, drawnNode(), follow - 1);
 }
 
-void OddRequests::malformed(int node) {
+void OddRequests::submitMalformed(int node) {
   std::string id = freshId();
-  Json body = soundBody(id);
+  Json body = validBody(id);
   static const std::vector<std::string> kNeeded{
       "lane",   "owner",   "shape",    "rank",  "shards",  "cpus",    "gpus",       "ram_gb",
       "bundle", "size_gb", "together", "apart", "loaners", "guess_s", "snapshot_s", "flush_s"};
@@ -134,12 +134,12 @@
   }
   if (bytes.empty()) bytes = encodeBody(body);
   expect(node, {"POST", "/v2/runs", bytes}, {400}, id + " malformed");
-  isNobodys(node, id);
+  expectUnknownJob(node, id);
 }
 
-void OddRequests::neverRuns(int node) {
+void OddRequests::submitUnplaceable(int node) {
   std::string id = freshId();
-  Json body = soundBody(id);
+  Json body = validBody(id);
   switch (drawn(7)) {
     case 0:
       body["owner"] = "nobody";
@@ -163,26 +163,26 @@
     default:  // One task of a job array alone exceeds the team's limit.
       body["gpus"] = world_.settings.gpusMax + 1;
   }
-  refusedFor(node, id, body);
-  isNobodys(node, id);
+  expectRejection(node, id, body);
+  expectUnknownJob(node, id);
 }
 
-void OddRequests::early(int node) {
+void OddRequests::submitBeforeMachineTypes(int node) {
   if (typesKnown()) return;
   std::string id = freshId();
   world_.network.send("users", world_.nodeApi(node),
-                      {"POST", "/v2/runs", encodeBody(soundBody(id))}, 5000,
+                      {"POST", "/v2/runs", encodeBody(validBody(id))}, 5000,
                       [this, id](const std::optional<Response>& r) {
-                        if (r && !mayAlways(r->status) && !typesKnown()) {
+                        if (r && !isAlwaysAllowed(r->status) && !typesKnown()) {
                           world_.fail("odd_request", id + " got " + std::to_string(r->status) +
                                                          " while no machine type is known");
                         }
                       });
 }
 
-void OddRequests::againOddly(int node) {
-  if (!world_.isAccepted(kSound)) return;
-  Json body = world_.spec(*world_.plan(kSound));
+void OddRequests::resubmitAcceptedJob(int node) {
+  if (!world_.isAccepted(kValidJob)) return;
+  Json body = world_.spec(*world_.plan(kValidJob));
   switch (drawn(4)) {
     case 0:
       body.erase("cpus");
@@ -196,18 +196,18 @@
     default:
       break;
   }
-  expect(node, {"POST", "/v2/runs", encodeBody(body)}, {200}, std::string(kSound) + " again");
-  if (world_.phaseOf(kSound) != "done") return;
-  std::string path = std::string("/v2/runs/") + kSound;
-  expect(node, {"POST", path + "/abort", ""}, {200}, std::string(kSound) + " cancelled", "done");
-  expect(node, {"GET", path, ""}, {200}, std::string(kSound) + " asked for", "done");
+  expect(node, {"POST", "/v2/runs", encodeBody(body)}, {200}, std::string(kValidJob) + " again");
+  if (world_.phaseOf(kValidJob) != "done") return;
+  std::string path = std::string("/v2/runs/") + kValidJob;
+  expect(node, {"POST", path + "/abort", ""}, {200}, std::string(kValidJob) + " cancelled", "done");
+  expect(node, {"GET", path, ""}, {200}, std::string(kValidJob) + " asked for", "done");
 }
 
 void OddRequests::expect(int node, const Request& q, const std::set<int>& statuses,
                          const std::string& what, const std::string& phase) {
   world_.network.send("users", world_.nodeApi(node), q, 5000,
                       [this, statuses, what, phase](const std::optional<Response>& r) {
-                        if (!r || mayAlways(r->status)) return;
+                        if (!r || isAlwaysAllowed(r->status)) return;
                         ++judged_;
                         if (!statuses.contains(r->status)) {
                           return world_.fail("odd_request",
--- a/tests/concurrent_reads.hpp
+++ b/tests/concurrent_reads.hpp
@@ -29,18 +29,19 @@
     for (int node = 0; node < nodes_; ++node) {
       for (Kind kind : {Kind::poll, Kind::poll, Kind::submit}) soon(kind, id, node);
     }
-    world_.clock.in(drawn(kClose), [this, node = drawnNode()] { askUnknown(node); });
+    world_.clock.in(drawn(kDelayBoundMs), [this, node = drawnNode()] { askUnknown(node); });
   }
 
-  void ask(Kind kind, const std::string& id, int node, int follow = kFollow);
+  void ask(Kind kind, const std::string& id, int node, int follow = kFollowUpRequests);
 
   // Polls every accepted job at every controller, in several rounds. The world fails if a
   // controller never answers, if two controllers report different phases, or if a job is not over.
   void expectAgreement();
 
  private:
-  static constexpr std::int64_t kClose = 51;  // ms
-  static constexpr int kFollow = 2;           // the number of successive requests after a response
+  static constexpr std::int64_t kDelayBoundMs = 51;
+  static constexpr int kFollowUpRequests =
+      2;  // An answered request starts this many more, one at a time.
 
   // The positions of a job's acceptance and end in the order of all sent requests and received
   // responses. A position is empty until the event has happened.
@@ -54,13 +55,14 @@
   }
   int drawnNode() { return static_cast<int>(drawn(nodes_)); }
 
-  void soon(Kind kind, const std::string& id, int node, int follow = kFollow) {
-    world_.clock.in(drawn(kClose), [this, kind, id, node, follow] { ask(kind, id, node, follow); });
+  void soon(Kind kind, const std::string& id, int node, int follow = kFollowUpRequests) {
+    world_.clock.in(drawn(kDelayBoundMs),
+                    [this, kind, id, node, follow] { ask(kind, id, node, follow); });
   }
 
   void told(const std::string& id, const std::string& what);
 
-  void noteEnd(const std::string& id, const std::string& phase) {
+  void recordEnd(const std::string& id, const std::string& phase) {
     Job& job = jobs_[id];
     if (!job.end.empty() && job.end != phase) {
       return world_.fail("went_back", id + " was " + job.end + ", now " + phase);
@@ -102,7 +104,7 @@
   void begin(std::int64_t ms) {
     until_ = world_.clock.now() + ms;
     JobPlan sound;
-    sound.id = kSound;
+    sound.id = kValidJob;
     sound.runS = 3;
     sound.spot = true;
     sound.jobClass = "odd";
@@ -111,14 +113,14 @@
   }
 
  private:
-  static constexpr const char* kSound = "j-860000";  // a valid job that is accepted and completes
+  static constexpr const char* kValidJob = "j-860000";  // This valid job is accepted and completes.
 
   std::int64_t drawn(std::int64_t below) {
     return static_cast<std::int64_t>(world_.random() % static_cast<std::uint64_t>(below));
   }
   bool typesKnown() const { return !world_.state.keysBelow("kh/catalogue").empty(); }
 
-  Json soundBody(const std::string& id) const {
+  Json validBody(const std::string& id) const {
     JobPlan p;
     p.id = id;
     p.spot = true;
@@ -129,10 +131,10 @@
     if (world_.clock.now() >= until_) return;
     world_.clock.in(500 + drawn(1000), [this] { round(); });
     for (int node = 0; node < nodes_; ++node) {
-      world_.clock.in(drawn(400), [this, node] { malformed(node); });
-      world_.clock.in(drawn(400), [this, node] { neverRuns(node); });
-      world_.clock.in(drawn(400), [this, node] { againOddly(node); });
-      world_.clock.in(drawn(400), [this, node] { early(node); });
+      world_.clock.in(drawn(400), [this, node] { submitMalformed(node); });
+      world_.clock.in(drawn(400), [this, node] { submitUnplaceable(node); });
+      world_.clock.in(drawn(400), [this, node] { resubmitAcceptedJob(node); });
+      world_.clock.in(drawn(400), [this, node] { submitBeforeMachineTypes(node); });
     }
   }
 
@@ -140,16 +142,16 @@
 
   // Submits a job with a missing field, a field of a wrong type or value, or a truncated body, and
   // expects status 400.
-  void malformed(int node);
+  void submitMalformed(int node);
 
   // Submits a well-formed job that no machine type or team limit permits. The expected status is
   // 422, or 503 while no machine types are stored.
-  void neverRuns(int node);
+  void submitUnplaceable(int node);
 
-  void refusedFor(int node, const std::string& id, const Json& body) {
+  void expectRejection(int node, const std::string& id, const Json& body) {
     world_.network.send("users", world_.nodeApi(node), {"POST", "/v2/runs", encodeBody(body)}, 5000,
                         [this, id](const std::optional<Response>& r) {
-                          if (!r || mayAlways(r->status)) return;
+                          if (!r || isAlwaysAllowed(r->status)) return;
                           ++judged_;
                           if (r->status != 422 || !typesKnown()) {
                             world_.fail("odd_request", id + " got " + std::to_string(r->status));
@@ -158,15 +160,16 @@
   }
 
   // Submits a valid job if no machine types are stored yet, and expects status 503 while none are.
-  void early(int node);
+  void submitBeforeMachineTypes(int node);
 
-  // Submits the accepted job kSound again, either unchanged, incomplete or with a shape that can't
-  // run, and expects status 200. After the job is done, it also cancels and polls the job.
-  void againOddly(int node);
+  // Submits the accepted job kValidJob again, either unchanged, incomplete or with a resource
+  // request that can't run, and expects status 200. After the job is done, it also cancels and
+  // polls the job.
+  void resubmitAcceptedJob(int node);
 
   // Checks that a rejected job id gets 404 for a poll and for a cancellation, and that the state
   // service stores no job of this id.
-  void isNobodys(int node, const std::string& id) {
+  void expectUnknownJob(int node, const std::string& id) {
     world_.clock.in(drawn(3000), [this, node, id] {
       expect((node + 1) % nodes_, {"GET", "/v2/runs/" + id, ""}, {404}, id + " asked for");
       expect(node, {"POST", "/v2/runs/" + id + "/abort", ""}, {404}, id + " cancelled");
@@ -174,7 +177,7 @@
     });
   }
 
-  static bool mayAlways(int status) { return status == 429 || status == 503; }
+  static bool isAlwaysAllowed(int status) { return status == 429 || status == 503; }
 
   void expect(int node, const Request& q, const std::set<int>& statuses, const std::string& what,
               const std::string& phase = "");
