--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -22,9 +22,10 @@
 namespace fs = std::filesystem;
 
 struct CommitOutcome {
-  std::map<std::string, std::string> files;  // the content of each file by its name
+  std::map<std::string, std::string>
+      files;  // The keys are file names, and the values are the contents.
   std::map<std::string, std::pair<double, std::string>>
-      rules;  // the number of completed tasks and the resources of one task, by rule
+      rules;  // Each rule has its number of completed tasks and the resources of one task.
 };
 
 // Returns the content of all files below the directory, without the .tsv files, whose measured
--- a/tests/members_simulator.hpp
+++ b/tests/members_simulator.hpp
@@ -62,7 +62,7 @@
   }
   std::string directory, root;
   std::unique_ptr<RegionProcess> process;
-  int offset = 0;  // the difference between the members' port and the controller's port
+  int offset = 0;  // This value is added to a controller's port to get the port for members.
   client::Settings like;
 };
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -17,7 +17,7 @@
 struct Case {
   std::string group, name;
   std::map<std::string, std::string> files;
-  std::string first;  // the name of the first rule file, which is planned
+  std::string first;  // This is the name of the rule file that is planned.
   std::string sources, targets, set, plan, commands, error;
   bool hasPlan = false, hasCommands = false;
 };
--- a/tests/stored_forms_test.cpp
+++ b/tests/stored_forms_test.cpp
@@ -86,7 +86,7 @@
 
 /// A type of stored record that the current code both reads and writes.
 struct RecordForm {
-  std::string prefix;  // the common prefix of the record keys
+  std::string prefix;  // All keys of these records have this prefix.
   std::function<std::optional<Json>(const std::string& name, const Json& record)> rewrite;
 };
 
