--- a/src/rules/bundle.cpp
+++ b/src/rules/bundle.cpp
@@ -8,12 +8,13 @@
 namespace kestrelhoist::rules {
 namespace {
 
-// BLAKE2b of a sequence of texts and numbers, 64 bits of it.
+// Hashes a sequence of texts and numbers with BLAKE2b and returns the first 64 bits.
 class Hash {
  public:
   Hash() { crypto_generichash_init(&state_, nullptr, 0, 16); }
   Hash& add(std::string_view text) {
-    number(text.size());  // no two sequences have the same bytes
+    // The length prefix ensures that different sequences never hash the same bytes.
+    number(text.size());
     crypto_generichash_update(&state_, reinterpret_cast<const unsigned char*>(text.data()),
                               text.size());
     return *this;
@@ -46,12 +47,12 @@
   std::string out(sodium_base64_encoded_len(n, sodium_base64_VARIANT_ORIGINAL), '\0');
   sodium_bin2base64(out.data(), out.size(), reinterpret_cast<const unsigned char*>(packed.data()),
                     n, sodium_base64_VARIANT_ORIGINAL);
-  out.resize(out.size() - 1);  // its terminating zero
+  out.resize(out.size() - 1);  // This removes the terminating zero.
   return out;
 }
 
 std::string unpack(const std::string& text) {
-  constexpr std::size_t kMost = 32 << 20;
+  constexpr std::size_t kMaxTextBytes = 32 << 20;
   std::string packed(text.size(), '\0');
   std::size_t n = 0;
   if (sodium_base642bin(reinterpret_cast<unsigned char*>(packed.data()), packed.size(), text.data(),
@@ -59,7 +60,7 @@
     throw std::runtime_error("a text part can't be read");
   }
   auto size = ZSTD_getFrameContentSize(packed.data(), n);
-  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMost) {
+  if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > kMaxTextBytes) {
     throw std::runtime_error("a text part can't be read");
   }
   std::string out(size, '\0');
@@ -94,19 +95,21 @@
 std::uint64_t hashOf(const std::string& name) { return Hash().add(name).done(); }
 
 namespace {
-// What needs very many is told of them in steps, so that no part of the graph is too large: an
-// instance that runs nothing stands for some hundreds of them.
+// Splits the dependencies of an instance that has very many of them, because the instance would not
+// fit into one part of the graph. Inserts join instances, which run nothing and depend on some
+// hundreds of the original dependencies each.
 void joinInSteps(FlowPlan& plan) {
-  constexpr std::size_t kMost = 400;
-  auto wide = [](const PlannedInstance& p) { return p.deps.size() > kMost; };
-  if (std::none_of(plan.instances.begin(), plan.instances.end(), wide)) return;
-  std::map<std::uint32_t, std::uint32_t> joins;  // the joining rule beside each rule
+  constexpr std::size_t kMaxDeps = 400;
+  auto hasTooManyDeps = [](const PlannedInstance& p) { return p.deps.size() > kMaxDeps; };
+  if (std::none_of(plan.instances.begin(), plan.instances.end(), hasTooManyDeps)) return;
+  // Maps the number of a rule to the number of the join rule that is derived from it.
+  std::map<std::uint32_t, std::uint32_t> joins;
   std::vector<PlannedInstance> out;
   std::vector<Instance> number(plan.instances.size());
   for (std::size_t i = 0; i < plan.instances.size(); ++i) {
     PlannedInstance p = std::move(plan.instances[i]);
     for (Instance& d : p.deps) d = number[d];
-    if (wide(p)) {
+    if (hasTooManyDeps(p)) {
       auto [rule, isNew] = joins.emplace(p.rule, static_cast<std::uint32_t>(plan.rules.size()));
       if (isNew) {
         FlowRule f = plan.rules[p.rule];
@@ -116,14 +119,14 @@
         plan.rules.push_back(f);
       }
       std::vector<Instance> deps;
-      for (std::size_t from = 0; from < p.deps.size(); from += kMost) {
+      for (std::size_t from = 0; from < p.deps.size(); from += kMaxDeps) {
         PlannedInstance join;
         join.rule = rule->second;
         auto first = p.deps.begin() + static_cast<std::ptrdiff_t>(from);
         join.deps.assign(first, p.deps.begin() + static_cast<std::ptrdiff_t>(
-                                                     std::min(p.deps.size(), from + kMost)));
+                                                     std::min(p.deps.size(), from + kMaxDeps)));
         join.outputs = {".done/join/" + hex16(hashOf(p.outputs[0])) + "-" +
-                        std::to_string(from / kMost)};
+                        std::to_string(from / kMaxDeps)};
         join.flags = {{false, false, false, true}};
         join.why = "for " + p.outputs[0];
         deps.push_back(static_cast<Instance>(out.size()));
@@ -137,8 +140,8 @@
   plan.instances = std::move(out);
 }
 
-// Layer by layer and rule by rule: instances that become ready together have numbers together, so
-// that few values of the state service change with them.
+// Sorts the instances by dependency level and then by rule. Instances that become ready together
+// get adjacent numbers, so that few values of the state service change when they do.
 void arrange(FlowPlan& plan) {
   std::size_t n = plan.instances.size();
   std::vector<std::uint32_t> level(n, 0);
@@ -163,8 +166,9 @@
 }
 }  // namespace
 
-// A file that is removed after its use is made again when something that needs it is another than
-// before: so whoever makes it is told apart by what needs it, too.
+// A temporary file is removed after use and must be made again when an instance that depends on it
+// changes. The fingerprint of the instance that makes the file therefore also covers the
+// fingerprints of the instances that depend on it.
 void seal(FlowPlan& plan) {
   joinInSteps(plan);
   arrange(plan);
@@ -200,11 +204,12 @@
   Bundle out;
   out.instances = static_cast<std::uint32_t>(plan.instances.size());
 
-  // The graph, cut where a part is full; new rules come with the first part that needs them.
+  // The graph is split where a part is full. A rule is written into the first part that refers to
+  // it.
   Json part;
   std::size_t bytes = 0;
   std::string print, outh;
-  std::vector<bool> told(plan.rules.size());
+  std::vector<bool> isRuleWritten(plan.rules.size());
   std::vector<std::uint32_t> number(plan.rules.size());
   std::uint32_t rules = 0;
   auto open = [&] {
@@ -231,7 +236,7 @@
   for (Instance i = 0; i < plan.instances.size(); ++i) {
     const PlannedInstance& p = plan.instances[i];
     std::size_t size = 16 + 16 * p.outputs.size() + 12 * p.deps.size() + 24;
-    if (!told[p.rule]) size += toJson(plan.rules[p.rule]).dump().size();
+    if (!isRuleWritten[p.rule]) size += toJson(plan.rules[p.rule]).dump().size();
     if (size > kPartBytes) {
       throw std::runtime_error("an instance of rule " + plan.rules[p.rule].name +
                                " has too many inputs from others or outputs (" +
@@ -243,8 +248,8 @@
       open();
     }
     bytes += size;
-    if (!told[p.rule]) {
-      told[p.rule] = true;
+    if (!isRuleWritten[p.rule]) {
+      isRuleWritten[p.rule] = true;
       number[p.rule] = rules++;
       part["rules"].push_back(toJson(plan.rules[p.rule]));
     }
@@ -263,7 +268,7 @@
   }
   close();
 
-  // Texts: as many instances together as fit, since they compress well together.
+  // Each text part holds as many instances as fit, because they compress better together.
   std::vector<Json> all;
   for (const auto& p : plan.instances) all.push_back(textOf(p, plan.rules[p.rule].name));
   for (std::uint32_t per = 512;; per /= 2) {
@@ -303,7 +308,8 @@
   p.outputs = texts("o");
   p.log = textField(v, "l").value_or("");
   p.benchmark = textField(v, "b").value_or("");
-  p.why = textField(v, "r").value_or("");  // the rule's name
+  // The text part stores the name of the rule instead of the reason.
+  p.why = textField(v, "r").value_or("");
   if (const Json* w = field(v, "w"); w && w->is_object()) {
     for (const auto& [name, value] : w->items()) {
       if (value.is_string()) p.wildcards[name] = value.get<std::string>();
--- a/tests/scenario_faults.cpp
+++ b/tests/scenario_faults.cpp
@@ -2,7 +2,8 @@
 
 namespace kestrelhoist::sim {
 
-std::string wrongNumber(const Line& line) {
+std::string numberError(const Line& line) {
+  // Maps each verb to the positions of its numbers; the verb has position 0.
   static const std::map<std::string, std::vector<int>> kPlaces{{"seeds", {1, 2}},
                                                                {"run", {1}},
                                                                {"chaos", {1}},
@@ -77,7 +78,7 @@
     constexpr std::size_t kStepFrom = 4;
     if (words.size() <= kStepFrom) return "at needs a step";
     if (auto why = bad(words[kStepFrom - 1]); !why.empty()) return why;
-    return wrongNumber({line.file, line.number, {words.begin() + kStepFrom, words.end()}});
+    return numberError({line.file, line.number, {words.begin() + kStepFrom, words.end()}});
   }
   auto at = kPlaces.find(words[0]);
   if (at != kPlaces.end()) {
@@ -106,7 +107,7 @@
 void ScenarioFaults::configure(const Line& line) {
   for (const auto& [key, value] : options(line, 1)) {
     double v = std::stod(value);
-    if (key == "pace") {  // the three that the deployments have: 1, 3, 8
+    if (key == "pace") {  // The deployments use report intervals of 1, 3 and 8 s.
       settings_.reportS = v;
       settings_.leaseS = v <= 1 ? 11 : v <= 3 ? 17.5 : 36;
       settings_.cancelS = v <= 1 ? 41 : v <= 3 ? 47.5 : 61;
@@ -120,15 +121,15 @@
       settings_.bootS = v;
     else if (key == "bootfail")
       settings_.bootFailureShare = v;
-    else if (key == "soon")  // share of machines that are up within 0.2 to 2 s
+    else if (key == "soon")  // This is the share of machines that boot within 0.2 to 2 s.
       settings_.fastBootShare = v;
-    else if (key == "failed")  // seconds until a machine that has died is listed so
+    else if (key == "failed")  // The cloud lists a dead machine as failed after this time.
       settings_.failedAfterS = v;
-    else if (key == "pagerows")  // of the state service
+    else if (key == "pagerows")  // This is the page size of the state service in rows.
       settings_.pageRows = static_cast<std::size_t>(v);
     else if (key == "gpusmax")
       settings_.gpusMax = v;
-    else if (key == "fetch")  // seconds until a machine has an image
+    else if (key == "fetch")  // A machine needs this time to fetch an image.
       settings_.fetchS = v;
     else if (key == "report")
       settings_.reportS = v;
@@ -148,7 +149,7 @@
       settings_.nextOps = static_cast<int>(v);
     else if (key == "nextwrites")
       settings_.nextWrites = v;
-    else if (key == "old")  // controllers are of the version before until `upgrade`
+    else if (key == "old")  // Controllers run the earlier version until `upgrade`.
       settings_.old = v > 0;
     else if (key == "flows")
       settings_.flows = v > 0;
@@ -185,7 +186,7 @@
   if (word == "peers") {
     for (int i = 0; i < settings_.nodes; ++i) out.insert("node" + std::to_string(i));
   }
-  return out;  // "all": empty
+  return out;  // The set stays empty for "all".
 }
 
 JobPlan ScenarioFaults::jobFrom(const std::string& id,
@@ -203,7 +204,7 @@
       job.ram = std::stod(value);
     else if (key == "cpus")
       job.cpus = std::stod(value);
-    else if (key == "stagger")  // task 1 runs so much longer than task 0, and so on
+    else if (key == "stagger")  // Each task runs this much longer than the task before it.
       job.staggerS = std::stod(value);
     else if (key == "run")
       job.runS = std::stod(value);
@@ -219,7 +220,7 @@
       job.spot = value == "yes";
     else if (key == "checkpoint")
       job.checkpointS = std::stod(value);
-    else if (key == "wrong")  // submitted with a mistake: each task ends in error after this
+    else if (key == "wrong")  // Each task fails after this time because of a mistake in the job.
       job.failsAfterS = std::stod(value);
     else if (key == "class")
       job.jobClass = value;
@@ -237,7 +238,7 @@
   return job;
 }
 
-void ScenarioFaults::beside(const std::string& what, std::int64_t ms) {
+void ScenarioFaults::addFault(const std::string& what, std::int64_t ms) {
   World& w = *world_;
   if (what == "crash" || what == "leader") crash("leader", kRestartMs);
   if (what == "all") crash("all", kRestartMs);
@@ -247,13 +248,13 @@
     if (auto host = busyMachine("spot"); w.workers.contains(host)) w.workers[host]->notice(ms);
   }
   if (what == "abort") w.abort("j-000005");
-  if (what == "deaf") deafZone("b", CutMode::hold, ms);
-  if (what == "lone") alone("other", "hold", ms);
+  if (what == "deaf") blockMessagesToZone("b", CutMode::hold, ms);
+  if (what == "lone") isolate("other", "hold", ms);
 }
 
-void ScenarioFaults::caught(const std::string& step, const std::string& member) {
+void ScenarioFaults::crashAtElectionStep(const std::string& step, const std::string& member) {
   World& w = *world_;
-  for (auto& c : catches_) {
+  for (auto& c : electionCrashes_) {
     if (c.step != step || c.left <= 0) continue;
     --c.left;
     w.clock.in(0, [this, member, c] {
@@ -266,9 +267,9 @@
 }
 
 void ScenarioFaults::watchElection() {
-  if (catches_.size() > 1) return;
+  if (electionCrashes_.size() > 1) return;
   World& w = *world_;
-  w.state.onLease = [this](const std::string& host) { caught("lease", host); };
+  w.state.onLease = [this](const std::string& host) { crashAtElectionStep("lease", host); };
   w.state.onCommit = [this, &w, before = w.state.onCommit,
                       newest = std::string()](const Json& writes) mutable {
     before(writes);
@@ -276,11 +277,11 @@
       auto key = write.value("set", std::string());
       if (key == "kh/leader") {
         newest = write["data"].at("member").get<std::string>();
-        caught("token", newest);
-        w.clock.in(300, [this, newest] { caught("round", newest); });
+        crashAtElectionStep("token", newest);
+        w.clock.in(300, [this, newest] { crashAtElectionStep("round", newest); });
       } else if (!newest.empty() && (key.starts_with("kh/tasks/") || key == "kh/forecast" ||
                                      key.starts_with("kh/rental/"))) {
-        caught("commit", std::exchange(newest, ""));
+        crashAtElectionStep("commit", std::exchange(newest, ""));
       }
     }
   };
@@ -335,7 +336,8 @@
     fault.busy = w.machinesWithTasks();
     fault.durationMs = static_cast<std::int64_t>(2000 + drawBelow(38000));
     fault.mode = static_cast<CutMode>(drawBelow(3));
-    // Each of the two functions has cases of its own; what is left is a new job.
+    // Kind 10 cancels a job, and kinds 18 to 20 submit one. Each other kind is a case in only one
+    // of the two functions below.
     auto kind = drawBelow(21);
     if (kind > 17) {
       submitDrawnJob();
@@ -401,7 +403,7 @@
       break;
     }
     case 16:
-      beside("lone", fault.durationMs);
+      addFault("lone", fault.durationMs);
       break;
     default:
       break;
@@ -424,7 +426,8 @@
       break;
     case 17:
       if (drawBelow(2)) {
-        deafZone(settings_.zones[drawBelow(settings_.zones.size())], fault.mode, fault.durationMs);
+        blockMessagesToZone(settings_.zones[drawBelow(settings_.zones.size())], fault.mode,
+                            fault.durationMs);
       } else if (!fault.busy.empty()) {
         w.network.cut(fault.busy[drawBelow(fault.busy.size())], {}, CutMode::hold, fault.durationMs,
                       CutWay::in);
