--- a/tests/replica_spells.py
+++ b/tests/replica_spells.py
@@ -44,7 +44,9 @@
         self.passed = None
         self.spells_ms = None
         self.missing_ms = 0
-        self.running = []  # (time in s, running tasks of the class) at the start and end of the watch
+        self.running = (
+            []
+        )  # (time in s, running tasks of the class) at the start and end of the watch
 
     def seed(self):
         return int(re.search(r"seed_(\d+)", self.name)[1])
