--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -164,7 +164,7 @@
     const auto& p = plan.instances[i];
     EXPECT_TRUE(
         std::equal(graph.deps(i).begin(), graph.deps(i).end(), p.deps.begin(), p.deps.end()));
-    EXPECT_EQ(graph.print(i), p.print);
+    EXPECT_EQ(graph.fingerprint(i), p.print);
     auto back = rules::instanceFrom(bundle.texts[i / bundle.perText], i % bundle.perText);
     EXPECT_EQ(back.command, p.command);
     EXPECT_EQ(back.inputs, p.inputs);
